--- a/examples/scale.rs
+++ b/examples/scale.rs
@@ -5,11 +5,12 @@
 //! how long a new configuration took to be in force everywhere. `docs/CAPACITY.md` has its figures.
 use clap::Parser;
 use serde_json::json;
-use silvertack::common::config::Lanes;
-use silvertack::common::http;
-use silvertack::common::ids::{DbTerm, NodeName, Position, Revision, ServiceName};
-use silvertack::common::link::{Follower, Link};
-use silvertack::common::peer::{Frame, Saw, Standing, ToSteward, ToStile, encode};
+use silvertack::base::ids::{DbTerm, NodeName, Position, Revision, ServiceName};
+use silvertack::config::route_table::Lanes;
+use silvertack::net::http;
+use silvertack::net::leader_connection::{Follower, Link};
+use silvertack::net::rpc::pooler_messages::{Saw, Standing, ToSteward, ToStile};
+use silvertack::net::rpc::{Frame, encode};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 use std::path::{Path, PathBuf};
--- a/src/common/errors.rs
+++ b/src/base/errors.rs
@@ -1,4 +1,4 @@
-//! The closed list of what can go wrong towards a client, and the answer each kind gets.
+//! The closed list of error kinds, and the table of the answers that they lead to.
 use std::fmt;
 
 /// Every error a client can be given.
@@ -28,7 +28,12 @@
     pub closes: bool,
 }
 
-const fn row(kind: ErrorKind, word: &'static str, promise: bool, closes: bool) -> Answer {
+pub(crate) const fn row(
+    kind: ErrorKind,
+    word: &'static str,
+    promise: bool,
+    closes: bool,
+) -> Answer {
     Answer { kind, word, promise, closes }
 }
 
@@ -57,6 +62,7 @@
         ANSWERS.iter().find(|row| row.word == word).map(|row| row.kind)
     }
 }
+
 impl fmt::Display for ErrorKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.answer().word)
@@ -135,6 +141,7 @@
     #[error("{0}")]
     Call(String),
 }
+
 impl Fatal {
     pub fn exit_code(&self) -> u8 {
         match self {
--- a/src/common/ids.rs
+++ b/src/base/ids.rs
@@ -1,9 +1,7 @@
-//! Ids, versions and times as small types of their own.
+//! Identifiers and versions as small types of their own.
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::str::FromStr;
-use std::sync::OnceLock;
-use std::time::Instant;
 
 macro_rules! word {
     ($(#[$doc:meta])* $name:ident) => {
@@ -23,6 +21,7 @@
         }
     };
 }
+
 macro_rules! number {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -41,30 +40,37 @@
     /// A service: one primary database and its replicas.
     ServiceName
 );
+
 word!(
     /// One running database.
     InstanceId
 );
+
 word!(
     /// A machine of the system, as its settings name it.
     NodeName
 );
+
 number!(
     /// The term of a database's log: which primary wrote.
     DbTerm
 );
+
 number!(
     /// The term of the stewards' own log: which steward leads.
     Epoch
 );
+
 number!(
     /// The place of an entry in the stewards' log.
     Index
 );
+
 number!(
     /// One steward with one disk; a new disk makes a new member.
     MemberId
 );
+
 number!(
     /// The revision the operator gave a configuration.
     Revision
@@ -76,11 +82,13 @@
     pub term: DbTerm,
     pub number: u64,
 }
+
 impl fmt::Display for Position {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}.{}", self.term, self.number)
     }
 }
+
 impl FromStr for Position {
     type Err = ();
     fn from_str(text: &str) -> Result<Self, ()> {
@@ -91,21 +99,3 @@
         })
     }
 }
-
-/// Milliseconds on the steady clock since this process began. Means nothing to another process.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Tick(pub u64);
-impl Tick {
-    pub fn now() -> Self {
-        static START: OnceLock<Instant> = OnceLock::new();
-        // A start above zero leaves room to look back from the first moments.
-        Self(START.get_or_init(Instant::now).elapsed().as_millis() as u64 + 60_000)
-    }
-    pub fn plus(self, ms: u64) -> Self {
-        Self(self.0.saturating_add(ms))
-    }
-    /// Milliseconds since `earlier`, none if that lies ahead.
-    pub fn since(self, earlier: Tick) -> u64 {
-        self.0.saturating_sub(earlier.0)
-    }
-}
--- a/src/common/logging.rs
+++ b/src/base/logging.rs
@@ -1,5 +1,5 @@
-//! Short lines on standard error, each behind the prefix of the part that wrote it.
-use super::ids::Tick;
+//! Log lines on standard error.
+use crate::base::time::Tick;
 use log::{LevelFilter, Log, Metadata, Record};
 use std::io::Write;
 
--- a/src/common/signals.rs
+++ b/src/base/signals.rs
@@ -1,4 +1,4 @@
-//! SIGTERM and SIGHUP as flags that the programs' loops look at.
+//! The signals that a process listens to.
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
@@ -7,6 +7,7 @@
     term: Arc<AtomicBool>,
     hup: Arc<AtomicBool>,
 }
+
 impl Signals {
     pub fn install() -> std::io::Result<Self> {
         let signals = Self::default();
--- a/src/common/mod.rs
+++ b/src/base/worker_pool.rs
@@ -1,26 +1,10 @@
-//! What both programs share: ids, settings, errors, the wire, peer messages, HTTP and logs.
-pub mod config;
-pub mod errors;
-pub mod http;
-pub mod ids;
-pub mod link;
-pub mod logging;
-pub mod parked;
-pub mod peer;
-pub mod settings;
-pub mod signals;
-pub mod wire;
-
+//! Threads that do one short job after the other.
+use crate::base::errors::Fatal;
+use crate::base::sync::lock;
 use std::collections::VecDeque;
-use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
+use std::sync::{Condvar, Mutex, PoisonError};
 use std::time::Duration;
 
-/// A poisoned lock means that another thread died half way; going on with its data is the best
-/// that is left, since every value behind a lock here is whole between two steps.
-pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().unwrap_or_else(PoisonError::into_inner)
-}
-
 type Job = Box<dyn FnOnce() + Send>;
 
 /// Threads that do one short job after the other, and jobs that one of them is about to take. Calls,
@@ -30,8 +14,11 @@
     resting: usize,
     jobs: VecDeque<Job>,
 }
+
 static CREW: Mutex<Crew> = Mutex::new(Crew { threads: 0, resting: 0, jobs: VecDeque::new() });
+
 static WANTED: Condvar = Condvar::new();
+
 /// How long a thread waits for another job.
 const REST: Duration = Duration::from_secs(10);
 
@@ -76,6 +63,7 @@
     crew.threads -= 1;
     crew.threads > 0 || crew.jobs.pop_back().is_none()
 }
+
 fn spawn(work: impl FnOnce() + Send + 'static) -> bool {
     let started = std::thread::Builder::new().stack_size(256 << 10).spawn(work);
     if let Err(e) = &started {
@@ -83,8 +71,9 @@
     }
     started.is_ok()
 }
+
 /// Starts a loop that a program can't do without.
-pub fn must_start(what: &str, work: impl FnOnce() + Send + 'static) -> Result<(), errors::Fatal> {
-    let lost = || errors::Fatal::Call(format!("no thread for {what}"));
+pub fn must_start(what: &str, work: impl FnOnce() + Send + 'static) -> Result<(), Fatal> {
+    let lost = || Fatal::Call(format!("no thread for {what}"));
     spawn(work).then_some(()).ok_or_else(lost)
 }
--- /dev/null
+++ b/src/config/route_table.rs
@@ -0,0 +1,188 @@
+//! What a node needs of a configuration, and what differs between two versions.
+use crate::base::ids::{Revision, ServiceName};
+use crate::config::configuration::{Configuration, Route, RouteType, SessionLimits};
+use serde::{Deserialize, Serialize};
+use std::collections::BTreeMap;
+
+/// What a node needs of a route. Links to nodes may be thin, and there may be thousands.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct Lane {
+    pub hostname: String,
+    pub path_prefix: String,
+    #[serde(with = "numbered")]
+    pub route_type: RouteType,
+    pub timeout_ms: u64,
+    pub target_latency_ms: u64,
+    pub priority: u8,
+    pub max_attempts: u32,
+    pub stale_ms: u64,
+    /// The places of its services among all, and their weights.
+    targets: Vec<(u16, u32)>,
+}
+
+impl Lane {
+    fn place(&self) -> (&str, &str) {
+        (&self.hostname, &self.path_prefix)
+    }
+}
+
+mod numbered {
+    use super::RouteType;
+    use serde::{Deserialize, Deserializer, Serializer, de::Error};
+    const ALL: [RouteType; 6] = [
+        RouteType::Primary,
+        RouteType::Bounded,
+        RouteType::ReadYourWrites,
+        RouteType::Idempotent,
+        RouteType::NonIdempotent,
+        RouteType::Download,
+    ];
+    pub fn serialize<S: Serializer>(kind: &RouteType, to: S) -> Result<S::Ok, S::Error> {
+        to.serialize_u8(*kind as u8)
+    }
+    pub fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<RouteType, D::Error> {
+        let number = u8::deserialize(from)?;
+        ALL.get(usize::from(number))
+            .copied()
+            .ok_or_else(|| D::Error::custom("no such type of route"))
+    }
+}
+
+/// What a node needs of a configuration: a lane for each host and prefix, in their order.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct Lanes {
+    pub revision: Revision,
+    lanes: Vec<Lane>,
+    pub services: Vec<ServiceName>,
+    pub limits: SessionLimits,
+}
+
+impl Lanes {
+    pub fn of(config: &Configuration) -> Self {
+        let places: BTreeMap<&ServiceName, usize> =
+            config.services.iter().enumerate().map(|(at, s)| (&s.name, at)).collect();
+        // A checked configuration names only services it has, and no place twice.
+        let place =
+            |(service, weight): (&ServiceName, u32)| Some((*places.get(service)? as u16, weight));
+        let lane = |route: &Route| Lane {
+            hostname: route.hostname.clone(),
+            path_prefix: route.path_prefix.clone(),
+            route_type: route.route_type,
+            timeout_ms: route.timeout_ms,
+            target_latency_ms: route.target_latency_ms,
+            priority: route.priority,
+            max_attempts: route.max_attempts,
+            stale_ms: route.stale_ms,
+            targets: route.targets().filter_map(place).collect(),
+        };
+        let mut lanes: Vec<Lane> = config.route_rules.iter().map(lane).collect();
+        lanes.sort_by(|a, b| a.place().cmp(&b.place()));
+        Self {
+            revision: config.revision,
+            lanes,
+            services: config.services.iter().map(|s| s.name.clone()).collect(),
+            limits: config.limits.clone(),
+        }
+    }
+    /// The lane of a database name, and the service it leads to. Of several routes with that name,
+    /// the one with the first prefix counts.
+    pub fn lane(&self, hostname: &str) -> Option<(&Lane, &ServiceName)> {
+        let at = self.lanes.partition_point(|l| l.hostname.as_str() < hostname);
+        let lane = self.lanes.get(at).filter(|l| l.hostname == hostname)?;
+        Some((lane, self.service(lane, 0)?))
+    }
+    /// The lane of a request: of those for its host, the one with the longest prefix of its path.
+    pub fn route(&self, hostname: &str, path: &str) -> Option<&Lane> {
+        let slashes = path.bytes().enumerate().rev().filter(|(_, b)| *b == b'/').map(|(at, _)| at);
+        slashes
+            .map(|at| &path[..=at])
+            .find_map(|prefix| {
+                self.lanes.binary_search_by(|l| l.place().cmp(&(hostname, prefix))).ok()
+            })
+            .map(|at| &self.lanes[at])
+    }
+    /// The service that a lane leads to for one of its requests. The same request is led to the
+    /// same service at every node.
+    pub fn service(&self, lane: &Lane, request: u64) -> Option<&ServiceName> {
+        let sum: u64 = lane.targets.iter().map(|(_, weight)| u64::from(*weight)).sum();
+        let mut left = request.checked_rem(sum)?;
+        for (service, weight) in &lane.targets {
+            match left.checked_sub(u64::from(*weight)) {
+                Some(less) => left = less,
+                None => return self.services.get(usize::from(*service)),
+            }
+        }
+        None
+    }
+    /// What has to be known to come here from `base`.
+    pub fn since(&self, base: &Lanes) -> Changed {
+        Changed {
+            base: base.revision,
+            revision: self.revision,
+            lanes: runs(&base.lanes, &self.lanes, Lane::place),
+            services: runs(&base.services, &self.services, |s| s.0.as_str()),
+            limits: self.limits.clone(),
+        }
+    }
+    /// The version that `changed` leads to from this one; none if it is not meant for this one.
+    pub fn with(&self, changed: &Changed) -> Option<Lanes> {
+        if changed.base != self.revision {
+            return None;
+        }
+        Some(Lanes {
+            revision: changed.revision,
+            lanes: laid_out(&self.lanes, &changed.lanes)?,
+            services: laid_out(&self.services, &changed.services)?,
+            limits: changed.limits.clone(),
+        })
+    }
+}
+
+/// The way from one version to another.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct Changed {
+    pub base: Revision,
+    pub revision: Revision,
+    pub lanes: Vec<Run<Lane>>,
+    pub services: Vec<Run<ServiceName>>,
+    pub limits: SessionLimits,
+}
+
+/// A part of a list: as it stood in the old one, or new.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub enum Run<T> {
+    Same { from: usize, count: usize },
+    New(Vec<T>),
+}
+
+fn runs<'a, T: Clone + PartialEq, K: Ord>(
+    old: &'a [T],
+    new: &'a [T],
+    key: impl Fn(&'a T) -> K,
+) -> Vec<Run<T>> {
+    let places: BTreeMap<K, usize> = old.iter().enumerate().map(|(i, t)| (key(t), i)).collect();
+    let mut runs: Vec<Run<T>> = Vec::new();
+    for item in new {
+        let same = places.get(&key(item)).copied().filter(|at| old[*at] == *item);
+        match (runs.last_mut(), same) {
+            (Some(Run::Same { from, count }), Some(at)) if *from + *count == at => *count += 1,
+            (_, Some(at)) => runs.push(Run::Same { from: at, count: 1 }),
+            (Some(Run::New(items)), None) => items.push(item.clone()),
+            (_, None) => runs.push(Run::New(vec![item.clone()])),
+        }
+    }
+    runs
+}
+
+fn laid_out<T: Clone>(old: &[T], runs: &[Run<T>]) -> Option<Vec<T>> {
+    let mut new = Vec::new();
+    for run in runs {
+        match run {
+            Run::Same { from, count } => {
+                new.extend_from_slice(old.get(*from..from.checked_add(*count)?)?);
+            }
+            Run::New(items) => new.extend_from_slice(items),
+        }
+    }
+    Some(new)
+}
--- a/src/common/settings.rs
+++ b/src/config/settings.rs
@@ -1,6 +1,6 @@
-//! The settings file of a process: read, checked, and read again when it changes.
-use super::errors::Fatal;
-use super::ids::NodeName;
+//! The settings file of a node.
+use crate::base::errors::Fatal;
+use crate::base::ids::NodeName;
 use log::{info, warn};
 use serde::Deserialize;
 use std::net::{IpAddr, SocketAddr};
@@ -78,6 +78,7 @@
     #[validate(range(min = 64))]
     pub max_open_files: u64,
 }
+
 impl Default for Limits {
     fn default() -> Self {
         Self { memory_mb: 256, max_open_files: 1024 }
@@ -103,6 +104,7 @@
     #[validate(range(min = 1, max = 3600))]
     pub retry_window_s: u64,
 }
+
 impl Default for TimingBounds {
     fn default() -> Self {
         Self {
@@ -132,6 +134,7 @@
 fn yes() -> bool {
     true
 }
+
 fn default_heartbeat() -> u64 {
     1000
 }
@@ -142,6 +145,7 @@
     }
     Ok(())
 }
+
 fn ordered_ports(range: &(u16, u16)) -> Result<(), ValidationError> {
     if range.0 == 0 || range.1 < range.0 {
         return Err(ValidationError::new("ports_in_order"));
@@ -207,6 +211,7 @@
     path: PathBuf,
     seen: Option<(SystemTime, u64)>,
 }
+
 impl Watched {
     pub fn new(path: PathBuf) -> Self {
         let seen = stamp(&path);
@@ -232,7 +237,7 @@
     }
 }
 
-fn stamp(path: &Path) -> Option<(SystemTime, u64)> {
+pub(crate) fn stamp(path: &Path) -> Option<(SystemTime, u64)> {
     let meta = std::fs::metadata(path).ok()?;
     Some((meta.modified().ok()?, meta.len()))
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,8 +2,10 @@
 //!
 //! `stile` carries the sessions on every machine, `wicket` the requests of a gateway; `steward` keeps the configuration, the
 //! directory of databases and who leads. `common` is what the two share.
-pub mod common;
+pub mod base;
+pub mod config;
 pub mod model;
+pub mod net;
 pub mod steward;
 pub mod stile;
 pub mod wicket;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,10 +1,11 @@
 //! The command line of silvertack.
 use clap::{Parser, Subcommand};
 use log::LevelFilter;
-use silvertack::common::config::Configuration;
-use silvertack::common::errors::Fatal;
-use silvertack::common::settings::Settings;
-use silvertack::common::{http, logging};
+use silvertack::base::errors::Fatal;
+use silvertack::base::logging;
+use silvertack::config::configuration::Configuration;
+use silvertack::config::settings::Settings;
+use silvertack::net::http;
 use silvertack::{model, steward, stile, wicket};
 use std::io::Write;
 use std::net::SocketAddr;
--- a/src/model.rs
+++ b/src/model.rs
@@ -3,12 +3,19 @@
 //!
 //! The stewards are the program's own, with other `Effects`. All else is a sketch of what the pages say of
 //! it, just true enough to press them. After every step a plain history is checked; see `World::broken`.
-use crate::common::config::{Lanes, Lifecycle, Role};
-use crate::common::ids::*;
-use crate::common::peer::*;
-use crate::common::settings::Settings;
-use crate::common::wire::Described;
-use crate::common::{config::Configuration, http::Request, http::Response};
+use crate::base::ids::{
+    DbTerm, Epoch, Index, InstanceId, MemberId, NodeName, Position, Revision, ServiceName,
+};
+use crate::base::time::Tick;
+use crate::config::configuration::Configuration;
+use crate::config::directory::{Lifecycle, Role};
+use crate::config::route_table::Lanes;
+use crate::config::settings::Settings;
+use crate::net::http::{Request, Response};
+use crate::net::rpc::pooler_messages::{Standing, ToSteward, ToStile};
+use crate::net::rpc::raft_messages::{Entry, Member, Raft};
+use crate::net::rpc::{Frame, LAYOUT, pack, receive};
+use crate::net::statement_protocol::Described;
 use crate::steward::{
     Ask, Attempt, Effects, Granary, Input, LEASE_MS, Posted, Sheaf, Steward, Told, first_state,
 };
--- a/src/common/http.rs
+++ b/src/net/http.rs
@@ -1,4 +1,7 @@
-//! The few HTTP calls: a small server for the operator, beats and probes, and a small client.
+//! A small HTTP/1.1 server and client for the admin and readiness addresses.
+use crate::base::errors::Fatal;
+use crate::base::worker_pool::start_thread;
+use crate::net::sockets::{dial, listen, tune};
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
@@ -6,8 +9,10 @@
 use std::time::Duration;
 
 const MAX_HEAD: usize = 16 << 10;
+
 /// Bodies may be larger than any configuration that can be taken, so that the answer can say so.
 pub const MAX_BODY: usize = 1 << 20;
+
 const IDLE: Duration = Duration::from_secs(15);
 
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -17,12 +22,14 @@
     pub if_match: Option<String>,
     pub body: Vec<u8>,
 }
+
 #[derive(Clone, Debug, PartialEq)]
 pub struct Response {
     pub status: u16,
     pub location: Option<String>,
     pub body: Vec<u8>,
 }
+
 impl Response {
     pub fn json(status: u16, body: Vec<u8>) -> Self {
         Self { status, location: None, body }
@@ -39,7 +46,7 @@
     }
 }
 
-fn reason(status: u16) -> &'static str {
+pub(crate) fn reason(status: u16) -> &'static str {
     match status {
         200 => "OK",
         307 => "Temporary Redirect",
@@ -75,7 +82,7 @@
             }
             let handle = Arc::clone(&handle);
             let counted = Arc::clone(&open);
-            let started = super::start_thread(move || {
+            let started = start_thread(move || {
                 // A caller that breaks off is no event of ours.
                 let _ = converse(stream, &*handle);
                 counted.fetch_sub(1, Ordering::Relaxed);
@@ -92,7 +99,7 @@
 const PROBES: usize = 64;
 
 /// The readiness address of a node: whether clients may be sent to it, and what it knows.
-pub fn serve_state<R, S>(at: SocketAddr, ready: R, status: S) -> Result<(), super::errors::Fatal>
+pub fn serve_state<R, S>(at: SocketAddr, ready: R, status: S) -> Result<(), Fatal>
 where
     R: Fn() -> bool + Send + Sync + 'static,
     S: Fn() -> serde_json::Value + Send + Sync + 'static,
@@ -104,12 +111,11 @@
         (_, "/readiness" | "/status") => Response::refusal(405, "not with this method"),
         _ => Response::refusal(404, "no such path"),
     };
-    serve(super::peer::listen(at)?, "readiness", PROBES, answer)
-        .map_err(|e| super::errors::Fatal::Listen(at.to_string(), e))
+    serve(listen(at)?, "readiness", PROBES, answer).map_err(|e| Fatal::Listen(at.to_string(), e))
 }
 
 fn converse(mut stream: TcpStream, handle: &dyn Fn(Request) -> Response) -> io::Result<()> {
-    super::peer::tune(&stream, Duration::from_secs(5))?;
+    tune(&stream, Duration::from_secs(5))?;
     stream.set_read_timeout(Some(IDLE))?;
     stream.set_write_timeout(Some(Duration::from_secs(5)))?;
     let mut bytes = Vec::new();
@@ -229,7 +235,7 @@
     body: &[u8],
     within: Duration,
 ) -> io::Result<(u16, Option<String>, Vec<u8>)> {
-    let mut stream = super::peer::dial(to, within, within)?;
+    let mut stream = dial(to, within, within)?;
     stream.set_read_timeout(Some(within))?;
     let mut out = format!(
         "{method} {path} HTTP/1.1\r\nHost: {to}\r\nConnection: close\r\nContent-Type: application/json\r\nContent-Length: {}\r\n",
--- a/src/common/parked.rs
+++ b/src/net/idle_connections.rs
@@ -1,5 +1,5 @@
-//! Clients that say nothing wait together, without a thread each.
-use super::lock;
+//! Connections at rest, watched by one thread.
+use crate::base::sync::lock;
 use log::warn;
 use rustix::event::{PollFd, PollFlags, Timespec, epoll, poll};
 use std::collections::HashMap;
--- a/src/common/link.rs
+++ b/src/net/leader_connection.rs
@@ -1,8 +1,11 @@
-//! The connection that a node keeps to the leading steward.
-use super::ids::Tick;
-use super::lock;
-use super::peer::{Frame, ToSteward, ToStile, dial, receive, send};
-use super::start_thread;
+//! The connection that a node keeps to the leading controller.
+use crate::base::sync::lock;
+use crate::base::time::Tick;
+use crate::base::worker_pool::start_thread;
+use crate::net::leader_discovery::{Search, TURN_MS};
+use crate::net::rpc::pooler_messages::{ToSteward, ToStile};
+use crate::net::rpc::{Frame, receive, send};
+use crate::net::sockets::dial;
 use log::info;
 use std::collections::BTreeSet;
 use std::io::{self, BufReader};
@@ -26,91 +29,19 @@
 /// The longest that is waited for a connection to a steward, and again for its first word. Behind a
 /// crowded link both take long; a dark steward costs no more than its turn.
 const PATIENCE: Duration = Duration::from_secs(2);
-/// The next steward is tried after this, beside those that have not answered.
-const TURN_MS: u64 = 150;
-/// After a round in which nobody led.
-const PAUSE_MS: u64 = 80;
-/// Tries of one steward at once: the first packet of one may be lost.
-const TRIES: usize = 2;
-
-/// Which steward is tried when, as a value. A try that has not ended goes on while the next begins: how
-/// long an answer takes on this node's own link can't be told from a steward that gives none.
-#[derive(Debug)]
-pub struct Search {
-    known: Vec<SocketAddr>,
-    next: usize,
-    /// Said to lead.
-    hint: Option<SocketAddr>,
-    /// Tries that have not ended.
-    open: Vec<SocketAddr>,
-    due: Tick,
-}
-impl Search {
-    pub fn new(known: Vec<SocketAddr>) -> Self {
-        Self { known, next: 0, hint: None, open: Vec::new(), due: Tick(0) }
-    }
-    /// Looks anew; what was tried before counts no more, but that its turn is kept: a leader that
-    /// welcomes and ends at once is not asked without a pause.
-    pub fn begin(&mut self, hint: Option<SocketAddr>, now: Tick) {
-        (self.hint, self.due) = (hint, self.due.max(now));
-        self.open.clear();
-    }
-    /// These are stewards too.
-    pub fn learn(&mut self, seeds: &[SocketAddr]) {
-        for seed in seeds {
-            if !self.known.contains(seed) {
-                self.known.push(*seed);
-            }
-        }
-    }
-    /// When `step` next has something to do.
-    pub fn due(&self) -> Tick {
-        self.due
-    }
-    /// The steward to be tried now, if one is.
-    pub fn step(&mut self, now: Tick) -> Option<SocketAddr> {
-        if now < self.due {
-            return None;
-        }
-        self.due = now.plus(TURN_MS);
-        let busy = |to: &SocketAddr| self.open.iter().filter(|o| *o == to).count() >= TRIES;
-        let mut to = self.hint.take().filter(|to| !busy(to));
-        for _ in 0..self.known.len() {
-            if to.is_some() {
-                break;
-            }
-            self.next = (self.next + 1) % self.known.len();
-            to = Some(self.known[self.next]).filter(|to| !busy(to));
-        }
-        self.open.extend(to);
-        to
-    }
-    /// A try has ended without a welcome; perhaps with the name of the leader.
-    pub fn ended(&mut self, to: SocketAddr, elsewhere: Option<SocketAddr>, now: Tick) {
-        if let Some(at) = self.open.iter().position(|o| *o == to) {
-            self.open.swap_remove(at);
-        }
-        let hint = elsewhere.filter(|e| *e != to);
-        self.hint = hint.or(self.hint);
-        // One that is being tried already may answer yet, and need not be asked for at every turn.
-        if hint.is_some_and(|h| !self.open.contains(&h)) {
-            self.due = now;
-        } else if self.open.is_empty() {
-            let round = self.next == 0 && self.hint.is_none();
-            self.due = if round { now.plus(PAUSE_MS) } else { now };
-        }
-    }
-}
 
 /// What a steward said first.
-enum Answer {
+pub(crate) enum Answer {
     Welcome { stream: TcpStream, reader: BufReader<TcpStream>, stewards: Vec<SocketAddr> },
     Elsewhere(Option<SocketAddr>),
 }
+
 /// The steward that welcomed the node, the connection, and the stewards that there are.
-type Found = (SocketAddr, TcpStream, BufReader<TcpStream>, Vec<SocketAddr>);
+pub(crate) type Found = (SocketAddr, TcpStream, BufReader<TcpStream>, Vec<SocketAddr>);
+
 /// Opens a connection to a steward within a time.
 pub type Dial = fn(SocketAddr, Duration) -> io::Result<TcpStream>;
+
 /// The stewards that were greeted and have not answered; none once one has welcomed the node. It greets
 /// each but once at a time: to the leader only the newest greeting counts.
 type Greeted = Mutex<Option<BTreeSet<SocketAddr>>>;
@@ -130,6 +61,7 @@
     }
     answer
 }
+
 fn first_word(stream: &mut TcpStream, hello: ToSteward) -> io::Result<Answer> {
     send(stream, &Frame::Stile(hello))?;
     let mut reader = BufReader::with_capacity(4096, stream.try_clone()?);
--- /dev/null
+++ b/src/net/rpc/pooler_messages.rs
@@ -0,0 +1,141 @@
+//! The messages between a node and the leading controller.
+use crate::base::ids::{DbTerm, InstanceId, NodeName, Position, Revision, ServiceName};
+use crate::config::directory::Listed;
+use crate::config::route_table::{Changed, Lanes};
+use serde::{Deserialize, Serialize};
+use std::net::SocketAddr;
+
+/// Why a stile believes a database lost.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum Doubt {
+    /// Its connections broke or were refused.
+    Broken,
+    /// It owes answers and says nothing.
+    Silent,
+}
+
+#[derive(Clone, Debug, Serialize, Deserialize)]
+pub enum ToSteward {
+    Hello {
+        node: NodeName,
+        /// Drawn anew at every start of the process.
+        life: u64,
+        revision: Revision,
+        zone: String,
+    },
+    Renew {
+        seq: u64,
+        /// The last answer that came on this connection; none yet if 0.
+        heard: u64,
+        /// The shares of connections this stile holds itself to, where they changed since it last
+        /// said so on this connection.
+        shares: Vec<(ServiceName, u32)>,
+        /// How many connections more would be used now, where sessions wait for one.
+        wants: Vec<(ServiceName, u32)>,
+        /// How far primaries were seen, where that moved.
+        saw: Vec<Saw>,
+        /// Services whose reads want a newer floor than this stile has.
+        asks: Vec<ServiceName>,
+        /// Requests under way at databases of a service, in hundredths, where that changed much.
+        busy: Vec<(ServiceName, u32)>,
+    },
+    Suspect {
+        service: ServiceName,
+        instance: InstanceId,
+        why: Doubt,
+    },
+    Revoked {
+        service: ServiceName,
+        term: DbTerm,
+        /// The furthest position this stile saw acknowledged.
+        highest: Option<Position>,
+    },
+    /// A change came for a version that this stile does not have: the whole is needed.
+    Whole,
+    /// Leaving in order: no lease is used any more.
+    Bye,
+}
+
+#[derive(Clone, Debug, Serialize, Deserialize)]
+pub enum ToStile {
+    /// Not the leader; perhaps this one is.
+    Elsewhere(Option<SocketAddr>),
+    Welcome {
+        stewards: Vec<SocketAddr>,
+    },
+    Configured(Box<Lanes>),
+    /// What differs from a version that the stile has.
+    Changed(Box<Changed>),
+    /// The whole directory, when a connection begins.
+    Directory(Vec<Listed>),
+    /// Changes of the directory, those of a moment at once.
+    Moved {
+        listed: Vec<Listed>,
+        gone: Vec<InstanceId>,
+    },
+    Granted {
+        seq: u64,
+        lease_ms: u64,
+        /// The first answer on a connection: nothing holds that is not in it.
+        whole: bool,
+        /// What changed. All else that was told on this connection is granted again.
+        grants: Vec<Grant>,
+        /// The floors that were asked for.
+        fresh: Vec<Fresh>,
+        /// The parts of its zone's databases that a gateway's node is to use first.
+        plots: Vec<Plot>,
+    },
+    Revoke {
+        service: ServiceName,
+        term: DbTerm,
+    },
+    /// Something changed that a renewal would tell: ask now.
+    Renew,
+}
+
+/// A position that the primary of a term told under a lease that still held: it covers every commit
+/// acknowledged before its statement was sent.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct Saw {
+    pub service: ServiceName,
+    pub term: DbTerm,
+    pub position: Position,
+    /// The statement was sent at least so many ms after the answer that is named as heard.
+    pub after: u64,
+}
+
+/// A position that covers every commit acknowledged up to `age` ms before the renewal was asked for.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct Fresh {
+    pub service: ServiceName,
+    pub position: Position,
+    pub age: u64,
+}
+
+/// A part of a service's databases in a zone, laid out in one order at all nodes, in millionths of
+/// what they can work on at once.
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct Plot {
+    pub service: ServiceName,
+    pub from: u32,
+    pub upto: u32,
+}
+
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub struct Grant {
+    pub service: ServiceName,
+    pub standing: Standing,
+    /// Connections this stile may have to each database of the service.
+    pub share: u32,
+}
+
+#[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
+pub enum Standing {
+    Led {
+        term: DbTerm,
+        primary: InstanceId,
+    },
+    /// Nobody can commit; every acknowledged commit lies at or before this position.
+    Sealed(Position),
+    Unled,
+}
--- a/src/common/wire.rs
+++ b/src/net/statement_protocol.rs
@@ -1,6 +1,6 @@
-//! The line protocol that clients and databases share.
-use super::errors::ErrorKind;
-use super::ids::Position;
+//! The line protocol of sessions and databases.
+use crate::base::errors::ErrorKind;
+use crate::base::ids::Position;
 use std::io::{self, Read};
 
 /// The longest message, its line end counted.
@@ -11,6 +11,7 @@
     Fetch,
     Store,
 }
+
 impl Verb {
     pub fn word(self) -> &'static str {
         match self {
@@ -131,6 +132,7 @@
     Open,
     Failed,
 }
+
 impl State {
     pub fn letter(self) -> char {
         match self {
@@ -249,9 +251,10 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Described {
     pub primary: bool,
-    pub term: super::ids::DbTerm,
+    pub term: crate::base::ids::DbTerm,
     pub received: Position,
 }
+
 pub fn described(row: &str) -> Option<Described> {
     let mut words = row.split(' ');
     let primary = match words.next()? {
@@ -259,7 +262,7 @@
         "replica" => false,
         _ => return None,
     };
-    let term = super::ids::DbTerm(words.next()?.parse().ok()?);
+    let term = crate::base::ids::DbTerm(words.next()?.parse().ok()?);
     let received = words.next()?.parse().ok()?;
     Some(Described { primary, term, received })
 }
@@ -281,6 +284,7 @@
     bytes: Vec<u8>,
     start: usize,
 }
+
 impl Inbox {
     /// Waits for a whole line and hands it out without its CR LF.
     pub fn line<'a>(&'a mut self, from: &mut impl Read) -> Result<&'a [u8], NoLine> {
--- a/src/steward.rs
+++ b/src/steward.rs
@@ -2,17 +2,28 @@
 //!
 //! `Hedge`, `Almanac` and `Succession` are values moved on by events and a passed-in time; the
 //! program round them owns the sockets, the disk and the clock.
-use crate::common::config::{
-    Beat, Configuration, Instance, Lanes, Lifecycle, Listed, Role, Service,
+use crate::base::errors::Fatal;
+use crate::base::ids::{
+    DbTerm, Epoch, Index, InstanceId, MemberId, NodeName, Position, Revision, ServiceName,
 };
-use crate::common::errors::Fatal;
-use crate::common::http::{self, Request, Response};
-use crate::common::ids::*;
-use crate::common::peer::*;
-use crate::common::settings::{Rollout, Settings, Watched};
-use crate::common::signals::Signals;
-use crate::common::wire::{self, Described};
-use crate::common::{must_start, start_thread};
+use crate::base::signals::Signals;
+use crate::base::time::Tick;
+use crate::base::worker_pool::{must_start, start_thread};
+use crate::config::configuration::{Configuration, Service};
+use crate::config::directory::{Beat, Instance, Lifecycle, Listed, Role};
+use crate::config::route_table::Lanes;
+use crate::config::settings::{Rollout, Settings, Watched};
+use crate::net::http::{self, Request, Response};
+use crate::net::rpc::pooler_messages::{
+    Doubt, Fresh, Grant, Plot, Saw, Standing, ToSteward, ToStile,
+};
+use crate::net::rpc::raft_messages::{Body, Entry, Joined, Member, Raft, RaftKind, Snapshot};
+use crate::net::rpc::{
+    FIRST_LAYOUT, Frame, LAYOUT, PARTS_LAYOUT, encode, pack, receive, receive_with_layout, send,
+    unpack,
+};
+use crate::net::sockets::{REACH, dial, keep_alive, listen, tune};
+use crate::net::statement_protocol::{self, Described};
 use log::{debug, error, info, warn};
 use rusqlite::{Connection, OptionalExtension, params};
 use serde::{Deserialize, Serialize};
@@ -4011,9 +4022,9 @@
         reached();
         stream.set_read_timeout(Some(Duration::from_millis(1_000)))?;
         stream.write_all(format!("CONNECT {service} steward {id}\r\n").as_bytes())?;
-        let mut inbox = wire::Inbox::default();
+        let mut inbox = statement_protocol::Inbox::default();
         if let Some(refused) = read_answer(&mut stream, &mut inbox)? {
-            use crate::common::errors::ErrorKind;
+            use crate::base::errors::ErrorKind;
             return Ok(match refused {
                 ErrorKind::WrongNode => Told::Lost,
                 _ => Told::Alive,
@@ -4021,7 +4032,7 @@
         }
         stream.write_all(format!("QUERY - {text}\r\n").as_bytes())?;
         loop {
-            match wire::reply(inbox.pending()) {
+            match statement_protocol::reply(inbox.pending()) {
                 Ok(Some(reply)) => {
                     let row = reply.described(inbox.pending());
                     return Ok(row.map_or(Told::Alive, Told::Row));
@@ -4031,7 +4042,7 @@
                         return Ok(Told::Lost);
                     }
                 }
-                Err(wire::Garbled) => return Ok(Told::Lost),
+                Err(statement_protocol::Garbled) => return Ok(Told::Lost),
             }
         }
     };
@@ -4047,13 +4058,13 @@
 /// Waits for the answer to CONNECT; a refusal is given back.
 fn read_answer(
     stream: &mut TcpStream,
-    inbox: &mut wire::Inbox,
-) -> std::io::Result<Option<crate::common::errors::ErrorKind>> {
+    inbox: &mut statement_protocol::Inbox,
+) -> std::io::Result<Option<crate::base::errors::ErrorKind>> {
     loop {
-        if let Some(kind) = wire::refused_connect(inbox.pending()) {
+        if let Some(kind) = statement_protocol::refused_connect(inbox.pending()) {
             return Ok(Some(kind));
         }
-        match wire::reply(inbox.pending()) {
+        match statement_protocol::reply(inbox.pending()) {
             Ok(Some(reply)) => {
                 inbox.use_up(reply.end);
                 return Ok(None);
@@ -4063,7 +4074,7 @@
                     return Err(std::io::ErrorKind::UnexpectedEof.into());
                 }
             }
-            Err(wire::Garbled) => return Err(std::io::ErrorKind::InvalidData.into()),
+            Err(statement_protocol::Garbled) => return Err(std::io::ErrorKind::InvalidData.into()),
         }
     }
 }
--- a/src/stile.rs
+++ b/src/stile.rs
@@ -3,17 +3,24 @@
 //! `Graft` decides what a statement needs and what a loss means; it is a value without sockets.
 //! A `Scion` is a client's session; a thread serves it while its client talks, and all that rest are
 //! waited for by one. A `Rootstock` is a connection to a database that it borrows.
-use crate::common::config::{Lane, Lanes, Listed, RouteType};
-use crate::common::errors::{ErrorKind, Fatal};
-use crate::common::http;
-use crate::common::ids::*;
-use crate::common::link::{Follower, Link};
-use crate::common::parked::{Parked, has_news};
-use crate::common::peer::*;
-use crate::common::settings::{Settings, Watched};
-use crate::common::signals::Signals;
-use crate::common::wire::{self, Inbox, Line, NoLine, Outcome, Reply, State, Statement, Verb};
-use crate::common::{lock, must_start};
+use crate::base::errors::{ErrorKind, Fatal};
+use crate::base::ids::{DbTerm, InstanceId, NodeName, Position, Revision, ServiceName};
+use crate::base::signals::Signals;
+use crate::base::sync::lock;
+use crate::base::time::Tick;
+use crate::base::worker_pool::must_start;
+use crate::config::configuration::RouteType;
+use crate::config::directory::Listed;
+use crate::config::route_table::{Lane, Lanes};
+use crate::config::settings::{Settings, Watched};
+use crate::net::http;
+use crate::net::idle_connections::{Parked, has_news};
+use crate::net::leader_connection::{Follower, Link};
+use crate::net::rpc::pooler_messages::{Doubt, Fresh, Grant, Saw, Standing, ToSteward, ToStile};
+use crate::net::sockets::{dial, keep_alive, listen, tune};
+use crate::net::statement_protocol::{
+    self, Inbox, Line, NoLine, Outcome, Reply, State, Statement, Verb,
+};
 use log::{info, warn};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::hash::BuildHasher;
@@ -393,7 +400,7 @@
     fn answer(&mut self, mut look: impl FnMut() -> Option<Loss>) -> Result<Reply, Loss> {
         loop {
             if !self.inbox.is_empty() {
-                match wire::reply(self.inbox.pending()) {
+                match statement_protocol::reply(self.inbox.pending()) {
                     // With more behind the last one due, either may be another statement's.
                     Ok(Some(reply)) if self.owed <= 1 && reply.end < self.inbox.pending().len() => {
                         warn!(target: "pool", "an answer too many");
@@ -404,7 +411,7 @@
                         return Err(Loss::Broken);
                     }
                     Ok(None) => {}
-                    Err(wire::Garbled) => {
+                    Err(statement_protocol::Garbled) => {
                         warn!(target: "pool", "garbled answer");
                         return Err(Loss::Broken);
                     }
@@ -710,10 +717,10 @@
             stock.stream.write_all(hello.as_bytes())?;
             let limit = now.plus(HANDSHAKE_MS).min(until.plus(CONNECT_MS));
             loop {
-                if let Some(kind) = wire::refused_connect(stock.inbox.pending()) {
+                if let Some(kind) = statement_protocol::refused_connect(stock.inbox.pending()) {
                     return Ok(Err(kind));
                 }
-                match wire::reply(stock.inbox.pending()) {
+                match statement_protocol::reply(stock.inbox.pending()) {
                     Ok(Some(reply)) => {
                         stock.inbox.use_up(reply.end);
                         if reply.state != State::Idle || !stock.settled() {
@@ -722,7 +729,9 @@
                         return Ok(Ok(stock));
                     }
                     Ok(None) => {}
-                    Err(wire::Garbled) => return Err(io::ErrorKind::InvalidData.into()),
+                    Err(statement_protocol::Garbled) => {
+                        return Err(io::ErrorKind::InvalidData.into());
+                    }
                 }
                 match stock.inbox.fill(&mut stock.stream) {
                     Ok(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
@@ -1447,7 +1456,7 @@
             Ok(Some(Next::End))
         };
         let database = match self.inbox.line(&mut client) {
-            Ok(line) => match wire::parse(line) {
+            Ok(line) => match statement_protocol::parse(line) {
                 Ok(Line::Connect { database }) => database.to_owned(),
                 Ok(Line::Close) => return Ok(Some(Next::End)),
                 _ => return refuse(ErrorKind::Malformed, "CONNECT comes first"),
@@ -1527,7 +1536,7 @@
             seen.resting.store(0, Ordering::Relaxed);
             served = true;
             let arrived = Tick::now();
-            let say = match wire::parse(line) {
+            let say = match statement_protocol::parse(line) {
                 Ok(Line::Close) => return Ok(Next::End),
                 Ok(Line::Query { id, text, statement }) => {
                     if state == State::Idle && !self.rebind_route() {
--- a/src/wicket.rs
+++ b/src/wicket.rs
@@ -3,17 +3,21 @@
 //! Pure parts come first: reading heads and bodies, what may be done after each outcome (`Tries`),
 //! which database to take (`choose`, `Health`), and the retry budget. A `Guest` is a client's
 //! connection, a `Tree` a database, a `Stem` a connection to one.
-use crate::common::config::{Lane, Lanes, Listed};
-use crate::common::errors::{Fatal, Refusal};
-use crate::common::http;
-use crate::common::ids::*;
-use crate::common::link::{Follower, Link};
-use crate::common::parked::{Parked, has_news};
-use crate::common::peer::*;
-use crate::common::settings::{Settings, Watched};
-use crate::common::signals::Signals;
-use crate::common::wire::Inbox;
-use crate::common::{lock, must_start, start_thread};
+use crate::base::errors::{Fatal, Refusal};
+use crate::base::ids::{InstanceId, NodeName, Revision, ServiceName};
+use crate::base::signals::Signals;
+use crate::base::sync::lock;
+use crate::base::time::Tick;
+use crate::base::worker_pool::{must_start, start_thread};
+use crate::config::directory::Listed;
+use crate::config::route_table::{Lane, Lanes};
+use crate::config::settings::{Settings, Watched};
+use crate::net::http;
+use crate::net::idle_connections::{Parked, has_news};
+use crate::net::leader_connection::{Follower, Link};
+use crate::net::rpc::pooler_messages::{Plot, ToSteward, ToStile};
+use crate::net::sockets::{dial, listen, tune};
+use crate::net::statement_protocol::Inbox;
 use log::{debug, info, warn};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use std::collections::{BTreeMap, HashMap, VecDeque};
--- a/tests/copies.rs
+++ b/tests/copies.rs
@@ -1,8 +1,10 @@
 //! Databases under losses in a row: whose answer counts, and who may hold the only copy.
-use silvertack::common::config::{Instance, Lifecycle, Role};
-use silvertack::common::ids::*;
-use silvertack::common::peer::{Doubt, pack};
-use silvertack::common::wire::Described;
+use silvertack::base::ids::{DbTerm, Epoch, InstanceId, Position, ServiceName};
+use silvertack::base::time::Tick;
+use silvertack::config::directory::{Instance, Lifecycle, Role};
+use silvertack::net::rpc::pack;
+use silvertack::net::rpc::pooler_messages::Doubt;
+use silvertack::net::statement_protocol::Described;
 use silvertack::steward::{
     Almanac, Ask, Attempt, Change, Deed, Effect, Facts, Lead, Posted, Stage, Succession, Told,
 };
--- a/tests/graft.rs
+++ b/tests/graft.rs
@@ -1,7 +1,8 @@
 //! The reroute design as a table: what was said and answered, what was lost, and what follows.
-use silvertack::common::errors::{ANSWERS, ErrorKind};
-use silvertack::common::ids::{DbTerm, Position, Tick};
-use silvertack::common::wire::{self, Line, State};
+use silvertack::base::errors::{ANSWERS, ErrorKind};
+use silvertack::base::ids::{DbTerm, Position};
+use silvertack::base::time::Tick;
+use silvertack::net::statement_protocol::{self, Line, State};
 use silvertack::stile::{
     Admission, Fate, Floors, Graft, Kind, Pace, Share, Task, Verdict, has_left,
 };
@@ -10,7 +11,7 @@
 
 fn hear(graft: &mut Graft, text: &str) -> Verdict {
     let line = format!("QUERY q1 {text}");
-    match wire::parse(line.as_bytes()) {
+    match statement_protocol::parse(line.as_bytes()) {
         Ok(Line::Query { statement, .. }) => graft.hear(&statement, NOW),
         other => panic!("{text}: {other:?}"),
     }
--- a/tests/hedge.rs
+++ b/tests/hedge.rs
@@ -1,8 +1,9 @@
 //! Stewards in a box: time and the network are the test's.
 use serde_bytes::ByteBuf;
-use silvertack::common::ids::*;
-use silvertack::common::peer::*;
-use silvertack::common::settings::Settings;
+use silvertack::base::ids::{Epoch, Index, MemberId, NodeName};
+use silvertack::base::time::Tick;
+use silvertack::config::settings::Settings;
+use silvertack::net::rpc::raft_messages::{Body, Entry, Joined, Member, Raft, RaftKind, Snapshot};
 use silvertack::steward::{Desk, Dirty, ELECTION_MIN_MS, Granary, Hedge, Kept, Outbox, Sheaf};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
--- a/tests/link.rs
+++ b/tests/link.rs
@@ -1,7 +1,10 @@
 //! A node's link to the leader, against stewards that are played here.
-use silvertack::common::ids::{NodeName, Revision, Tick};
-use silvertack::common::link::{Follower, Link, Search};
-use silvertack::common::peer::{Frame, ToSteward, ToStile, receive, send};
+use silvertack::base::ids::{NodeName, Revision};
+use silvertack::base::time::Tick;
+use silvertack::net::leader_connection::{Follower, Link};
+use silvertack::net::leader_discovery::Search;
+use silvertack::net::rpc::pooler_messages::{ToSteward, ToStile};
+use silvertack::net::rpc::{Frame, receive, send};
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -1,8 +1,10 @@
 //! Who belongs to the stewards: losses, returns and replacements in every order.
 #[path = "support/stewards.rs"]
 mod stewards;
-use silvertack::common::ids::*;
-use silvertack::common::peer::*;
+use silvertack::base::ids::{Epoch, Index, MemberId, Revision};
+use silvertack::base::time::Tick;
+use silvertack::net::rpc::pack;
+use silvertack::net::rpc::raft_messages::{Body, Member, Raft, RaftKind, Snapshot};
 use silvertack::steward::{Almanac, Change, Dirty, Hedge, Kept};
 use std::collections::HashSet;
 use stewards::{Orchard, SYNC_MS, State, member};
--- a/tests/nodes.rs
+++ b/tests/nodes.rs
@@ -1,9 +1,11 @@
 //! Nodes and stewards as processes: what a node keeps of versions, and what a leader keeps of nodes.
 mod support;
 
-use silvertack::common::config::{Configuration, Lanes};
-use silvertack::common::ids::{NodeName, Revision};
-use silvertack::common::peer::{Frame, ToSteward, ToStile, receive, send};
+use silvertack::base::ids::{NodeName, Revision};
+use silvertack::config::configuration::Configuration;
+use silvertack::config::route_table::Lanes;
+use silvertack::net::rpc::pooler_messages::{ToSteward, ToStile};
+use silvertack::net::rpc::{Frame, receive, send};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -1,7 +1,9 @@
 //! Orders and reads: what a steward may answer, and when. Time and the network are the test's.
 use serde_bytes::ByteBuf;
-use silvertack::common::ids::*;
-use silvertack::common::peer::*;
+use silvertack::base::ids::{Epoch, Index, MemberId, NodeName, Revision};
+use silvertack::base::time::Tick;
+use silvertack::net::rpc::raft_messages::{Body, Member, Raft, RaftKind, Snapshot};
+use silvertack::net::rpc::{pack, unpack};
 use silvertack::steward::{
     Almanac, Call, Change, Dirty, Effect, Hedge, Kept, Proposed, Reads, Verdict,
 };
--- a/tests/power.rs
+++ b/tests/power.rs
@@ -1,7 +1,7 @@
 //! After a loss of power each file that was made, renamed or removed without a sync of its folder is
 //! there or not, by itself. Tables of what may then lie in a steward's folder, of real SQLite files.
-use silvertack::common::ids::*;
-use silvertack::common::peer::*;
+use silvertack::base::ids::{Epoch, Index, MemberId, NodeName};
+use silvertack::net::rpc::raft_messages::{Body, Entry, Member, Snapshot};
 use silvertack::steward::{Dirty, Granary, Kept, Sheaf};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -623,7 +623,7 @@
 
 #[test]
 fn a_call_gets_its_own_answer_or_none() {
-    use silvertack::common::http::{Response, call, serve};
+    use silvertack::net::http::{Response, call, serve};
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("listener");
     let at = listener.local_addr().expect("address");
     serve(listener, "echo", 8, |request| {
@@ -653,7 +653,7 @@
 
 #[test]
 fn what_is_no_whole_answer_is_none_to_a_call() {
-    use silvertack::common::http::call;
+    use silvertack::net::http::call;
     let good = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}";
     let cases: [(String, Option<u16>); 7] = [
         (good.to_owned(), Some(200)),
@@ -680,7 +680,7 @@
 
 #[test]
 fn a_row_counts_only_with_its_success() {
-    use silvertack::common::wire::reply;
+    use silvertack::net::statement_protocol::reply;
     let row = "ROW replica 3 3.1209 0 12 2 17\r\n";
     let cases = [
         (format!("{row}COMPLETE -\r\nREADY I -\r\n"), true),
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,7 +1,8 @@
 //! Settings: what is refused and why, and what a changed file does.
-use silvertack::common::config::{Changed, Configuration, Lanes, Run};
-use silvertack::common::peer::{pack, unpack};
-use silvertack::common::settings::{Settings, Watched};
+use silvertack::config::configuration::Configuration;
+use silvertack::config::route_table::{Changed, Lanes, Run};
+use silvertack::config::settings::{Settings, Watched};
+use silvertack::net::rpc::{pack, unpack};
 
 const GOOD: &str = "node_name = \"one\"\nip_address = \"10.0.0.1\"\nzone = \"z\"\nport_range = [7440, 7455]\n\
     seed_nodes = [\"10.0.0.1:8782\"]\nfuture_field = 3\n[listeners]\nadmin = \"10.0.0.1:8782\"\n\
--- a/tests/state.rs
+++ b/tests/state.rs
@@ -2,10 +2,16 @@
 mod support;
 
 use serde_bytes::ByteBuf;
-use silvertack::common::config::{Instance, Lifecycle, Role};
-use silvertack::common::errors::Fatal;
-use silvertack::common::ids::*;
-use silvertack::common::peer::*;
+use silvertack::base::errors::Fatal;
+use silvertack::base::ids::{
+    DbTerm, Epoch, Index, InstanceId, MemberId, NodeName, Revision, ServiceName,
+};
+use silvertack::base::time::Tick;
+use silvertack::config::directory::{Instance, Lifecycle, Role};
+use silvertack::net::rpc::raft_messages::{Body, Entry, Member, Raft, RaftKind, Snapshot};
+use silvertack::net::rpc::{
+    FIRST_LAYOUT, Frame, LAYOUT, encode, pack, receive, receive_with_layout, send, unpack,
+};
 use silvertack::steward::{
     Almanac, Change, Dirty, Effect, Granary, Hedge, Kept, Sheaf, left_out, read_kept, readable,
 };
--- a/tests/succession.rs
+++ b/tests/succession.rs
@@ -1,8 +1,10 @@
 //! Who leads a service: each case is a story of events with the deeds that must follow.
-use silvertack::common::config::{Instance, Lifecycle, Role};
-use silvertack::common::ids::*;
-use silvertack::common::peer::{Doubt, Grant, Saw, Standing, pack};
-use silvertack::common::wire::Described;
+use silvertack::base::ids::{DbTerm, Epoch, InstanceId, NodeName, Position, Revision, ServiceName};
+use silvertack::base::time::Tick;
+use silvertack::config::directory::{Instance, Lifecycle, Role};
+use silvertack::net::rpc::pack;
+use silvertack::net::rpc::pooler_messages::{Doubt, Grant, Saw, Standing};
+use silvertack::net::statement_protocol::Described;
 use silvertack::steward::{
     Almanac, Ask, Change, Deed, Effect, Facts, Freshness, LEASE_MS, Lead, LeaseBook, Posted, Stage,
     Succession, Tidings, Told,
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -402,7 +402,7 @@
     body: &str,
 ) -> std::io::Result<(u16, String)> {
     let headers: Vec<(&str, String)> = headers.iter().map(|(n, v)| (*n, (*v).to_owned())).collect();
-    let (status, _, body) = silvertack::common::http::call(
+    let (status, _, body) = silvertack::net::http::call(
         to,
         method,
         path,
--- a/tests/support/stewards.rs
+++ b/tests/support/stewards.rs
@@ -1,6 +1,7 @@
 //! Machines with a steward each, whose time and network are the test's; they are lost and come back.
-use silvertack::common::ids::*;
-use silvertack::common::peer::*;
+use silvertack::base::ids::{Index, MemberId, NodeName};
+use silvertack::base::time::Tick;
+use silvertack::net::rpc::raft_messages::{Body, Member, Raft, RaftKind, Snapshot};
 use silvertack::steward::{Dirty, Hedge, Kept};
 use std::collections::VecDeque;
 
--- a/tests/wicket.rs
+++ b/tests/wicket.rs
@@ -1,7 +1,9 @@
 //! The pure parts of the wicket, as tables of cases.
-use silvertack::common::config::{Configuration, Lanes};
-use silvertack::common::errors::Refusal;
-use silvertack::common::ids::{InstanceId, NodeName, ServiceName, Tick};
+use silvertack::base::errors::Refusal;
+use silvertack::base::ids::{InstanceId, NodeName, ServiceName};
+use silvertack::base::time::Tick;
+use silvertack::config::configuration::Configuration;
+use silvertack::config::route_table::Lanes;
 use silvertack::steward::Cadastre;
 use silvertack::wicket::*;
 
