--- /dev/null
+++ b/src/controller/controller.rs
@@ -0,0 +1,1491 @@
+//! One controller: inputs and a passed-in time in, effects out.
+use crate::base::errors::Fatal;
+use crate::base::ids::{Index, InstanceId, MemberId, NodeName, Revision, ServiceName};
+use crate::base::signals::Signals;
+use crate::base::time::Tick;
+use crate::config::configuration::{Configuration, Service};
+use crate::config::directory::{Beat, Instance, Listed, Role};
+use crate::config::route_table::Lanes;
+use crate::config::settings::{Rollout, Settings, Watched};
+use crate::controller::admin_api::{Call, Verdict, is_word, judged, read_configuration};
+use crate::controller::linearizable_reads::{Proposed, Reads};
+use crate::controller::pending_updates::Tidings;
+use crate::controller::process::{as_member, fresh_id};
+use crate::controller::transport::{Event, Sockets, Wire};
+use crate::failover::{Ask, Attempt, Deed, Facts, Posted, Stage, Succession, Told, stage_name};
+use crate::leases::lease_table::{LEASE_MS, LeaseBook, SHARE_HELD_MS};
+use crate::leases::subset_assignments::Cadastre;
+use crate::leases::watermarks::Freshness;
+use crate::net::http::{Request, Response};
+use crate::net::rpc::pooler_messages::{Grant, Saw, Standing, ToSteward, ToStile};
+use crate::net::rpc::raft_messages::{Body, Joined, Member, Raft, Snapshot};
+use crate::net::rpc::{Frame, LAYOUT, encode, pack};
+use crate::raft::node::{Dirty, Hedge, Kept};
+use crate::raft::persister::Desk;
+use crate::raft::storage::Sheaf;
+use crate::state_machine::{Almanac, Change, Effect, read_change, read_kept, read_state, readable};
+use log::{debug, error, info, warn};
+use serde_bytes::ByteBuf;
+use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender};
+use std::time::Duration;
+
+/// What reaches a steward.
+pub enum Input {
+    /// What came over a connection on the peer port.
+    Frame(u64, Frame),
+    /// The layout that a steward reads, ahead of each frame that names it.
+    Reads(MemberId, u8),
+    Closed(u64),
+    Http(Request, SyncSender<Response>),
+    Told(ServiceName, InstanceId, Ask, Attempt, Told),
+    Posted(ServiceName, InstanceId, Attempt, Posted),
+    /// What a steward said to the wish to join, or to the question whether this id still belongs.
+    Standing(MemberId, SocketAddr, Option<Joined>),
+    /// The write under way has ended, with its error if it failed.
+    Saved(Result<(), String>),
+}
+
+/// What a steward does to the world outside. The program does it with sockets, threads and a disk, the
+/// model in the tests with queues in virtual time. Nothing here waits.
+pub trait Effects {
+    /// Sends another steward a consensus message, or drops it: the hedge asks again for what got lost.
+    fn send_raft(&mut self, to: MemberId, address: SocketAddr, message: Raft, now: Tick);
+    /// Connections to all others are of no use any more.
+    fn keep_links(&mut self, members: &[Member]);
+    /// Starts to write; `Input::Saved` follows. False if nothing writes any more.
+    fn write(&mut self, sheaf: Sheaf) -> bool;
+    /// Asks a steward to be taken in, or whether one still belongs; `Input::Standing` follows.
+    fn ask_standing(&mut self, at: SocketAddr, member: Member, was: bool);
+    /// Asks a database one thing; `Input::Told` follows, unless this is false.
+    fn ask_database(
+        &mut self,
+        service: &ServiceName,
+        id: &InstanceId,
+        address: SocketAddr,
+        ask: Ask,
+        attempt: Attempt,
+    ) -> bool;
+    /// Calls the platform; `Input::Posted` follows.
+    fn post_failover(
+        &mut self,
+        provider: SocketAddr,
+        holder: &str,
+        service: &ServiceName,
+        target: &InstanceId,
+        attempt: Attempt,
+    );
+    /// Sends a frame over a connection on the peer port, behind all that waits there.
+    fn send(&mut self, conn: u64, frame: Arc<[u8]>);
+    /// The same, ahead of all that has not begun to leave.
+    fn send_first(&mut self, conn: u64, frame: Arc<[u8]>);
+    /// How many bytes wait to leave over a connection; none if it has ended.
+    fn waiting(&self, conn: u64) -> Option<usize>;
+    /// Goes on with the peers that did not take everything at once; gives the connections among them.
+    fn pump(&mut self) -> Vec<u64>;
+    /// How many connections there are on the peer port.
+    fn peers(&self) -> usize;
+}
+
+/// A stile that follows this leader: what it was told, and what it is still owed. Where its link
+/// is slow, newer state takes the place of older state that has not left.
+struct Guest {
+    node: NodeName,
+    zone: String,
+    /// The configuration it has, or will have once what waits has arrived.
+    revision: Revision,
+    /// The whole directory is due, instead of the changes that did not fit.
+    directory_due: bool,
+    /// The renewal to be answered once what waits has left, and the floors it asks for.
+    renewal: Option<(u64, Vec<ServiceName>)>,
+    /// Up to where in the tidings it was answered; not at all yet.
+    told: Option<u64>,
+    /// What it gave back by itself has to be told again.
+    owed: BTreeSet<ServiceName>,
+    /// When the newest answers left.
+    answers: VecDeque<(u64, Tick)>,
+}
+
+/// What only the leader keeps, and forgets when it no longer leads.
+struct Office {
+    leases: LeaseBook,
+    /// When each database was last heard of, and its newest sequence.
+    beats: BTreeMap<InstanceId, (Tick, u64)>,
+    successions: BTreeMap<ServiceName, Succession>,
+    /// Services that something happened to, or that are on their way to another primary: these are
+    /// looked at in every round. All are, now and then.
+    stirred: BTreeSet<ServiceName>,
+    swept: Tick,
+    tidings: Tidings,
+    sealed: BTreeSet<ServiceName>,
+    freshness: Freshness,
+    cadastre: Cadastre,
+    /// Leases and shares of before the election are over.
+    settled: bool,
+}
+
+/// One steward, moved on by inputs and a passed-in time; `E` carries out what it decides.
+pub struct Steward<E> {
+    settings: Settings,
+    hedge: Hedge,
+    desk: Desk,
+    almanac: Almanac,
+    applied: Index,
+    config: Option<Configuration>,
+    stiles: BTreeMap<u64, Guest>,
+    /// Stiles that came before this leader had applied all that was committed.
+    early: Vec<(u64, ToSteward)>,
+    /// The newest versions, the last one in force; what changed since an older one is enough.
+    versions: VecDeque<Lanes>,
+    /// The frame that brings a stile from a version to the one in force.
+    encoded: HashMap<Revision, Arc<[u8]>>,
+    /// The frame that brings a stile the whole directory, until that changes.
+    listing: Option<Arc<[u8]>>,
+    /// Databases that stiles have to be told of, and since when.
+    moved: BTreeSet<InstanceId>,
+    moved_since: Option<Tick>,
+    /// Stiles have to ask anew, as a primary leads; and when they were last told to.
+    renew_due: bool,
+    renew_told: Tick,
+    /// The services of the configuration in force, by name.
+    services: BTreeMap<ServiceName, Service>,
+    /// Who asked to join, and when last.
+    joining: BTreeMap<MemberId, (Member, Tick)>,
+    next_join: Tick,
+    /// The steward that is said to lead, for asking it to be taken in.
+    join_at: Option<SocketAddr>,
+    /// The leader that says that it takes this one in, or has: answers go there while it is in no
+    /// list here.
+    taken_in: Option<SocketAddr>,
+    /// The one that this process told to found the hedge, as no seed has a disk.
+    nominated: Option<MemberId>,
+    /// Without a disk this steward is in no list and only points at the one that leads.
+    pointed: Option<SocketAddr>,
+    office: Option<Office>,
+    proposed: Proposed<SyncSender<Response>>,
+    reads: Reads<SyncSender<Response>>,
+    /// Where ids and the spread of elections are drawn from.
+    random: fn() -> u64,
+    pub effects: E,
+    known_leader: Option<MemberId>,
+    /// Questions to databases: how many are under way, and those that wait.
+    asking: usize,
+    questions: VecDeque<(ServiceName, InstanceId, Ask, Attempt)>,
+    /// Something that is committed can't be read here: nothing is said or done on this state any more.
+    unreadable: Option<String>,
+}
+
+/// One that reads nothing for so long, or should speak and does not, is let go.
+pub(crate) const USELESS_MS: u64 = 10_000;
+
+/// Questions to databases under way at once, and waiting.
+const MAX_ASKS: usize = 96;
+
+const QUESTIONS_WAITING: usize = 4_096;
+
+/// A database whose beats miss this many intervals is doubted.
+const MISSED_BEATS: u64 = 3;
+
+/// Who asked to join and does not ask again is forgotten after this.
+const JOIN_KEPT_MS: u64 = 3_000;
+
+const JOIN_AGAIN_MS: u64 = 250;
+
+/// A member that hears no leader for this long asks whether it still is one.
+const LONELY_MS: u64 = 1_200;
+
+/// A seed without a disk waits this long for the first stewards before it names a founder.
+const NOMINATE_MS: u64 = 500;
+
+/// How often all services are looked at; those that something happens to are at once.
+const SWEEP_MS: u64 = 100;
+
+/// Versions of the configuration kept for telling what changed.
+const VERSIONS_KEPT: usize = 8;
+
+/// Changes of the directory that wait for a slow stile; beyond it the whole is sent later.
+const CHANGES_WAITING: usize = 64 << 10;
+
+/// Answers to a stile that it may still tell of what it saw since.
+const ANSWERS_KEPT: usize = 4;
+
+/// Changes of the directory are gathered for so long.
+const GATHER_MS: u64 = 20;
+
+/// How often peers are looked at that did not take all at once.
+const PUMP_MS: u64 = 5;
+
+/// One that stays silent this long is dropped from the directory.
+const FORGOTTEN_MS: u64 = 60_000;
+
+impl Steward<Sockets> {
+    pub(crate) fn serve(
+        &mut self,
+        rx: Receiver<Event>,
+        signals: &Signals,
+        mut watched: Watched,
+    ) -> Result<(), Fatal> {
+        let mut leaving: Option<Tick> = None;
+        let mut looked = Tick::now();
+        loop {
+            let wait = self.due(Tick::now());
+            let wait = if self.effects.pumping() { wait.min(PUMP_MS) } else { wait };
+            match rx.recv_timeout(Duration::from_millis(wait)) {
+                Ok(event) => {
+                    self.hear(event, Tick::now());
+                    for _ in 0..64 {
+                        let Ok(event) = rx.try_recv() else { break };
+                        self.hear(event, Tick::now());
+                    }
+                }
+                Err(RecvTimeoutError::Timeout) => {}
+                Err(RecvTimeoutError::Disconnected) => return Ok(()),
+            }
+            let now = Tick::now();
+            self.turn(now)?;
+            if now.since(looked) > 1_000 {
+                looked = now;
+                let stiles = &self.stiles;
+                self.effects.drop_useless(|conn| stiles.contains_key(&conn), now);
+                if let Some(settings) = watched.poll(signals.take_hup()) {
+                    self.settings = settings;
+                }
+            }
+            if signals.terminated() && leaving.is_none() {
+                info!(target: "hedge", "stopping");
+                leaving = Some(now);
+                self.leave(now);
+            }
+            // The hand-over needs a moment; a follower can go at once.
+            if leaving.is_some_and(|t| !self.hedge.is_leader() || now.since(t) > 500) {
+                info!(target: "hedge", "stopped");
+                return Ok(());
+            }
+        }
+    }
+
+    fn hear(&mut self, event: Event, now: Tick) {
+        match event {
+            Event::Opened(id, stream) => {
+                self.effects.conns.insert(id, Wire::new(stream, now));
+            }
+            Event::Linked(member, line) => {
+                if let Some(link) = self.effects.links.get_mut(&member) {
+                    link.dialing = false;
+                    link.line = line;
+                }
+            }
+            Event::Input(input) => {
+                match &input {
+                    Input::Frame(conn, _) => {
+                        if let Some(line) = self.effects.conns.get_mut(conn) {
+                            line.heard = Some(now);
+                        }
+                    }
+                    Input::Closed(conn) => drop(self.effects.conns.remove(conn)),
+                    _ => {}
+                }
+                self.take(input, now);
+            }
+        }
+    }
+}
+
+impl<E: Effects> Steward<E> {
+    /// A steward as it starts with what is on its disk.
+    ///
+    /// # Errors
+    /// `Fatal::State` if the state can't be read.
+    pub fn new(
+        settings: Settings,
+        kept: Kept,
+        restarted: bool,
+        random: fn() -> u64,
+        effects: E,
+        now: Tick,
+    ) -> Result<Self, Fatal> {
+        info!(target: "hedge", "member {} starts at epoch {}, entry {}", kept.me, kept.epoch,
+            kept.log.last().map_or(kept.snapshot.last.1, |e| e.index));
+        let almanac = read_kept(&kept)?;
+        let applied = kept.snapshot.last.1;
+        let config = almanac.configuration().map_err(Fatal::State)?;
+        let mut steward = Self {
+            hedge: Hedge::new(kept, restarted, now, random),
+            settings,
+            desk: Desk::default(),
+            almanac,
+            applied,
+            versions: config.iter().map(Lanes::of).collect(),
+            config: None,
+            stiles: BTreeMap::new(),
+            early: Vec::new(),
+            encoded: HashMap::new(),
+            listing: None,
+            moved: BTreeSet::new(),
+            moved_since: None,
+            renew_due: false,
+            renew_told: Tick(0),
+            services: BTreeMap::new(),
+            joining: BTreeMap::new(),
+            next_join: now,
+            join_at: None,
+            taken_in: None,
+            nominated: None,
+            pointed: None,
+            office: None,
+            proposed: Proposed::default(),
+            reads: Reads::default(),
+            random,
+            effects,
+            known_leader: None,
+            asking: 0,
+            questions: VecDeque::new(),
+            unreadable: None,
+        };
+        steward.hedge.vet = readable;
+        steward.configure(config);
+        Ok(steward)
+    }
+
+    /// Milliseconds until a turn is due though nothing comes in.
+    pub fn due(&self, now: Tick) -> u64 {
+        let busy = self.office.as_ref().is_some_and(|o| !o.stirred.is_empty());
+        let wait = if busy { 25 } else { 200 };
+        let gathers = self.moved_since.is_some() || self.renew_due;
+        let wait = if gathers { wait.min(GATHER_MS) } else { wait };
+        self.hedge.due().since(now).clamp(1, wait)
+    }
+    /// Does what is due, after inputs were taken.
+    ///
+    /// # Errors
+    /// `Fatal::State` if something that is committed can't be read here: the process has to end.
+    pub fn turn(&mut self, now: Tick) -> Result<(), Fatal> {
+        self.hedge.tick(now);
+        self.still_readable()?;
+        self.flush(now);
+        self.still_readable()?;
+        self.reconcile(now);
+        self.flush(now);
+        self.still_readable()?;
+        self.tell_moved(now);
+        self.pump(now);
+        Ok(())
+    }
+    /// Going on beside what can't be read would be with an old state.
+    fn still_readable(&self) -> Result<(), Fatal> {
+        match (&self.unreadable, &self.hedge.refused) {
+            (Some(why), _) => Err(Fatal::State(format!("left as it is: {why}"))),
+            (_, Some(why)) => Err(Fatal::State(format!("not taken from the leader: {why}"))),
+            _ => Ok(()),
+        }
+    }
+    /// Asked to stop: another is to lead.
+    pub fn leave(&mut self, now: Tick) {
+        self.hedge.hand_over(now);
+        self.flush(now);
+    }
+    pub fn hedge(&self) -> &Hedge {
+        &self.hedge
+    }
+    pub fn almanac(&self) -> &Almanac {
+        &self.almanac
+    }
+    /// Up to where the almanac holds what was agreed.
+    pub fn applied(&self) -> Index {
+        self.applied
+    }
+
+    /// Lets the messages leave that may, starts the next write, and applies what was agreed.
+    fn flush(&mut self, now: Tick) {
+        let troubled = self.desk.troubled(now);
+        if troubled != self.hedge.ailing {
+            match troubled {
+                true => warn!(target: "disk", "in trouble, another is to lead"),
+                false => info!(target: "disk", "well again"),
+            }
+        }
+        self.hedge.set_ailing(troubled, now);
+        loop {
+            for (to, message) in self.desk.leaving(&mut self.hedge) {
+                self.send_raft(to, message, now);
+            }
+            if let Some(sheaf) = self.desk.start(&mut self.hedge, now)
+                && !self.effects.write(sheaf)
+            {
+                error!(target: "hedge", "the thread that writes has ended");
+            }
+            self.apply(now);
+            self.change_office(now);
+            if self.hedge.out.is_empty() {
+                return;
+            }
+        }
+    }
+
+    fn saved(&mut self, saved: Result<(), String>, now: Tick) {
+        // Tried again until it works; one line for the first failure is enough.
+        if let Err(e) = &saved
+            && !self.hedge.ailing
+        {
+            error!(target: "disk", "cannot write: {e}");
+        }
+        for (to, message) in self.desk.ended(&mut self.hedge, saved.is_ok(), now) {
+            self.send_raft(to, message, now);
+        }
+    }
+
+    fn send_raft(&mut self, to: MemberId, message: Raft, now: Tick) {
+        let member = self.hedge.members().iter().find(|m| m.id == to);
+        // One that begins has no list yet, and that of one that was away may lack the leader.
+        let leads = self.taken_in.filter(|_| self.hedge.leader == Some(to));
+        if let Some(address) = member.map(|m| m.peer).or(leads) {
+            self.effects.send_raft(to, address, message, now);
+        }
+    }
+
+    /// Goes on with the peers that did not take everything at once.
+    fn pump(&mut self, now: Tick) {
+        for conn in self.effects.pump() {
+            self.catch_up(conn, now);
+        }
+    }
+
+    /// Takes in what came; `turn` follows.
+    pub fn take(&mut self, input: Input, now: Tick) {
+        match input {
+            Input::Closed(id) => {
+                if let Some(Guest { node, .. }) = self.stiles.remove(&id)
+                    && let Some(office) = &mut self.office
+                    && office.leases.lose(id, now).is_some()
+                {
+                    office.tidings.stir_all();
+                    info!(target: "stiles", "{node} lost");
+                }
+            }
+            Input::Reads(member, layout) => self.hedge.reads(member, layout),
+            Input::Frame(_, Frame::Raft { to, message }) => {
+                if to == self.hedge.kept.me {
+                    self.hedge.step(*message, now);
+                }
+            }
+            Input::Frame(conn, Frame::Join { member, was }) => {
+                let mut answer = self.hedge.standing(&member, was, now);
+                if self.names(&member, now) {
+                    answer = Joined::Found;
+                }
+                // One that was removed is taken in again with what it has on its disk.
+                if matches!(answer, Joined::Noted | Joined::Removed) {
+                    self.joining.insert(member.id, (member, now));
+                }
+                self.send_conn(conn, &Frame::Joined(answer));
+            }
+            Input::Standing(asked, at, answer) => self.stand(asked, at, answer, now),
+            Input::Frame(conn, Frame::Stile(message)) => self.hear_stile(conn, message, now),
+            Input::Frame(..) => {}
+            Input::Http(request, reply) => self.answer_http(request, reply, now),
+            Input::Told(service, id, ask, attempt, told) => {
+                if told != Told::Reached {
+                    self.asking -= 1;
+                    self.ask_on();
+                    info!(target: "failover", "{service}: {id} on {ask:?}: {told:?}");
+                }
+                self.move_on(&service, now, |s, facts| {
+                    s.told(facts, attempt, &id, ask, &told, now)
+                });
+            }
+            Input::Saved(saved) => self.saved(saved, now),
+            Input::Posted(service, id, attempt, posted) => {
+                info!(target: "failover", "{service}: promote of {id}: {posted:?}");
+                self.move_on(&service, now, |s, facts| s.posted(facts, attempt, &id, posted, now));
+            }
+        }
+    }
+
+    // -- state ---------------------------------------------------------------------------------
+
+    fn apply(&mut self, now: Tick) {
+        if self.hedge.commit <= self.applied || self.unreadable.is_some() {
+            return;
+        }
+        if self.hedge.kept.snapshot.last.1 > self.applied {
+            match read_state(&self.hedge.kept.snapshot) {
+                Ok(almanac) => self.almanac = almanac,
+                Err(why) => {
+                    self.unreadable = Some(why);
+                    return;
+                }
+            }
+            self.listing = None;
+            self.applied = self.hedge.kept.snapshot.last.1;
+        }
+        let mut relisted = None;
+        for entry in self.hedge.committed(self.applied) {
+            let change = match &entry.body {
+                Body::Change(bytes) => match read_change(entry.index, bytes) {
+                    Ok(change) => Some(change),
+                    Err(why) => {
+                        self.unreadable = Some(why);
+                        return;
+                    }
+                },
+                _ => None,
+            };
+            self.applied = entry.index;
+            let waiter = self.proposed.take(&entry);
+            match &entry.body {
+                Body::Opened => {}
+                Body::Members(members) => {
+                    relisted = Some(members.clone());
+                    self.joining.retain(|id, _| !members.iter().any(|m| m.id == *id));
+                    self.effects.keep_links(members);
+                }
+                Body::Change(_) => {}
+            }
+            if let Some(change) = change {
+                self.apply_change(&change, waiter, now);
+            }
+        }
+        if let Some(members) = relisted {
+            let word =
+                |m: &Member| format!("{}{}", m.node, if m.voter { "" } else { " (learning)" });
+            let names: Vec<_> = members.iter().map(word).collect();
+            self.introduce();
+            info!(target: "hedge", "members: {}", names.join(", "));
+        }
+        if self.config.as_ref().map_or(Revision(0), |c| c.revision) != self.almanac.revision {
+            info!(target: "almanac", "configuration {} is in force", self.almanac.revision);
+            match self.almanac.configuration() {
+                Ok(config) => self.configure(config),
+                Err(why) => {
+                    self.unreadable = Some(why);
+                    return;
+                }
+            }
+            self.versions.extend(self.config.as_ref().map(Lanes::of));
+            if self.versions.len() > VERSIONS_KEPT {
+                self.versions.pop_front();
+            }
+            let conns: Vec<u64> = self.stiles.keys().copied().collect();
+            for conn in conns {
+                self.catch_up(conn, now);
+            }
+        }
+        let almanac = &self.almanac;
+        self.hedge.compact(self.applied, || almanac.write());
+    }
+
+    fn configure(&mut self, config: Option<Configuration>) {
+        let services = config.iter().flat_map(|c| &c.services);
+        self.services = services.map(|s| (s.name.clone(), s.clone())).collect();
+        self.config = config;
+        self.encoded.clear();
+        if let Some(office) = &mut self.office {
+            office.tidings.stir_all();
+        }
+    }
+
+    fn apply_change(&mut self, change: &Change, waiter: Option<SyncSender<Response>>, now: Tick) {
+        let primary = match change {
+            Change::Returned { service, .. } => self.almanac.leads.get(service),
+            _ => None,
+        };
+        let old = primary.map(|lead| lead.primary.clone());
+        let effect = self.almanac.apply(change);
+        if let Some(reply) = waiter {
+            // A caller that no longer waits is none of our business.
+            let answer = match change {
+                Change::Beat { .. } => self.beaten(),
+                _ => judged(&effect),
+            };
+            drop(reply.try_send(answer));
+        }
+        if effect != Effect::Done {
+            return;
+        }
+        match change {
+            // Read and told once all that is committed is applied: see `apply`.
+            Change::Configure { .. } => {}
+            Change::Beat { id, instance, .. } => {
+                self.moved(id, now);
+                info!(target: "almanac", "{id} of {}: {:?}, {:?}", instance.target_service,
+                    instance.database_role, instance.lifecycle_state);
+                let (service, role) = (&instance.target_service, instance.database_role);
+                self.move_on(service, now, |s, facts| s.beat(facts, id, role, now));
+                self.move_on(service, now, |s, facts| s.tick(facts, now));
+            }
+            Change::Gone { id, .. } => {
+                info!(target: "almanac", "{id} is gone");
+                self.moved(id, now);
+            }
+            Change::Led { service, term, primary } => {
+                info!(target: "failover", "{service}: {primary} leads term {term}");
+            }
+            Change::Intend { service, target, .. } => {
+                info!(target: "failover", "{service}: {target} is to take over");
+            }
+            Change::Abandon { service, target } => {
+                info!(target: "failover", "{service}: {target} is not running, given up");
+            }
+            Change::Returned { service, term, primary } => {
+                if let Some(old) = &old {
+                    self.moved(old, now);
+                }
+                info!(target: "failover", "{service}: {primary} is the primary of term {term}, back");
+            }
+            Change::Covered { service, departed } => {
+                let names: Vec<String> = departed.keys().map(|id| id.to_string()).collect();
+                info!(target: "failover", "{service}: others have what {} had", names.join(", "));
+            }
+        }
+        if let Change::Led { service, .. }
+        | Change::Intend { service, .. }
+        | Change::Abandon { service, .. }
+        | Change::Returned { service, .. } = change
+        {
+            self.move_on(service, now, |s, facts| s.tick(facts, now));
+            if let Some(office) = &mut self.office {
+                office.tidings.stir(service);
+            }
+            self.renew_due |= matches!(change, Change::Led { .. } | Change::Returned { .. });
+        }
+    }
+
+    fn propose(&mut self, change: &Change, now: Tick) -> Option<Index> {
+        self.hedge.propose(Body::Change(ByteBuf::from(pack(change))), now)
+    }
+
+    // -- office --------------------------------------------------------------------------------
+
+    fn change_office(&mut self, now: Tick) {
+        if self.known_leader != self.hedge.leader {
+            self.known_leader = self.hedge.leader;
+            match self.leader() {
+                Some(m) => {
+                    info!(target: "hedge", "{} leads epoch {}", m.node, self.hedge.kept.epoch)
+                }
+                None => info!(target: "hedge", "no leader in epoch {}", self.hedge.kept.epoch),
+            }
+        }
+        match (self.hedge.is_leader(), self.office.is_some()) {
+            (true, false) => {
+                let beats = self.almanac.instances.iter();
+                self.office = Some(Office {
+                    leases: LeaseBook::new(now),
+                    beats: beats.map(|(id, r)| (id.clone(), (now, r.sequence))).collect(),
+                    successions: BTreeMap::new(),
+                    stirred: BTreeSet::new(),
+                    swept: Tick(0),
+                    tidings: Tidings::default(),
+                    sealed: BTreeSet::new(),
+                    freshness: Freshness::default(),
+                    cadastre: Cadastre::new(now),
+                    settled: false,
+                });
+            }
+            (false, true) => {
+                self.office = None;
+                self.questions.clear();
+                self.moved.clear();
+                self.moved_since = None;
+                for reply in self.proposed.give_up() {
+                    // Whether it will be in force is not known here; asked again it shows.
+                    drop(reply.try_send(Response::refusal(503, "no longer the leader")));
+                }
+                let elsewhere = Frame::Steward(ToStile::Elsewhere(self.leads_at().map(|l| l.0)));
+                for (conn, _) in std::mem::take(&mut self.stiles) {
+                    self.send_conn(conn, &elsewhere);
+                }
+            }
+            _ => {}
+        }
+    }
+
+    /// Where peers and callers find the leader.
+    fn leads_at(&self) -> Option<(SocketAddr, SocketAddr)> {
+        let admin = self.settings.listeners.admin;
+        let pointed = || Some((self.pointed?, SocketAddr::new(self.pointed?.ip(), admin?.port())));
+        self.leader().map(|m| (m.peer, m.admin)).or_else(pointed)
+    }
+    fn leader(&self) -> Option<&Member> {
+        let id = self.hedge.leader?;
+        self.hedge.members().iter().find(|m| m.id == id)
+    }
+
+    /// Compares what is wanted with what is, and acts on the difference.
+    fn reconcile(&mut self, now: Tick) {
+        self.answer_reads(now);
+        self.ask_to_join(now);
+        if !self.early.is_empty() && (self.office.is_none() || self.hedge.granting(now)) {
+            for (conn, message) in std::mem::take(&mut self.early) {
+                self.hear_stile(conn, message, now);
+            }
+        }
+        if !self.hedge.granting(now) {
+            return;
+        }
+        self.joining.retain(|_, (_, asked)| now.since(*asked) < JOIN_KEPT_MS);
+        let (tolerated, silent) = (self.settings.tolerated(), self.settings.given_up_ms());
+        let joining = self.joining.values().map(|(member, _)| member);
+        if let Some(members) = self.hedge.wanted_members(joining, tolerated, silent, now) {
+            self.hedge.propose(Body::Members(members), now);
+        }
+        let Some(office) = &mut self.office else {
+            return;
+        };
+        let sweep = now.since(office.swept) >= SWEEP_MS;
+        if !sweep {
+            let stirred: Vec<ServiceName> = office.stirred.iter().cloned().collect();
+            for service in stirred {
+                self.move_on(&service, now, |s, facts| s.tick(facts, now));
+            }
+            return;
+        }
+        office.swept = now;
+        office.cadastre.divide(|node| office.leases.seats.contains_key(node), now);
+        let settled = now.since(office.leases.elected) >= SHARE_HELD_MS;
+        if office.leases.forget_old(now) || settled != office.settled {
+            office.settled = settled;
+            office.tidings.stir_all();
+        }
+        let known = self.almanac.by_service.keys().chain(self.almanac.leads.keys());
+        let services: BTreeSet<ServiceName> = known.cloned().collect();
+        for service in services {
+            self.move_on(&service, now, |s, facts| s.tick(facts, now));
+        }
+        let forgotten: Vec<InstanceId> = match &self.office {
+            Some(office) => office
+                .beats
+                .iter()
+                .filter(|(id, (at, _))| {
+                    now.since(*at) > FORGOTTEN_MS
+                        && self.almanac.instances.contains_key(*id)
+                        && !self.almanac.leads.values().any(|l| l.primary == **id)
+                })
+                .map(|(id, _)| id.clone())
+                .collect(),
+            None => Vec::new(),
+        };
+        for id in forgotten {
+            if let Some(office) = &mut self.office {
+                office.beats.remove(&id);
+            }
+            self.propose(&Change::Gone { id, sequence: 0 }, now);
+        }
+    }
+
+    /// A steward that is in no list asks to be taken in; one that hears no leader, whether it
+    /// still belongs.
+    fn ask_to_join(&mut self, now: Tick) {
+        let me = self.hedge.kept.me;
+        let was = self.hedge.members().iter().any(|m| m.id == me);
+        // Of a leader that is in no list here, only its messages come: it is found by asking.
+        let unknown = self.hedge.leader.is_some() && self.leader().is_none();
+        let lost = self.hedge.lonely(now, LONELY_MS) || unknown;
+        let idle = was && (self.hedge.is_leader() || !lost);
+        if idle || now < self.next_join {
+            return;
+        }
+        self.next_join = now.plus(if was { LONELY_MS } else { JOIN_AGAIN_MS });
+        let Some(admin) = self.settings.listeners.admin else {
+            return;
+        };
+        let member = as_member(&self.settings, admin, me);
+        let mut at: BTreeSet<SocketAddr> = self.settings.seed_peers().into_iter().collect();
+        at.extend(self.hedge.members().iter().map(|m| m.peer));
+        if let Some(leader) = self.join_at.take().or(self.pointed) {
+            at = BTreeSet::from([leader]);
+        }
+        at.remove(&member.peer);
+        for to in at {
+            self.effects.ask_standing(to, member.clone(), was);
+        }
+    }
+
+    fn stand(&mut self, asked: MemberId, at: SocketAddr, answer: Option<Joined>, now: Tick) {
+        let me = self.hedge.kept.me;
+        if asked != me {
+            return;
+        }
+        if !self.settings.can_vote() {
+            match answer {
+                Some(Joined::Listed) if self.pointed != Some(at) => {
+                    info!(target: "hedge", "{at} leads");
+                    self.pointed = Some(at);
+                }
+                Some(Joined::Listed) => {}
+                _ if self.pointed == Some(at) => self.pointed = None,
+                _ => {}
+            }
+        }
+        let Some(answer) = answer else { return };
+        if matches!(answer, Joined::Noted | Joined::Listed | Joined::Removed)
+            && self.taken_in != Some(at)
+        {
+            self.taken_in = Some(at);
+            self.effects.keep_links(self.hedge.members());
+        }
+        let listed = self.hedge.members().iter().any(|m| m.id == me);
+        match answer {
+            Joined::Elsewhere(Some(leader)) if self.join_at.is_none() => {
+                self.join_at = Some(leader);
+                self.next_join = now;
+            }
+            // An id stands for a disk with its vote and its log, so it may come back as a learner.
+            Joined::Removed if listed && !self.hedge.is_leader() => {
+                info!(target: "hedge", "member {me} was removed, is to be taken in again");
+            }
+            Joined::Found if !listed && self.settings.bootstrap && self.settings.can_vote() => {
+                let Some(admin) = self.settings.listeners.admin else {
+                    return;
+                };
+                info!(target: "hedge", "founds the hedge");
+                let founder = Member { voter: true, ..as_member(&self.settings, admin, me) };
+                self.start_over(vec![founder], now);
+            }
+            _ => {}
+        }
+    }
+
+    /// With an empty log and a fresh id; the old one is never used again.
+    fn start_over(&mut self, mut members: Vec<Member>, now: Tick) {
+        let me = fresh_id(self.random);
+        members.iter_mut().for_each(|m| m.id = me);
+        let snapshot = Snapshot { members, ..Snapshot::default() };
+        let kept = Kept { me, epoch: self.hedge.kept.epoch, snapshot, ..Kept::default() };
+        self.hedge = Hedge::new(kept, false, now, self.random);
+        self.hedge.vet = readable;
+        self.hedge.dirty = Dirty::all();
+        self.desk.forget();
+        self.almanac = Almanac::default();
+        self.applied = Index(0);
+        self.configure(None);
+        self.versions.clear();
+        self.listing = None;
+        self.effects.keep_links(&[]);
+        self.joining.clear();
+    }
+
+    /// Whether this is the steward that the first seed, having no disk, tells to found the hedge:
+    /// the first by address of those that asked in the first moments.
+    fn names(&mut self, member: &Member, now: Tick) -> bool {
+        let first = self.settings.listeners.admin;
+        if self.settings.can_vote()
+            || self.settings.founder() != first
+            || !self.hedge.members().is_empty()
+            || !member.can_vote
+        {
+            return false;
+        }
+        self.joining.entry(member.id).or_insert_with(|| (member.clone(), now));
+        let oldest = self.joining.values().map(|(_, asked)| *asked).min();
+        if self.nominated.is_none() && oldest.is_some_and(|t| now.since(t) > NOMINATE_MS) {
+            let chosen = self.joining.values().map(|(m, _)| m).min_by_key(|m| m.admin);
+            self.nominated = chosen.map(|m| m.id);
+        }
+        self.nominated == Some(member.id)
+    }
+
+    fn facts(&self, service: &ServiceName, now: Tick) -> Facts {
+        let lead = self.almanac.leads.get(service).cloned();
+        let patience = MISSED_BEATS * self.settings.heartbeat_ms;
+        let mut facts = Facts {
+            service: service.clone(),
+            epoch: self.hedge.kept.epoch,
+            databases: self
+                .almanac
+                .of_service(service)
+                .map(|(id, i)| (id.clone(), i.clone()))
+                .collect(),
+            departed: BTreeMap::new(),
+            beating: BTreeSet::new(),
+            sync_replicas: self.services.get(service).map_or(0, |s| s.sync_replicas),
+            leases_gone: false,
+            given_back: None,
+            lead,
+        };
+        // Without synchronous replicas no copy is counted on.
+        if facts.sync_replicas > 0 {
+            facts.departed = self.almanac.departed(service);
+        }
+        if let Some(office) = &self.office {
+            let beats = |id: &&InstanceId| {
+                office.beats.get(*id).is_some_and(|(at, _)| now.since(*at) < patience)
+            };
+            facts.beating =
+                facts.databases.iter().map(|(id, _)| id).filter(beats).cloned().collect();
+            let steady = |s: &Succession| s.stage == Stage::Steady;
+            if let Some(lead) = &facts.lead
+                && !office.successions.get(service).is_some_and(steady)
+            {
+                facts.leases_gone = office.leases.gone(service, lead.term, now);
+                let (seen, trusting) = (office.freshness.newest(service), facts.sync_replicas == 0);
+                facts.given_back =
+                    office.leases.given_back(service, lead.term, seen, trusting, now);
+            }
+        }
+        facts
+    }
+
+    /// Takes one step of a service's succession and carries out what it asks for.
+    fn move_on(
+        &mut self,
+        service: &ServiceName,
+        now: Tick,
+        step: impl FnOnce(&mut Succession, &Facts) -> Vec<Deed>,
+    ) {
+        // The databases of a gateway are alike: none of them leads.
+        if !self.hedge.granting(now) || self.settings.rollout == Rollout::Api {
+            return;
+        }
+        let facts = self.facts(service, now);
+        let behind = self.applied < self.hedge.commit;
+        let Some(office) = &mut self.office else {
+            return;
+        };
+        // What an earlier leader decided may stand in the next entry.
+        if behind && !office.successions.contains_key(service) {
+            return;
+        }
+        let mut deeds = Vec::new();
+        let known = office.successions.get(service).map(Succession::standing);
+        let succession = office.successions.entry(service.clone()).or_insert_with(|| {
+            let (begun, first) = Succession::begin(&facts, now);
+            deeds = first;
+            begun
+        });
+        let before = std::mem::discriminant(&succession.stage);
+        deeds.extend(step(succession, &facts));
+        let standing = succession.standing();
+        if known != Some(standing) {
+            office.tidings.stir(service);
+            // A sealed position is true for the moment it is told in, so it is told each time.
+            match standing {
+                (true, Some(_)) => office.sealed.insert(service.clone()),
+                _ => office.sealed.remove(service),
+            };
+        }
+        let stirs = succession.stage != Stage::Steady || !deeds.is_empty();
+        match stirs {
+            true => office.stirred.insert(service.clone()),
+            false => office.stirred.remove(service),
+        };
+        if before != std::mem::discriminant(&succession.stage) {
+            info!(target: "failover", "{service}: now {}", stage_name(&succession.stage));
+        }
+        let attempt = succession.attempt;
+        for deed in deeds {
+            self.carry_out(service, deed, attempt, now);
+        }
+    }
+
+    fn carry_out(&mut self, service: &ServiceName, deed: Deed, attempt: Attempt, now: Tick) {
+        match deed {
+            Deed::Propose(Change::Covered { .. } | Change::Returned { .. })
+                if !self.hedge.all_read(LAYOUT) =>
+            {
+                debug!(target: "failover", "{service}: waits until all stewards are exchanged");
+            }
+            Deed::Propose(change) => {
+                self.propose(&change, now);
+            }
+            Deed::Revoke(term) => {
+                // Ahead of whatever waits.
+                let frame =
+                    encode(&Frame::Steward(ToStile::Revoke { service: service.clone(), term }));
+                for conn in self.stiles.keys() {
+                    self.effects.send_first(*conn, frame.clone());
+                }
+                self.pump(now);
+            }
+            Deed::Ask(id, ask) => {
+                // The same question twice is one; beyond the bound whoever needs it asks again.
+                let question = (service.clone(), id, ask, attempt);
+                if self.questions.len() < QUESTIONS_WAITING && !self.questions.contains(&question) {
+                    self.questions.push_back(question);
+                }
+                self.ask_on();
+            }
+            Deed::Post(target) => {
+                let Some(provider) = &self.settings.provider else {
+                    warn!(target: "failover", "no provider is set, {service} can't be moved");
+                    return;
+                };
+                let (at, holder) = (provider.address, &self.settings.node_name);
+                self.effects.post_failover(at, holder, service, &target, attempt);
+            }
+        }
+    }
+
+    /// Asks databases what waits to be asked, so many at a time: dark ones take long to answer.
+    fn ask_on(&mut self) {
+        while self.asking < MAX_ASKS
+            && let Some((service, id, ask, attempt)) = self.questions.pop_front()
+        {
+            let Some(record) = self.almanac.instances.get(&id) else {
+                continue;
+            };
+            let address = record.instance.address;
+            let started = self.effects.ask_database(&service, &id, address, ask, attempt);
+            // Without a thread it is not asked; whoever needs the answer asks again.
+            self.asking += usize::from(started);
+        }
+    }
+
+    // -- stiles --------------------------------------------------------------------------------
+
+    fn send_conn(&mut self, conn: u64, frame: &Frame) {
+        self.send_bytes(conn, encode(frame));
+    }
+    fn send_bytes(&mut self, conn: u64, frame: Arc<[u8]>) {
+        self.effects.send(conn, frame);
+    }
+    /// Tells all nodes which stewards there are now: one that lost this leader looks for another there.
+    fn introduce(&mut self) {
+        let stewards = self.hedge.members().iter().map(|m| m.peer).collect();
+        let frame = encode(&Frame::Steward(ToStile::Welcome { stewards }));
+        let conns: Vec<u64> = self.stiles.keys().copied().collect();
+        conns.into_iter().for_each(|conn| self.send_bytes(conn, frame.clone()));
+    }
+    /// Tells all stiles of a change of the directory; one that is far behind gets the whole later.
+    fn tell_stiles(&mut self, message: ToStile) {
+        let frame = encode(&Frame::Steward(message));
+        let conns: Vec<u64> = self.stiles.keys().copied().collect();
+        for conn in conns {
+            let waiting = self.effects.waiting(conn).unwrap_or(0);
+            if waiting + frame.len() <= CHANGES_WAITING {
+                self.send_bytes(conn, frame.clone());
+            } else if let Some(guest) = self.stiles.get_mut(&conn) {
+                guest.directory_due = true;
+            }
+        }
+    }
+
+    /// The directory changed: stiles are told of all that does so within a moment.
+    fn moved(&mut self, id: &InstanceId, now: Tick) {
+        self.listing = None;
+        if self.office.is_some() {
+            self.moved.insert(id.clone());
+            self.moved_since.get_or_insert(now);
+        }
+    }
+    fn tell_moved(&mut self, now: Tick) {
+        // At once for one service, and once for many that follow.
+        if self.renew_due && now.since(self.renew_told) >= GATHER_MS {
+            (self.renew_due, self.renew_told) = (false, now);
+            self.tell_stiles(ToStile::Renew);
+        }
+        if self.moved_since.is_none_or(|t| now.since(t) < GATHER_MS) {
+            return;
+        }
+        self.moved_since = None;
+        let (mut listed, mut gone) = (Vec::new(), Vec::new());
+        for id in std::mem::take(&mut self.moved) {
+            match self.almanac.instances.get(&id) {
+                Some(record) => listed.push(Listed::of(&id, &record.instance)),
+                None => gone.push(id),
+            }
+        }
+        self.tell_stiles(ToStile::Moved { listed, gone });
+    }
+
+    /// Sends a stile what it is owed, as soon as nothing older waits for it.
+    fn catch_up(&mut self, conn: u64, now: Tick) {
+        if self.effects.waiting(conn) != Some(0) {
+            return;
+        }
+        let Some(guest) = self.stiles.get_mut(&conn) else {
+            return;
+        };
+        if std::mem::take(&mut guest.directory_due) {
+            let instances = &self.almanac.instances;
+            let whole = || {
+                let listed = instances.iter().map(|(id, r)| Listed::of(id, &r.instance));
+                encode(&Frame::Steward(ToStile::Directory(listed.collect())))
+            };
+            let frame = Arc::clone(self.listing.get_or_insert_with(whole));
+            self.send_bytes(conn, frame);
+        }
+        if let Some(lanes) = self.versions.back()
+            && let Some(guest) = self.stiles.get_mut(&conn)
+            && guest.revision < lanes.revision
+        {
+            let from = std::mem::replace(&mut guest.revision, lanes.revision);
+            let frame = self.encoded.entry(from).or_insert_with(|| {
+                let base = self.versions.iter().find(|c| c.revision == from);
+                encode(&Frame::Steward(match base {
+                    Some(base) => ToStile::Changed(Box::new(lanes.since(base))),
+                    None => ToStile::Configured(Box::new(lanes.clone())),
+                }))
+            });
+            let frame = frame.clone();
+            self.send_bytes(conn, frame);
+        }
+        let renewal = self.stiles.get_mut(&conn).and_then(|g| g.renewal.take());
+        if let Some((seq, asks)) = renewal {
+            self.grant(conn, seq, &asks, now);
+        }
+    }
+
+    fn hear_stile(&mut self, conn: u64, message: ToSteward, now: Tick) {
+        if self.office.is_none() {
+            let leader = self.leads_at().map(|l| l.0);
+            return self.send_conn(conn, &Frame::Steward(ToStile::Elsewhere(leader)));
+        }
+        if let ToSteward::Hello { node, life, revision, zone } = message {
+            if !self.hedge.granting(now) || self.applied < self.hedge.commit {
+                // What this leader has may be older than what the stile already heard.
+                self.early.push((conn, ToSteward::Hello { node, life, revision, zone }));
+                return;
+            }
+            // It may have left while this leader was not sure yet; nothing would end its seat.
+            if self.effects.waiting(conn).is_none() {
+                return;
+            }
+            info!(target: "stiles", "{node} is here");
+            if let Some(office) = &mut self.office {
+                office.leases.seat(&node, life, conn, now);
+                office.tidings.stir_all();
+            }
+            let guest = Guest {
+                node,
+                zone,
+                revision,
+                directory_due: true,
+                renewal: None,
+                told: None,
+                owed: BTreeSet::new(),
+                answers: VecDeque::new(),
+            };
+            self.stiles.insert(conn, guest);
+            let stewards = self.hedge.members().iter().map(|m| m.peer).collect();
+            self.send_conn(conn, &Frame::Steward(ToStile::Welcome { stewards }));
+            return self.catch_up(conn, now);
+        }
+        let Some(node) = self.stiles.get(&conn).map(|g| g.node.clone()) else {
+            return;
+        };
+        // What an older connection of the same stile still brings is overtaken by the newer one.
+        let seat = self.office.as_ref().and_then(|o| o.leases.seats.get(&node));
+        if seat.is_none_or(|s| s.conn != Some(conn)) {
+            return;
+        }
+        match message {
+            ToSteward::Hello { .. } => {}
+            ToSteward::Whole => {
+                if let Some(guest) = self.stiles.get_mut(&conn) {
+                    guest.revision = Revision(0);
+                    self.catch_up(conn, now);
+                }
+            }
+            ToSteward::Renew { seq, heard, shares, wants, saw, asks, busy } => {
+                let zone = self.stiles.get(&conn).map(|g| g.zone.as_str()).unwrap_or_default();
+                if let Some(office) = &mut self.office {
+                    for (service, busy) in busy {
+                        office.cadastre.report(&node, zone, service, busy);
+                    }
+                    for service in office.leases.report(&node, shares, now) {
+                        office.tidings.stir(&service);
+                    }
+                    for (service, more) in wants {
+                        if self.services.contains_key(&service) {
+                            office.leases.want(&node, &service, more, now);
+                        }
+                    }
+                }
+                self.hear_saw(conn, heard, &saw, now);
+                if let Some(guest) = self.stiles.get_mut(&conn) {
+                    guest.renewal = Some((seq, asks));
+                }
+                self.catch_up(conn, now);
+            }
+            ToSteward::Suspect { service, instance, why } => {
+                debug!(target: "failover", "{service}: {node} doubts {instance} ({why:?})");
+                self.move_on(&service, now, |s, facts| {
+                    s.suspect(facts, &node, &instance, why, now)
+                });
+            }
+            ToSteward::Revoked { service, term, highest } => {
+                if let Some(office) = &mut self.office {
+                    office.leases.give_back(&node, &service, term, highest);
+                }
+                if let Some(guest) = self.stiles.get_mut(&conn) {
+                    guest.owed.insert(service);
+                }
+            }
+            ToSteward::Bye => {
+                if let Some(office) = &mut self.office {
+                    office.leases.leave(&node);
+                }
+            }
+        }
+    }
+
+    /// What a stile saw at primaries, told from the answer that it had heard before.
+    fn hear_saw(&mut self, conn: u64, heard: u64, saw: &[Saw], now: Tick) {
+        let answers = self.stiles.get(&conn).map(|g| &g.answers);
+        let answered = answers.and_then(|all| all.iter().find(|(seq, _)| *seq == heard));
+        if let (Some((_, answered)), Some(office)) = (answered, &mut self.office) {
+            for saw in saw {
+                let lead = self.almanac.leads.get(&saw.service);
+                office.freshness.learn(lead, *answered, saw, now);
+            }
+        }
+    }
+
+    /// Answers a renewal: all that was told on this connection is granted again, and what is new
+    /// is told.
+    fn grant(&mut self, conn: u64, seq: u64, asks: &[ServiceName], now: Tick) {
+        if !self.hedge.granting(now) {
+            return;
+        }
+        let Some(office) = &mut self.office else { return };
+        let Some(guest) = self.stiles.get_mut(&conn) else { return };
+        let whole = guest.told.is_none();
+        let mut owed = std::mem::take(&mut guest.owed);
+        owed.extend(office.leases.lent(&guest.node).cloned());
+        let due: BTreeSet<&ServiceName> =
+            match guest.told.and_then(|told| office.tidings.since(told)) {
+                None => self.services.keys().collect(),
+                Some(stirred) => stirred.chain(&owed).chain(&office.sealed).collect(),
+            };
+        let mut grants = Vec::new();
+        for service in due.into_iter().filter_map(|name| self.services.get(name)) {
+            let lead = self.almanac.leads.get(&service.name);
+            let standing = match (lead, office.successions.get(&service.name)) {
+                (Some(_), Some(s)) if s.revoking => {
+                    s.sealed.map_or(Standing::Unled, Standing::Sealed)
+                }
+                (Some(lead), Some(_)) => {
+                    Standing::Led { term: lead.term, primary: lead.primary.clone() }
+                }
+                _ => Standing::Unled,
+            };
+            let share =
+                office.leases.share(&guest.node, &service.name, service.max_connections, now);
+            let grant = Grant { service: service.name.clone(), standing, share };
+            grants.extend(office.leases.tell(&guest.node, grant));
+        }
+        office.leases.renewed(&guest.node, now);
+        guest.told = Some(office.tidings.newest());
+        if guest.answers.len() == ANSWERS_KEPT {
+            guest.answers.pop_front();
+        }
+        guest.answers.push_back((seq, now));
+        let fresh = asks.iter().filter_map(|name| office.freshness.tell(name, now)).collect();
+        let plots = office.cadastre.due(&guest.node, whole);
+        let granted = ToStile::Granted { seq, lease_ms: LEASE_MS, whole, grants, fresh, plots };
+        self.send_conn(conn, &Frame::Steward(granted));
+    }
+
+    // -- HTTP ----------------------------------------------------------------------------------
+
+    fn answer_http(&mut self, request: Request, reply: SyncSender<Response>, now: Tick) {
+        // A caller that no longer waits is none of our business.
+        let say = |response: Response| drop(reply.try_send(response));
+        let path = request.path.split('?').next().unwrap_or_default().to_owned();
+        let method = request.method.as_str();
+        let instance = path.strip_prefix("/instances/").filter(|id| {
+            !id.is_empty()
+                && id.len() <= 200
+                && id.bytes().all(|b| b.is_ascii_graphic() && b != b'/')
+        });
+        let known = match (path.as_str(), instance) {
+            ("/configuration", _) => ["GET", "PUT"].contains(&method),
+            ("/status", _) => method == "GET",
+            (_, Some(_)) => ["PUT", "DELETE"].contains(&method),
+            _ => return say(Response::refusal(404, "no such path")),
+        };
+        if !known {
+            return say(Response::refusal(405, "not with this method"));
+        }
+        if path == "/status" {
+            return say(Response::json(200, self.status(now).to_string().into_bytes()));
+        }
+        // What can't be read is refused by any steward.
+        let parsed = match (method, instance) {
+            ("PUT", None) => match read_configuration(&request) {
+                Ok(change) => Some(change),
+                Err(response) => return say(response),
+            },
+            ("PUT", Some(id)) => match serde_json::from_slice::<Beat>(&request.body) {
+                Ok(beat) if is_word(&beat.instance.target_service.0) => Some(Change::Beat {
+                    id: InstanceId(id.to_owned()),
+                    instance: beat.instance,
+                    sequence: beat.sequence,
+                }),
+                Ok(_) => return say(Response::refusal(400, "target_service is no word")),
+                Err(e) => return say(Response::refusal(400, &format!("cannot be read: {e}"))),
+            },
+            // One that says goodbye has ended: whatever is still under way of it is late.
+            ("DELETE", Some(id)) => {
+                Some(Change::Gone { id: InstanceId(id.to_owned()), sequence: u64::MAX })
+            }
+            _ => None,
+        };
+        if !self.hedge.is_leader() {
+            return say(match self.leads_at() {
+                Some((_, admin)) => Response::elsewhere(format!("http://{admin}{path}")),
+                None => Response::refusal(503, "no leader"),
+            });
+        }
+        // Without a quorum nothing can be confirmed, and a new leader may not have applied yet what
+        // the one before acknowledged.
+        if !self.hedge.granting(now) {
+            return say(Response::refusal(503, "no quorum"));
+        }
+        self.apply(now);
+        if self.unreadable.is_some() {
+            return say(Response::refusal(503, "stopping"));
+        }
+        let tolerated = self.settings.tolerated();
+        if parsed.is_some() && !self.almanac.begun() {
+            let (voters, needed) = (self.hedge.voters().len(), 2 * tolerated + 1);
+            if !self.hedge.may_begin(tolerated, now) {
+                let why = format!("being founded: {voters} of {needed} stewards vote");
+                return say(Response::refusal(503, &why));
+            }
+            if voters < needed {
+                warn!(target: "hedge", "begins with {voters} voters of {needed}: not as many \
+                    machines may be lost as fault_tolerance says");
+            }
+        }
+        let call = match parsed {
+            Some(Change::Beat { id, instance, sequence }) => {
+                return self.take_beat(id, instance, sequence, reply, now);
+            }
+            Some(change) => Call::Change(change),
+            None => Call::ReadConfiguration,
+        };
+        let ready = self.reads.ask(&mut self.hedge, &self.almanac, call, reply, now);
+        self.carry_through(ready, now);
+        // One that is alone has nobody to wait for.
+        self.answer_reads(now);
+    }
+
+    fn answer_reads(&mut self, now: Tick) {
+        let settled = self.reads.settled(&self.hedge, &self.almanac, self.applied, now);
+        self.carry_through(settled, now);
+    }
+    fn carry_through(
+        &mut self,
+        verdicts: impl IntoIterator<Item = (SyncSender<Response>, Verdict)>,
+        now: Tick,
+    ) {
+        for (reply, verdict) in verdicts {
+            match verdict {
+                // A caller that no longer waits is none of our business.
+                Verdict::Answer(response) => drop(reply.try_send(response)),
+                Verdict::Propose(change) => self.await_change(&change, reply, now),
+            }
+        }
+    }
+
+    /// The answer to a beat: later ones are to come here at once, without another steward between.
+    fn beaten(&self) -> Response {
+        match self.settings.listeners.admin {
+            Some(admin) => {
+                let body = serde_json::json!({ "heartbeat_url": admin }).to_string();
+                Response::json(200, body.into_bytes())
+            }
+            None => Response::ok(),
+        }
+    }
+
+    fn take_beat(
+        &mut self,
+        id: InstanceId,
+        instance: Instance,
+        sequence: u64,
+        reply: SyncSender<Response>,
+        now: Tick,
+    ) {
+        let (service, role) = (instance.target_service.clone(), instance.database_role);
+        // That it was heard is known at once; what it said counts only once it is committed.
+        let mut newest = false;
+        if let Some(office) = &mut self.office {
+            let heard = office.beats.entry(id.clone()).or_insert((now, 0));
+            newest = sequence > heard.1;
+            if newest {
+                *heard = (now, sequence);
+            }
+        }
+        if self.almanac.news(&id, &instance, sequence) {
+            self.await_change(&Change::Beat { id, instance, sequence }, reply, now);
+        } else {
+            drop(reply.try_send(self.beaten()));
+            // A replica, or the primary that is known, says nothing new by this.
+            let known = self.almanac.leads.get(&service).is_some_and(|l| l.primary == id);
+            if newest && role == Role::Primary && !known {
+                self.move_on(&service, now, |s, facts| s.beat(facts, &id, role, now));
+            }
+        }
+    }
+
+    /// Proposes what a caller asked for; it is answered when that is committed and applied.
+    fn await_change(&mut self, change: &Change, reply: SyncSender<Response>, now: Tick) {
+        match self.propose(change, now) {
+            Some(index) => self.proposed.add(self.hedge.kept.epoch, index, reply),
+            // A caller that no longer waits is none of our business.
+            None => drop(reply.try_send(Response::refusal(503, "no leader"))),
+        }
+    }
+
+    fn status(&self, now: Tick) -> serde_json::Value {
+        let members: Vec<_> = self
+            .hedge
+            .members()
+            .iter()
+            .map(|m| serde_json::json!({ "id": m.id.0, "node": m.node, "peer": m.peer, "admin": m.admin, "voter": m.voter }))
+            .collect();
+        let databases: Vec<_> = self
+            .almanac
+            .instances
+            .iter()
+            .map(|(id, r)| serde_json::json!({ "id": id, "database": r.instance, "sequence": r.sequence }))
+            .collect();
+        let stiles: Vec<_> = self.office.iter().flat_map(|o| &o.leases.seats).map(|(node, seat)| {
+            serde_json::json!({
+                "node": node,
+                "connected": seat.conn.is_some(),
+                "heard_ms_ago": now.since(seat.heard),
+                "lease_left_ms": (seat.granted.0 + LEASE_MS).saturating_sub(now.0),
+                "services": seat.told.values().map(|g| serde_json::json!({
+                    "service": g.service, "connections_allowed": g.share,
+                    "term": match &g.standing { Standing::Led { term, .. } => Some(term), _ => None },
+                })).collect::<Vec<_>>(),
+            })
+        }).collect();
+        let services: Vec<_> = self
+            .almanac
+            .leads
+            .iter()
+            .map(|(service, lead)| {
+                let stage = self.office.as_ref().and_then(|o| o.successions.get(service));
+                serde_json::json!({
+                    "service": service, "term": lead.term, "primary": lead.primary,
+                    "intent": lead.intent, "stage": stage.map(|s| stage_name(&s.stage)),
+                })
+            })
+            .collect();
+        serde_json::json!({
+            "node": self.settings.node_name,
+            "role": "steward",
+            "member": self.hedge.kept.me.0,
+            "leader": self.leader().map(|m| m.node.0.clone()),
+            "leader_admin": self.leads_at().map(|l| l.1),
+            "leads": self.hedge.granting(now),
+            "epoch": self.hedge.kept.epoch,
+            "entry": self.hedge.last().1,
+            "committed": self.hedge.commit,
+            "members": members,
+            "revision": self.almanac.revision,
+            "databases": databases,
+            "services": services,
+            "stiles": stiles,
+            "peers": self.effects.peers(),
+            "questions_waiting": self.questions.len(),
+        })
+    }
+}
--- /dev/null
+++ b/src/controller/linearizable_reads.rs
@@ -0,0 +1,92 @@
+//! Calls that wait until this controller is known to lead, or for their log entry to be committed.
+use crate::base::ids::{Epoch, Index};
+use crate::base::time::Tick;
+use crate::controller::admin_api::{Call, Verdict};
+use crate::net::http::Response;
+use crate::net::rpc::raft_messages::Entry;
+use crate::raft::node::{Hedge, ReadIndex};
+use crate::state_machine::Almanac;
+use std::collections::BTreeMap;
+
+/// Calls that are answered from what is applied, once this steward is known to have led after
+/// they came.
+pub struct Reads<R> {
+    waiting: Vec<(ReadIndex, Call, R)>,
+}
+
+impl<R> Default for Reads<R> {
+    fn default() -> Self {
+        Self { waiting: Vec::new() }
+    }
+}
+
+impl<R> Reads<R> {
+    /// Takes in a call. What goes into the log anyway waits for nothing: it is judged once more
+    /// where it is applied.
+    pub fn ask(
+        &mut self,
+        hedge: &mut Hedge,
+        almanac: &Almanac,
+        call: Call,
+        from: R,
+        now: Tick,
+    ) -> Option<(R, Verdict)> {
+        if let Verdict::Propose(change) = call.clone().judge(almanac) {
+            return Some((from, Verdict::Propose(change)));
+        }
+        match hedge.read_index(now) {
+            Some(read) => self.waiting.push((read, call, from)),
+            None => return Some((from, Verdict::Answer(Response::refusal(503, "no quorum")))),
+        }
+        None
+    }
+    /// The calls that wait no longer, judged by what is applied now.
+    pub fn settled(
+        &mut self,
+        hedge: &Hedge,
+        almanac: &Almanac,
+        applied: Index,
+        now: Tick,
+    ) -> Vec<(R, Verdict)> {
+        let mut settled = Vec::new();
+        let unclear = |why| Verdict::Answer(Response::refusal(503, why));
+        for (read, call, from) in std::mem::take(&mut self.waiting) {
+            match hedge.confirmed(&read) {
+                Some(false) => settled.push((from, unclear("no longer the leader"))),
+                _ if now.since(read.asked) > READ_MS => settled.push((from, unclear("no quorum"))),
+                Some(true) if applied >= read.upto => settled.push((from, call.judge(almanac))),
+                _ => self.waiting.push((read, call, from)),
+            }
+        }
+        settled
+    }
+}
+
+/// Callers whose change is on its way into the log, by its place there.
+pub struct Proposed<R> {
+    waiting: BTreeMap<Index, (Epoch, R)>,
+}
+
+impl<R> Default for Proposed<R> {
+    fn default() -> Self {
+        Self { waiting: BTreeMap::new() }
+    }
+}
+
+impl<R> Proposed<R> {
+    pub fn add(&mut self, epoch: Epoch, index: Index, from: R) {
+        self.waiting.insert(index, (epoch, from));
+    }
+    /// Whose change this is. Another leader's entry may have come to stand in its place.
+    pub fn take(&mut self, entry: &Entry) -> Option<R> {
+        let (epoch, from) = self.waiting.remove(&entry.index)?;
+        (epoch == entry.epoch).then_some(from)
+    }
+    /// All that wait, as this steward no longer leads.
+    pub fn give_up(&mut self) -> impl Iterator<Item = R> + use<R> {
+        std::mem::take(&mut self.waiting).into_values().map(|(_, from)| from)
+    }
+}
+
+/// A call that can't be answered for certain is given up after this; callers go on after a second.
+const READ_MS: u64 = 800;
--- /dev/null
+++ b/src/controller/mod.rs
@@ -0,0 +1,8 @@
+//! The controller: consensus, replicated state, failover and leases behind one step function.
+pub mod admin_api;
+#[allow(clippy::module_inception)]
+pub mod controller;
+pub mod linearizable_reads;
+pub mod pending_updates;
+pub mod process;
+pub mod transport;
--- /dev/null
+++ b/src/failover/mod.rs
@@ -0,0 +1,1065 @@
+//! The change of a service's primary, lost or planned, as a value moved on by events and a passed-in time.
+use crate::base::ids::{DbTerm, Epoch, InstanceId, NodeName, Position, ServiceName};
+use crate::base::time::Tick;
+use crate::config::directory::{Instance, Lifecycle, Role};
+use crate::net::rpc::pooler_messages::Doubt;
+use crate::net::statement_protocol::Described;
+use crate::state_machine::{Change, Lead};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+/// What the system asks a database for itself.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Ask {
+    Describe,
+    Pause(DbTerm),
+    Continue,
+    StepDown(DbTerm),
+}
+
+/// What came of asking.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Told {
+    Row(Described),
+    /// Its machine took the connection; the answer may follow.
+    Reached,
+    /// It answered, so it lives, but not with its state.
+    Alive,
+    /// Refused, closed, or another database lives there.
+    Lost,
+    Silent,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Posted {
+    Accepted,
+    /// The named database is not running.
+    Refused,
+    /// Not taken this time, for certain.
+    Busy,
+    Unclear,
+}
+
+/// One try at something, as its questions and calls carry it: an answer to an earlier try says
+/// nothing about a later one. The epoch tells the offices of one process apart.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Attempt {
+    pub epoch: Epoch,
+    pub number: u64,
+}
+
+impl Attempt {
+    /// For the platform: rises with the leader, and with each call of the same leader, so that a
+    /// call that was held up on its way is known to be older than one made since.
+    pub fn fence(self) -> u64 {
+        (self.epoch.0 << ATTEMPT_BITS) | self.number.min((1 << ATTEMPT_BITS) - 1)
+    }
+}
+
+const ATTEMPT_BITS: u32 = 20;
+
+/// What each is asked belongs to the attempt that is under way when the step ends.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Deed {
+    Ask(InstanceId, Ask),
+    Post(InstanceId),
+    Propose(Change),
+    Revoke(DbTerm),
+}
+
+/// A service as the leader sees it when a step is taken.
+#[derive(Clone, Debug)]
+pub struct Facts {
+    pub service: ServiceName,
+    /// The epoch in which this leader was elected.
+    pub epoch: Epoch,
+    pub lead: Option<Lead>,
+    /// Every listed database of the service.
+    pub databases: Vec<(InstanceId, Instance)>,
+    /// Replicas that left and may hold the only copy of a commit; see `Almanac::departed`.
+    pub departed: BTreeMap<InstanceId, u64>,
+    /// Those whose beats came lately.
+    pub beating: BTreeSet<InstanceId>,
+    pub sync_replicas: u32,
+    /// No lease on the present term can be in use any more.
+    pub leases_gone: bool,
+    /// Every stile that could have used the present term has given it back and said how far it
+    /// saw, or is covered by what was seen later: the furthest position passed on.
+    pub given_back: Option<Option<Position>>,
+}
+
+impl Facts {
+    fn database(&self, wanted: &InstanceId) -> Option<&(InstanceId, Instance)> {
+        self.databases.iter().find(|(id, _)| id == wanted)
+    }
+    fn replicas(&self) -> impl Iterator<Item = &(InstanceId, Instance)> {
+        let primary = self.lead.as_ref().map(|l| l.primary.clone());
+        self.databases.iter().filter(move |(id, _)| Some(id) != primary.as_ref())
+    }
+    /// All that a commit may have been acknowledged for, besides the primary.
+    fn holders(&self) -> impl Iterator<Item = &InstanceId> {
+        self.replicas().map(|(id, _)| id).chain(self.departed.keys())
+    }
+}
+
+#[derive(Clone, Debug, PartialEq)]
+pub enum Stage {
+    Steady,
+    /// A first primary says so itself; its term is being asked for.
+    Founding {
+        asked: Tick,
+    },
+    /// The primary is suspected; its own answer decides.
+    Doubting {
+        asked: Tick,
+        /// Its machine took the connection, so it is not dark, only slow perhaps.
+        reached: bool,
+    },
+    /// Replicas are paused, so that the old primary can commit no more than is seen.
+    Fencing {
+        /// The replica a planned change goes to; none when the primary was lost.
+        target: Option<InstanceId>,
+        /// Planned only because the primary is slow: given up at the first obstacle.
+        slow: bool,
+        since: Tick,
+        asked: Tick,
+        rows: BTreeMap<InstanceId, Described>,
+    },
+    /// The intent is on its way into the log.
+    Intending {
+        target: InstanceId,
+        since: Tick,
+    },
+    Posting {
+        target: InstanceId,
+        tried: Tick,
+        in_flight: bool,
+        /// The last call that may have taken effect.
+        perhaps: Option<Tick>,
+        looked: Tick,
+    },
+    /// The target leads; the old term's leases are running out.
+    Taking {
+        target: InstanceId,
+        term: DbTerm,
+        recorded: bool,
+    },
+}
+
+/// So many stiles that are owed answers outweigh one unanswered question.
+const SILENT_STILES: usize = 3;
+
+/// A machine in reach takes a connection well within this.
+const DARK_MS: u64 = 25;
+
+const ASK_AGAIN_MS: u64 = 400;
+
+/// A database that said goodbye receives nothing more after this; it may repeat the goodbye once.
+const ENDED_MS: u64 = 2_000;
+
+/// The replicas have this long to reach the mark; then a rest, a longer one each time.
+const COVER_PATIENCE_MS: u64 = 1_500;
+
+const COVER_REST_MS: u64 = 1_000;
+
+const COVER_REST_MOST_MS: u64 = 16_000;
+
+const POST_AGAIN_MS: u64 = 300;
+
+/// A call that got an answer or none at all is not under way any more after this.
+const POST_SETTLED_MS: u64 = 2_000;
+
+/// A call has ended by then, with an answer or without.
+const POST_UNHEARD_MS: u64 = 3_000;
+
+const LOOK_AGAIN_MS: u64 = 500;
+
+const OWED_AGAIN_MS: u64 = 1_000;
+
+/// An order that was not answered within this is not carried out any more: its connection gave up
+/// long before.
+const ORDER_ENDED_MS: u64 = 3_000;
+
+/// A slow primary is replaced at most this often.
+const SLOW_AGAIN_MS: u64 = 5_000;
+
+/// A database that can work answers a question about itself within this.
+const SLOW_ANSWER_MS: u64 = 150;
+
+/// Slow twice within this is slow, not a moment's queue.
+const SLOW_TWICE_MS: u64 = 2_000;
+
+/// A second question without an answer within this says that the first was no lost packet.
+const UNANSWERED_MS: u64 = 1_500;
+
+/// So many reports of broken connections, from so many stiles, within so long, make a primary
+/// unsteady.
+const BREAKS_MANY: usize = 5;
+
+const BREAKS_STILES: usize = 3;
+
+const BREAKS_WITHIN_MS: u64 = 1_500;
+
+const BREAKS_KEPT: usize = 32;
+
+const PLANNED_PATIENCE_MS: u64 = 3_000;
+
+const PAUSE_PATIENCE_MS: u64 = 600;
+
+/// For this long the replicas themselves are waited for, before the stiles' word is taken.
+const VOUCH_AFTER_MS: u64 = 300;
+
+/// A primary that just proved itself is not doubted again for this long.
+const TRUST_MS: u64 = 300;
+
+/// One look at whether the listed replicas have what some that left may have taken along.
+#[derive(Clone, Debug)]
+struct Cover {
+    attempt: Attempt,
+    departed: BTreeMap<InstanceId, u64>,
+    began: Tick,
+    asked: Tick,
+    /// How far the primary was after they had ended.
+    mark: Option<Position>,
+    holders: BTreeSet<InstanceId>,
+}
+
+impl Cover {
+    fn ask(&self, facts: &Facts) -> Vec<Deed> {
+        let living = facts.replicas().map(|(id, _)| id).filter(|id| facts.beating.contains(*id));
+        let missing = living.filter(|id| !self.holders.contains(*id));
+        missing.map(|id| Deed::Ask(id.clone(), Ask::Describe)).collect()
+    }
+}
+
+/// Orders of one kind that databases have not answered yet.
+#[derive(Clone, Debug, Default)]
+struct Orders(BTreeMap<InstanceId, (u32, Tick)>);
+
+impl Orders {
+    fn sent(&mut self, id: &InstanceId, now: Tick) {
+        let (count, asked) = self.0.entry(id.clone()).or_insert((0, now));
+        (*count, *asked) = (*count + 1, now);
+    }
+    fn ended(&mut self, id: &InstanceId) {
+        if let Some((count, _)) = self.0.get_mut(id) {
+            *count -= 1;
+            if *count == 0 {
+                self.0.remove(id);
+            }
+        }
+    }
+    fn under_way(&self, id: &InstanceId, now: Tick) -> bool {
+        self.0.get(id).is_some_and(|(_, asked)| now.since(*asked) < ORDER_ENDED_MS)
+    }
+}
+
+/// Brings one service from primary to primary. Every step is safe to take again.
+#[derive(Clone, Debug)]
+pub struct Succession {
+    pub stage: Stage,
+    /// The attempt under way, or the last one.
+    pub attempt: Attempt,
+    /// The term whose leases are being taken back; none is granted meanwhile.
+    pub revoking: bool,
+    /// With the replicas fenced, every acknowledged commit lies at or before this.
+    pub sealed: Option<Position>,
+    suspects: BTreeSet<NodeName>,
+    trusted: Option<Tick>,
+    rested: Option<Tick>,
+    paused: BTreeSet<InstanceId>,
+    /// Let go, but not yet heard to have been: asked again while they live.
+    owed: BTreeMap<InstanceId, Attempt>,
+    /// Each order travels on a connection of its own, so two may overtake each other: a replica is
+    /// not paused while it is being let go, nor taken for let go while it is being paused.
+    pausing: Orders,
+    letting_go: Orders,
+    /// Who left, and since when this leader knows it.
+    departed: BTreeMap<InstanceId, (u64, Tick)>,
+    cover: Option<Cover>,
+    cover_due: Tick,
+    cover_rest: u64,
+    owed_asked: Tick,
+    stepped_down: Option<Tick>,
+    slow_tried: Option<Tick>,
+    slow_before: Option<Tick>,
+    unanswered: Option<Tick>,
+    /// Broken connections at the primary, as stiles told of them.
+    breaks: VecDeque<(Tick, NodeName)>,
+}
+
+impl Succession {
+    /// Taken up by a new leader. An intent it finds is finished first, with the same target;
+    /// replicas that an earlier leader paused are let go.
+    pub fn begin(facts: &Facts, now: Tick) -> (Self, Vec<Deed>) {
+        let mut this = Self {
+            stage: Stage::Steady,
+            attempt: Attempt { epoch: facts.epoch, number: 0 },
+            revoking: false,
+            sealed: None,
+            suspects: BTreeSet::new(),
+            trusted: None,
+            rested: None,
+            paused: BTreeSet::new(),
+            owed: BTreeMap::new(),
+            pausing: Orders::default(),
+            letting_go: Orders::default(),
+            departed: BTreeMap::new(),
+            cover: None,
+            cover_due: now,
+            cover_rest: COVER_REST_MS,
+            owed_asked: now,
+            stepped_down: None,
+            slow_tried: None,
+            slow_before: None,
+            unanswered: None,
+            breaks: VecDeque::new(),
+        };
+        let mut deeds = Vec::new();
+        match facts.lead.as_ref().and_then(|l| l.intent.clone().map(|target| (l.term, target))) {
+            Some((term, target)) => deeds = this.take_up(facts, term, target, now),
+            None if facts.lead.is_some() => {
+                this.paused = facts.replicas().map(|(id, _)| id.clone()).collect();
+                deeds.extend(this.let_go(now));
+            }
+            None => {}
+        }
+        (this, deeds)
+    }
+
+    /// Finishes an intent that an earlier leader left.
+    fn take_up(&mut self, facts: &Facts, term: DbTerm, target: InstanceId, now: Tick) -> Vec<Deed> {
+        self.revoking = true;
+        let mut deeds = vec![Deed::Revoke(term)];
+        deeds.extend(self.pause_newcomers(facts, &target, now));
+        self.paused.insert(target.clone());
+        self.post(target, now, &mut deeds);
+        deeds
+    }
+
+    /// The target leads a newer term than is written down.
+    fn taking(&mut self, facts: &Facts, target: InstanceId, term: DbTerm, now: Tick) -> Vec<Deed> {
+        self.stage = Stage::Taking { target, term, recorded: false };
+        let mut deeds = Vec::new();
+        if let Some(lead) = &facts.lead {
+            if !self.revoking {
+                self.revoking = true;
+                deeds.push(Deed::Revoke(lead.term));
+            }
+            deeds.push(Deed::Ask(lead.primary.clone(), Ask::StepDown(term)));
+        }
+        deeds.extend(self.tick(facts, now));
+        deeds
+    }
+
+    /// What stiles are to know: whether leases are being taken back, and what is sealed.
+    pub fn standing(&self) -> (bool, Option<Position>) {
+        (self.revoking, self.sealed)
+    }
+
+    fn renumber(&mut self) {
+        self.attempt.number += 1;
+    }
+
+    fn post(&mut self, target: InstanceId, now: Tick, deeds: &mut Vec<Deed>) {
+        self.renumber();
+        deeds.push(Deed::Post(target.clone()));
+        self.stage =
+            Stage::Posting { target, tried: now, in_flight: true, perhaps: None, looked: now };
+    }
+
+    fn settle(&mut self, now: Tick) {
+        self.stage = Stage::Steady;
+        self.revoking = false;
+        self.sealed = None;
+        self.suspects.clear();
+        self.trusted = Some(now);
+    }
+
+    /// Lets everything go as it was, while nothing has been posted.
+    fn call_off(&mut self, now: Tick) -> Vec<Deed> {
+        self.settle(now);
+        self.rested = Some(now);
+        self.let_go(now)
+    }
+
+    fn let_go(&mut self, now: Tick) -> Vec<Deed> {
+        let paused = std::mem::take(&mut self.paused);
+        self.owed.extend(paused.iter().map(|id| (id.clone(), self.attempt)));
+        self.owed_asked = now;
+        self.ask_to_go_on(paused.into_iter().collect(), now)
+    }
+    fn ask_to_go_on(&mut self, which: Vec<InstanceId>, now: Tick) -> Vec<Deed> {
+        which.iter().for_each(|id| self.letting_go.sent(id, now));
+        which.into_iter().map(|id| Deed::Ask(id, Ask::Continue)).collect()
+    }
+
+    pub fn suspect(
+        &mut self,
+        facts: &Facts,
+        who: &NodeName,
+        of: &InstanceId,
+        why: Doubt,
+        now: Tick,
+    ) -> Vec<Deed> {
+        let Some(lead) = &facts.lead else {
+            return Vec::new();
+        };
+        if lead.primary != *of {
+            return Vec::new();
+        }
+        if why == Doubt::Broken {
+            self.breaks.push_back((now, who.clone()));
+            if self.breaks.len() > BREAKS_KEPT {
+                self.breaks.pop_front();
+            }
+        }
+        if self.trusted.is_some_and(|t| now.since(t) < TRUST_MS) {
+            return Vec::new();
+        }
+        if why == Doubt::Silent {
+            self.suspects.insert(who.clone());
+        }
+        let planned = matches!(self.stage, Stage::Fencing { target: Some(_), .. });
+        match self.stage {
+            Stage::Doubting { .. } => self.tick(facts, now),
+            Stage::Steady => self.doubt(&lead.primary, now),
+            _ if planned => vec![Deed::Ask(lead.primary.clone(), Ask::Describe)],
+            _ => Vec::new(),
+        }
+    }
+
+    fn doubt(&mut self, primary: &InstanceId, now: Tick) -> Vec<Deed> {
+        self.renumber();
+        self.stage = Stage::Doubting { asked: now, reached: false };
+        vec![Deed::Ask(primary.clone(), Ask::Describe)]
+    }
+
+    fn fence(&mut self, facts: &Facts, now: Tick) -> Vec<Deed> {
+        let Some(lead) = &facts.lead else {
+            return Vec::new();
+        };
+        // The doubt before it asked for no pause, and its question still counts.
+        if !matches!(self.stage, Stage::Doubting { .. }) {
+            self.renumber();
+        }
+        self.revoking = true;
+        self.suspects.clear();
+        self.stage = Stage::Fencing {
+            target: None,
+            slow: false,
+            since: now,
+            asked: now,
+            rows: BTreeMap::new(),
+        };
+        let mut deeds = vec![Deed::Revoke(lead.term)];
+        deeds.extend(self.pause(
+            facts.replicas().map(|(id, _)| id.clone()).collect(),
+            lead.term,
+            now,
+        ));
+        deeds
+    }
+
+    /// One that is still being let go is paused once that has ended.
+    fn pause(&mut self, mut which: Vec<InstanceId>, term: DbTerm, now: Tick) -> Vec<Deed> {
+        which.retain(|id| !self.letting_go.under_way(id, now));
+        which.iter().for_each(|id| self.pausing.sent(id, now));
+        self.paused.extend(which.iter().cloned());
+        self.owed.retain(|id, _| !which.contains(id));
+        which.into_iter().map(|id| Deed::Ask(id, Ask::Pause(DbTerm(term.0 + 1)))).collect()
+    }
+
+    /// Replicas that came after the others were paused: a commit that only they receive would be
+    /// acknowledged, and missing at the target.
+    fn pause_newcomers(&mut self, facts: &Facts, target: &InstanceId, now: Tick) -> Vec<Deed> {
+        let Some(lead) = &facts.lead else { return Vec::new() };
+        let new = |id: &&InstanceId| *id != target && !self.paused.contains(*id);
+        let newcomers = facts.replicas().map(|(id, _)| id).filter(new).cloned().collect();
+        self.pause(newcomers, lead.term, now)
+    }
+
+    /// The primary was seen slow. Seen so twice in a row it is left, if a replica can take over
+    /// at once and the last try was long ago.
+    fn leave_slow(&mut self, facts: &Facts, term: DbTerm, now: Tick) -> Vec<Deed> {
+        let again = self.slow_before.is_some_and(|t| now.since(t) < SLOW_TWICE_MS);
+        self.slow_before = Some(now);
+        if again { self.leave(facts, term, now) } else { Vec::new() }
+    }
+    /// It answers for itself, but breaks connections of many stiles again and again: each break
+    /// may cost an answer, and a replica may do better.
+    fn unsteady(&self, now: Tick) -> bool {
+        let recent = || self.breaks.iter().filter(|(at, _)| now.since(*at) < BREAKS_WITHIN_MS);
+        recent().count() >= BREAKS_MANY
+            && recent().map(|(_, who)| who).collect::<BTreeSet<_>>().len() >= BREAKS_STILES
+    }
+    fn leave(&mut self, facts: &Facts, term: DbTerm, now: Tick) -> Vec<Deed> {
+        if self.slow_tried.is_some_and(|t| now.since(t) < SLOW_AGAIN_MS) {
+            return Vec::new();
+        }
+        self.slow_tried = Some(now);
+        self.plan(facts, term, true, now)
+    }
+
+    /// Begins a planned change: all replicas but the target are paused, so that from then on every
+    /// acknowledged commit is on the target, and the primary serves until the promote.
+    fn plan(&mut self, facts: &Facts, term: DbTerm, slow: bool, now: Tick) -> Vec<Deed> {
+        // What one that left may have taken along no pause brings out: first others must have it.
+        if !facts.departed.is_empty() {
+            return Vec::new();
+        }
+        let Some(target) = Self::successor(facts) else { return Vec::new() };
+        let others: Vec<_> =
+            facts.replicas().map(|(id, _)| id.clone()).filter(|id| *id != target).collect();
+        self.renumber();
+        let mut deeds = Vec::new();
+        if others.is_empty() {
+            deeds.push(Deed::Ask(target.clone(), Ask::Describe));
+        }
+        deeds.extend(self.pause(others, term, now));
+        self.stage = Stage::Fencing {
+            target: Some(target),
+            slow,
+            since: now,
+            asked: now,
+            rows: BTreeMap::new(),
+        };
+        deeds
+    }
+
+    /// A replica that left took its log along, and was acknowledged for until it ended. What it had
+    /// is safe once enough listed ones have all that the primary had after that.
+    fn cover(&mut self, facts: &Facts, primary: &InstanceId, now: Tick) -> Vec<Deed> {
+        self.departed.retain(|id, (last, _)| facts.departed.get(id) == Some(last));
+        for (id, last) in &facts.departed {
+            self.departed.entry(id.clone()).or_insert((*last, now));
+        }
+        if self.departed.is_empty() {
+            (self.cover, self.cover_rest) = (None, COVER_REST_MS);
+            return Vec::new();
+        }
+        if let Some(cover) = &mut self.cover {
+            if now.since(cover.began) > COVER_PATIENCE_MS {
+                self.cover = None;
+                self.cover_due = now.plus(self.cover_rest);
+                self.cover_rest = (2 * self.cover_rest).min(COVER_REST_MOST_MS);
+            } else if cover.mark.is_some() && now.since(cover.asked) > ASK_AGAIN_MS {
+                cover.asked = now;
+                return cover.ask(facts);
+            }
+            return Vec::new();
+        }
+        let ended = self.departed.iter().filter(|(_, (_, at))| now.since(*at) >= ENDED_MS);
+        let departed: BTreeMap<_, _> = ended.map(|(id, (last, _))| (id.clone(), *last)).collect();
+        if departed.is_empty() || now < self.cover_due {
+            return Vec::new();
+        }
+        self.renumber();
+        let (attempt, holders) = (self.attempt, BTreeSet::new());
+        let cover = Cover { attempt, departed, began: now, asked: now, mark: None, holders };
+        self.cover = Some(cover);
+        vec![Deed::Ask(primary.clone(), Ask::Describe)]
+    }
+    fn looked(&mut self, facts: &Facts, of: &InstanceId, row: &Described, now: Tick) -> Vec<Deed> {
+        let (Some(cover), Some(lead)) = (&mut self.cover, &facts.lead) else {
+            return Vec::new();
+        };
+        if lead.primary == *of {
+            if cover.mark.is_some() || !row.primary || row.term != lead.term {
+                return Vec::new();
+            }
+            (cover.mark, cover.asked) = (Some(row.received), now);
+            return cover.ask(facts);
+        }
+        if cover.mark.is_some_and(|mark| row.received >= mark) {
+            cover.holders.insert(of.clone());
+        }
+        let holding = facts.replicas().filter(|(id, _)| cover.holders.contains(id)).count();
+        if holding < (facts.sync_replicas as usize).max(1) {
+            return Vec::new();
+        }
+        let (service, departed) = (facts.service.clone(), std::mem::take(&mut cover.departed));
+        self.cover = None;
+        self.cover_due = now.plus(COVER_REST_MS);
+        vec![Deed::Propose(Change::Covered { service, departed })]
+    }
+
+    /// The replica a planned change should go to, so that one promote is enough.
+    fn successor(facts: &Facts) -> Option<InstanceId> {
+        facts
+            .replicas()
+            .filter(|(id, i)| {
+                i.lifecycle_state == Lifecycle::Available && facts.beating.contains(id)
+            })
+            .max_by_key(|(id, i)| {
+                (i.revision.len(), i.revision.clone(), std::cmp::Reverse(id.clone()))
+            })
+            .map(|(id, _)| id.clone())
+    }
+
+    pub fn told(
+        &mut self,
+        facts: &Facts,
+        attempt: Attempt,
+        of: &InstanceId,
+        ask: Ask,
+        told: &Told,
+        now: Tick,
+    ) -> Vec<Deed> {
+        let lead = facts.lead.clone();
+        // Unanswered it may still be carried out; the time says when not.
+        match (ask, told) {
+            (_, Told::Reached | Told::Silent) => {}
+            _ if attempt.epoch != self.attempt.epoch => {}
+            (Ask::Pause(_), _) => self.pausing.ended(of),
+            (Ask::Continue, _) => self.letting_go.ended(of),
+            _ => {}
+        }
+        if let (Ask::Describe, Some(cover)) = (ask, &self.cover)
+            && cover.attempt == attempt
+        {
+            return match told {
+                Told::Row(row) => self.looked(facts, of, row, now),
+                _ => Vec::new(),
+            };
+        }
+        let late = match (&self.stage, ask) {
+            // Whoever leads a newer term does so whenever it was asked.
+            (Stage::Posting { .. }, Ask::Describe) => false,
+            (_, Ask::Pause(_) | Ask::Describe) => attempt != self.attempt,
+            (_, Ask::Continue | Ask::StepDown(_)) => false,
+        };
+        if late {
+            return Vec::new();
+        }
+        match (&mut self.stage, ask, told) {
+            (Stage::Doubting { reached, .. }, Ask::Describe, Told::Reached) => {
+                *reached = true;
+                Vec::new()
+            }
+            (_, _, Told::Reached) => Vec::new(),
+            (_, Ask::Continue, told) => {
+                if matches!(told, Told::Row(_))
+                    && self.owed.get(of).is_some_and(|since| attempt >= *since)
+                    && !self.pausing.under_way(of, now)
+                {
+                    self.owed.remove(of);
+                }
+                // A pause may have waited for this.
+                match (&self.stage, lead) {
+                    (Stage::Fencing { target, rows, .. }, Some(lead))
+                        if target.as_ref() != Some(of)
+                            && !rows.contains_key(of)
+                            && !self.pausing.under_way(of, now)
+                            && facts.replicas().any(|(id, _)| id == of) =>
+                    {
+                        self.pause(vec![of.clone()], lead.term, now)
+                    }
+                    _ => Vec::new(),
+                }
+            }
+            (Stage::Founding { .. }, Ask::Describe, Told::Row(row)) if lead.is_none() => {
+                self.stage = Stage::Steady;
+                if !row.primary {
+                    return Vec::new();
+                }
+                let (service, primary) = (facts.service.clone(), of.clone());
+                vec![Deed::Propose(Change::Led { service, term: row.term, primary })]
+            }
+            (Stage::Founding { .. }, ..) => {
+                self.stage = Stage::Steady;
+                Vec::new()
+            }
+            (Stage::Doubting { .. } | Stage::Fencing { .. }, Ask::Describe, told)
+                if lead.as_ref().is_some_and(|l| l.primary == *of) =>
+            {
+                let leads = match told {
+                    Told::Row(row) => {
+                        row.primary && lead.as_ref().is_some_and(|l| l.term == row.term)
+                    }
+                    Told::Alive | Told::Reached => true,
+                    Told::Lost | Told::Silent => false,
+                };
+                match (&self.stage, leads) {
+                    (Stage::Doubting { asked, .. }, true) => {
+                        // Its own answer was slow, or it turned even this question away.
+                        let slow = now.since(*asked) > SLOW_ANSWER_MS || *told == Told::Alive;
+                        self.settle(now);
+                        match lead {
+                            Some(lead) if slow => self.leave_slow(facts, lead.term, now),
+                            Some(lead) if self.unsteady(now) => self.leave(facts, lead.term, now),
+                            _ => Vec::new(),
+                        }
+                    }
+                    // One question without an answer may be a lost packet: it is asked once more.
+                    (Stage::Doubting { .. }, false)
+                        if *told == Told::Silent
+                            && self.suspects.len() < SILENT_STILES
+                            && self.unanswered.is_none_or(|t| now.since(t) > UNANSWERED_MS) =>
+                    {
+                        self.unanswered = Some(now);
+                        self.stage = Stage::Doubting { asked: now, reached: false };
+                        vec![Deed::Ask(of.clone(), Ask::Describe)]
+                    }
+                    // Nothing was posted yet, and the alarm was false.
+                    (Stage::Fencing { target: None, .. }, true) => self.call_off(now),
+                    (Stage::Fencing { target: None, .. }, false) | (_, true) => Vec::new(),
+                    _ => self.fence(facts, now),
+                }
+            }
+            // No pause holds one that leads. Of the present term it is the primary itself.
+            (Stage::Fencing { .. }, Ask::Pause(_) | Ask::Describe, Told::Row(row))
+                if row.primary =>
+            {
+                let (service, primary) = (facts.service.clone(), of.clone());
+                match lead {
+                    Some(Lead { term, .. }) if row.term == term => {
+                        vec![Deed::Propose(Change::Returned { service, term, primary })]
+                    }
+                    // An earlier leader's call has taken effect.
+                    Some(Lead { term, .. }) if row.term > term => {
+                        self.taking(facts, primary, row.term, now)
+                    }
+                    Some(Lead { term, .. }) => vec![Deed::Ask(primary, Ask::StepDown(term))],
+                    None => Vec::new(),
+                }
+            }
+            (Stage::Fencing { rows, .. }, Ask::Pause(_) | Ask::Describe, Told::Row(row)) => {
+                rows.insert(of.clone(), row.clone());
+                let deeds = self.choose(facts, now);
+                match &self.stage {
+                    // The others are paused: now see how far the target is.
+                    Stage::Fencing { target: Some(target), rows, .. }
+                        if !rows.contains_key(target)
+                            && facts
+                                .replicas()
+                                .all(|(id, _)| id == target || rows.contains_key(id)) =>
+                    {
+                        vec![Deed::Ask(target.clone(), Ask::Describe)]
+                    }
+                    _ => deeds,
+                }
+            }
+            (Stage::Posting { target, .. }, Ask::Describe, Told::Row(row))
+                if of == target
+                    && row.primary
+                    && lead.as_ref().is_some_and(|l| l.term < row.term) =>
+            {
+                self.taking(facts, of.clone(), row.term, now)
+            }
+            _ => Vec::new(),
+        }
+    }
+
+    /// Whether the paused replicas are enough, and which one then takes over.
+    fn choose(&mut self, facts: &Facts, now: Tick) -> Vec<Deed> {
+        let Stage::Fencing { target, rows, since, .. } = &self.stage else {
+            return Vec::new();
+        };
+        let Some(lead) = &facts.lead else {
+            return Vec::new();
+        };
+        let furthest = rows.values().map(|r| r.received).max();
+        let chosen = match target {
+            Some(target) => {
+                let fenced = facts.holders().all(|id| id == target || rows.contains_key(id));
+                // Commits that no paused replica can vouch for must have been given back.
+                let safe = match (fenced, &facts.given_back) {
+                    (true, _) if facts.sync_replicas > 0 => true,
+                    (_, Some(highest)) => {
+                        rows.get(target).is_some_and(|r| highest.is_none_or(|h| r.received >= h))
+                    }
+                    _ => false,
+                };
+                let whole = rows.get(target).is_some_and(|r| Some(r.received) >= furthest);
+                (safe && whole).then(|| target.clone())
+            }
+            None => {
+                let holders = facts.holders().count();
+                let needed = (holders + 1).saturating_sub(facts.sync_replicas as usize).max(1);
+                // One that was paused and left since has said all that it took along.
+                let answered = facts.holders().filter(|id| rows.contains_key(*id)).count();
+                let fenced = facts.sync_replicas > 0 && answered >= needed;
+                let patient = now.since(*since) < VOUCH_AFTER_MS;
+                let vouched =
+                    !patient && answered > 0 && facts.given_back.is_some_and(|h| h <= furthest);
+                let holds_all = |received: Position| {
+                    Some(received) == furthest
+                        || facts.given_back.is_some_and(|highest| highest <= Some(received))
+                };
+                let best = facts
+                    .replicas()
+                    .filter_map(|(id, i)| Some((id, i, rows.get(id)?.received)))
+                    .filter(|(_, _, received)| holds_all(*received))
+                    .max_by_key(|(_, i, received)| {
+                        let available = i.lifecycle_state == Lifecycle::Available;
+                        (available, *received, i.revision.len(), i.revision.clone())
+                    });
+                match best {
+                    // One that is about to end is taken only if there is no other.
+                    Some((_, i, _)) if patient && i.lifecycle_state == Lifecycle::Draining => None,
+                    Some((id, ..)) if fenced || vouched => {
+                        self.sealed = furthest;
+                        Some(id.clone())
+                    }
+                    _ => None,
+                }
+            }
+        };
+        let Some(target) = chosen else {
+            return Vec::new();
+        };
+        self.stage = Stage::Intending { target: target.clone(), since: now };
+        let (service, term) = (facts.service.clone(), lead.term);
+        vec![Deed::Propose(Change::Intend { service, term, target })]
+    }
+
+    pub fn posted(
+        &mut self,
+        facts: &Facts,
+        attempt: Attempt,
+        of: &InstanceId,
+        posted: Posted,
+        now: Tick,
+    ) -> Vec<Deed> {
+        let Stage::Posting { target, in_flight, perhaps, tried, .. } = &mut self.stage else {
+            return Vec::new();
+        };
+        if of != target || attempt != self.attempt {
+            return Vec::new();
+        }
+        *in_flight = false;
+        match posted {
+            Posted::Accepted => {
+                *perhaps = Some(now);
+                // Accepted: not to be repeated unless the target stays silent for long.
+                *tried = now.plus(POST_SETTLED_MS);
+            }
+            Posted::Unclear => *perhaps = Some(now),
+            Posted::Busy => {}
+            Posted::Refused => {
+                // One that has left for good will not lead any more, whatever is under way.
+                let left = facts.database(target).is_none();
+                if left || perhaps.is_none_or(|t| now.since(t) > POST_SETTLED_MS) {
+                    let (service, target) = (facts.service.clone(), target.clone());
+                    return vec![Deed::Propose(Change::Abandon { service, target })];
+                }
+            }
+        }
+        Vec::new()
+    }
+
+    /// Goes on from what is committed of this service: the stage may wait for just that, and the moment
+    /// of its commit may have passed while this leader was not certain of leading.
+    fn agreed(&mut self, facts: &Facts, now: Tick) -> Option<Vec<Deed>> {
+        let lead = facts.lead.as_ref()?;
+        match &self.stage {
+            Stage::Intending { target, .. } if lead.intent.as_ref() == Some(target) => {
+                let mut deeds = Vec::new();
+                self.post(target.clone(), now, &mut deeds);
+                Some(deeds)
+            }
+            // Another leader's, which came into force after this one began.
+            Stage::Steady
+            | Stage::Doubting { .. }
+            | Stage::Fencing { .. }
+            | Stage::Intending { .. }
+                if lead.intent.is_some() =>
+            {
+                let target = lead.intent.clone()?;
+                Some(self.take_up(facts, lead.term, target, now))
+            }
+            Stage::Posting { target, .. } if lead.intent.as_ref() != Some(target) => {
+                Some(self.fence(facts, now))
+            }
+            Stage::Taking { term, .. } if lead.term >= *term => {
+                self.paused.remove(&lead.primary);
+                let deeds = self.call_off(now);
+                self.rested = None;
+                Some(deeds)
+            }
+            _ => None,
+        }
+    }
+
+    /// A beat came in; `role` is how the database sees itself.
+    pub fn beat(&mut self, facts: &Facts, of: &InstanceId, role: Role, now: Tick) -> Vec<Deed> {
+        match (&mut self.stage, &facts.lead) {
+            (Stage::Steady, None) if role == Role::Primary => {
+                self.stage = Stage::Founding { asked: now };
+                vec![Deed::Ask(of.clone(), Ask::Describe)]
+            }
+            (Stage::Steady, Some(lead))
+                if role == Role::Primary
+                    && lead.primary != *of
+                    && self.stepped_down.is_none_or(|t| now.since(t) > 1_000) =>
+            {
+                self.stepped_down = Some(now);
+                vec![Deed::Ask(of.clone(), Ask::StepDown(lead.term))]
+            }
+            (Stage::Posting { target, looked, .. }, _) if target == of && role == Role::Primary => {
+                *looked = now;
+                vec![Deed::Ask(of.clone(), Ask::Describe)]
+            }
+            _ => Vec::new(),
+        }
+    }
+
+    pub fn tick(&mut self, facts: &Facts, now: Tick) -> Vec<Deed> {
+        let Some(lead) = &facts.lead else {
+            if let Stage::Founding { asked } = self.stage
+                && now.since(asked) > 2 * ASK_AGAIN_MS
+            {
+                self.stage = Stage::Steady;
+            }
+            return Vec::new();
+        };
+        if let Some(deeds) = self.agreed(facts, now) {
+            return deeds;
+        }
+        if let Stage::Fencing { target: Some(target), .. }
+        | Stage::Intending { target, .. }
+        | Stage::Posting { target, .. } = &self.stage
+        {
+            let deeds = self.pause_newcomers(facts, &target.clone(), now);
+            if !deeds.is_empty() {
+                return deeds;
+            }
+        }
+        let listed = facts.database(&lead.primary);
+        match &mut self.stage {
+            Stage::Steady => {
+                if facts.databases.is_empty() {
+                    return Vec::new();
+                }
+                let Some((id, primary)) = listed else {
+                    return self.fence(facts, now);
+                };
+                if !self.owed.is_empty() && now.since(self.owed_asked) > OWED_AGAIN_MS {
+                    self.owed_asked = now;
+                    self.owed.retain(|id, _| facts.replicas().any(|(replica, _)| replica == id));
+                    let living = self.owed.keys().filter(|id| facts.beating.contains(*id));
+                    return self.ask_to_go_on(living.cloned().collect(), now);
+                }
+                let looks = self.cover(facts, id, now);
+                if !looks.is_empty() {
+                    return looks;
+                }
+                let rested = self.rested.is_none_or(|t| now.since(t) > 1_000);
+                let rested = rested && facts.departed.is_empty();
+                if primary.lifecycle_state == Lifecycle::Draining && rested {
+                    return self.plan(facts, lead.term, false, now);
+                }
+                if !facts.beating.contains(id) && self.trusted.is_none_or(|t| now.since(t) > 2_000)
+                {
+                    return self.doubt(id, now);
+                }
+            }
+            Stage::Founding { .. } => self.stage = Stage::Steady,
+            // Several stiles are owed answers. If its machine does not even take a connection, it
+            // is lost; if it does, it is slow, and a replica may do better while it still serves.
+            Stage::Doubting { asked, reached }
+                if self.suspects.len() >= SILENT_STILES && now.since(*asked) >= DARK_MS =>
+            {
+                if !*reached {
+                    return self.fence(facts, now);
+                }
+                self.slow_before = Some(now);
+                return self.leave_slow(facts, lead.term, now);
+            }
+            Stage::Doubting { asked, .. } if now.since(*asked) > 4 * ASK_AGAIN_MS => {
+                self.stage = Stage::Steady;
+            }
+            Stage::Fencing { target, slow, since, asked, rows } => {
+                let waited = now.since(*since);
+                if let Some(target) = target {
+                    let target = target.clone();
+                    if waited > if *slow { PAUSE_PATIENCE_MS } else { PLANNED_PATIENCE_MS } {
+                        return self.call_off(now);
+                    }
+                    let others = facts
+                        .replicas()
+                        .map(|(id, _)| id.clone())
+                        .filter(|id| *id != target && !rows.contains_key(id))
+                        .collect::<Vec<_>>();
+                    let stuck = !others.is_empty() && waited > PAUSE_PATIENCE_MS;
+                    if (others.is_empty() || facts.given_back.is_some()) && now.since(*asked) >= 100
+                    {
+                        *asked = now;
+                        return vec![Deed::Ask(target, Ask::Describe)];
+                    }
+                    if stuck && !*slow && !self.revoking {
+                        self.revoking = true;
+                        return vec![Deed::Revoke(lead.term)];
+                    }
+                    return Vec::new();
+                }
+                let mut deeds = Vec::new();
+                if now.since(*asked) > ASK_AGAIN_MS {
+                    *asked = now;
+                    let missing: Vec<_> = facts
+                        .replicas()
+                        .map(|(id, _)| id.clone())
+                        .filter(|id| !rows.contains_key(id))
+                        .collect();
+                    deeds = self.pause(missing, lead.term, now);
+                    if waited > 2 * ASK_AGAIN_MS && listed.is_some() {
+                        deeds.push(Deed::Ask(lead.primary.clone(), Ask::Describe));
+                    }
+                }
+                deeds.extend(self.choose(facts, now));
+                return deeds;
+            }
+            Stage::Intending { target, since } if now.since(*since) > 1_000 => {
+                // Proposed but not seen committed: the same proposal again changes nothing twice.
+                *since = now;
+                let (service, term, target) = (facts.service.clone(), lead.term, target.clone());
+                return vec![Deed::Propose(Change::Intend { service, term, target })];
+            }
+            Stage::Posting { target, tried, in_flight, looked, perhaps } => {
+                let mut deeds = Vec::new();
+                // Having left in the meantime, the target is asked for again at once: the refusal
+                // settles it.
+                let left = facts.database(target).is_none();
+                let again = now >= tried.plus(POST_AGAIN_MS);
+                // What came of a call may have gone by while this leader was not certain of leading.
+                let unheard = *in_flight && now.since(*tried) > POST_UNHEARD_MS;
+                if unheard {
+                    *perhaps = Some(now);
+                }
+                if (!*in_flight && (again || (left && *tried > now))) || unheard {
+                    *in_flight = true;
+                    *tried = now;
+                    self.attempt.number += 1;
+                    deeds.push(Deed::Post(target.clone()));
+                }
+                if perhaps.is_some_and(|t| now.since(t) > LOOK_AGAIN_MS)
+                    && now.since(*looked) > LOOK_AGAIN_MS
+                {
+                    *looked = now;
+                    deeds.push(Deed::Ask(target.clone(), Ask::Describe));
+                }
+                return deeds;
+            }
+            Stage::Taking { target, term, recorded } if facts.leases_gone && !*recorded => {
+                *recorded = true;
+                let (service, term, primary) = (facts.service.clone(), *term, target.clone());
+                return vec![Deed::Propose(Change::Led { service, term, primary })];
+            }
+            _ => {}
+        }
+        Vec::new()
+    }
+}
+
+pub(crate) fn stage_name(stage: &Stage) -> &'static str {
+    match stage {
+        Stage::Steady => "steady",
+        Stage::Founding { .. } => "asking the first primary",
+        Stage::Doubting { .. } => "doubting the primary",
+        Stage::Fencing { target: Some(_), .. } => "fencing for a planned change",
+        Stage::Fencing { target: None, .. } => "fencing a lost primary",
+        Stage::Intending { .. } => "writing down the intent",
+        Stage::Posting { .. } => "promoting",
+        Stage::Taking { .. } => "waiting for old leases",
+    }
+}
--- /dev/null
+++ b/src/leases/watermarks.rs
@@ -0,0 +1,36 @@
+//! How far each service's log is known to cover acknowledged commits.
+use crate::base::ids::{Position, ServiceName};
+use crate::base::time::Tick;
+use crate::net::rpc::pooler_messages::{Fresh, Saw};
+use crate::state_machine::Lead;
+use std::collections::BTreeMap;
+
+/// How far the primaries were seen, by whichever stile saw it last: a pair (s, p) says that p covers
+/// every commit acknowledged before s, on this leader's clock. A value; kept while this one leads.
+#[derive(Clone, Debug, Default)]
+pub struct Freshness {
+    newest: BTreeMap<ServiceName, (Tick, Position)>,
+}
+
+impl Freshness {
+    /// A stile saw something at least `saw.after` ms after an answer that left here at `answered`.
+    /// What can't be, or is of a term that does not lead, changes nothing.
+    pub fn learn(&mut self, lead: Option<&Lead>, answered: Tick, saw: &Saw, now: Tick) {
+        let seen = answered.plus(saw.after);
+        let fits = lead.is_some_and(|l| l.term == saw.term) && saw.position.term <= saw.term;
+        let newer = self.newest.get(&saw.service).is_none_or(|(at, _)| seen > *at);
+        if fits && newer && seen <= now {
+            self.newest.insert(saw.service.clone(), (seen, saw.position));
+        }
+    }
+    /// The newest pair of a service.
+    pub fn newest(&self, service: &ServiceName) -> Option<(Tick, Position)> {
+        self.newest.get(service).copied()
+    }
+    /// For an answer that leaves now, to a stile that asked before.
+    pub fn tell(&self, service: &ServiceName, now: Tick) -> Option<Fresh> {
+        let (seen, position) = *self.newest.get(service)?;
+        // Times are cut to whole milliseconds, so one is kept in hand.
+        Some(Fresh { service: service.clone(), position, age: now.since(seen) + 1 })
+    }
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,8 +4,12 @@
 //! directory of databases and who leads. `common` is what the two share.
 pub mod base;
 pub mod config;
+pub mod controller;
+pub mod failover;
+pub mod leases;
 pub mod model;
 pub mod net;
-pub mod steward;
+pub mod raft;
+pub mod state_machine;
 pub mod stile;
 pub mod wicket;
--- a/src/main.rs
+++ b/src/main.rs
@@ -5,8 +5,9 @@
 use silvertack::base::logging;
 use silvertack::config::configuration::Configuration;
 use silvertack::config::settings::Settings;
+use silvertack::controller::process;
 use silvertack::net::http;
-use silvertack::{model, steward, stile, wicket};
+use silvertack::{model, stile, wicket};
 use std::io::Write;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -125,7 +126,7 @@
         Command::Steward { settings } => {
             let path = Settings::path(settings)?;
             let settings = Settings::read(&path)?;
-            steward::run(path, settings)
+            process::run(path, settings)
         }
         Command::Check { what: Check::Settings { file } } => {
             let settings = Settings::read(&file)?;
--- a/src/model.rs
+++ b/src/model.rs
@@ -11,14 +11,16 @@
 use crate::config::directory::{Lifecycle, Role};
 use crate::config::route_table::Lanes;
 use crate::config::settings::Settings;
+use crate::controller::controller::{Effects, Input, Steward};
+use crate::controller::process::first_state;
+use crate::failover::{Ask, Attempt, Posted, Told};
+use crate::leases::lease_table::LEASE_MS;
 use crate::net::http::{Request, Response};
 use crate::net::rpc::pooler_messages::{Standing, ToSteward, ToStile};
 use crate::net::rpc::raft_messages::{Entry, Member, Raft};
 use crate::net::rpc::{Frame, LAYOUT, pack, receive};
 use crate::net::statement_protocol::Described;
-use crate::steward::{
-    Ask, Attempt, Effects, Granary, Input, LEASE_MS, Posted, Sheaf, Steward, Told, first_state,
-};
+use crate::raft::storage::{Granary, Sheaf};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use std::cell::RefCell;
 use std::cmp::Reverse;
@@ -724,7 +726,7 @@
             Ok(Some(kept)) => Ok((kept, true)),
             Ok(None) => {
                 let first = first_state(&machine.settings, place(number, ADMIN), draw);
-                let saved = machine.disk.save(&Sheaf::of(&first, &crate::steward::Dirty::all()));
+                let saved = machine.disk.save(&Sheaf::of(&first, &crate::raft::node::Dirty::all()));
                 saved.map(|()| (first, false)).map_err(|e| e.to_string())
             }
             Err(e) => Err(e.to_string()),
--- /dev/null
+++ b/src/raft/node.rs
@@ -0,0 +1,1239 @@
+//! The consensus core: one member of the Raft group, moved on by messages and a passed-in time.
+use crate::base::ids::{Epoch, Index, MemberId};
+use crate::base::time::Tick;
+use crate::net::rpc::raft_messages::{Body, Entry, Joined, Member, Raft, RaftKind, Snapshot};
+use crate::net::rpc::{FIRST_LAYOUT, PARTS_LAYOUT, pack, unpack};
+use crate::state_machine::STATE_LAYOUT;
+use serde_bytes::ByteBuf;
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+
+/// How often the leader is heard of when there is nothing to say.
+const HEARTBEAT_MS: u64 = 150;
+
+/// A follower that heard its leader within this time helps nobody else to lead.
+pub const ELECTION_MIN_MS: u64 = 600;
+
+const ELECTION_SPREAD_MS: u64 = 400;
+
+/// A leader that was restarted asks for votes this often until somebody leads.
+const RETURN_MS: u64 = 50;
+
+/// The leader acts alone only while a quorum answered messages it sent within this time. It is
+/// less than `ELECTION_MIN_MS`, so no other steward can lead meanwhile.
+const QUORUM_FRESH_MS: u64 = 450;
+
+/// Whatever a steward answered a leader before it was restarted counts no more after this, and a
+/// leader that is there was heard by then.
+const QUIET_MS: u64 = QUORUM_FRESH_MS + 20;
+
+const AFTER_QUIET_MS: u64 = 150;
+
+/// A round of heartbeats for waiting reads that is not answered by then is not waited for: the
+/// next may begin.
+const ROUND_MS: u64 = 20;
+
+/// The log is folded into a snapshot when it is longer than this, or larger.
+const COMPACT_AFTER: usize = 256;
+
+const COMPACT_BYTES: usize = 1 << 20;
+
+/// A member that answered within this is there.
+const PRESENT_MS: u64 = 1_000;
+
+/// Asked to lead, another does so within this or not at all.
+const HAND_OVER_MS: u64 = 500;
+
+/// After its founding the hedge waits so long for more stewards before it takes the first order with
+/// fewer voters than the loss of so many needs, and so long if there are hardly any.
+const YOUNG_MS: u64 = 5_000;
+
+const SPARSE_MS: u64 = 60_000;
+
+/// Entries sent in one message; one at least.
+const BATCH: usize = 64;
+
+/// So many bytes of entries, or of one part of something larger, are under way to a member before it
+/// has answered: a heartbeat behind them waits no longer than a thin link takes for these.
+pub(crate) const FLIGHT_BYTES: usize = 16 << 10;
+
+/// A part that was answered within this is followed by a larger one, up to the most; one that took
+/// longer than a thin link takes for the least, by the least.
+const PART_SOON_MS: u64 = 40;
+
+const PART_LATE_MS: u64 = 120;
+
+const MOST_PART: usize = 64 << 10;
+
+/// Whatever goes in parts is no larger than this.
+const TRANSFER_BYTES: usize = 64 << 20;
+
+const LAYOUTS_KEPT: usize = 64;
+
+/// While a member that is there would need a snapshot for it, the log is not folded before it is so
+/// long, or so large.
+const KEEP_AFTER: usize = 8_192;
+
+const KEEP_BYTES: usize = 4 << 20;
+
+#[derive(Clone, Debug, PartialEq)]
+enum Rank {
+    Follower,
+    Candidate { trial: bool, handover: bool, votes: BTreeSet<MemberId> },
+    Leader { opened: Index, since: Tick },
+}
+
+/// The answer to a leader of an epoch that has passed. It tells of no time: the asker may lead
+/// this epoch by now, and may have been started anew since, with another clock.
+const OUTDATED: RaftKind = RaftKind::Appended { upto: Index(0), ok: false, sent: 0 };
+
+#[derive(Clone, Debug)]
+struct Progress {
+    next: Index,
+    matched: Index,
+    /// Entries from here up to `next` are under way.
+    flying: Index,
+    /// Too large for one message, so on its way in parts; nothing else but heartbeats goes meanwhile.
+    transfer: Option<Transfer>,
+    /// When the newest message that this member answered was sent.
+    acked: Tick,
+    /// Since when this leader has cared for it.
+    since: Tick,
+    /// What it is to reach in this round of catching up, and when the round began.
+    round: (Index, Tick),
+    /// Its last round was short: it keeps up with what comes.
+    keeps_up: bool,
+}
+
+/// A question about what is current, at the time it came: Raft's ReadIndex.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ReadIndex {
+    epoch: Epoch,
+    /// All that any leader had acknowledged when it came is at or below this.
+    pub upto: Index,
+    pub asked: Tick,
+}
+
+impl Progress {
+    fn new(next: Index, last: Index, now: Tick) -> Self {
+        Self {
+            next,
+            matched: Index(0),
+            flying: next,
+            transfer: None,
+            acked: Tick(0),
+            since: now,
+            round: (last, now),
+            keeps_up: false,
+        }
+    }
+    /// Goes on from here; whatever was under way has arrived or is lost.
+    fn go_on(&mut self, next: Index) {
+        (self.next, self.flying) = (next, next);
+    }
+}
+
+/// A message on its way to a member in parts, one after the other. It stays as it is, whatever
+/// happens to the log meanwhile.
+#[derive(Clone, Debug)]
+struct Transfer {
+    id: u64,
+    /// The message, encoded; shared where several members get the same snapshot.
+    bytes: Arc<[u8]>,
+    /// The snapshot's last entry, if it is one.
+    snapshot: Option<Index>,
+    /// The first entry after it.
+    then: Index,
+    /// Answered up to here; the part from here on, so large, was sent then.
+    offset: usize,
+    part: usize,
+    sent: Tick,
+}
+
+/// A message that arrives in parts, bounded by `TRANSFER_BYTES`.
+#[derive(Clone)]
+struct Arriving {
+    leader: MemberId,
+    epoch: Epoch,
+    transfer: u64,
+    size: usize,
+    upto: usize,
+    bytes: Vec<u8>,
+}
+
+/// Whether this program can read what a leader's message holds.
+pub type Vet = fn(&RaftKind) -> Result<(), String>;
+
+/// What differs from the disk.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct Dirty {
+    pub hard: bool,
+    pub log_from: Option<Index>,
+    pub snapshot: bool,
+}
+
+impl Dirty {
+    pub fn all() -> Self {
+        Self { hard: true, log_from: Some(Index(0)), snapshot: true }
+    }
+    fn mark_log(&mut self, from: Index) {
+        self.log_from = Some(self.log_from.map_or(from, |old| old.min(from)));
+    }
+    pub(crate) fn add(&mut self, other: Dirty) {
+        self.hard |= other.hard;
+        self.snapshot |= other.snapshot;
+        if let Some(from) = other.log_from {
+            self.mark_log(from);
+        }
+    }
+}
+
+/// What a steward keeps on disk.
+#[derive(Clone, Debug, Default)]
+pub struct Kept {
+    pub me: MemberId,
+    pub epoch: Epoch,
+    pub voted: Option<MemberId>,
+    /// The last epoch that this steward led.
+    pub led: Option<Epoch>,
+    pub log: Vec<Entry>,
+    pub snapshot: Snapshot,
+}
+
+/// The list of members, if that is what an entry holds.
+pub(crate) fn listed(entry: &Entry) -> Option<&Vec<Member>> {
+    match &entry.body {
+        Body::Members(members) => Some(members),
+        _ => None,
+    }
+}
+
+/// About how many bytes an entry takes.
+fn size(entry: &Entry) -> usize {
+    match &entry.body {
+        Body::Change(bytes) => 32 + bytes.len(),
+        _ => 512,
+    }
+}
+
+/// The set of stewards, seen from one of them: Raft with trial votes, a quorum check, hand-over
+/// and one change of members at a time.
+#[derive(Clone)]
+pub struct Hedge {
+    pub kept: Kept,
+    pub commit: Index,
+    pub leader: Option<MemberId>,
+    role: Rank,
+    heard: Option<Tick>,
+    deadline: Tick,
+    next_beat: Tick,
+    /// When the newest read came that no round of heartbeats was begun for yet.
+    uncovered: Option<Tick>,
+    /// When the last round began.
+    round: Tick,
+    /// After a restart nothing is known of what the leader was last told, so no vote is given yet.
+    quiet_until: Tick,
+    /// Just started, and it had led the newest epoch it knows: nobody waits for that leader.
+    returning: bool,
+    peers: BTreeMap<MemberId, Progress>,
+    /// What those held that this leader has removed.
+    removed: BTreeMap<MemberId, Index>,
+    /// The newest list of members in the log, committed or not.
+    members: Vec<Member>,
+    /// Since when another was asked to take over; nothing is granted from then on.
+    leaving: Option<Tick>,
+    /// That other one has been asked; before, none was there that holds enough.
+    asked: bool,
+    /// Since when this leader knows the list of members as it is.
+    relisted: Tick,
+    /// The disk is in trouble: this steward does not lead.
+    pub(crate) ailing: bool,
+    /// Everything up to here is on this steward's disk.
+    durable: Index,
+    /// An acknowledgement that waits for the disk: to whom, up to where, and the message's time.
+    owed: Option<(MemberId, Index, u64)>,
+    pub dirty: Dirty,
+    pub out: Vec<(MemberId, Raft)>,
+    spread: fn() -> u64,
+    /// The newest time that was passed in.
+    clock: Tick,
+    /// Transfers begun by this one, and the one under way to it.
+    transfers: u64,
+    arriving: Option<Arriving>,
+    /// The layouts that other members read, as their newest frames say.
+    layouts: BTreeMap<MemberId, u8>,
+    /// Looks at what a leader sends before any of it is taken.
+    pub vet: Vet,
+    /// The leader has something that this program can't read: it was neither taken nor acknowledged,
+    /// and there is no going on.
+    pub refused: Option<String>,
+}
+
+impl Hedge {
+    pub fn new(kept: Kept, restarted: bool, now: Tick, spread: fn() -> u64) -> Self {
+        let commit = kept.snapshot.last.1;
+        let returning = restarted && kept.led == Some(kept.epoch);
+        let quiet = restarted && !returning;
+        let mut hedge = Self {
+            kept,
+            commit,
+            leader: None,
+            role: Rank::Follower,
+            heard: None,
+            deadline: now,
+            next_beat: now,
+            uncovered: None,
+            round: Tick(0),
+            quiet_until: if quiet { now.plus(QUIET_MS) } else { now },
+            returning,
+            peers: BTreeMap::new(),
+            removed: BTreeMap::new(),
+            members: Vec::new(),
+            leaving: None,
+            asked: false,
+            relisted: now,
+            ailing: false,
+            durable: Index(0),
+            owed: None,
+            dirty: Dirty::default(),
+            out: Vec::new(),
+            spread,
+            clock: now,
+            transfers: 0,
+            arriving: None,
+            layouts: BTreeMap::new(),
+            vet: |_| Ok(()),
+            refused: None,
+        };
+        hedge.durable = hedge.last().1;
+        hedge.recall_members();
+        hedge.rest(now);
+        if quiet {
+            hedge.deadline = hedge.quiet_until.plus(1 + spread() % AFTER_QUIET_MS);
+        }
+        if hedge.voters() == [hedge.kept.me] {
+            // Nobody else can lead, so there is nobody to wait for.
+            hedge.deadline = now;
+        }
+        hedge
+    }
+
+    pub fn last(&self) -> (Epoch, Index) {
+        self.kept.log.last().map_or(self.kept.snapshot.last, |e| (e.epoch, e.index))
+    }
+    fn epoch_at(&self, index: Index) -> Option<Epoch> {
+        let base = self.kept.snapshot.last;
+        if index == base.1 {
+            return Some(base.0);
+        }
+        self.position(index).map(|at| self.kept.log[at].epoch)
+    }
+    fn position(&self, index: Index) -> Option<usize> {
+        let at = index.0.checked_sub(self.kept.snapshot.last.1.0 + 1)? as usize;
+        (at < self.kept.log.len()).then_some(at)
+    }
+    pub fn members(&self) -> &[Member] {
+        &self.members
+    }
+    fn recall_members(&mut self) {
+        let newest = self.kept.log.iter().rev().find_map(listed);
+        self.members = newest.unwrap_or(&self.kept.snapshot.members).clone();
+    }
+    fn members_pending(&self) -> bool {
+        self.kept.log.iter().any(|e| e.index > self.commit && listed(e).is_some())
+    }
+    pub(crate) fn voters(&self) -> Vec<MemberId> {
+        self.members().iter().filter(|m| m.voter).map(|m| m.id).collect()
+    }
+    fn is_voter(&self) -> bool {
+        self.voters().contains(&self.kept.me)
+    }
+    pub fn is_leader(&self) -> bool {
+        matches!(self.role, Rank::Leader { .. })
+    }
+    fn quorum(&self) -> usize {
+        self.voters().len() / 2 + 1
+    }
+    fn rest(&mut self, now: Tick) {
+        let (least, spread) = match self.returning {
+            true => (RETURN_MS, RETURN_MS),
+            false => (ELECTION_MIN_MS, ELECTION_SPREAD_MS),
+        };
+        self.deadline = now.plus(least + (self.spread)() % spread);
+    }
+
+    /// Whether no leader was heard for so long.
+    pub fn lonely(&self, now: Tick, for_ms: u64) -> bool {
+        self.heard.is_none_or(|t| now.since(t) > for_ms)
+    }
+    /// True while this steward may act as the only leader: a quorum is with it, its first entry
+    /// is committed, and it has not asked another to take over.
+    pub fn granting(&self, now: Tick) -> bool {
+        let Rank::Leader { opened, .. } = self.role else {
+            return false;
+        };
+        self.leaving.is_none() && self.commit >= opened && self.fresh(now, QUORUM_FRESH_MS)
+    }
+    fn fresh(&self, now: Tick, within: u64) -> bool {
+        self.quorum_answered(|sent| now.since(sent) < within)
+    }
+    /// Whether a quorum answered messages that were sent when `counts` says.
+    fn quorum_answered(&self, counts: impl Fn(Tick) -> bool) -> bool {
+        let count = self
+            .voters()
+            .iter()
+            .filter(|id| {
+                **id == self.kept.me || self.peers.get(id).is_some_and(|p| counts(p.acked))
+            })
+            .count();
+        count >= self.quorum()
+    }
+
+    /// Takes in a question about what is current; `None` if this steward can't know. A round of
+    /// heartbeats is begun for it: see `tick`.
+    pub fn read_index(&mut self, now: Tick) -> Option<ReadIndex> {
+        let Rank::Leader { opened, .. } = self.role else {
+            return None;
+        };
+        if self.commit < opened {
+            return None;
+        }
+        let read = ReadIndex { epoch: self.kept.epoch, upto: self.commit, asked: now };
+        if self.confirmed(&read) != Some(true) {
+            self.uncovered = Some(now);
+        }
+        Some(read)
+    }
+    /// Whether this steward still led after the question came: a quorum answered, in its epoch,
+    /// what was sent later. `None` while that is open, `Some(false)` if it will never be known.
+    pub fn confirmed(&self, read: &ReadIndex) -> Option<bool> {
+        if !self.is_leader() || self.kept.epoch != read.epoch {
+            return Some(false);
+        }
+        // In the same millisecond it may have been sent before the question came.
+        self.quorum_answered(|sent| sent > read.asked).then_some(true)
+    }
+    /// When a round is to begin for the reads that wait for one. One that is under way is waited
+    /// for: all that come meanwhile share the next.
+    fn round_due(&self) -> Option<Tick> {
+        let next = self.uncovered?.plus(1);
+        let free = self.quorum_answered(|sent| sent >= self.round);
+        Some(if free { next } else { next.max(self.round.plus(ROUND_MS)) })
+    }
+
+    fn say(&mut self, to: MemberId, kind: RaftKind) {
+        let message = Raft { from: self.kept.me, epoch: self.kept.epoch, kind };
+        self.out.push((to, message));
+    }
+    fn others(&self) -> Vec<MemberId> {
+        self.members().iter().map(|m| m.id).filter(|id| *id != self.kept.me).collect()
+    }
+    fn set_epoch(&mut self, epoch: Epoch) {
+        if epoch > self.kept.epoch {
+            self.kept.epoch = epoch;
+            self.kept.voted = None;
+            self.dirty.hard = true;
+            self.owed = None;
+            self.arriving = None;
+            self.returning = false;
+        }
+    }
+    fn follow(&mut self, leader: Option<MemberId>, now: Tick) {
+        self.role = Rank::Follower;
+        self.leader = leader;
+        self.peers.clear();
+        self.removed.clear();
+        self.uncovered = None;
+        self.rest(now);
+    }
+
+    pub fn tick(&mut self, now: Tick) {
+        self.clock = now;
+        match &self.role {
+            Rank::Leader { since, .. } => {
+                let patience = ELECTION_MIN_MS + ELECTION_SPREAD_MS;
+                let deserted = now.since(*since) > patience && !self.fresh(now, patience);
+                // Whoever was asked to take over may do so no more: it would be in this epoch.
+                let declined = self.leaving.is_some_and(|t| now.since(t) > HAND_OVER_MS);
+                if deserted || declined {
+                    return self.follow(None, now);
+                }
+                if now >= self.due() {
+                    self.next_beat = now.plus(HEARTBEAT_MS);
+                    self.round = now;
+                    self.uncovered = self.uncovered.filter(|asked| *asked >= now);
+                    for id in self.others() {
+                        self.append_to(id, true, now);
+                    }
+                }
+                self.pass_on(now);
+            }
+            _ if now >= self.deadline => {
+                self.rest(now);
+                if self.is_voter() && now >= self.quiet_until && !self.ailing {
+                    self.leader = None;
+                    self.campaign(true, false, now);
+                }
+            }
+            _ => {}
+        }
+    }
+    /// When `tick` next has something to do.
+    pub fn due(&self) -> Tick {
+        match self.is_leader() {
+            true => self.round_due().map_or(self.next_beat, |round| round.min(self.next_beat)),
+            false => self.deadline,
+        }
+    }
+
+    fn campaign(&mut self, trial: bool, handover: bool, now: Tick) {
+        let epoch = Epoch(self.kept.epoch.0 + 1);
+        if !trial {
+            self.set_epoch(epoch);
+            self.kept.voted = Some(self.kept.me);
+            self.dirty.hard = true;
+        }
+        let votes = BTreeSet::from([self.kept.me]);
+        self.role = Rank::Candidate { trial, handover, votes };
+        self.rest(now);
+        let last = self.last();
+        // True only for one that does not lead any more, since a leader never asks.
+        let led = self.kept.led.is_some_and(|l| l.0 + 1 == epoch.0);
+        for id in self.voters() {
+            if id != self.kept.me {
+                let kind = RaftKind::AskVote { trial, handover, led, last };
+                self.out.push((id, Raft { from: self.kept.me, epoch, kind }));
+            }
+        }
+        self.count_votes(now);
+    }
+    fn count_votes(&mut self, now: Tick) {
+        let Rank::Candidate { trial, handover, votes } = &self.role else {
+            return;
+        };
+        let (trial, handover) = (*trial, *handover);
+        if self.voters().iter().filter(|id| votes.contains(id)).count() < self.quorum() {
+            return;
+        }
+        if trial {
+            return self.campaign(false, handover, now);
+        }
+        let (_, last) = self.last();
+        let opened = Index(last.0 + 1);
+        self.role = Rank::Leader { opened, since: now };
+        self.leader = Some(self.kept.me);
+        self.kept.led = Some(self.kept.epoch);
+        self.dirty.hard = true;
+        self.leaving = None;
+        self.relisted = now;
+        self.peers =
+            self.others().into_iter().map(|id| (id, Progress::new(opened, opened, now))).collect();
+        self.push(Body::Opened, now);
+    }
+
+    /// Appends to the log if this steward leads; tells where.
+    pub fn propose(&mut self, body: Body, now: Tick) -> Option<Index> {
+        if !self.is_leader() || self.leaving.is_some() {
+            return None;
+        }
+        Some(self.push(body, now))
+    }
+    fn push(&mut self, body: Body, now: Tick) -> Index {
+        let index = Index(self.last().1.0 + 1);
+        if let Body::Members(members) = &body {
+            self.members = members.clone();
+            self.relisted = now;
+        }
+        self.kept.log.push(Entry { epoch: self.kept.epoch, index, body });
+        self.dirty.mark_log(index);
+        let others = self.others();
+        let gone = self.peers.iter().filter(|(id, _)| !others.contains(id));
+        self.removed.extend(gone.map(|(id, p)| (*id, p.matched)));
+        self.peers.retain(|id, _| others.contains(id));
+        for id in others {
+            // A new member starts from the beginning: without a list it can't say what it lacks.
+            // One that is taken in again goes on where it was.
+            let held = self.removed.remove(&id).unwrap_or_default();
+            let next = Index(held.0 + 1);
+            self.peers.entry(id).or_insert_with(|| Progress::new(next, index, now));
+            self.append_to(id, false, now);
+        }
+        index
+    }
+    /// What a member's newest frame says of the layout it reads.
+    pub fn reads(&mut self, id: MemberId, layout: u8) {
+        // Ids of what never was a member are forgotten again.
+        if self.layouts.len() > LAYOUTS_KEPT {
+            self.layouts.retain(|id, _| self.members.iter().any(|m| m.id == *id));
+        }
+        self.layouts.insert(id, layout);
+        if layout < PARTS_LAYOUT
+            && let Some(progress) = self.peers.get_mut(&id)
+            && progress.transfer.take().is_some()
+        {
+            // It went back to the program before, which can't read parts.
+            progress.go_on(Index(progress.matched.0 + 1));
+        }
+    }
+
+    /// Whether no other member is known not to read this layout. One that has not been heard of is
+    /// taken for dark rather than old: what waits for this keeps failovers from going on.
+    pub fn all_read(&self, layout: u8) -> bool {
+        self.others().iter().all(|id| self.layouts.get(id).is_none_or(|l| *l >= layout))
+    }
+
+    /// Sends a member what it lacks, as far as it may be under way at once; a heartbeat goes in any
+    /// case.
+    fn append_to(&mut self, id: MemberId, heartbeat: bool, now: Tick) {
+        let (base, sent, commit) = (self.kept.snapshot.last, now.0, self.commit);
+        let Some(progress) = self.peers.get_mut(&id) else {
+            return;
+        };
+        let layout = self.layouts.get(&id).copied();
+        let parts = layout.is_some_and(|l| l >= PARTS_LAYOUT);
+        if progress.transfer.as_ref().is_some_and(|t| t.then <= base.1) {
+            // The log has been folded over what comes after it: a newer snapshot is needed anyway.
+            progress.transfer = None;
+            progress.next = Index(1);
+        }
+        // The beginning of all logs is agreed on by everybody.
+        let previous = (Epoch(0), Index(0));
+        let only_heartbeat = RaftKind::Append { previous, entries: Vec::new(), commit, sent };
+        if progress.transfer.is_some() {
+            if heartbeat {
+                self.say(id, only_heartbeat);
+            }
+            return;
+        }
+        if progress.next <= base.1 {
+            // Of an older program it is not known what it would do with a state that it can't read:
+            // it gets what is in the log, and this once it is exchanged.
+            let newer = self.kept.snapshot.state.first() == Some(&STATE_LAYOUT);
+            match layout {
+                // Its answer says first how it can be sent.
+                None => return self.say(id, only_heartbeat),
+                Some(layout) if newer && layout < STATE_LAYOUT => {
+                    if heartbeat {
+                        self.say(id, only_heartbeat);
+                    }
+                    return;
+                }
+                Some(_) => {}
+            }
+            progress.go_on(Index(base.1.0 + 1));
+            let snapshot = self.kept.snapshot.clone();
+            let kind = RaftKind::Snapshot { snapshot, sent };
+            return match parts {
+                true => self.transfer_to(id, &kind, Some(base.1), now),
+                false => self.say(id, kind),
+            };
+        }
+        let (next, flying) = (progress.next, progress.flying);
+        let before = Index(next.0 - 1);
+        let Some(epoch) = self.epoch_at(before) else {
+            return;
+        };
+        let at = |index: Index| (index.0.saturating_sub(base.1.0 + 1)) as usize;
+        let under_way = self.kept.log.get(at(flying)..at(next)).unwrap_or_default();
+        let taken: usize = under_way.iter().map(size).sum();
+        let mut room = FLIGHT_BYTES.saturating_sub(taken);
+        // One goes by itself, however large it is.
+        let mut first = under_way.is_empty();
+        let fits = |e: &&Entry| {
+            let goes = std::mem::take(&mut first) || size(e) <= room;
+            room = room.saturating_sub(size(e));
+            goes
+        };
+        let waiting = self.kept.log.iter().skip(at(next)).take(BATCH);
+        let entries: Vec<Entry> = waiting.take_while(fits).cloned().collect();
+        if entries.is_empty() && !heartbeat {
+            return;
+        }
+        let next = Index(next.0 + entries.len() as u64);
+        let large = entries.iter().map(size).sum::<usize>() > FLIGHT_BYTES;
+        if large && layout.is_none() {
+            return self.say(id, only_heartbeat);
+        }
+        let kind = RaftKind::Append { previous: (epoch, before), entries, commit, sent };
+        if let Some(progress) = self.peers.get_mut(&id) {
+            progress.next = next;
+        }
+        match large && parts {
+            true => self.transfer_to(id, &kind, None, now),
+            false => self.say(id, kind),
+        }
+    }
+    fn transfer_to(&mut self, id: MemberId, kind: &RaftKind, snapshot: Option<Index>, now: Tick) {
+        let mut others = self.peers.values().filter_map(|p| p.transfer.as_ref());
+        let same = others.find(|t| snapshot.is_some() && t.snapshot == snapshot);
+        let bytes = same.map_or_else(|| pack(kind).into(), |t| Arc::clone(&t.bytes));
+        self.transfers += 1;
+        let transfer = self.transfers;
+        if let Some(progress) = self.peers.get_mut(&id) {
+            let then = progress.next;
+            let (offset, part) = (0, FLIGHT_BYTES);
+            let begun = Transfer { id: transfer, bytes, snapshot, then, offset, part, sent: now };
+            progress.transfer = Some(begun);
+        }
+        self.send_part(id, now);
+    }
+    fn send_part(&mut self, id: MemberId, now: Tick) {
+        let Some(transfer) = self.peers.get_mut(&id).and_then(|p| p.transfer.as_mut()) else {
+            return;
+        };
+        transfer.sent = now;
+        let (from, size) = (transfer.offset, transfer.bytes.len());
+        let part = &transfer.bytes[from..size.min(from + transfer.part)];
+        let kind = RaftKind::Part {
+            transfer: transfer.id,
+            size: size as u64,
+            offset: from as u64,
+            bytes: ByteBuf::from(part),
+            sent: now.0,
+        };
+        self.say(id, kind);
+    }
+    /// The next part, once the member has answered the one before; then the entries after it.
+    fn part_taken(&mut self, id: MemberId, transfer: u64, upto: u64, sent: u64, now: Tick) {
+        let Some(progress) = self.peers.get_mut(&id) else {
+            return;
+        };
+        progress.acked = progress.acked.max(Tick(sent));
+        let current = progress.transfer.as_mut().filter(|t| t.id == transfer);
+        // Only the newest part's answer counts; the one before may have been sent twice.
+        let Some(under_way) = current.filter(|t| t.sent <= Tick(sent)) else {
+            return;
+        };
+        if upto < under_way.bytes.len() as u64 {
+            under_way.offset = upto as usize;
+            let part = match now.since(under_way.sent) {
+                0..PART_SOON_MS => under_way.part * 2,
+                PART_LATE_MS.. => FLIGHT_BYTES,
+                _ => under_way.part,
+            };
+            under_way.part = part.min(MOST_PART);
+            return self.send_part(id, now);
+        }
+        let then = under_way.then;
+        progress.transfer = None;
+        progress.go_on(then);
+        self.append_to(id, false, now);
+    }
+    /// Gathers the parts of a message, and gives it once it is whole.
+    fn take_part(
+        &mut self,
+        from: MemberId,
+        (transfer, size, offset): (u64, u64, u64),
+        bytes: &[u8],
+        sent: u64,
+    ) -> Option<RaftKind> {
+        let epoch = self.kept.epoch;
+        let same = |a: &Arriving| (a.leader, a.epoch, a.transfer) == (from, epoch, transfer);
+        if !self.arriving.as_ref().is_some_and(same) {
+            let size = usize::try_from(size).ok().filter(|s| *s <= TRANSFER_BYTES)?;
+            let bytes = Vec::new();
+            self.arriving = Some(Arriving { leader: from, epoch, transfer, size, upto: 0, bytes });
+        }
+        let arriving = self.arriving.as_mut()?;
+        let fits = arriving.upto as u64 == offset && arriving.upto + bytes.len() <= arriving.size;
+        if fits {
+            arriving.bytes.extend_from_slice(bytes);
+            arriving.upto += bytes.len();
+        }
+        let upto = arriving.upto as u64;
+        // Known to be taken from here on, but not kept any longer.
+        let whole =
+            (fits && arriving.upto == arriving.size).then(|| std::mem::take(&mut arriving.bytes));
+        self.say(from, RaftKind::PartTaken { transfer, upto, sent });
+        match unpack::<RaftKind>(&whole?) {
+            Ok(kind @ (RaftKind::Append { .. } | RaftKind::Snapshot { .. })) => Some(kind),
+            Ok(_) => None,
+            Err(e) => {
+                self.refused = Some(format!("the leader's message can't be read: {e}"));
+                None
+            }
+        }
+    }
+
+    pub fn step(&mut self, message: Raft, now: Tick) {
+        let Raft { from, epoch, kind } = message;
+        match kind {
+            // One that was removed, or was never taken in, can't be elected by those who know it, nor
+            // do its answers say anything.
+            RaftKind::AskVote { .. }
+            | RaftKind::Vote { .. }
+            | RaftKind::Appended { .. }
+            | RaftKind::PartTaken { .. }
+                if !self.members.is_empty() && !self.members.iter().any(|m| m.id == from) => {}
+            RaftKind::AskVote { trial, handover, led, last } => {
+                // One that led the newest epoch known here leads no more: there is nobody left
+                // that a vote could harm. Leaders before it lost their quorum when it won.
+                let free = handover || (led && epoch > self.kept.epoch);
+                self.asked_vote(from, epoch, trial, free, last, now)
+            }
+            RaftKind::Vote { trial, granted } => {
+                if !granted && epoch > self.kept.epoch {
+                    self.set_epoch(epoch);
+                    return self.follow(None, now);
+                }
+                let asked_for = self.kept.epoch.0 + u64::from(trial);
+                if let Rank::Candidate { trial: mine, votes, .. } = &mut self.role
+                    && *mine == trial
+                    && granted
+                    && epoch.0 == asked_for
+                {
+                    votes.insert(from);
+                    self.count_votes(now);
+                }
+            }
+            RaftKind::Append { previous, entries, commit, sent } => {
+                if !self.led_by(from, epoch, now) {
+                    return self.say(from, OUTDATED);
+                }
+                let heartbeat = entries.is_empty();
+                let kind = RaftKind::Append { previous, entries, commit, sent };
+                if self.refuses(&kind) {
+                    return;
+                }
+                let RaftKind::Append { entries, .. } = kind else { return };
+                let (ok, upto) = self.take_entries(previous, entries);
+                if ok {
+                    self.commit = self.commit.max(commit.min(upto));
+                    self.acknowledge(from, upto, sent, heartbeat);
+                } else {
+                    self.say(from, RaftKind::Appended { upto, ok, sent });
+                }
+            }
+            RaftKind::Snapshot { snapshot, sent } => {
+                if !self.led_by(from, epoch, now) {
+                    return self.say(from, OUTDATED);
+                }
+                let upto = snapshot.last.1;
+                let kind = RaftKind::Snapshot { snapshot, sent };
+                if self.refuses(&kind) {
+                    return;
+                }
+                let RaftKind::Snapshot { snapshot, .. } = kind else { return };
+                if upto > self.commit {
+                    if self.epoch_at(upto) == Some(snapshot.last.0) {
+                        self.kept.log.retain(|e| e.index > upto);
+                    } else {
+                        self.kept.log.clear();
+                    }
+                    self.kept.snapshot = snapshot;
+                    self.commit = upto;
+                    self.durable = Index(0);
+                    self.recall_members();
+                    self.dirty.snapshot = true;
+                    self.dirty.mark_log(Index(0));
+                }
+                self.acknowledge(from, upto, sent, false);
+            }
+            RaftKind::Appended { upto, ok, sent } => {
+                if epoch > self.kept.epoch {
+                    self.set_epoch(epoch);
+                    return self.follow(None, now);
+                }
+                if !self.is_leader() || epoch < self.kept.epoch {
+                    return;
+                }
+                self.layouts.entry(from).or_insert(FIRST_LAYOUT);
+                let last = self.last().1;
+                let Some(progress) = self.peers.get_mut(&from) else {
+                    return;
+                };
+                // A time to come is another life's clock.
+                if Tick(sent) <= now {
+                    progress.acked = progress.acked.max(Tick(sent));
+                }
+                if let Some(transfer) = &mut progress.transfer {
+                    // It came later and was answered first: the part before it is lost, perhaps as
+                    // there is less room on the way than there was.
+                    let lost = Tick(sent) > transfer.sent;
+                    if lost {
+                        transfer.part = FLIGHT_BYTES;
+                    }
+                    if ok {
+                        progress.matched = progress.matched.max(upto);
+                        self.advance();
+                    }
+                    if lost {
+                        self.send_part(from, now);
+                    }
+                } else if ok {
+                    progress.matched = progress.matched.max(upto);
+                    let after = Index(progress.matched.0 + 1);
+                    progress.next = progress.next.max(after);
+                    progress.flying = progress.flying.max(after);
+                    let (goal, began) = progress.round;
+                    if progress.matched >= goal {
+                        progress.keeps_up = now.since(began) < ELECTION_MIN_MS;
+                        progress.round = (last, now);
+                    }
+                    let behind = progress.next <= last;
+                    self.advance();
+                    if behind {
+                        self.append_to(from, false, now);
+                    }
+                    self.pass_on(now);
+                } else {
+                    progress.go_on(Index(progress.matched.max(upto).0 + 1));
+                    self.append_to(from, true, now);
+                }
+            }
+            RaftKind::Part { transfer, size, offset, bytes, sent } => {
+                if !self.led_by(from, epoch, now) {
+                    return self.say(from, OUTDATED);
+                }
+                let place = (transfer, size, offset);
+                if let Some(kind) = self.take_part(from, place, &bytes, sent) {
+                    self.step(Raft { from, epoch, kind }, now);
+                }
+            }
+            RaftKind::PartTaken { transfer, upto, sent } => {
+                if self.is_leader() && epoch == self.kept.epoch {
+                    self.part_taken(from, transfer, upto, sent, now);
+                }
+            }
+            RaftKind::TakeOver => {
+                let mine = epoch == self.kept.epoch && self.leader == Some(from);
+                if mine && self.is_voter() && !self.ailing {
+                    self.campaign(false, true, now);
+                }
+            }
+        }
+    }
+
+    /// Whether a leader's message holds what this program can't read. Looked at before any of it is
+    /// taken, so that the state on disk stays one that it can.
+    fn refuses(&mut self, kind: &RaftKind) -> bool {
+        if let Err(why) = (self.vet)(kind) {
+            self.refused = Some(why);
+        }
+        self.refused.is_some()
+    }
+
+    /// Only what is on disk is acknowledged. New entries wait for it; a heartbeat is answered at
+    /// once with what there is, as a disk that stalls does not make this steward dead.
+    fn acknowledge(&mut self, leader: MemberId, upto: Index, sent: u64, heartbeat: bool) {
+        if upto > self.durable {
+            self.owed = Some((leader, upto, sent));
+            if !heartbeat {
+                return;
+            }
+        }
+        let upto = upto.min(self.durable);
+        self.say(leader, RaftKind::Appended { upto, ok: true, sent });
+    }
+    /// The disk has everything up to this entry, if it is still the one in the log.
+    pub fn stored(&mut self, last: (Epoch, Index)) {
+        if self.epoch_at(last.1) == Some(last.0) {
+            self.durable = self.durable.max(last.1);
+        }
+        self.advance();
+        if let Some((leader, upto, sent)) = self.owed
+            && self.leader == Some(leader)
+        {
+            if upto <= self.durable {
+                self.owed = None;
+            }
+            let upto = upto.min(self.durable);
+            self.say(leader, RaftKind::Appended { upto, ok: true, sent });
+        }
+    }
+    /// While the disk is in trouble, another should lead.
+    pub fn set_ailing(&mut self, ailing: bool, now: Tick) {
+        self.ailing = ailing;
+        if ailing {
+            self.hand_over(now);
+        }
+    }
+
+    /// Accepts the sender as leader of its epoch, unless that epoch has passed.
+    fn led_by(&mut self, from: MemberId, epoch: Epoch, now: Tick) -> bool {
+        if epoch < self.kept.epoch {
+            return false;
+        }
+        self.set_epoch(epoch);
+        self.follow(Some(from), now);
+        self.heard = Some(now);
+        true
+    }
+
+    fn asked_vote(
+        &mut self,
+        from: MemberId,
+        epoch: Epoch,
+        trial: bool,
+        free: bool,
+        last: (Epoch, Index),
+        now: Tick,
+    ) {
+        let followed = self.heard.is_some_and(|t| now.since(t) < ELECTION_MIN_MS)
+            || (self.is_leader() && self.fresh(now, ELECTION_MIN_MS));
+        if (followed || now < self.quiet_until) && !free {
+            return;
+        }
+        if epoch < self.kept.epoch || (trial && epoch <= self.kept.epoch) {
+            return self.say(from, RaftKind::Vote { trial, granted: false });
+        }
+        let current = last >= self.last();
+        if trial {
+            if current {
+                let kind = RaftKind::Vote { trial, granted: true };
+                self.out.push((from, Raft { from: self.kept.me, epoch, kind }));
+            } else {
+                self.say(from, RaftKind::Vote { trial, granted: false });
+            }
+            return;
+        }
+        if epoch > self.kept.epoch {
+            self.set_epoch(epoch);
+            self.follow(None, now);
+        }
+        let free = self.kept.voted.is_none_or(|v| v == from);
+        let granted = current && free && self.leader.is_none();
+        if granted {
+            self.kept.voted = Some(from);
+            self.dirty.hard = true;
+            self.rest(now);
+        }
+        self.say(from, RaftKind::Vote { trial, granted });
+    }
+
+    fn take_entries(&mut self, previous: (Epoch, Index), entries: Vec<Entry>) -> (bool, Index) {
+        let base = self.kept.snapshot.last.1;
+        let agreed = previous.1 < base || self.epoch_at(previous.1) == Some(previous.0);
+        if !agreed {
+            let hint = Index(previous.1.0.saturating_sub(1)).min(self.last().1).max(self.commit);
+            return (false, hint);
+        }
+        let upto = Index(previous.1.0 + entries.len() as u64);
+        let mut relisted = false;
+        for entry in entries {
+            if entry.index <= base {
+                continue;
+            }
+            match self.epoch_at(entry.index) {
+                Some(epoch) if epoch == entry.epoch => continue,
+                Some(_) => {
+                    let keep = (entry.index.0 - base.0 - 1) as usize;
+                    relisted = true;
+                    self.kept.log.truncate(keep);
+                    self.durable = self.durable.min(Index(entry.index.0 - 1));
+                }
+                None => {}
+            }
+            self.dirty.mark_log(entry.index);
+            relisted |= listed(&entry).is_some();
+            self.kept.log.push(entry);
+        }
+        if relisted {
+            self.recall_members();
+        }
+        (true, upto.max(base))
+    }
+
+    /// Commits what a quorum has on disk; the leader's own copy counts like any other.
+    fn advance(&mut self) {
+        if !self.is_leader() {
+            return;
+        }
+        let mut reached: Vec<Index> = self
+            .voters()
+            .iter()
+            .map(|id| {
+                if *id == self.kept.me {
+                    self.durable
+                } else {
+                    self.peers.get(id).map_or(Index(0), |p| p.matched)
+                }
+            })
+            .collect();
+        reached.sort_unstable_by(|a, b| b.cmp(a));
+        let Some(agreed) = reached.get(self.quorum() - 1).copied() else {
+            return;
+        };
+        // Only entries of the own epoch are committed by counting.
+        if agreed > self.commit && self.epoch_at(agreed) == Some(self.kept.epoch) {
+            self.commit = agreed;
+        }
+    }
+
+    /// Committed entries after `applied`.
+    pub fn committed(&self, applied: Index) -> Vec<Entry> {
+        self.kept
+            .log
+            .iter()
+            .filter(|e| e.index > applied && e.index <= self.commit)
+            .cloned()
+            .collect()
+    }
+
+    /// Folds everything up to `applied` into a snapshot when the log has grown long.
+    pub fn compact(&mut self, applied: Index, state: impl FnOnce() -> Vec<u8>) {
+        let Some(at) = self.position(applied) else {
+            return;
+        };
+        let bytes: usize = self.kept.log[..=at].iter().map(size).sum();
+        if at < COMPACT_AFTER && bytes < COMPACT_BYTES {
+            return;
+        }
+        // A snapshot under way is of use only with the log from there on, and a member that is there
+        // gets what it lacks sooner without another one.
+        if at < KEEP_AFTER && bytes < KEEP_BYTES && self.awaited(applied) {
+            return;
+        }
+        let members = self.kept.log[..=at]
+            .iter()
+            .rev()
+            .find_map(listed)
+            .unwrap_or(&self.kept.snapshot.members)
+            .clone();
+        let last = (self.kept.log[at].epoch, applied);
+        self.kept.snapshot = Snapshot { last, members, state: ByteBuf::from(state()) };
+        self.kept.log.drain(..=at);
+        self.dirty.snapshot = true;
+        self.dirty.mark_log(Index(0));
+    }
+
+    /// Whether a member that is there would have to get a snapshot if the log began after this entry.
+    fn awaited(&self, applied: Index) -> bool {
+        let lacks = |p: &Progress| p.transfer.is_some() || p.next <= applied;
+        let there = |p: &Progress| self.clock.since(p.acked) < PRESENT_MS;
+        self.peers.values().any(|p| there(p) && lacks(p))
+    }
+
+    /// Another is to lead. No lease is given from here on, and nothing is added to the log.
+    pub fn hand_over(&mut self, now: Tick) {
+        if !self.is_leader() || self.leaving.is_some() {
+            return;
+        }
+        self.leaving = Some(now);
+        self.asked = false;
+        self.pass_on(now);
+    }
+    /// Asks a voter that has answered lately and holds the whole log to lead, as soon as there is
+    /// one. After half of the time it is enough that it holds all that is committed.
+    fn pass_on(&mut self, now: Tick) {
+        let Some(since) = self.leaving.filter(|_| self.is_leader() && !self.asked) else {
+            return;
+        };
+        let late = now.since(since) >= HAND_OVER_MS / 2;
+        let least = if late { self.commit } else { self.last().1 };
+        let fits = |p: &Progress| p.matched >= least && now.since(p.acked) < QUORUM_FRESH_MS;
+        let voters = self.voters();
+        let best = self
+            .peers
+            .iter()
+            .filter(|(id, p)| voters.contains(id) && fits(p))
+            .max_by_key(|(_, p)| (p.matched, p.acked))
+            .map(|(id, _)| *id);
+        if let Some(id) = best {
+            self.asked = true;
+            self.say(id, RaftKind::TakeOver);
+        }
+    }
+
+    /// For how long a member has said nothing to this leader.
+    fn silence(&self, id: MemberId, now: Tick) -> u64 {
+        self.peers.get(&id).map_or(0, |p| now.since(p.acked.max(p.since)))
+    }
+
+    /// The next single change that brings the members closer to what is wanted, if any: whoever
+    /// asks to join learns first and votes once it keeps up. If the voters that are there would
+    /// not bear its loss, the one that has been silent longest goes before. Of more voters than
+    /// are needed to bear the loss of `tolerated`, the one that has been silent too long goes too.
+    pub fn wanted_members<'a>(
+        &self,
+        joining: impl Iterator<Item = &'a Member>,
+        tolerated: usize,
+        silent_ms: u64,
+        now: Tick,
+    ) -> Option<Vec<Member>> {
+        if self.members_pending() || !self.is_leader() {
+            return None;
+        }
+        let members = self.members();
+        let without = |gone: MemberId| -> Option<Vec<Member>> {
+            let rest: Vec<Member> = members.iter().filter(|m| m.id != gone).cloned().collect();
+            let voters: Vec<MemberId> = rest.iter().filter(|m| m.voter).map(|m| m.id).collect();
+            let present =
+                |id: &&MemberId| **id == self.kept.me || self.silence(**id, now) < PRESENT_MS;
+            // Those who stay must be able to agree on it.
+            (voters.iter().filter(present).count() > voters.len() / 2).then_some(rest)
+        };
+        for joiner in joining {
+            if members.iter().any(|m| m.id == joiner.id) {
+                continue;
+            }
+            if let Some(old) = members.iter().find(|m| m.admin == joiner.admin) {
+                // The same machine under an older id has lost its disk: the old id goes first. If
+                // that one still speaks, the wish to join is an old one.
+                if old.id == self.kept.me || self.silence(old.id, now) < PRESENT_MS {
+                    continue;
+                }
+                return without(old.id);
+            }
+            let learner = Member { voter: false, ..joiner.clone() };
+            return Some(members.iter().cloned().chain([learner]).collect());
+        }
+        let voters = self.voters();
+        let silent = |voter: bool, for_ms: u64| {
+            let others = members.iter().filter(move |m| m.id != self.kept.me);
+            let told = others.filter(move |m| m.voter == voter).map(|m| m.id);
+            told.map(|id| (self.silence(id, now), id)).filter(|s| s.0 > for_ms).max()
+        };
+        let ready = members.iter().filter(|m| !m.voter).find_map(|m| {
+            let there = self.silence(m.id, now) < PRESENT_MS;
+            self.peers.get(&m.id).filter(|p| p.keeps_up && there).map(|p| (m.id, p.since))
+        });
+        if let Some((id, since)) = ready {
+            // One that has answered since the newcomer is known is not the one that it replaces.
+            let there = |v: &&MemberId| {
+                let answered = self.peers.get(v).is_some_and(|p| p.acked >= since);
+                **v == self.kept.me || (answered && self.silence(**v, now) < PRESENT_MS)
+            };
+            let there = voters.iter().filter(there).count();
+            // The newcomer may be lost again at once, and counts as one of those to be borne: the
+            // voters that are there have to be enough without it and without all others of these.
+            let (more, longer) = (tolerated.saturating_sub(1), voters.len() + 1);
+            if there == voters.len() || there > more + longer / 2 {
+                let promote = |m: &Member| Member { voter: m.voter || m.id == id, ..m.clone() };
+                return Some(members.iter().map(promote).collect());
+            }
+            return without(silent(true, PRESENT_MS)?.1);
+        }
+        let spare = voters.len() > 2 * tolerated + 1;
+        let spare = if spare { silent(true, silent_ms) } else { None };
+        without(silent(false, silent_ms).max(spare)?.1)
+    }
+    /// Whether a hedge that has taken nothing yet may begin to: there are voters enough to bear the
+    /// loss of `tolerated`. Fewer will do once nobody has come for a while, so that a deployment
+    /// with few disks works at all. Those who are missing then are among the lost ones, unless
+    /// more are missing than may be: then this steward itself may be the one that is cut off.
+    pub fn may_begin(&self, tolerated: usize, now: Tick) -> bool {
+        let voters = self.voters().len();
+        let patience = if voters > tolerated { YOUNG_MS } else { SPARSE_MS };
+        let all_vote = self.members().iter().all(|m| m.voter);
+        let waited = all_vote && now.since(self.relisted) > patience;
+        self.is_leader() && (voters > 2 * tolerated || waited)
+    }
+    /// How a process that asks to join, or whether it still belongs, stands with this steward.
+    pub fn standing(&self, member: &Member, was: bool, now: Tick) -> Joined {
+        if !self.granting(now) {
+            let leader = self.leader.filter(|l| *l != self.kept.me);
+            let at = |l| self.members.iter().find(|m| m.id == l).map(|m| m.peer);
+            return Joined::Elsewhere(leader.and_then(at));
+        }
+        match (self.members.iter().any(|m| m.id == member.id), was) {
+            // One that can't vote is kept in no list; it only asks who leads.
+            _ if !member.can_vote => Joined::Listed,
+            (true, _) => Joined::Listed,
+            // One that is being taken in or out stands neither way yet.
+            (false, true) if !self.members_pending() => Joined::Removed,
+            (false, true) => Joined::Elsewhere(None),
+            (false, false) => Joined::Noted,
+        }
+    }
+}
--- a/src/stile.rs
+++ b/src/stile.rs
@@ -2095,7 +2095,7 @@
 /// A session that is older than this may stay for long.
 const LASTING_MS: u64 = 1_000;
 /// A lease, and a little: with it gone, only reads that may be old could still be served.
-const DEAF_MS: u64 = crate::steward::LEASE_MS + 200;
+const DEAF_MS: u64 = crate::leases::lease_table::LEASE_MS + 200;
 /// Descriptors kept for connections to databases, the link and files.
 const SPARE_FILES: u64 = 400;
 
--- a/tests/copies.rs
+++ b/tests/copies.rs
@@ -2,12 +2,11 @@
 use silvertack::base::ids::{DbTerm, Epoch, InstanceId, Position, ServiceName};
 use silvertack::base::time::Tick;
 use silvertack::config::directory::{Instance, Lifecycle, Role};
+use silvertack::failover::{Ask, Attempt, Deed, Facts, Posted, Stage, Succession, Told};
 use silvertack::net::rpc::pack;
 use silvertack::net::rpc::pooler_messages::Doubt;
 use silvertack::net::statement_protocol::Described;
-use silvertack::steward::{
-    Almanac, Ask, Attempt, Change, Deed, Effect, Facts, Lead, Posted, Stage, Succession, Told,
-};
+use silvertack::state_machine::{Almanac, Change, Effect, Lead};
 use std::collections::{BTreeMap, BTreeSet};
 
 fn at(number: u64) -> Position {
--- a/tests/hedge.rs
+++ b/tests/hedge.rs
@@ -3,8 +3,11 @@
 use silvertack::base::ids::{Epoch, Index, MemberId, NodeName};
 use silvertack::base::time::Tick;
 use silvertack::config::settings::Settings;
+use silvertack::controller::transport::Outbox;
 use silvertack::net::rpc::raft_messages::{Body, Entry, Joined, Member, Raft, RaftKind, Snapshot};
-use silvertack::steward::{Desk, Dirty, ELECTION_MIN_MS, Granary, Hedge, Kept, Outbox, Sheaf};
+use silvertack::raft::node::{Dirty, ELECTION_MIN_MS, Hedge, Kept};
+use silvertack::raft::persister::Desk;
+use silvertack::raft::storage::{Granary, Sheaf};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 fn member(id: u64, voter: bool) -> Member {
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -5,7 +5,8 @@
 use silvertack::base::time::Tick;
 use silvertack::net::rpc::pack;
 use silvertack::net::rpc::raft_messages::{Body, Member, Raft, RaftKind, Snapshot};
-use silvertack::steward::{Almanac, Change, Dirty, Hedge, Kept};
+use silvertack::raft::node::{Dirty, Hedge, Kept};
+use silvertack::state_machine::{Almanac, Change};
 use std::collections::HashSet;
 use stewards::{Orchard, SYNC_MS, State, member};
 
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -2,11 +2,12 @@
 use serde_bytes::ByteBuf;
 use silvertack::base::ids::{Epoch, Index, MemberId, NodeName, Revision};
 use silvertack::base::time::Tick;
+use silvertack::controller::admin_api::{Call, Verdict};
+use silvertack::controller::linearizable_reads::{Proposed, Reads};
 use silvertack::net::rpc::raft_messages::{Body, Member, Raft, RaftKind, Snapshot};
 use silvertack::net::rpc::{pack, unpack};
-use silvertack::steward::{
-    Almanac, Call, Change, Dirty, Effect, Hedge, Kept, Proposed, Reads, Verdict,
-};
+use silvertack::raft::node::{Dirty, Hedge, Kept};
+use silvertack::state_machine::{Almanac, Change, Effect};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 const SPREADS: [fn() -> u64; 5] = [|| 10, || 130, || 250, || 370, || 70];
--- a/tests/power.rs
+++ b/tests/power.rs
@@ -2,7 +2,8 @@
 //! there or not, by itself. Tables of what may then lie in a steward's folder, of real SQLite files.
 use silvertack::base::ids::{Epoch, Index, MemberId, NodeName};
 use silvertack::net::rpc::raft_messages::{Body, Entry, Member, Snapshot};
-use silvertack::steward::{Dirty, Granary, Kept, Sheaf};
+use silvertack::raft::node::{Dirty, Kept};
+use silvertack::raft::storage::{Granary, Sheaf};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/tests/state.rs
+++ b/tests/state.rs
@@ -8,13 +8,14 @@
 };
 use silvertack::base::time::Tick;
 use silvertack::config::directory::{Instance, Lifecycle, Role};
+use silvertack::controller::transport::left_out;
 use silvertack::net::rpc::raft_messages::{Body, Entry, Member, Raft, RaftKind, Snapshot};
 use silvertack::net::rpc::{
     FIRST_LAYOUT, Frame, LAYOUT, encode, pack, receive, receive_with_layout, send, unpack,
 };
-use silvertack::steward::{
-    Almanac, Change, Dirty, Effect, Granary, Hedge, Kept, Sheaf, left_out, read_kept, readable,
-};
+use silvertack::raft::node::{Dirty, Hedge, Kept};
+use silvertack::raft::storage::{Granary, Sheaf};
+use silvertack::state_machine::{Almanac, Change, Effect, read_kept, readable};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/tests/succession.rs
+++ b/tests/succession.rs
@@ -2,13 +2,14 @@
 use silvertack::base::ids::{DbTerm, Epoch, InstanceId, NodeName, Position, Revision, ServiceName};
 use silvertack::base::time::Tick;
 use silvertack::config::directory::{Instance, Lifecycle, Role};
+use silvertack::controller::pending_updates::Tidings;
+use silvertack::failover::{Ask, Deed, Facts, Posted, Stage, Succession, Told};
+use silvertack::leases::lease_table::{LEASE_MS, LeaseBook};
+use silvertack::leases::watermarks::Freshness;
 use silvertack::net::rpc::pack;
 use silvertack::net::rpc::pooler_messages::{Doubt, Grant, Saw, Standing};
 use silvertack::net::statement_protocol::Described;
-use silvertack::steward::{
-    Almanac, Ask, Change, Deed, Effect, Facts, Freshness, LEASE_MS, Lead, LeaseBook, Posted, Stage,
-    Succession, Tidings, Told,
-};
+use silvertack::state_machine::{Almanac, Change, Effect, Lead};
 use std::collections::{BTreeMap, BTreeSet};
 
 fn at(number: u64) -> Position {
--- a/tests/support/stewards.rs
+++ b/tests/support/stewards.rs
@@ -2,7 +2,7 @@
 use silvertack::base::ids::{Index, MemberId, NodeName};
 use silvertack::base::time::Tick;
 use silvertack::net::rpc::raft_messages::{Body, Member, Raft, RaftKind, Snapshot};
-use silvertack::steward::{Dirty, Hedge, Kept};
+use silvertack::raft::node::{Dirty, Hedge, Kept};
 use std::collections::VecDeque;
 
 /// How long after its return or its start a machine still counts as lost (`join_sync_s`).
--- a/tests/wicket.rs
+++ b/tests/wicket.rs
@@ -4,7 +4,7 @@
 use silvertack::base::time::Tick;
 use silvertack::config::configuration::Configuration;
 use silvertack::config::route_table::Lanes;
-use silvertack::steward::Cadastre;
+use silvertack::leases::subset_assignments::Cadastre;
 use silvertack::wicket::*;
 
 fn head(lines: &str) -> Vec<u8> {
