--- /dev/null
+++ b/src/gateway/forwarding.rs
@@ -0,0 +1,213 @@
+//! One request on its way to a database and back.
+use crate::base::errors::Refusal;
+use crate::base::ids::{InstanceId, ServiceName};
+use crate::base::time::Tick;
+use crate::config::route_table::Lane;
+use crate::gateway::attempts::Ended;
+use crate::gateway::http1::{Answered, Asked, Body, Framing, Garbled, as_chunk, read_answer};
+use crate::gateway::upstreams::{IDLE_MS, Stem};
+use rustix::event::{PollFd, PollFlags, Timespec, poll};
+use std::io::{self, Write};
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// A database is reached within this, or it is dark; longer where this node's own link is crowded.
+pub(crate) const CONNECT_MS: u64 = 250;
+
+pub(crate) const MOST_CONNECT_MS: u64 = 1_000;
+
+/// The part of an answer that is held, so that an idempotent request can still move on.
+const HELD: usize = 64 << 10;
+
+/// The part of a request's body that is held for sending it again.
+pub(crate) const HELD_BODY: usize = 256 << 10;
+
+/// An answer that can't be in time any more is not waited for.
+pub(crate) const MARGIN_MS: u64 = 5;
+
+/// A client that takes nothing for this long is cut off.
+pub(crate) const TAKES_NOTHING: Duration = Duration::from_secs(10);
+
+/// One send of a request to one database.
+pub(crate) struct Leg {
+    pub(crate) id: InstanceId,
+    pub(crate) address: SocketAddr,
+    pub(crate) stem: Stem,
+    pub(crate) reused: bool,
+    pub(crate) sent: Tick,
+    pub(crate) head: Option<Answered>,
+    pub(crate) body: Body,
+    pub(crate) held: Vec<u8>,
+    /// An answer to another request came first on this connection.
+    pub(crate) stray: bool,
+    /// The connection is at its end.
+    pub(crate) ended: bool,
+}
+
+/// What a leg has come to.
+pub(crate) enum Progress {
+    Waits,
+    /// Whole, or more than is held; the client may have it.
+    Ready,
+    Ended(Ended),
+}
+
+/// Everything that is fixed for one request.
+pub(crate) struct Errand<'a> {
+    pub(crate) asked: &'a Asked,
+    pub(crate) lane: &'a Lane,
+    pub(crate) service: &'a ServiceName,
+    pub(crate) arrived: Tick,
+    pub(crate) limit: Tick,
+    pub(crate) body: &'a [u8],
+    /// The rest of a body that is too large to be held.
+    pub(crate) rest: Option<Body>,
+}
+
+/// What goes back to the client.
+pub(crate) enum Say {
+    Own(Refusal, u64),
+    Leg(Box<Leg>),
+}
+
+/// Writes it all. Once a byte has left, the far end may have begun with it.
+pub fn send_whole(to: &mut impl Write, parts: &[&[u8]]) -> Result<(), Ended> {
+    let mut begun = false;
+    for part in parts {
+        let mut left = *part;
+        while !left.is_empty() {
+            match to.write(left) {
+                Ok(n) if n > 0 => {
+                    begun = true;
+                    left = &left[n..];
+                }
+                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
+                _ if begun => return Err(Ended::MayHaveRun),
+                _ => return Err(Ended::NotSent),
+            }
+        }
+    }
+    Ok(())
+}
+
+/// Waits until one of the legs has something to read, or the time is over.
+pub(crate) fn wait_for(legs: &[Leg], ms: u64) -> io::Result<Vec<bool>> {
+    let mut fds: Vec<PollFd<'_>> =
+        legs.iter().map(|l| PollFd::new(&l.stem.stream, PollFlags::IN)).collect();
+    let wait = Timespec { tv_sec: (ms / 1_000) as i64, tv_nsec: (ms % 1_000 * 1_000_000) as i64 };
+    match poll(&mut fds, Some(&wait)) {
+        Ok(_) => Ok(fds.iter().map(|f| !f.revents().is_empty()).collect()),
+        Err(rustix::io::Errno::INTR) => Ok(vec![false; legs.len()]),
+        Err(e) => Err(e.into()),
+    }
+}
+
+impl Leg {
+    /// A connection that had rested came to its end before any answer.
+    pub(crate) fn forgotten(&self) -> bool {
+        self.reused && self.ended && self.head.is_none() && self.stem.inbox.is_empty()
+    }
+    pub(crate) fn write_piece(&mut self, piece: &[u8], chunked: bool) -> io::Result<()> {
+        if !chunked {
+            return self.stem.stream.write_all(piece);
+        }
+        self.stem.stream.write_all(&as_chunk(piece))
+    }
+    /// Reads once; something is there to read.
+    pub(crate) fn read(&mut self, asked: &Asked) -> Progress {
+        // What may be lost here may have run, unless the head says otherwise.
+        let lost = Progress::Ended(Ended::MayHaveRun);
+        match self.stem.inbox.fill(&mut self.stem.stream) {
+            Ok(0) => {
+                self.ended = true;
+                let known = self.head.is_some() && self.body.closed();
+                return if known { self.whole() } else { lost };
+            }
+            Ok(_) => {}
+            Err(e) if e.kind() == io::ErrorKind::Interrupted => return Progress::Waits,
+            Err(_) => {
+                self.ended = true;
+                return lost;
+            }
+        }
+        self.progress(asked)
+    }
+    fn progress(&mut self, asked: &Asked) -> Progress {
+        let lost = Progress::Ended(Ended::MayHaveRun);
+        loop {
+            if self.head.is_none() {
+                match read_answer(self.stem.inbox.pending(), &asked.method) {
+                    Ok(None) => return Progress::Waits,
+                    // Only a word in between.
+                    Ok(Some((head, size))) if head.status < 200 => {
+                        self.stem.inbox.use_up(size);
+                        continue;
+                    }
+                    Ok(Some((head, size))) => {
+                        self.stem.inbox.use_up(size);
+                        self.body = Body::new(head.framing);
+                        self.head = Some(head);
+                        self.held.clear();
+                    }
+                    Err(Garbled) => return lost,
+                }
+            }
+            let used = match self.body.take(self.stem.inbox.pending(), &mut self.held) {
+                Ok(used) => used,
+                Err(Garbled) => return lost,
+            };
+            self.stem.inbox.use_up(used);
+            let Some(head) = &self.head else { return lost };
+            // One answer too many may come where the next is due; it belongs to no request.
+            if head.id != asked.id {
+                if self.stray || !self.reused || head.framing == Framing::UntilClose {
+                    return lost;
+                }
+                if !self.body.done() {
+                    return Progress::Waits;
+                }
+                self.stray = true;
+                self.head = None;
+                continue;
+            }
+            if head.status < 300 && !head.stamped {
+                return lost;
+            }
+            if self.body.done() {
+                return self.whole();
+            }
+            if self.held.len() < HELD {
+                return Progress::Waits;
+            }
+            // Whether its promise may be passed on is decided with all sends in view.
+            return match head.not_executed {
+                true => Progress::Ended(Ended::NotRun),
+                false => Progress::Ready,
+            };
+        }
+    }
+    /// The whole answer is there.
+    fn whole(&mut self) -> Progress {
+        match &self.head {
+            Some(head) if head.not_executed => Progress::Ended(Ended::NotRun),
+            Some(head) if head.status >= 500 => Progress::Ended(Ended::Failed),
+            _ => Progress::Ready,
+        }
+    }
+    /// The connection, if another request may use it.
+    pub(crate) fn kept(self) -> Option<Stem> {
+        let head = self.head.as_ref()?;
+        // An answer too many is known by its id; where there is none, nothing may follow.
+        let clean = head.id.is_some()
+            && self.body.done()
+            && self.stem.inbox.is_empty()
+            && !self.stray
+            && !self.ended
+            && !head.close
+            && head.framing != Framing::UntilClose;
+        // Closed by the database when its time is over; a request must not meet that.
+        let keep = head.keep_s.map_or(IDLE_MS, |s| (s * 1_000).saturating_sub(1_000).min(IDLE_MS));
+        let until = Tick::now().plus(keep);
+        clean.then(|| Stem { until, ..self.stem })
+    }
+}
--- a/src/main.rs
+++ b/src/main.rs
@@ -7,7 +7,7 @@
 use silvertack::config::settings::Settings;
 use silvertack::controller::process;
 use silvertack::net::http;
-use silvertack::{model, stile, wicket};
+use silvertack::{gateway, pooler, simulation};
 use std::io::Write;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -116,12 +116,12 @@
         Command::Stile { settings } => {
             let path = Settings::path(settings)?;
             let settings = Settings::read(&path)?;
-            stile::run(path, settings)
+            pooler::server::run(path, settings)
         }
         Command::Wicket { settings } => {
             let path = Settings::path(settings)?;
             let settings = Settings::read(&path)?;
-            wicket::run(path, settings)
+            gateway::server::run(path, settings)
         }
         Command::Steward { settings } => {
             let path = Settings::path(settings)?;
@@ -227,8 +227,8 @@
                         return;
                     }
                     let seed = first.wrapping_add(number);
-                    let schedule = model::Schedule::drawn(seed);
-                    match model::play(&schedule) {
+                    let schedule = simulation::schedule::Schedule::drawn(seed);
+                    match simulation::runner::play(&schedule) {
                         Ok(report) if plays == 1 => println!("{schedule:#?}\n{report:?}"),
                         Ok(_) => {}
                         Err(why) => {
--- /dev/null
+++ b/src/simulation/runner.rs
@@ -0,0 +1,31 @@
+//! Plays one schedule and reports what it came to.
+use crate::simulation::schedule::Schedule;
+use crate::simulation::world::World;
+
+/// What a play came to.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct Report {
+    /// Orders that were acknowledged, refused, and sent again after they had been taken.
+    pub acknowledged: u64,
+    pub refused: u64,
+    pub resent: u64,
+    pub reads: u64,
+    pub epochs: u64,
+    pub promoted: u64,
+    pub passed_on: u64,
+    /// A number that any difference between two plays shows in.
+    pub trace: u64,
+}
+
+/// Plays a schedule.
+///
+/// # Errors
+/// The first thing that did not hold, with its time.
+pub fn play(schedule: &Schedule) -> Result<Report, String> {
+    let mut world = World::new(schedule);
+    world.run();
+    match world.broken {
+        Some(why) => Err(why),
+        None => Ok(world.report),
+    }
+}
--- a/src/model.rs
+++ b/src/simulation/world.rs
@@ -1,17 +1,13 @@
-//! The control side in virtual time: whole stewards with their disks, a network, operators, databases and
-//! nodes, all moved on by one queue of events and one seed. The same schedule always plays the same way.
-//!
-//! The stewards are the program's own, with other `Effects`. All else is a sketch of what the pages say of
-//! it, just true enough to press them. After every step a plain history is checked; see `World::broken`.
+//! The network, the disks and the clocks that the controllers run on.
 use crate::base::ids::{
     DbTerm, Epoch, Index, InstanceId, MemberId, NodeName, Position, Revision, ServiceName,
 };
 use crate::base::time::Tick;
 use crate::config::configuration::Configuration;
-use crate::config::directory::{Lifecycle, Role};
+use crate::config::directory::Lifecycle;
 use crate::config::route_table::Lanes;
 use crate::config::settings::Settings;
-use crate::controller::controller::{Effects, Input, Steward};
+use crate::controller::controller::{Input, Steward};
 use crate::controller::process::first_state;
 use crate::failover::{Ask, Attempt, Posted, Told};
 use crate::leases::lease_table::LEASE_MS;
@@ -21,300 +17,21 @@
 use crate::net::rpc::{Frame, LAYOUT, pack, receive};
 use crate::net::statement_protocol::Described;
 use crate::raft::storage::{Granary, Sheaf};
-use rand::{Rng, SeedableRng, rngs::SmallRng};
-use std::cell::RefCell;
+use crate::simulation::actors::{
+    Caller, Database, End, Far, Forced, Lease, Machine, Node, Operator, Order, Passed, Queue,
+};
+use crate::simulation::runner::Report;
+use crate::simulation::schedule::{
+    Kind, Schedule, Trouble, Way, Whom, chance, draw, seed_draws, upto,
+};
 use std::cmp::Reverse;
-use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
+use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
 use std::sync::Arc;
-use std::sync::mpsc::{Receiver, sync_channel};
-
-// ---------------------------------------------------------------------------------------------
-// What is played
-
-/// What is played: who is there, and what goes wrong when. All times are milliseconds.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Schedule {
-    pub seed: u64,
-    /// Stewards with a disk at the first start.
-    pub stewards: usize,
-    /// So many of them may be lost at once.
-    pub tolerated: usize,
-    pub operators: usize,
-    pub length: u64,
-    pub troubles: Vec<Trouble>,
-}
-#[derive(Clone, Debug, PartialEq)]
-pub struct Trouble {
-    pub at: u64,
-    pub lasts: u64,
-    pub kind: Kind,
-}
-/// Whom a trouble strikes: the steward that leads, or one by number.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Whom {
-    Leader,
-    Number(u8),
-}
-/// Which messages a cut stops, seen from those that are cut off.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Way {
-    Both,
-    Out,
-    In,
-}
-#[derive(Clone, Debug, PartialEq)]
-pub enum Kind {
-    /// Cut off from the other stewards; each caller and node is on one of the two sides.
-    Cut(Whom, Way),
-    /// Stands still, perhaps between a decision and the bytes that tell of it.
-    Freeze(Whom),
-    /// Frozen, cut off, and its steady clock stands still with it, as a suspended virtual machine's may.
-    /// The pages promise that clocks run on: nothing is promised of leases in such a schedule, but no
-    /// answer about what is current may rest on a clock.
-    Suspend(Whom),
-    Kill(Whom),
-    Power(Whom),
-    /// Loses power and comes back with an empty disk.
-    Wipe(Whom),
-    /// Gone for good; an empty machine comes at another address.
-    Replace(Whom),
-    /// All stewards at once; so many of them, of those that may still be lost, with their disks.
-    All {
-        power: bool,
-        wiped: u8,
-    },
-    DiskFull(Whom),
-    DiskStall(Whom),
-    /// All connections end.
-    Reset,
-    /// So many messages in a hundred are lost.
-    Lossy(u8),
-    /// A service's primary, or a replica by number, is down.
-    Crash {
-        primary: bool,
-        number: u8,
-    },
-    /// A replica receives nothing.
-    Deaf(u8),
-    /// A replica, or the primary, drains and leaves; a new one comes.
-    Leave {
-        primary: bool,
-        number: u8,
-    },
-    /// An order of the operators is as large as this many hundred routes, from here on.
-    Large(u8),
-    NodeKill(u8),
-}
-
-impl Schedule {
-    /// A schedule drawn from a seed, for the command line; the tests draw theirs with a library that can
-    /// shrink them.
-    pub fn drawn(seed: u64) -> Self {
-        seed_draws(seed);
-        let (stewards, tolerated) = [(3, 1), (4, 1), (5, 2), (6, 2), (7, 2)][upto(5) as usize];
-        let length = 20_000 + upto(20_000);
-        let whom = || if chance(50) { Whom::Leader } else { Whom::Number(upto(8) as u8) };
-        // Most schedules know few kinds of trouble, and some of these strike close together: what is
-        // rare among all of them is common there (swarm testing).
-        let few = [upto(20), upto(20), upto(20)];
-        let swarm = chance(70);
-        let mut before = 4_000;
-        let trouble = |_| {
-            let at = if chance(50) { before + upto(3_000) } else { 4_000 + upto(length - 4_000) };
-            before = at;
-            let lasts = [100, 500, 800, 1_500, 5_000, 12_000, 20_000][upto(7) as usize];
-            let number = upto(3) as u8;
-            let kind = match if swarm { few[upto(3) as usize] } else { upto(19) } {
-                0..=2 => Kind::Cut(whom(), [Way::Both, Way::Out, Way::In][upto(3) as usize]),
-                3 | 4 => Kind::Freeze(whom()),
-                5 => Kind::Kill(whom()),
-                6 => Kind::Power(whom()),
-                7 => Kind::Wipe(whom()),
-                8 => Kind::Replace(whom()),
-                9 => Kind::All { power: chance(50), wiped: upto(3) as u8 },
-                10 => Kind::DiskFull(whom()),
-                11 => Kind::DiskStall(whom()),
-                12 => Kind::Reset,
-                13 => Kind::Lossy(3 + upto(10) as u8),
-                14 => Kind::Crash { primary: chance(60), number },
-                15 => Kind::Deaf(number),
-                16 => Kind::Leave { primary: chance(40), number },
-                17 => Kind::Large(1 + upto(10) as u8),
-                18 => Kind::NodeKill(number),
-                _ => Kind::Suspend(whom()),
-            };
-            Trouble { at, lasts, kind }
-        };
-        let troubles = (0..2 + upto(8)).map(trouble).collect();
-        Self { seed, stewards, tolerated, operators: 2 + upto(7) as usize, length, troubles }
-    }
-}
-
-/// What a play came to.
-#[derive(Clone, Debug, Default, PartialEq)]
-pub struct Report {
-    /// Orders that were acknowledged, refused, and sent again after they had been taken.
-    pub acknowledged: u64,
-    pub refused: u64,
-    pub resent: u64,
-    pub reads: u64,
-    pub epochs: u64,
-    pub promoted: u64,
-    pub passed_on: u64,
-    /// A number that any difference between two plays shows in.
-    pub trace: u64,
-}
-
-thread_local! {
-    static DRAWS: RefCell<SmallRng> = RefCell::new(SmallRng::seed_from_u64(0));
-}
-fn seed_draws(seed: u64) {
-    DRAWS.with_borrow_mut(|rng| *rng = SmallRng::seed_from_u64(seed));
-}
-fn draw() -> u64 {
-    DRAWS.with_borrow_mut(|rng| rng.next_u64())
-}
-fn upto(n: u64) -> u64 {
-    draw() % n.max(1)
-}
-fn chance(percent: u64) -> bool {
-    upto(100) < percent
-}
-
-/// Plays a schedule.
-///
-/// # Errors
-/// The first thing that did not hold, with its time.
-pub fn play(schedule: &Schedule) -> Result<Report, String> {
-    let mut world = World::new(schedule);
-    world.run();
-    match world.broken {
-        Some(why) => Err(why),
-        None => Ok(world.report),
-    }
-}
-
-// ---------------------------------------------------------------------------------------------
-// The world
-
-/// What a steward wants done, until the world does it.
-#[derive(Default)]
-struct Queue {
-    raft: Vec<(SocketAddr, MemberId, Raft)>,
-    sheaf: Option<Sheaf>,
-    standing: Vec<(SocketAddr, Member, bool)>,
-    asks: Vec<(ServiceName, InstanceId, Ask, Attempt)>,
-    posts: Vec<(ServiceName, InstanceId, Attempt)>,
-    frames: VecDeque<(u64, Arc<[u8]>)>,
-    open: BTreeSet<u64>,
-}
-impl Effects for Queue {
-    fn send_raft(&mut self, to: MemberId, address: SocketAddr, message: Raft, _: Tick) {
-        self.raft.push((address, to, message));
-    }
-    fn keep_links(&mut self, _: &[Member]) {}
-    fn write(&mut self, sheaf: Sheaf) -> bool {
-        self.sheaf = Some(sheaf);
-        true
-    }
-    fn ask_standing(&mut self, at: SocketAddr, member: Member, was: bool) {
-        self.standing.push((at, member, was));
-    }
-    fn ask_database(
-        &mut self,
-        service: &ServiceName,
-        id: &InstanceId,
-        _: SocketAddr,
-        ask: Ask,
-        attempt: Attempt,
-    ) -> bool {
-        self.asks.push((service.clone(), id.clone(), ask, attempt));
-        true
-    }
-    fn post_failover(
-        &mut self,
-        _: SocketAddr,
-        _: &str,
-        service: &ServiceName,
-        target: &InstanceId,
-        attempt: Attempt,
-    ) {
-        self.posts.push((service.clone(), target.clone(), attempt));
-    }
-    fn send(&mut self, conn: u64, frame: Arc<[u8]>) {
-        self.frames.push_back((conn, frame));
-    }
-    fn send_first(&mut self, conn: u64, frame: Arc<[u8]>) {
-        self.frames.push_front((conn, frame));
-    }
-    fn waiting(&self, conn: u64) -> Option<usize> {
-        self.open.contains(&conn).then_some(0)
-    }
-    fn pump(&mut self) -> Vec<u64> {
-        Vec::new()
-    }
-    fn peers(&self) -> usize {
-        self.open.len()
-    }
-}
+use std::sync::mpsc::sync_channel;
 
-struct Machine {
-    settings: Settings,
-    disk: Granary,
-    steward: Option<Steward<Queue>>,
-    /// Grows with each start, so that what was meant for an older process is known.
-    life: u64,
-    /// Its steady clock is ahead of the world's by this.
-    ahead: u64,
-    wake: u64,
-    frozen: Option<u64>,
-    /// Frozen in the middle of a step: what that step decides leaves only when it wakes.
-    midway: bool,
-    /// Since when its steady clock stands still.
-    suspended: Option<u64>,
-    backlog: Vec<Input>,
-    writing: Option<Sheaf>,
-    /// The disk takes nothing until then; with `full` it says so.
-    disk_ill: Option<(u64, bool)>,
-    /// Counts as lost until then.
-    lost: u64,
-    gone: bool,
-    me: MemberId,
-    checked: Index,
-    applied: Index,
-}
-impl Machine {
-    fn wake_up(&mut self, now: u64) {
-        (self.frozen, self.midway) = (None, false);
-        if let Some(since) = self.suspended.take() {
-            self.ahead -= now - since;
-        }
-    }
-}
-
-/// Who speaks: stewards by number, then everybody else.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum End {
-    Steward(usize),
-    Operator(usize),
-    Node(usize),
-    Database(usize),
-}
-impl End {
-    /// On which side of a cut one that is no steward stands.
-    fn side(self, salt: u64) -> bool {
-        let (kind, number) = match self {
-            End::Steward(n) => (0, n),
-            End::Operator(n) => (1, n),
-            End::Node(n) => (2, n),
-            End::Database(n) => (3, n),
-        };
-        (salt >> ((kind * 7 + number as u64) % 61)) & 1 == 1
-    }
-}
-struct Cut {
+pub(crate) struct Cut {
     steward: usize,
     way: Way,
     until: u64,
@@ -349,119 +66,12 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Write {
-    term: DbTerm,
+pub(crate) struct Write {
+    pub(crate) term: DbTerm,
     id: u64,
 }
 
-/// A commit that a node passed on to its client, and when.
-#[derive(Clone, Copy)]
-struct Passed {
-    write: Write,
-    node: usize,
-    at: u64,
-}
-
-/// One that calls stewards over HTTP: an operator, or a database with its beats.
-#[derive(Default)]
-struct Caller {
-    attempt: u64,
-    sent: u64,
-    /// Where the next try goes.
-    next: usize,
-    redirects: u8,
-    pause: u64,
-    under_way: Option<Request>,
-    answer: Option<(usize, u64, Receiver<Response>)>,
-}
-
-#[derive(Clone)]
-struct Order {
-    base: Revision,
-    revision: Revision,
-    body: Vec<u8>,
-    /// It has been taken before, or can't be taken.
-    known: Option<bool>,
-}
-struct Operator {
-    caller: Caller,
-    order: Option<Order>,
-    made: u64,
-}
-
-struct Database {
-    id: InstanceId,
-    service: ServiceName,
-    caller: Caller,
-    up: bool,
-    gone: bool,
-    primary: bool,
-    term: DbTerm,
-    log: Vec<Write>,
-    paused: bool,
-    deaf: u64,
-    draining: bool,
-    drained: bool,
-    sequence: u64,
-    /// How much of its log each other one has.
-    received: BTreeMap<usize, usize>,
-    /// Who waits for which commit.
-    owed: Vec<(usize, u64, usize, u64)>,
-    told: Option<(Role, Lifecycle)>,
-    /// Since when it could reach a newer primary.
-    deposed: Option<u64>,
-}
-impl Database {
-    fn position(&self) -> Position {
-        let term = self.log.last().map_or(DbTerm(1), |w| w.term);
-        Position { term, number: self.log.len() as u64 }
-    }
-    fn role(&self) -> Role {
-        if self.primary { Role::Primary } else { Role::Replica }
-    }
-    fn lifecycle(&self) -> Lifecycle {
-        if self.draining { Lifecycle::Draining } else { Lifecycle::Available }
-    }
-}
-
-#[derive(Clone)]
-struct Lease {
-    term: DbTerm,
-    primary: InstanceId,
-    asked: u64,
-}
-/// A hollow node: it follows the leader as a stile does and writes at the primaries it is leased.
-struct Node {
-    life: u64,
-    conn: Option<(u64, usize)>,
-    welcome: bool,
-    known: Vec<SocketAddr>,
-    next: usize,
-    hint: Option<SocketAddr>,
-    heard: u64,
-    renewed: u64,
-    seq: u64,
-    sent: BTreeMap<u64, u64>,
-    config: Option<Lanes>,
-    leases: BTreeMap<ServiceName, Lease>,
-    revoked: BTreeMap<ServiceName, (DbTerm, u64)>,
-    highest: BTreeMap<ServiceName, Position>,
-}
-
-enum Far {
-    Node(usize, u64),
-    Join { asker: usize, life: u64, me: MemberId, at: SocketAddr },
-}
-
-/// A configuration that is known to have come into force, in the order in which they did.
-struct Forced {
-    revision: Revision,
-    base: Revision,
-    body: Vec<u8>,
-    at: u64,
-}
-
-struct World {
+pub(crate) struct World {
     schedule: Schedule,
     now: u64,
     events: BTreeMap<u64, Event>,
@@ -491,22 +101,28 @@
     /// What each new primary began with.
     promoted: BTreeMap<ServiceName, Vec<(DbTerm, Vec<Write>)>>,
     goodbyes: BTreeSet<InstanceId>,
-    report: Report,
-    broken: Option<String>,
+    pub(crate) report: Report,
+    pub(crate) broken: Option<String>,
 }
 
 const ADMIN: u16 = 2;
+
 const PEER: u16 = 1;
+
 const JOIN_SYNC_MS: u64 = 4_000;
+
 const SERVICES: [&str; 2] = ["pears", "plums"];
+
 /// After the last trouble everything is well again and has this long to come to rest.
 const REST_MS: u64 = 25_000;
+
 /// The other stewards may hear of a machine that stood still so long after its callers do.
 const LATER_HEARD_MS: u64 = 600;
 
 fn place(machine: usize, port: u16) -> SocketAddr {
     SocketAddr::from(([10, 0, machine as u8 + 1, 1], port))
 }
+
 fn machine_at(at: SocketAddr) -> usize {
     match at {
         SocketAddr::V4(at) => usize::from(at.ip().octets()[2]) - 1,
@@ -515,7 +131,7 @@
 }
 
 impl World {
-    fn new(schedule: &Schedule) -> Self {
+    pub(crate) fn new(schedule: &Schedule) -> Self {
         seed_draws(schedule.seed);
         let mut world = Self {
             schedule: schedule.clone(),
@@ -593,7 +209,7 @@
         self.at(self.now + after, event);
     }
 
-    fn run(&mut self) {
+    pub(crate) fn run(&mut self) {
         let (length, end) = (self.schedule.length, self.schedule.length + REST_MS);
         while let Some(Reverse((time, number))) = self.queue.pop() {
             if self.broken.is_some() {
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -134,7 +134,7 @@
     }
     fn answer(&mut self, method: &str) -> Option<Got> {
         let (told, size) = loop {
-            match silvertack::wicket::read_answer(&self.1, method) {
+            match silvertack::gateway::http1::read_answer(&self.1, method) {
                 Ok(Some(found)) => break found,
                 Ok(None) if self.more() => {}
                 _ => return None,
@@ -142,7 +142,8 @@
         };
         let head = String::from_utf8_lossy(&self.1[..size]).into_owned();
         self.1.drain(..size);
-        let (mut body, mut data) = (silvertack::wicket::Body::new(told.framing), Vec::new());
+        let (mut body, mut data) =
+            (silvertack::gateway::http1::Body::new(told.framing), Vec::new());
         let whole = loop {
             let used = body.take(&self.1, &mut data).expect("well formed");
             self.1.drain(..used);
--- a/tests/graft.rs
+++ b/tests/graft.rs
@@ -3,9 +3,11 @@
 use silvertack::base::ids::{DbTerm, Position};
 use silvertack::base::time::Tick;
 use silvertack::net::statement_protocol::{self, Line, State};
-use silvertack::stile::{
-    Admission, Fate, Floors, Graft, Kind, Pace, Share, Task, Verdict, has_left,
-};
+use silvertack::pooler::admission::{Admission, Pace};
+use silvertack::pooler::leases::Share;
+use silvertack::pooler::pool::has_left;
+use silvertack::pooler::replica_reads::Floors;
+use silvertack::pooler::reroute::{Fate, Graft, Kind, Task, Verdict};
 
 const NOW: Tick = Tick(10_000);
 
--- a/tests/model.rs
+++ b/tests/model.rs
@@ -3,7 +3,8 @@
 //! More of them, with other luck: `PROPTEST_CASES=5000 PROPTEST_RNG_SEED=7 cargo test --release --test model`.
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed, TestRunner};
-use silvertack::model::{Kind, Schedule, Trouble, Way, Whom, play};
+use silvertack::simulation::runner::play;
+use silvertack::simulation::schedule::{Kind, Schedule, Trouble, Way, Whom};
 
 /// Threads that draw and play, each with its own luck.
 const RUNNERS: u64 = 8;
--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -468,7 +468,7 @@
     let mut bytes = Vec::new();
     client.read_to_end(&mut bytes).expect("an answer");
     let (told, size) =
-        silvertack::wicket::read_answer(&bytes, method).expect("read").expect("whole");
+        silvertack::gateway::http1::read_answer(&bytes, method).expect("read").expect("whole");
     let head = String::from_utf8_lossy(&bytes[..size]).into_owned();
     (told.status, head, bytes.split_off(size))
 }
@@ -594,7 +594,8 @@
 
 #[test]
 fn once_a_byte_has_left_a_request_may_have_run() {
-    use silvertack::wicket::{Ended, send_whole};
+    use silvertack::gateway::attempts::Ended;
+    use silvertack::gateway::forwarding::send_whole;
     let cases = [
         (0, Err(Ended::NotSent)),
         (1, Err(Ended::MayHaveRun)),
@@ -609,7 +610,7 @@
 
 #[test]
 fn an_answer_with_two_ids_is_nobodys() {
-    use silvertack::wicket::{Garbled, read_answer};
+    use silvertack::gateway::http1::{Garbled, read_answer};
     let cases = [("a", true), ("b", false), ("", false)];
     for (second, same) in cases {
         let head = format!("HTTP/1.1 200 OK\r\nRequest-Id: a\r\nRequest-Id: {second}\r\n\r\n");
--- a/tests/succession.rs
+++ b/tests/succession.rs
@@ -676,7 +676,7 @@
         (10_000, 60_000, 60_020, 60_030, 60_040),
     ];
     for (left, in_hand, sent, asked, answered) in cases {
-        let told = silvertack::stile::after(one(in_hand), one(sent)).map(|after| {
+        let told = silvertack::pooler::replica_reads::after(one(in_hand), one(sent)).map(|after| {
             let mut known = Freshness::default();
             let saw = Saw { service: s.clone(), term: DbTerm(4), position: at(7), after };
             known.learn(Some(&lead), leader(left), &saw, leader(answered));
@@ -691,7 +691,7 @@
         assert!(seen <= sent + 55, "{left} {in_hand} {sent} {asked}");
     }
     // Sent before the answer was in hand: nothing is known of when.
-    assert_eq!(silvertack::stile::after(Tick(100), Tick(99)), None);
+    assert_eq!(silvertack::pooler::replica_reads::after(Tick(100), Tick(99)), None);
 }
 
 #[test]
--- a/tests/support/gateway.rs
+++ b/tests/support/gateway.rs
@@ -1,6 +1,6 @@
 //! Stand-in databases of a gateway's service: they answer requests over HTTP, and misbehave as told.
 #![allow(dead_code)]
-use silvertack::wicket::{Body, read_request};
+use silvertack::gateway::http1::{Body, read_request};
 use std::collections::VecDeque;
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
--- a/tests/wicket.rs
+++ b/tests/wicket.rs
@@ -4,8 +4,12 @@
 use silvertack::base::time::Tick;
 use silvertack::config::configuration::Configuration;
 use silvertack::config::route_table::Lanes;
+use silvertack::gateway::attempts::{Ended, Next, Tries};
+use silvertack::gateway::http1::{Body, Framing, Garbled, read_answer, read_request};
+use silvertack::gateway::load_balancing::{Candidate, Work, choose, homes};
+use silvertack::gateway::outlier_detection::Health;
+use silvertack::gateway::retry_budget::RetryBudget;
 use silvertack::leases::subset_assignments::Cadastre;
-use silvertack::wicket::*;
 
 fn head(lines: &str) -> Vec<u8> {
     format!("{}\r\n\r\n", lines.replace('\n', "\r\n")).into_bytes()
