--- /dev/null
+++ b/tests/compatibility.rs
@@ -0,0 +1,770 @@
+//! What programs of one version say to each other and keep on disk, pinned to the byte. Rust's names
+//! may change; what is in the two files of `tests/data` may not, nor the names listed here.
+//!
+//! Both files were written by the program of commit e679ba0: the frames by `encode` of `frames()`,
+//! one behind the other; the state by `Granary::found` of `kept()`, put into SQL by `dump`.
+use serde::de::{Deserialize, Deserializer, MapAccess, SeqAccess, Visitor};
+use serde_bytes::ByteBuf;
+use sha2::{Digest as _, Sha256};
+use silvertack::common::config::{
+    Configuration, Instance, Lanes, Lifecycle, Listed, Role, Run, SessionLimits,
+};
+use silvertack::common::ids::*;
+use silvertack::common::peer::*;
+use silvertack::steward::{Almanac, Change, Effect, Granary, Kept, read_kept};
+use std::collections::{BTreeMap, BTreeSet};
+use std::fmt::Write as _;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+
+const FRAMES: &[u8] = include_bytes!("data/frames-e679ba0.bin");
+const STATE: &str = include_str!("data/state-e679ba0.sql");
+
+fn at(text: &str) -> SocketAddr {
+    text.parse().expect("address")
+}
+fn member(id: u64, voter: bool, can_vote: bool) -> Member {
+    Member {
+        id: MemberId(id),
+        node: NodeName(format!("node{id}")),
+        peer: at(&format!("10.0.0.{id}:7001")),
+        admin: at(&format!("[fd00::{id}]:7002")),
+        voter,
+        can_vote,
+    }
+}
+fn members() -> Vec<Member> {
+    vec![member(5, true, true), member(6, false, true), member(7, false, false)]
+}
+fn entry(epoch: u64, index: u64, body: Body) -> Entry {
+    Entry { epoch: Epoch(epoch), index: Index(index), body }
+}
+fn bytes(of: &[u8]) -> ByteBuf {
+    ByteBuf::from(of.to_vec())
+}
+fn limits(from: u64) -> SessionLimits {
+    SessionLimits {
+        txn_idle_ms: from + 1,
+        max_header_bytes: from as usize + 2,
+        max_body_bytes: from + 3,
+        header_timeout_ms: from + 4,
+        idle_timeout_ms: from + 5,
+    }
+}
+/// A configuration with a route of each type and both kinds of targets.
+fn order(revision: u64, routes: &[&str]) -> Vec<u8> {
+    let route = |(at, kind): (usize, &&str)| {
+        let base = 10 * (at as u64 + 1);
+        let mut route = serde_json::json!({
+            "name": format!("r{at}"), "hostname": format!("h{at}"), "path_prefix": format!("/p{at}/"),
+            "route_type": kind, "timeout_ms": base, "target_latency_ms": base + 1,
+            "priority": base + 2, "max_attempts": base + 3, "stale_ms": base + 4,
+        });
+        if at == 0 {
+            route["weighted_targets"] = serde_json::json!([
+                { "target_service": "s", "weight": 3 }, { "target_service": "t", "weight": 4 }]);
+        } else {
+            route["target_service"] = "t".into();
+        }
+        route
+    };
+    serde_json::json!({
+        "revision": revision,
+        "route_rules": routes.iter().enumerate().map(route).collect::<Vec<_>>(),
+        "services": [
+            { "name": "s", "max_connections": 21, "sync_replicas": 2 },
+            { "name": "t", "max_connections": 22, "sync_replicas": 1 },
+        ],
+        "limits": { "txn_idle_ms": 301, "max_header_bytes": 302, "max_body_bytes": 303,
+            "header_timeout_ms": 304, "idle_timeout_ms": 305 },
+    })
+    .to_string()
+    .into_bytes()
+}
+const TYPES: [&str; 6] =
+    ["primary", "bounded", "read_your_writes", "idempotent", "non_idempotent", "download"];
+fn lanes(revision: u64, routes: &[&str]) -> Lanes {
+    Lanes::of(&Configuration::read(&order(revision, routes)).expect("valid"))
+}
+fn listed(id: &str, draining: bool) -> Listed {
+    Listed {
+        id: id.into(),
+        service: "s".into(),
+        address: at("10.0.1.1:5432"),
+        zone: "z1".into(),
+        draining,
+        capacity: 31,
+    }
+}
+fn position(term: u64, number: u64) -> Position {
+    Position { term: DbTerm(term), number }
+}
+fn grant(service: &str, standing: Standing, share: u32) -> Grant {
+    Grant { service: service.into(), standing, share }
+}
+
+/// Every variant of what is said on the peer port, with other values in each field.
+fn frames() -> Vec<Frame> {
+    let (s, t) = (ServiceName::from("s"), ServiceName::from("t"));
+    let ask = |trial, handover, led| RaftKind::AskVote {
+        trial,
+        handover,
+        led,
+        last: (Epoch(41), Index(42)),
+    };
+    let entries = vec![
+        entry(43, 44, Body::Opened),
+        entry(45, 46, Body::Members(members())),
+        entry(47, 48, Body::Change(bytes(&[1, 2, 200]))),
+    ];
+    let kinds = [
+        ask(true, false, false),
+        ask(false, true, false),
+        ask(false, false, true),
+        RaftKind::Vote { trial: true, granted: false },
+        RaftKind::Vote { trial: false, granted: true },
+        RaftKind::Append {
+            previous: (Epoch(51), Index(52)),
+            entries,
+            commit: Index(53),
+            sent: 1 << 40,
+        },
+        RaftKind::Appended { upto: Index(54), ok: true, sent: 55 },
+        RaftKind::Appended { upto: Index(56), ok: false, sent: 57 },
+        RaftKind::Snapshot {
+            snapshot: Snapshot {
+                last: (Epoch(61), Index(62)),
+                members: members(),
+                state: bytes(&[3, 0, 255]),
+            },
+            sent: 63,
+        },
+        RaftKind::TakeOver,
+        RaftKind::Part { transfer: 71, size: 72, offset: 73, bytes: bytes(&[9, 8]), sent: 74 },
+        RaftKind::PartTaken { transfer: 75, upto: 76, sent: 77 },
+    ];
+    let raft = |kind| Frame::Raft {
+        to: MemberId(11),
+        message: Box::new(Raft { from: MemberId(12), epoch: Epoch(13), kind }),
+    };
+    let joined = [
+        Joined::Elsewhere(None),
+        Joined::Elsewhere(Some(at("10.0.0.8:81"))),
+        Joined::Noted,
+        Joined::Listed,
+        Joined::Removed,
+        Joined::Found,
+    ];
+    let suspect = |why| ToSteward::Suspect { service: "s".into(), instance: "i1".into(), why };
+    let revoked = |highest| ToSteward::Revoked { service: "s".into(), term: DbTerm(82), highest };
+    let to_steward = [
+        ToSteward::Hello {
+            node: "node9".into(),
+            life: u64::MAX,
+            revision: Revision(83),
+            zone: "z2".into(),
+        },
+        ToSteward::Renew {
+            seq: 84,
+            heard: 85,
+            shares: vec![(s.clone(), 86), (t.clone(), 87)],
+            wants: vec![(s.clone(), 88)],
+            saw: vec![Saw {
+                service: t.clone(),
+                term: DbTerm(89),
+                position: position(90, 91),
+                after: 92,
+            }],
+            asks: vec![t.clone(), s.clone()],
+            busy: vec![(t.clone(), 93)],
+        },
+        suspect(Doubt::Broken),
+        suspect(Doubt::Silent),
+        revoked(None),
+        revoked(Some(position(94, 95))),
+        ToSteward::Whole,
+        ToSteward::Bye,
+    ];
+    let granted = |whole| ToStile::Granted {
+        seq: 101,
+        lease_ms: 102,
+        whole,
+        grants: vec![
+            grant("s", Standing::Led { term: DbTerm(103), primary: "i1".into() }, 104),
+            grant("t", Standing::Sealed(position(105, 106)), 107),
+            grant("u", Standing::Unled, 108),
+        ],
+        fresh: vec![Fresh { service: t.clone(), position: position(109, 110), age: 111 }],
+        plots: vec![Plot { service: s.clone(), from: 112, upto: 113 }],
+    };
+    let (old, new) = (lanes(121, &TYPES[..3]), lanes(122, &TYPES));
+    let mut changed = new.since(&old);
+    changed.services = vec![Run::Same { from: 1, count: 1 }, Run::New(vec!["v".into()])];
+    changed.limits = limits(130);
+    let to_stile = [
+        ToStile::Elsewhere(None),
+        ToStile::Elsewhere(Some(at("[fd00::9]:82"))),
+        ToStile::Welcome { stewards: vec![at("10.0.0.5:83"), at("10.0.0.6:84")] },
+        ToStile::Configured(Box::new(new)),
+        ToStile::Changed(Box::new(changed)),
+        ToStile::Directory(vec![listed("i1", false), listed("i2", true)]),
+        ToStile::Moved { listed: vec![listed("i3", true)], gone: vec!["i4".into(), "i5".into()] },
+        granted(true),
+        granted(false),
+        ToStile::Revoke { service: s, term: DbTerm(141) },
+        ToStile::Renew,
+    ];
+    let join = |was| Frame::Join { member: member(9, true, false), was };
+    (kinds.into_iter().map(raft))
+        .chain([join(false), join(true)])
+        .chain(joined.map(Frame::Joined))
+        .chain(to_steward.map(Frame::Stile))
+        .chain(to_stile.map(Frame::Steward))
+        .collect()
+}
+
+/// Whether two frames hold the same, field by field. No `_` and no `..`: what is new has to be here.
+fn same(a: &Frame, b: &Frame) -> bool {
+    match (a, b) {
+        (Frame::Raft { to, message }, Frame::Raft { to: t, message: m }) => {
+            to == t && message == m && same_kind(&message.kind, &m.kind)
+        }
+        (Frame::Join { member, was }, Frame::Join { member: m, was: w }) => member == m && was == w,
+        (Frame::Joined(a), Frame::Joined(b)) => a == b,
+        (Frame::Stile(a), Frame::Stile(b)) => said(a, b),
+        (Frame::Steward(a), Frame::Steward(b)) => told(a, b),
+        (
+            Frame::Raft { .. }
+            | Frame::Join { .. }
+            | Frame::Joined(_)
+            | Frame::Stile(_)
+            | Frame::Steward(_),
+            _,
+        ) => false,
+    }
+}
+/// As `==` has it; only so that each field is named.
+fn same_kind(a: &RaftKind, b: &RaftKind) -> bool {
+    let again = match a.clone() {
+        RaftKind::AskVote { trial, handover, led, last } => {
+            RaftKind::AskVote { trial, handover, led, last }
+        }
+        RaftKind::Vote { trial, granted } => RaftKind::Vote { trial, granted },
+        RaftKind::Append { previous, entries, commit, sent } => {
+            RaftKind::Append { previous, entries, commit, sent }
+        }
+        RaftKind::Appended { upto, ok, sent } => RaftKind::Appended { upto, ok, sent },
+        RaftKind::Snapshot { snapshot: Snapshot { last, members, state }, sent } => {
+            RaftKind::Snapshot { snapshot: Snapshot { last, members, state }, sent }
+        }
+        RaftKind::TakeOver => RaftKind::TakeOver,
+        RaftKind::Part { transfer, size, offset, bytes, sent } => {
+            RaftKind::Part { transfer, size, offset, bytes, sent }
+        }
+        RaftKind::PartTaken { transfer, upto, sent } => {
+            RaftKind::PartTaken { transfer, upto, sent }
+        }
+    };
+    again == *b
+}
+fn said(a: &ToSteward, b: &ToSteward) -> bool {
+    use ToSteward::*;
+    match (a, b) {
+        (
+            Hello { node, life, revision, zone },
+            Hello { node: n, life: l, revision: r, zone: z },
+        ) => (node, life, revision, zone) == (n, l, r, z),
+        (
+            Renew { seq, heard, shares, wants, saw, asks, busy },
+            Renew { seq: q, heard: h, shares: s, wants: w, saw: v, asks: k, busy: y },
+        ) => (seq, heard, shares, wants, saw, asks, busy) == (q, h, s, w, v, k, y),
+        (Suspect { service, instance, why }, Suspect { service: s, instance: i, why: w }) => {
+            (service, instance, why) == (s, i, w)
+        }
+        (Revoked { service, term, highest }, Revoked { service: s, term: t, highest: h }) => {
+            (service, term, highest) == (s, t, h)
+        }
+        (Whole, Whole) | (Bye, Bye) => true,
+        (Hello { .. } | Renew { .. } | Suspect { .. } | Revoked { .. } | Whole | Bye, _) => false,
+    }
+}
+fn told(a: &ToStile, b: &ToStile) -> bool {
+    use ToStile::*;
+    match (a, b) {
+        (Elsewhere(a), Elsewhere(b)) => a == b,
+        (Welcome { stewards: a }, Welcome { stewards: b }) => a == b,
+        (Configured(a), Configured(b)) => a == b,
+        (Changed(a), Changed(b)) => a == b,
+        (Directory(a), Directory(b)) => a == b,
+        (Moved { listed, gone }, Moved { listed: l, gone: g }) => (listed, gone) == (l, g),
+        (
+            Granted { seq, lease_ms, whole, grants, fresh, plots },
+            Granted { seq: s, lease_ms: l, whole: w, grants: g, fresh: f, plots: p },
+        ) => (seq, lease_ms, whole, grants, fresh, plots) == (s, l, w, g, f, p),
+        (Revoke { service, term }, Revoke { service: s, term: t }) => (service, term) == (s, t),
+        (Renew, Renew) => true,
+        (
+            Elsewhere(_)
+            | Welcome { .. }
+            | Configured(_)
+            | Changed(_)
+            | Directory(_)
+            | Moved { .. }
+            | Granted { .. }
+            | Revoke { .. }
+            | Renew,
+            _,
+        ) => false,
+    }
+}
+/// The names of what is only inside; no `_`, for the same reason.
+fn inner(doubt: Doubt, standing: &Standing, body: &Body, run: &Run<u8>) -> [&'static str; 4] {
+    [
+        match doubt {
+            Doubt::Broken => "Broken",
+            Doubt::Silent => "Silent",
+        },
+        match standing {
+            Standing::Led { term: _, primary: _ } => "Led",
+            Standing::Sealed(_) => "Sealed",
+            Standing::Unled => "Unled",
+        },
+        match body {
+            Body::Opened => "Opened",
+            Body::Members(_) => "Members",
+            Body::Change(_) => "Change",
+        },
+        match run {
+            Run::Same { from: _, count: _ } => "Same",
+            Run::New(_) => "New",
+        },
+    ]
+}
+
+/// The names in encoded values, whatever Rust calls them: texts that begin with a capital, which no
+/// other text here does, each behind the names it stands in. Families of addresses are left out.
+#[derive(Default)]
+struct Names(Vec<String>);
+impl Names {
+    fn of(bytes: &[u8]) -> BTreeSet<String> {
+        let names: Names = rmp_serde::from_slice(bytes).expect("a value");
+        names.0.into_iter().collect()
+    }
+    fn named(name: &str) -> bool {
+        name.starts_with(|c: char| c.is_ascii_uppercase()) && !matches!(name, "V4" | "V6")
+    }
+}
+impl<'de> Deserialize<'de> for Names {
+    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
+        struct Walk;
+        impl<'de> Visitor<'de> for Walk {
+            type Value = Names;
+            fn expecting(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+                f.write_str("anything")
+            }
+            fn visit_bool<E>(self, _: bool) -> Result<Names, E> {
+                Ok(Names::default())
+            }
+            fn visit_u64<E>(self, _: u64) -> Result<Names, E> {
+                Ok(Names::default())
+            }
+            fn visit_unit<E>(self) -> Result<Names, E> {
+                Ok(Names::default())
+            }
+            fn visit_bytes<E>(self, _: &[u8]) -> Result<Names, E> {
+                Ok(Names::default())
+            }
+            fn visit_str<E>(self, text: &str) -> Result<Names, E> {
+                Ok(Names(Vec::from_iter(Names::named(text).then(|| text.to_owned()))))
+            }
+            fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Names, A::Error> {
+                let mut all = Names::default();
+                while let Some(names) = seq.next_element::<Names>()? {
+                    all.0.extend(names.0);
+                }
+                Ok(all)
+            }
+            fn visit_map<A: MapAccess<'de>>(self, mut map: A) -> Result<Names, A::Error> {
+                let mut all = Names::default();
+                while let Some((key, names)) = map.next_entry::<Names, Names>()? {
+                    match key.0.into_iter().next() {
+                        Some(key) => {
+                            all.0.extend(names.0.iter().map(|name| format!("{key} {name}")));
+                            all.0.push(key);
+                        }
+                        None => all.0.extend(names.0),
+                    }
+                }
+                Ok(all)
+            }
+        }
+        from.deserialize_any(Walk)
+    }
+}
+fn assert_names(found: BTreeSet<String>, wanted: &str) {
+    let wanted: BTreeSet<String> =
+        wanted.lines().map(str::trim).filter(|l| !l.is_empty()).map(str::to_owned).collect();
+    let lacking: Vec<_> = wanted.difference(&found).collect();
+    let new: Vec<_> = found.difference(&wanted).collect();
+    assert!(lacking.is_empty() && new.is_empty(), "lacking {lacking:?}, new {new:?}");
+}
+
+#[test]
+fn every_frame_is_read_and_written_as_ever() {
+    let mut rest = FRAMES;
+    let mut read = Vec::new();
+    while !rest.is_empty() {
+        let start = rest;
+        let (frame, layout) = receive_with_layout(&mut rest).expect("a frame");
+        assert_eq!(layout, 2);
+        read.push((frame, &start[..start.len() - rest.len()]));
+    }
+    let made = frames();
+    assert_eq!(read.len(), made.len());
+    for ((frame, bytes), made) in read.iter().zip(&made) {
+        assert!(same(frame, made), "{frame:?} is not {made:?}");
+        assert_eq!(&encode(frame)[..], *bytes, "written again: {frame:?}");
+        assert_eq!(&encode(made)[..], *bytes, "made: {made:?}");
+    }
+    // Only parts ask for more than the first layout.
+    let asking: Vec<u8> = read.iter().map(|(_, bytes)| bytes[0]).filter(|l| *l != 0).collect();
+    assert_eq!(asking, [2, 2]);
+}
+
+#[test]
+fn the_names_in_frames_are_these() {
+    let mut rest = FRAMES;
+    let mut found = BTreeSet::new();
+    while !rest.is_empty() {
+        let length = u32::from_be_bytes([0, rest[1], rest[2], rest[3]]) as usize;
+        // Behind the value stands the layout that its sender reads.
+        found.extend(Names::of(&rest[4..3 + length]));
+        rest = &rest[4 + length..];
+    }
+    let led = Standing::Led { term: DbTerm(1), primary: "i".into() };
+    let first = inner(Doubt::Broken, &led, &Body::Opened, &Run::Same { from: 0, count: 0 });
+    assert_eq!(first, ["Broken", "Led", "Opened", "Same"]);
+    assert_names(
+        found,
+        "Raft
+         Raft AskVote
+         Raft Vote
+         Raft Append
+         Raft Append Opened
+         Raft Append Members
+         Raft Append Change
+         Raft Appended
+         Raft Snapshot
+         Raft TakeOver
+         Raft Part
+         Raft PartTaken
+         Join
+         Joined
+         Joined Elsewhere
+         Joined Noted
+         Joined Listed
+         Joined Removed
+         Joined Found
+         Stile
+         Stile Hello
+         Stile Renew
+         Stile Suspect
+         Stile Suspect Broken
+         Stile Suspect Silent
+         Stile Revoked
+         Stile Whole
+         Stile Bye
+         Steward
+         Steward Elsewhere
+         Steward Welcome
+         Steward Configured
+         Steward Changed
+         Steward Changed Same
+         Steward Changed New
+         Steward Directory
+         Steward Moved
+         Steward Granted
+         Steward Granted Led
+         Steward Granted Sealed
+         Steward Granted Unled
+         Steward Revoke
+         Steward Renew",
+    );
+}
+
+fn folder(name: &str) -> PathBuf {
+    let path = std::env::temp_dir().join(format!("silvertack-{name}-{}", std::process::id()));
+    let _ = std::fs::remove_dir_all(&path);
+    std::fs::create_dir_all(&path).expect("folder");
+    path
+}
+/// All that a folder's file holds, as SQL that makes it again.
+fn dump(folder: &Path) -> String {
+    let db = rusqlite::Connection::open(folder.join("hedge.sqlite")).expect("file");
+    let mut out = String::from("BEGIN TRANSACTION;\n");
+    let mut things = db.prepare("SELECT name, sql FROM sqlite_master ORDER BY rowid").expect("SQL");
+    let mut things = things.query([]).expect("tables");
+    while let Some(thing) = things.next().expect("a table") {
+        let (name, sql): (String, String) =
+            (thing.get(0).expect("name"), thing.get(1).expect("SQL"));
+        writeln!(out, "{sql};").expect("text");
+        let mut rows = db.prepare(&format!("SELECT * FROM {name} ORDER BY 1")).expect("SQL");
+        let columns = rows.column_count();
+        let mut rows = rows.query([]).expect("rows");
+        while let Some(row) = rows.next().expect("a row") {
+            let value = |at| match row.get_ref(at).expect("a value") {
+                rusqlite::types::ValueRef::Null => "NULL".to_owned(),
+                rusqlite::types::ValueRef::Integer(n) => n.to_string(),
+                rusqlite::types::ValueRef::Blob(bytes) => {
+                    let digits: String = bytes.iter().map(|b| format!("{b:02x}")).collect();
+                    format!("X'{digits}'")
+                }
+                other => panic!("{other:?}"),
+            };
+            let values: Vec<String> = (0..columns).map(value).collect();
+            writeln!(out, "INSERT INTO {name} VALUES({});", values.join(",")).expect("text");
+        }
+    }
+    let version: i64 = db.query_row("PRAGMA user_version", [], |r| r.get(0)).expect("version");
+    writeln!(out, "COMMIT;\nPRAGMA user_version = {version};").expect("text");
+    out
+}
+
+fn instance(port: u16, lifecycle_state: Lifecycle, database_role: Role) -> Instance {
+    Instance {
+        target_service: "s".into(),
+        address: at(&format!("10.0.2.1:{port}")),
+        zone: "z3".into(),
+        revision: "v2".into(),
+        capacity: 151,
+        lifecycle_state,
+        database_role,
+    }
+}
+fn beat(id: &str, instance: Instance, sequence: u64) -> Change {
+    Change::Beat { id: id.into(), instance, sequence }
+}
+/// One of each variant; all of them do something behind `state()`.
+fn changes() -> Vec<Change> {
+    let service = || ServiceName::from("s");
+    let body = ByteBuf::from(order(162, &TYPES));
+    let departed = BTreeMap::from([("d3".into(), 204), ("d4".into(), 205)]);
+    vec![
+        Change::Configure { base: Revision(161), revision: Revision(162), body },
+        beat("d5", instance(201, Lifecycle::Draining, Role::Primary), 206),
+        Change::Gone { id: "d2".into(), sequence: 207 },
+        Change::Led { service: service(), term: DbTerm(208), primary: "d1".into() },
+        Change::Intend { service: service(), term: DbTerm(208), target: "d5".into() },
+        Change::Abandon { service: service(), target: "d5".into() },
+        Change::Covered { service: service(), departed },
+        Change::Returned { service: service(), term: DbTerm(208), primary: "d5".into() },
+    ]
+}
+/// The name of a change in the log. No `_` and no `..`: what is new has to be here.
+fn name(change: &Change) -> &'static str {
+    match change {
+        Change::Configure { base: _, revision: _, body: _ } => "Configure",
+        Change::Beat { id: _, instance: _, sequence: _ } => "Beat",
+        Change::Gone { id: _, sequence: _ } => "Gone",
+        Change::Led { service: _, term: _, primary: _ } => "Led",
+        Change::Intend { service: _, term: _, target: _ } => "Intend",
+        Change::Abandon { service: _, target: _ } => "Abandon",
+        Change::Covered { service: _, departed: _ } => "Covered",
+        Change::Returned { service: _, term: _, primary: _ } => "Returned",
+    }
+}
+/// Its digest is of the older kind, which no program makes any more: it comes from a state of the
+/// first layout.
+const OLD_BODY: &[u8] = b"an older body";
+fn fnv(body: &[u8]) -> u64 {
+    let step = |h: u64, b: &u8| (h ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3);
+    body.iter().fold(0xcbf2_9ce4_8422_2325, step)
+}
+fn state() -> Almanac {
+    let taken = BTreeMap::from([(160, (OLD_BODY.len(), fnv(OLD_BODY)))]);
+    let empty = BTreeMap::<String, ()>::new();
+    let first = (bytes(OLD_BODY), 160, taken, &empty, Vec::<()>::new(), &empty);
+    let mut almanac = Almanac::read(&pack(&first)).expect("of the first layout");
+    let body = ByteBuf::from(order(161, &TYPES[..2]));
+    for change in [
+        Change::Configure { base: Revision(160), revision: Revision(161), body },
+        beat("d1", instance(211, Lifecycle::Available, Role::Primary), 212),
+        beat("d2", instance(213, Lifecycle::Draining, Role::Replica), 214),
+        beat("d3", instance(215, Lifecycle::Available, Role::Replica), 203),
+        beat("d4", instance(216, Lifecycle::Available, Role::Replica), 202),
+        Change::Led { service: "s".into(), term: DbTerm(200), primary: "d1".into() },
+        Change::Intend { service: "s".into(), term: DbTerm(200), target: "d2".into() },
+        Change::Led { service: "t".into(), term: DbTerm(199), primary: "e1".into() },
+        Change::Gone { id: "d3".into(), sequence: 204 },
+        Change::Gone { id: "d4".into(), sequence: 205 },
+    ] {
+        assert_eq!(almanac.apply(&change), Effect::Done, "{change:?}");
+    }
+    almanac
+}
+fn kept() -> Kept {
+    let mut bodies = vec![Body::Opened, Body::Members(members())];
+    bodies.extend(changes().iter().map(|change| Body::Change(ByteBuf::from(pack(change)))));
+    let numbered = (233..).zip(bodies).map(|(index, body)| entry(232, index, body));
+    let log = numbered.collect();
+    Kept {
+        me: MemberId(5),
+        epoch: Epoch(234),
+        voted: Some(MemberId(6)),
+        led: Some(Epoch(230)),
+        log,
+        snapshot: Snapshot {
+            last: (Epoch(231), Index(232)),
+            members: members(),
+            state: ByteBuf::from(state().write()),
+        },
+    }
+}
+/// The folder as it was written then.
+fn folder_of_then(name: &str) -> PathBuf {
+    let path = folder(name);
+    let db = rusqlite::Connection::open(path.join("hedge.sqlite")).expect("file");
+    db.execute_batch(STATE).expect("loaded");
+    db.execute_batch("PRAGMA journal_mode = WAL").expect("as it was");
+    std::fs::write(path.join("member"), "members 5\n").expect("mark");
+    path
+}
+/// All that is in a folder but the file of SQLite, which is closed.
+fn beside(folder: &Path) -> Vec<(String, String)> {
+    let mut files: Vec<(String, String)> = std::fs::read_dir(folder)
+        .expect("folder")
+        .map(|file| file.expect("file").path())
+        .filter(|path| path.file_name().is_some_and(|n| n != "hedge.sqlite"))
+        .map(|path| {
+            let name = path.file_name().expect("name").to_string_lossy().into_owned();
+            (name, std::fs::read_to_string(&path).expect("text"))
+        })
+        .collect();
+    files.sort();
+    files
+}
+
+#[test]
+fn a_state_folder_is_read_and_written_as_ever() {
+    let old = folder_of_then("then");
+    let (granary, read) = Granary::open(&old).expect("opened");
+    drop(granary);
+    let (read, made) = (read.expect("a state"), kept());
+    assert_eq!((read.me, read.epoch), (made.me, made.epoch));
+    assert_eq!((read.voted, read.led), (made.voted, made.led));
+    assert_eq!(read.log, made.log);
+    assert_eq!(read.snapshot, made.snapshot);
+
+    let mut almanac = Almanac::read(&read.snapshot.state).expect("a state");
+    assert_eq!(almanac, state());
+    assert_eq!(read_kept(&read).expect("readable"), almanac);
+    assert_eq!(almanac.write(), *read.snapshot.state);
+    let record = &almanac.instances[&"d2".into()];
+    let draining = instance(213, Lifecycle::Draining, Role::Replica);
+    assert_eq!((&record.instance, record.sequence), (&draining, 214));
+    let lead = &almanac.leads[&"s".into()];
+    assert_eq!((lead.term, lead.primary.0.as_str()), (DbTerm(200), "d1"));
+    assert_eq!(lead.intent, Some("d2".into()));
+    assert_eq!(almanac.leads[&"t".into()].intent, None);
+    let departed = BTreeMap::from([("d3".into(), 204), ("d4".into(), 205)]);
+    assert_eq!(almanac.departed(&"s".into()), departed);
+    // Both kinds of digests know their own body and no other, and who left stays away.
+    let now = order(161, &TYPES[..2]);
+    for (revision, body, effect) in [
+        (160, OLD_BODY, Effect::Nothing),
+        (160, &now, Effect::Outdated),
+        (161, &now, Effect::Nothing),
+        (161, OLD_BODY, Effect::Outdated),
+    ] {
+        assert_eq!(almanac.judge(Revision(3), Revision(revision), body), effect, "{revision}");
+    }
+    for (sequence, news) in [(204, false), (205, true)] {
+        assert_eq!(almanac.news(&"d3".into(), &draining, sequence), news);
+    }
+
+    // Written again from the values.
+    let mut again = Kept { log: Vec::new(), ..read.clone() };
+    for (entry, made) in read.log.iter().zip(&made.log) {
+        let mut entry = entry.clone();
+        if let Body::Change(bytes) = &mut entry.body {
+            let change = unpack::<Change>(bytes).expect("a change");
+            assert_eq!(almanac.apply(&change), Effect::Done, "{change:?}");
+            *bytes = ByteBuf::from(pack(&change));
+        }
+        assert_eq!(entry, *made);
+        again.log.push(entry);
+    }
+    again.snapshot.state = ByteBuf::from(state().write());
+    let new = folder("now");
+    for kept in [again, made] {
+        let _ = std::fs::remove_dir_all(&new);
+        let (granary, _, restarted) = Granary::found(&new, || kept).expect("founded");
+        drop(granary);
+        assert!(!restarted);
+        assert_eq!(dump(&new), STATE);
+        assert_eq!(beside(&new), [("member".to_owned(), "members 5\n".to_owned())]);
+    }
+    assert_eq!(dump(&old), STATE, "opening changes nothing");
+    assert_eq!(beside(&old), beside(&new));
+    let _ = std::fs::remove_dir_all(&old);
+    let _ = std::fs::remove_dir_all(&new);
+}
+
+#[test]
+fn the_names_in_a_state_are_these() {
+    let old = folder_of_then("names");
+    let kept = Granary::open(&old).expect("opened").1.expect("a state");
+    let _ = std::fs::remove_dir_all(&old);
+    let mut found = BTreeSet::new();
+    let mut names = Vec::new();
+    for entry in &kept.log {
+        found.extend(Names::of(&pack(entry)));
+        if let Body::Change(bytes) = &entry.body {
+            found.extend(Names::of(bytes).into_iter().map(|name| format!("Change {name}")));
+            names.push(name(&unpack::<Change>(bytes).expect("a change")));
+        }
+    }
+    let listed = ["Configure", "Beat", "Gone", "Led", "Intend", "Abandon", "Covered", "Returned"];
+    assert_eq!(names, listed);
+    assert_names(
+        found,
+        "Opened
+         Members
+         Change
+         Change Configure
+         Change Beat
+         Change Gone
+         Change Led
+         Change Intend
+         Change Abandon
+         Change Covered
+         Change Returned",
+    );
+    // The state has no names of its own: digests are told apart by their form.
+    let state = &kept.snapshot.state[1..];
+    assert_eq!((kept.snapshot.state[0], Names::of(state)), (2, BTreeSet::new()));
+    type Database = (String, Names, String, String, u32, String, String);
+    type Form = (
+        ByteBuf,
+        u64,
+        BTreeMap<u64, Names>,
+        BTreeMap<String, (Database, u64)>,
+        Vec<(String, u64)>,
+        BTreeMap<String, (u64, String, Option<String>)>,
+        BTreeMap<String, BTreeMap<String, u64>>,
+    );
+    let form: Form = unpack(state).expect("of this form");
+    let (body, revision, taken, instances, gone, leads, departed) = form;
+    assert_eq!((&body[..], revision), (&order(161, &TYPES[..2])[..], 161));
+    assert_eq!(taken.into_keys().collect::<Vec<_>>(), [160, 161]);
+    let words = instances.iter().map(|(id, (d, n))| (id.as_str(), d.5.as_str(), d.6.as_str(), *n));
+    let words: Vec<_> = words.collect();
+    assert_eq!(words, [("d1", "available", "primary", 212), ("d2", "draining", "replica", 214)]);
+    assert_eq!(gone, [("d3".to_owned(), 204), ("d4".to_owned(), 205)]);
+    assert_eq!(leads["s"], (200, "d1".to_owned(), Some("d2".to_owned())));
+    assert_eq!(departed["s"], BTreeMap::from([("d3".to_owned(), 204), ("d4".to_owned(), 205)]));
+    let old = pack(&(OLD_BODY.len(), fnv(OLD_BODY)));
+    let new = [&[0xc4, 32][..], &Sha256::digest(&body)].concat();
+    let holds = |form: &[u8]| state.windows(form.len()).any(|part| part == form);
+    assert!(holds(&old) && holds(&new), "digests of both kinds");
+}
