--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -431,65 +431,66 @@
     assert_eq!(asking, [2, 2]);
 }
 
+const FRAME_NAMES: &str = "Raft
+    Raft AskVote
+    Raft Vote
+    Raft Append
+    Raft Append Opened
+    Raft Append Members
+    Raft Append Change
+    Raft Appended
+    Raft Snapshot
+    Raft TakeOver
+    Raft Part
+    Raft PartTaken
+    Join
+    Joined
+    Joined Elsewhere
+    Joined Noted
+    Joined Listed
+    Joined Removed
+    Joined Found
+    Stile
+    Stile Hello
+    Stile Renew
+    Stile Suspect
+    Stile Suspect Broken
+    Stile Suspect Silent
+    Stile Revoked
+    Stile Whole
+    Stile Bye
+    Steward
+    Steward Elsewhere
+    Steward Welcome
+    Steward Configured
+    Steward Changed
+    Steward Changed Same
+    Steward Changed New
+    Steward Directory
+    Steward Moved
+    Steward Granted
+    Steward Granted Led
+    Steward Granted Sealed
+    Steward Granted Unled
+    Steward Revoke
+    Steward Renew";
+
 #[test]
 fn the_names_in_frames_are_these() {
-    let mut rest = FRAMES;
-    let mut found = BTreeSet::new();
-    while !rest.is_empty() {
-        let length = u32::from_be_bytes([0, rest[1], rest[2], rest[3]]) as usize;
-        // Behind the value stands the layout that its sender reads.
-        found.extend(Names::of(&rest[4..3 + length]));
-        rest = &rest[4 + length..];
+    let now: Vec<u8> = frames().iter().flat_map(|frame| encode(frame).to_vec()).collect();
+    for file in [FRAMES, &now] {
+        let (mut rest, mut found) = (file, BTreeSet::new());
+        while !rest.is_empty() {
+            let length = u32::from_be_bytes([0, rest[1], rest[2], rest[3]]) as usize;
+            // Behind the value stands the layout that its sender reads.
+            found.extend(Names::of(&rest[4..3 + length]));
+            rest = &rest[4 + length..];
+        }
+        assert_names(found, FRAME_NAMES);
     }
     let led = Standing::Led { term: DbTerm(1), primary: "i".into() };
     let first = inner(Doubt::Broken, &led, &Body::Opened, &Run::Same { from: 0, count: 0 });
     assert_eq!(first, ["Broken", "Led", "Opened", "Same"]);
-    assert_names(
-        found,
-        "Raft
-         Raft AskVote
-         Raft Vote
-         Raft Append
-         Raft Append Opened
-         Raft Append Members
-         Raft Append Change
-         Raft Appended
-         Raft Snapshot
-         Raft TakeOver
-         Raft Part
-         Raft PartTaken
-         Join
-         Joined
-         Joined Elsewhere
-         Joined Noted
-         Joined Listed
-         Joined Removed
-         Joined Found
-         Stile
-         Stile Hello
-         Stile Renew
-         Stile Suspect
-         Stile Suspect Broken
-         Stile Suspect Silent
-         Stile Revoked
-         Stile Whole
-         Stile Bye
-         Steward
-         Steward Elsewhere
-         Steward Welcome
-         Steward Configured
-         Steward Changed
-         Steward Changed Same
-         Steward Changed New
-         Steward Directory
-         Steward Moved
-         Steward Granted
-         Steward Granted Led
-         Steward Granted Sealed
-         Steward Granted Unled
-         Steward Revoke
-         Steward Renew",
-    );
 }
 
 fn folder(name: &str) -> PathBuf {
