--- a/tests/hedge.rs
+++ b/tests/hedge.rs
@@ -625,3 +625,64 @@
     assert!(Granary::open(&torn).err().expect("refused").to_string().contains("is gone"));
     let _ = std::fs::remove_dir_all(&base);
 }
+
+/// Entries of these terms, from index 1 on.
+fn log_of(terms: &[u64]) -> Vec<Entry> {
+    let entry = |(term, index): (&u64, u64)| Entry {
+        epoch: Epoch(*term),
+        index: Index(index),
+        body: change(index as u8),
+    };
+    terms.iter().zip(1..).map(entry).collect()
+}
+/// Member 1 of so many voters in this term, with entries of these terms on its disk.
+fn replica(voters: u64, term: u64, terms: &[u64]) -> Hedge {
+    let kept = Kept { epoch: Epoch(term), log: log_of(terms), ..founder(1, voters) };
+    Hedge::new(kept, false, Tick(1_000), || 0)
+}
+fn raft(id: u64, term: u64, kind: RaftKind) -> Raft {
+    Raft { from: MemberId(id), epoch: Epoch(term), kind }
+}
+fn store(hedge: &mut Hedge) {
+    hedge.dirty = Dirty::default();
+    hedge.stored(hedge.last());
+}
+/// When member 1 was elected by `elected`.
+const ELECTED: Tick = Tick(2_000);
+/// Member 1 as the leader of this term; its first entry of that term follows those of the others.
+fn elected(voters: u64, term: u64, terms: &[u64]) -> Hedge {
+    let mut hedge = replica(voters, term - 1, terms);
+    hedge.tick(ELECTED);
+    for trial in [true, false] {
+        for id in 2..=voters {
+            hedge.step(raft(id, term, RaftKind::Vote { trial, granted: true }), ELECTED);
+        }
+    }
+    assert!(hedge.is_leader() && hedge.kept.epoch == Epoch(term));
+    store(&mut hedge);
+    hedge.out.clear();
+    hedge
+}
+fn appended(upto: u64) -> RaftKind {
+    RaftKind::Appended { upto: Index(upto), ok: true, sent: ELECTED.0 }
+}
+
+#[test]
+fn a_leader_counts_replicas_only_for_entries_of_its_own_term() {
+    // (what, voters, terms of the entries before its own, its term, how far each follower
+    // acknowledges, one after the other, the commit index after each)
+    type Case = (&'static str, u64, &'static [u64], u64, &'static [u64], &'static [u64]);
+    let cases: [Case; 4] = [
+        ("figure 8: an entry of term 2 on most disks", 5, &[1, 2], 4, &[2, 2, 2, 2], &[0; 4]),
+        ("and with one of its own term behind it", 5, &[1, 2], 4, &[3, 2, 3], &[0, 0, 3]),
+        ("three voters", 3, &[1, 1, 3], 7, &[3, 4], &[0, 4]),
+        ("nothing of older terms", 3, &[], 1, &[1], &[1]),
+    ];
+    for (what, voters, terms, term, acknowledged, commits) in cases {
+        let mut leader = elected(voters, term, terms);
+        for (id, (upto, commit)) in (2..).zip(acknowledged.iter().zip(commits)) {
+            leader.step(raft(id, term, appended(*upto)), ELECTED);
+            assert_eq!(leader.commit, Index(*commit), "{what}: member {id} has {upto}");
+        }
+    }
+}
