--- a/tests/hedge.rs
+++ b/tests/hedge.rs
@@ -686,3 +686,62 @@
         }
     }
 }
+
+/// The answers to candidates that leave: of a pre-vote or not, granted or not, and their term.
+fn votes_of(hedge: &mut Hedge) -> Vec<(bool, bool, u64)> {
+    let out = hedge.out.drain(..);
+    out.filter_map(|(_, m)| match m.kind {
+        RaftKind::Vote { trial, granted } => Some((trial, granted, m.epoch.0)),
+        _ => None,
+    })
+    .collect()
+}
+
+#[test]
+fn a_vote_goes_once_in_a_term_to_a_candidate_whose_log_is_up_to_date() {
+    let log: &[u64] = &[1, 3, 3];
+    // (what, whom the voter, in term 5, voted for, the candidate's term, term and index of its last
+    // entry, whether it gets the vote, the voter's term afterwards)
+    type Case = (&'static str, Option<u64>, u64, (u64, u64), bool, u64);
+    let cases: [Case; 11] = [
+        ("the same log", None, 5, (3, 3), true, 5),
+        ("a longer log of the same last term", None, 5, (3, 4), true, 5),
+        ("a shorter log of the same last term", None, 5, (3, 2), false, 5),
+        ("a shorter log of a later last term", None, 5, (4, 2), true, 5),
+        ("a longer log of an earlier last term", None, 5, (2, 9), false, 5),
+        ("an empty log", None, 6, (0, 0), false, 6),
+        ("asked again by the same one", Some(2), 5, (3, 3), true, 5),
+        ("a second candidate in the term", Some(3), 5, (4, 9), false, 5),
+        ("a vote of an earlier term binds no more", Some(3), 6, (3, 3), true, 6),
+        ("a candidate of an earlier term", None, 4, (4, 9), false, 5),
+        ("its own term's candidate is itself", Some(1), 5, (4, 9), false, 5),
+    ];
+    for (what, voted, term, last, granted, after) in cases {
+        let mut voter = replica(3, 5, log);
+        voter.kept.voted = voted.map(MemberId);
+        let last = (Epoch(last.0), Index(last.1));
+        let ask = |trial| RaftKind::AskVote { trial, handover: false, led: false, last };
+        voter.step(raft(2, term, ask(false)), ELECTED);
+        assert_eq!(votes_of(&mut voter), [(false, granted, after)], "{what}");
+        assert_eq!(voter.kept.epoch, Epoch(after), "{what}");
+        if granted {
+            assert_eq!(voter.kept.voted, Some(MemberId(2)), "{what}");
+            let new = voted != Some(2) || after > 5;
+            assert!(voter.dirty.hard || !new, "{what}: the vote goes to the disk");
+            // From now on this term's vote is spent.
+            voter.step(raft(3, term, ask(false)), ELECTED);
+            assert_eq!(votes_of(&mut voter), [(false, false, after)], "{what}: a second one");
+        }
+        // A pre-vote goes by the log alone, spends nothing, and is for a later term only.
+        let mut voter = replica(3, 5, log);
+        voter.kept.voted = voted.map(MemberId);
+        voter.step(raft(2, 5, ask(true)), ELECTED);
+        assert_eq!(votes_of(&mut voter), [(true, false, 5)], "{what}: pre-vote of this term");
+        voter.step(raft(2, 6, ask(true)), ELECTED);
+        let current = last >= (Epoch(3), Index(3));
+        let at = if current { 6 } else { 5 };
+        assert_eq!(votes_of(&mut voter), [(true, current, at)], "{what}: pre-vote");
+        assert_eq!((voter.kept.epoch.0, voter.kept.voted), (5, voted.map(MemberId)), "{what}");
+        assert!(!voter.dirty.hard, "{what}");
+    }
+}
