--- a/tests/hedge.rs
+++ b/tests/hedge.rs
@@ -745,3 +745,52 @@
         assert!(!voter.dirty.hard, "{what}");
     }
 }
+
+#[test]
+fn whoever_has_a_leader_helps_no_candidate() {
+    let heartbeat = RaftKind::Append {
+        previous: (Epoch(0), Index(0)),
+        entries: Vec::new(),
+        commit: Index(0),
+        sent: 1,
+    };
+    // (milliseconds since the follower heard its leader, the leader itself asked for the election,
+    // whether the follower answers)
+    let cases = [
+        (0, false, false),
+        (ELECTION_MIN_MS - 1, false, false),
+        (ELECTION_MIN_MS - 1, true, true),
+        (ELECTION_MIN_MS, false, true),
+    ];
+    for (since, handover, answers) in cases {
+        for trial in [true, false] {
+            let what = format!("{since} ms, handover {handover}, pre-vote {trial}");
+            let mut follower = replica(3, 5, &[1]);
+            follower.step(raft(2, 5, heartbeat.clone()), ELECTED);
+            store(&mut follower);
+            follower.out.clear();
+            let last = (Epoch(5), Index(9));
+            let ask = RaftKind::AskVote { trial, handover, led: false, last };
+            follower.step(raft(3, 6, ask.clone()), ELECTED.plus(since));
+            let expected = if answers { vec![(trial, true, 6)] } else { vec![] };
+            assert_eq!(votes_of(&mut follower), expected, "{what}");
+            let moved = answers && !trial;
+            assert_eq!(follower.kept.epoch, Epoch(if moved { 6 } else { 5 }), "{what}");
+            // A leader answers so too, by when a quorum last answered it.
+            let mut leader = elected(3, 5, &[1]);
+            leader.step(raft(2, 5, appended(2)), ELECTED);
+            leader.step(raft(3, 6, ask), ELECTED.plus(since));
+            assert_eq!(votes_of(&mut leader), expected, "{what}: leader");
+            assert_eq!(leader.is_leader(), !moved, "{what}");
+        }
+    }
+    // In a term whose leader it knows it votes no more, however long that one has been silent.
+    let mut follower = replica(3, 5, &[1]);
+    follower.step(raft(2, 5, heartbeat), ELECTED);
+    follower.out.clear();
+    let last = (Epoch(4), Index(9));
+    let ask = RaftKind::AskVote { trial: false, handover: false, led: false, last };
+    follower.step(raft(3, 5, ask), ELECTED.plus(60_000));
+    assert_eq!(votes_of(&mut follower), [(false, false, 5)]);
+    assert_eq!((follower.leader, follower.kept.voted), (Some(MemberId(2)), None));
+}
