--- a/tests/hedge.rs
+++ b/tests/hedge.rs
@@ -794,3 +794,42 @@
     assert_eq!(votes_of(&mut follower), [(false, false, 5)]);
     assert_eq!((follower.leader, follower.kept.voted), (Some(MemberId(2)), None));
 }
+
+#[test]
+fn a_candidate_counts_votes_of_its_own_term_and_kind_only() {
+    // (what, the answer is to a pre-vote, granted, its term, whether the candidate of term 6 leads)
+    let cases = [
+        ("a vote", false, true, 6, true),
+        ("a vote of the term before", false, true, 5, false),
+        ("a vote of a later term", false, true, 7, false),
+        ("a pre-vote", true, true, 6, false),
+        ("a pre-vote of the next term", true, true, 7, false),
+        ("a refusal", false, false, 6, false),
+        ("a refusal of the term before", false, false, 5, false),
+    ];
+    for (what, trial, granted, term, leads) in cases {
+        let mut candidate = replica(3, 5, &[1]);
+        candidate.tick(ELECTED);
+        assert_eq!(candidate.kept.epoch, Epoch(5), "a pre-vote moves no term");
+        // Nothing but a granted pre-vote for the next term moves it.
+        for (trial, granted, term) in [(true, true, 5), (true, false, 5), (false, true, 6)] {
+            candidate.step(raft(2, term, RaftKind::Vote { trial, granted }), ELECTED);
+            assert_eq!(candidate.kept.epoch, Epoch(5), "{trial} {granted} {term}");
+        }
+        candidate.step(raft(2, 6, RaftKind::Vote { trial: true, granted: true }), ELECTED);
+        assert_eq!((candidate.kept.epoch, candidate.kept.voted), (Epoch(6), Some(MemberId(1))));
+        assert!(candidate.dirty.hard && !candidate.is_leader(), "{what}: its own vote is kept");
+        candidate.step(raft(3, term, RaftKind::Vote { trial, granted }), ELECTED);
+        assert_eq!(candidate.is_leader(), leads, "{what}");
+    }
+    // One that hears of a later term in a refusal goes there as a follower, with its vote unspent.
+    for leads in [false, true] {
+        let mut hedge = if leads { elected(3, 6, &[1]) } else { replica(3, 5, &[1]) };
+        hedge.tick(ELECTED);
+        hedge.step(raft(3, 9, RaftKind::Vote { trial: false, granted: false }), ELECTED);
+        assert!(!hedge.is_leader());
+        assert_eq!((hedge.kept.epoch, hedge.kept.voted), (Epoch(9), None), "leads: {leads}");
+        hedge.step(raft(2, 6, RaftKind::Vote { trial: true, granted: true }), ELECTED);
+        assert_eq!(hedge.kept.epoch, Epoch(9), "it is no candidate any more");
+    }
+}
