--- a/tests/hedge.rs
+++ b/tests/hedge.rs
@@ -833,3 +833,65 @@
         assert_eq!(hedge.kept.epoch, Epoch(9), "it is no candidate any more");
     }
 }
+
+/// The terms of the entries that a member holds in its log.
+fn terms_of(hedge: &Hedge) -> Vec<u64> {
+    hedge.kept.log.iter().map(|e| e.epoch.0).collect()
+}
+
+#[test]
+fn a_follower_takes_entries_only_where_its_log_agrees_with_the_leaders() {
+    // (what, term of the Append, the entry before it, terms of its entries, the leader's commit
+    // index; the log afterwards, the commit index, whether it says yes, up to where). The follower
+    // in term 4 holds entries of terms 1, 1, 2, 2, of which the first is committed.
+    type Append = (u64, (u64, u64), &'static [u64], u64);
+    type Case = (&'static str, Append, &'static [u64], u64, (bool, u64));
+    let cases: [Case; 12] = [
+        ("the next entry", (4, (2, 4), &[4], 2), &[1, 1, 2, 2, 4], 2, (true, 5)),
+        ("a conflicting suffix is replaced", (4, (1, 2), &[3], 0), &[1, 1, 3], 1, (true, 3)),
+        ("in its middle", (4, (1, 2), &[2, 4, 4], 0), &[1, 1, 2, 4, 4], 1, (true, 5)),
+        ("one that came late shortens nothing", (4, (1, 1), &[1], 1), &[1, 1, 2, 2], 1, (true, 2)),
+        ("a heartbeat shortens nothing", (4, (1, 1), &[], 1), &[1, 1, 2, 2], 1, (true, 1)),
+        ("the entry before is of another term", (4, (3, 3), &[4], 4), &[1, 1, 2, 2], 1, (false, 2)),
+        ("and of an earlier one", (4, (1, 3), &[4], 4), &[1, 1, 2, 2], 1, (false, 2)),
+        ("the entry before is missing", (4, (4, 6), &[4], 6), &[1, 1, 2, 2], 1, (false, 4)),
+        (
+            "commit ends with the last entry that agrees",
+            (4, (1, 2), &[], 4),
+            &[1, 1, 2, 2],
+            2,
+            (true, 2),
+        ),
+        (
+            "commit ends with the last new entry",
+            (4, (2, 4), &[4], 9),
+            &[1, 1, 2, 2, 4],
+            5,
+            (true, 5),
+        ),
+        ("commit never moves back", (4, (2, 4), &[], 0), &[1, 1, 2, 2], 1, (true, 4)),
+        ("a leader of an earlier term", (3, (1, 2), &[3], 3), &[1, 1, 2, 2], 1, (false, 0)),
+    ];
+    for (what, (term, previous, terms, commit), log, committed, answer) in cases {
+        let mut follower = replica(3, 4, &[1, 1, 2, 2]);
+        let append = |previous: (u64, u64), terms: &[u64], commit| {
+            let (previous, commit) = ((Epoch(previous.0), Index(previous.1)), Index(commit));
+            let place =
+                |entry: Entry| Entry { index: Index(previous.1.0 + entry.index.0), ..entry };
+            let entries = log_of(terms).into_iter().map(place).collect();
+            RaftKind::Append { previous, entries, commit, sent: 7 }
+        };
+        follower.step(raft(3, 4, append((1, 1), &[], 1)), ELECTED);
+        follower.out.clear();
+        follower.step(raft(2, term, append(previous, terms, commit)), ELECTED);
+        store(&mut follower);
+        assert_eq!(terms_of(&follower), log, "{what}");
+        assert_eq!(follower.commit, Index(committed), "{what}");
+        let last = follower.out.pop().map(|(to, m)| (to, m.epoch, m.kind));
+        let sent = if term < 4 { 0 } else { 7 };
+        let kind = RaftKind::Appended { upto: Index(answer.1), ok: answer.0, sent };
+        assert_eq!(last, Some((MemberId(2), Epoch(4), kind)), "{what}");
+        let leader = if term < 4 { 3 } else { 2 };
+        assert_eq!(follower.leader, Some(MemberId(leader)), "{what}");
+    }
+}
