--- a/tests/hedge.rs
+++ b/tests/hedge.rs
@@ -895,3 +895,46 @@
         assert_eq!(follower.leader, Some(MemberId(leader)), "{what}");
     }
 }
+
+#[test]
+fn a_follower_acknowledges_what_its_disk_has_of_this_leaders_log() {
+    let entries = |from: u64, terms: &[u64]| -> Vec<Entry> {
+        let place = |e: Entry| Entry { index: Index(from + e.index.0 - 1), ..e };
+        log_of(terms).into_iter().map(place).collect()
+    };
+    let append = |previous: (u64, u64), entries| RaftKind::Append {
+        previous: (Epoch(previous.0), Index(previous.1)),
+        entries,
+        commit: Index(0),
+        sent: 7,
+    };
+    let acknowledged = |hedge: &mut Hedge| -> Vec<(u64, u64)> {
+        let out = hedge.out.drain(..);
+        out.filter_map(|(to, m)| match m.kind {
+            RaftKind::Appended { upto, ok: true, .. } => Some((to.0, upto.0)),
+            _ => None,
+        })
+        .collect()
+    };
+    // A heartbeat vouches only for the entry before it, not for what the log has behind.
+    let mut follower = replica(3, 4, &[1, 1, 2, 2]);
+    follower.step(raft(2, 4, append((1, 2), vec![])), ELECTED);
+    assert_eq!(acknowledged(&mut follower), [(2, 2)]);
+    // A suffix that replaces another is not on disk because the one before was.
+    follower.step(raft(2, 4, append((1, 2), entries(3, &[4, 4]))), ELECTED);
+    assert_eq!(acknowledged(&mut follower), []);
+    // Nor when a write of the old suffix ends; and as soon as its own write does.
+    follower.stored((Epoch(2), Index(4)));
+    assert_eq!(acknowledged(&mut follower), [(2, 2)]);
+    follower.stored((Epoch(4), Index(3)));
+    assert_eq!(acknowledged(&mut follower), [(2, 3)]);
+    follower.stored((Epoch(4), Index(4)));
+    assert_eq!(acknowledged(&mut follower), [(2, 4)]);
+    // What an earlier term's leader still waits for is not told to anyone in the next.
+    follower.step(raft(2, 4, append((4, 4), entries(5, &[4]))), ELECTED);
+    acknowledged(&mut follower);
+    follower.step(raft(2, 5, append((4, 2), vec![])), ELECTED);
+    acknowledged(&mut follower);
+    follower.stored((Epoch(4), Index(5)));
+    assert_eq!(acknowledged(&mut follower), [], "nothing is owed in the new term");
+}
