--- a/tests/hedge.rs
+++ b/tests/hedge.rs
@@ -938,3 +938,47 @@
     follower.stored((Epoch(4), Index(5)));
     assert_eq!(acknowledged(&mut follower), [], "nothing is owed in the new term");
 }
+
+#[test]
+fn a_leader_counts_an_acknowledgement_of_its_own_term_only() {
+    // (what, term of the answer, its yes, up to where, commit index and whether it leads afterwards)
+    let cases = [
+        ("an answer of its term", 5, true, 2, 2, true),
+        ("an answer of an earlier term", 4, true, 2, 0, true),
+        ("a no", 5, false, 2, 0, true),
+        ("a no of an earlier term", 4, false, 2, 0, true),
+        ("an answer of a later term", 6, true, 2, 0, false),
+        ("a no of a later term", 6, false, 0, 0, false),
+    ];
+    for (what, term, ok, upto, commit, leads) in cases {
+        let mut leader = elected(3, 5, &[1]);
+        let answer = RaftKind::Appended { upto: Index(upto), ok, sent: ELECTED.0 };
+        leader.step(raft(2, term, answer), ELECTED);
+        assert_eq!((leader.commit, leader.is_leader()), (Index(commit), leads), "{what}");
+        let fresh = leads && term == 5;
+        assert_eq!(leader.granting(ELECTED.plus(10)), fresh && commit == 2, "{what}");
+        assert_eq!(leader.kept.epoch, Epoch(term.max(5)), "{what}");
+    }
+    // What answers a part keeps a leader's quorum fresh in its own term only.
+    for (term, fresh) in [(5, true), (4, false)] {
+        let mut leader = elected(3, 5, &[]);
+        leader.step(raft(2, 5, appended(1)), ELECTED);
+        let later = ELECTED.plus(440);
+        let taken = RaftKind::PartTaken { transfer: 1, upto: 0, sent: later.0 };
+        leader.step(raft(2, term, taken), later);
+        assert!(leader.granting(later));
+        assert_eq!(leader.granting(ELECTED.plus(500)), fresh, "a part of term {term}");
+    }
+    // An answer that comes late takes back nothing that was acknowledged before it.
+    let mut leader = elected(5, 5, &[1]);
+    for (id, upto, commit) in [(2, 2, 0), (2, 1, 0), (3, 2, 2)] {
+        leader.step(raft(id, 5, appended(upto)), ELECTED);
+        assert_eq!(leader.commit, Index(commit), "member {id} has {upto}");
+    }
+    // One from a time to come is of another life's clock, and makes no quorum fresh.
+    let mut leader = elected(3, 5, &[1]);
+    let answer = RaftKind::Appended { upto: Index(2), ok: true, sent: ELECTED.0 + 5_000 };
+    leader.step(raft(2, 5, answer), ELECTED);
+    assert_eq!(leader.commit, Index(2));
+    assert!(!leader.granting(ELECTED.plus(4_900)));
+}
