--- a/tests/hedge.rs
+++ b/tests/hedge.rs
@@ -982,3 +982,43 @@
     assert_eq!(leader.commit, Index(2));
     assert!(!leader.granting(ELECTED.plus(4_900)));
 }
+
+#[test]
+fn a_snapshot_replaces_what_it_covers_and_nothing_newer() {
+    // (what, term of the leader, term and index of the snapshot's last entry, the log afterwards,
+    // the commit index, whether the snapshot is taken). The follower in term 4 holds entries of
+    // terms 1, 1, 2, 2, of which two are committed.
+    type Case = (&'static str, u64, (u64, u64), &'static [u64], u64, bool);
+    let cases: [Case; 7] = [
+        ("it ends behind the log", 4, (3, 6), &[], 6, true),
+        ("it ends with the log", 4, (2, 4), &[], 4, true),
+        ("the log agrees at its end and goes on", 4, (2, 3), &[2], 3, true),
+        ("the log is of another term at its end", 4, (3, 3), &[], 3, true),
+        ("it ends at the commit index", 4, (1, 2), &[1, 1, 2, 2], 2, false),
+        ("it ends before the commit index", 4, (1, 1), &[1, 1, 2, 2], 2, false),
+        ("it is of an earlier term's leader", 3, (3, 6), &[1, 1, 2, 2], 2, false),
+    ];
+    for (what, term, last, log, commit, taken) in cases {
+        let mut follower = replica(3, 4, &[1, 1, 2, 2]);
+        let (previous, committed) = ((Epoch(1), Index(2)), Index(2));
+        let entries = Vec::new();
+        let heartbeat = RaftKind::Append { previous, entries, commit: committed, sent: 1 };
+        follower.step(raft(2, 4, heartbeat), ELECTED);
+        follower.out.clear();
+        let members: Vec<Member> = (1..=4).map(|id| member(id, true)).collect();
+        let state = ByteBuf::from(vec![42]);
+        let upto = Index(last.1);
+        let snapshot = Snapshot { last: (Epoch(last.0), upto), members, state };
+        follower.step(raft(2, term, RaftKind::Snapshot { snapshot, sent: 7 }), ELECTED);
+        assert_eq!(follower.out.is_empty(), taken, "{what}: not acknowledged before it is on disk");
+        assert_eq!(follower.dirty.snapshot, taken, "{what}");
+        store(&mut follower);
+        let (ok, sent) = if term == 4 { (true, 7) } else { (false, 0) };
+        let kind = RaftKind::Appended { upto: if ok { upto } else { Index(0) }, ok, sent };
+        assert_eq!(follower.out.pop().map(|(_, m)| m.kind), Some(kind), "{what}");
+        assert_eq!(terms_of(&follower), log, "{what}");
+        assert_eq!(follower.commit, Index(commit), "{what}");
+        assert_eq!(follower.kept.snapshot.state.len(), usize::from(taken), "{what}");
+        assert_eq!(follower.members().len(), if taken { 4 } else { 3 }, "{what}: members");
+    }
+}
