--- a/tests/hedge.rs
+++ b/tests/hedge.rs
@@ -1022,3 +1022,34 @@
         assert_eq!(follower.members().len(), if taken { 4 } else { 3 }, "{what}: members");
     }
 }
+
+#[test]
+fn the_members_are_those_of_the_newest_list_that_is_still_in_the_log() {
+    let listed = |term, index, voters| Entry {
+        epoch: Epoch(term),
+        index: Index(index),
+        body: Body::Members((1..=voters).map(|id| member(id, true)).collect()),
+    };
+    let append = |previous: (u64, u64), entries| RaftKind::Append {
+        previous: (Epoch(previous.0), Index(previous.1)),
+        entries,
+        commit: Index(0),
+        sent: 1,
+    };
+    // A list counts from when it is in the log, and no more once another leader replaced it.
+    let mut follower = replica(3, 4, &[1, 1]);
+    follower.step(raft(2, 4, append((1, 2), vec![listed(4, 3, 4)])), ELECTED);
+    assert_eq!(follower.members().len(), 4);
+    let other = Entry { epoch: Epoch(5), index: Index(3), body: Body::Opened };
+    follower.step(raft(3, 5, append((1, 2), vec![other])), ELECTED);
+    assert_eq!((follower.members().len(), terms_of(&follower)), (3, vec![1, 1, 5]));
+    // A snapshot holds the list as of its last entry, not one that came later.
+    let mut leader = elected(1, 5, &[]);
+    leader.propose(Body::Change(ByteBuf::from(vec![0; 2 << 20])), ELECTED);
+    store(&mut leader);
+    let commit = leader.commit;
+    leader.propose(Body::Members((1..=2).map(|id| member(id, true)).collect()), ELECTED);
+    leader.compact(commit, || vec![42]);
+    assert_eq!(leader.kept.snapshot.last, (Epoch(5), commit));
+    assert_eq!((leader.kept.snapshot.members.len(), leader.members().len()), (1, 2));
+}
