--- a/tests/hedge.rs
+++ b/tests/hedge.rs
@@ -1053,3 +1053,34 @@
     assert_eq!(leader.kept.snapshot.last, (Epoch(5), commit));
     assert_eq!((leader.kept.snapshot.members.len(), leader.members().len()), (1, 2));
 }
+
+#[test]
+fn only_a_voter_that_its_leader_asks_stands_for_election_at_once() {
+    // (what, whether it votes, who asks it to take over, in which term, whether it stands). The
+    // leader of term 5 is member 2.
+    let cases = [
+        ("its leader", true, 2, 5, true),
+        ("one that is not its leader", true, 3, 5, false),
+        ("its leader, in an earlier term", true, 2, 4, false),
+        ("its leader, in a term that it has not heard of", true, 2, 6, false),
+        ("its leader, but it is a learner", false, 2, 5, false),
+    ];
+    for (what, votes, from, term, stands) in cases {
+        let members: Vec<Member> = (1..=4).map(|id| member(id, id != 1 || votes)).collect();
+        let snapshot = Snapshot { members, ..Snapshot::default() };
+        let kept = Kept { me: MemberId(1), epoch: Epoch(5), snapshot, ..Kept::default() };
+        let mut hedge = Hedge::new(kept, false, Tick(1_000), || 0);
+        let (previous, commit) = ((Epoch(0), Index(0)), Index(0));
+        let heartbeat = RaftKind::Append { previous, entries: Vec::new(), commit, sent: 1 };
+        hedge.step(raft(2, 5, heartbeat), ELECTED);
+        hedge.out.clear();
+        hedge.step(raft(from, term, RaftKind::TakeOver), ELECTED);
+        let asked = hedge.out.iter().filter(|(_, m)| matches!(m.kind, RaftKind::AskVote { .. }));
+        assert_eq!(asked.count(), if stands { 3 } else { 0 }, "{what}");
+        assert_eq!(hedge.kept.epoch, Epoch(if stands { 6 } else { 5 }), "{what}");
+        // Nor does a learner when it has heard of no leader for long.
+        hedge.out.clear();
+        hedge.tick(ELECTED.plus(60_000));
+        assert_eq!(hedge.out.is_empty(), !votes, "{what}: after a silence");
+    }
+}
