--- a/tests/hedge.rs
+++ b/tests/hedge.rs
@@ -1084,3 +1084,26 @@
         assert_eq!(hedge.out.is_empty(), !votes, "{what}: after a silence");
     }
 }
+
+#[test]
+fn a_leader_answers_reads_and_grants_only_with_a_committed_entry_of_its_own_term() {
+    // (what, terms of the entries before its own, how far a follower acknowledges, whether it may)
+    let cases: [(&str, &[u64], Option<u64>, bool); 6] = [
+        ("nobody answers", &[1, 1], None, false),
+        ("the entries of earlier terms are on most disks", &[1, 1], Some(2), false),
+        ("its own is", &[1, 1], Some(3), true),
+        ("an empty log, and nobody answers", &[], None, false),
+        ("an empty log, nothing is acknowledged", &[], Some(0), false),
+        ("an empty log, its own entry is acknowledged", &[], Some(1), true),
+    ];
+    for (what, terms, acknowledged, may) in cases {
+        let mut leader = elected(3, 5, terms);
+        if let Some(upto) = acknowledged {
+            leader.step(raft(2, 5, appended(upto)), ELECTED);
+        }
+        let now = ELECTED.plus(10);
+        assert_eq!(leader.granting(now), may, "{what}");
+        let read = leader.read_index(now);
+        assert_eq!(read.map(|r| r.upto), may.then_some(leader.commit), "{what}");
+    }
+}
