--- a/tests/hedge.rs
+++ b/tests/hedge.rs
@@ -1107,3 +1107,31 @@
         assert_eq!(read.map(|r| r.upto), may.then_some(leader.commit), "{what}");
     }
 }
+
+#[test]
+fn a_vote_leaves_only_once_it_is_on_disk_however_often_a_write_fails() {
+    for failed in [0, 1, 3] {
+        let mut granary = Granary::none().expect("in memory");
+        let (mut voter, mut desk, mut now) = (replica(3, 5, &[1]), Desk::default(), ELECTED);
+        let last = (Epoch(1), Index(1));
+        let ask = RaftKind::AskVote { trial: false, handover: false, led: false, last };
+        voter.step(raft(2, 6, ask), now);
+        assert!(desk.leaving(&mut voter).is_empty(), "{failed} writes fail");
+        for _ in 0..failed {
+            now = now.plus(1_000);
+            assert!(desk.start(&mut voter, now).is_some(), "{failed} writes fail");
+            assert!(desk.leaving(&mut voter).is_empty(), "{failed} writes fail");
+            assert!(desk.ended(&mut voter, false, now).is_empty(), "{failed} writes fail");
+            assert!(desk.leaving(&mut voter).is_empty(), "{failed} writes fail");
+        }
+        now = now.plus(1_000);
+        let sheaf = desk.start(&mut voter, now).expect("the vote is still to be written");
+        assert!(desk.leaving(&mut voter).is_empty(), "{failed} writes fail");
+        granary.save(&sheaf).expect("saved");
+        let left: Vec<RaftKind> =
+            desk.ended(&mut voter, true, now).into_iter().map(|(_, m)| m.kind).collect();
+        assert_eq!(left, [RaftKind::Vote { trial: false, granted: true }]);
+        let on_disk = granary.kept().expect("read").expect("kept");
+        assert_eq!((on_disk.epoch, on_disk.voted), (Epoch(6), Some(MemberId(2))));
+    }
+}
