--- a/tests/members.rs
+++ b/tests/members.rs
@@ -321,3 +321,46 @@
     assert!(sent <= 2 * missing, "{sent} entries for {missing} that it had missed");
     assert!(orchard.acked.iter().all(|order| orchard.holds(at, *order)));
 }
+
+/// So many voters, and learners with the ids after theirs.
+fn list(voters: u64, learners: u64) -> Vec<Member> {
+    (1..=voters + learners).map(|id| member(id, id, id <= voters)).collect()
+}
+
+#[test]
+fn only_voters_of_the_newest_list_count_to_a_commit_and_to_a_leaders_quorum() {
+    // (what, voters at first, voters and learners of the list that is proposed, who acknowledges
+    // everything, whether that commits it)
+    type Case = (&'static str, u64, (u64, u64), &'static [u64], bool);
+    let cases: [Case; 8] = [
+        ("a learner", 3, (3, 1), &[4], false),
+        ("more learners than voters", 3, (3, 4), &[4, 5, 6, 7], false),
+        ("a voter", 3, (3, 4), &[2], true),
+        ("one that the list takes in as a voter", 3, (4, 0), &[4], false),
+        ("two of the longer list", 3, (4, 0), &[4, 2], true),
+        ("one that the list leaves out", 4, (3, 0), &[4], false),
+        ("one that the shorter list keeps", 4, (3, 0), &[2], true),
+        ("one that is in no list", 3, (3, 1), &[9], false),
+    ];
+    for (what, before, (voters, learners), acknowledge, commits) in cases {
+        let mut led = Led::new(before);
+        for id in 2..=before {
+            led.holds(id, led.hedge.last().1.0);
+        }
+        assert!(led.hedge.granting(led.now), "{what}");
+        led.wait(500);
+        let commit = led.hedge.commit;
+        led.hedge.propose(Body::Members(list(voters, learners)), led.now);
+        led.store();
+        assert_eq!(led.hedge.commit, commit, "{what}: its own disk alone");
+        let last = led.hedge.last().1;
+        let read = led.hedge.read_index(led.now).expect("it leads");
+        led.wait(1);
+        for id in acknowledge {
+            led.holds(*id, last.0);
+        }
+        assert_eq!(led.hedge.commit == last, commits, "{what}");
+        assert_eq!(led.hedge.granting(led.now), commits, "{what}: a quorum answered");
+        assert_eq!(led.hedge.confirmed(&read), commits.then_some(true), "{what}: ReadIndex");
+    }
+}
