--- a/tests/members.rs
+++ b/tests/members.rs
@@ -364,3 +364,35 @@
         assert_eq!(led.hedge.confirmed(&read), commits.then_some(true), "{what}: ReadIndex");
     }
 }
+
+#[test]
+fn only_voters_elect_a_leader() {
+    // (voters, learners, who grants its vote, whether member 1 leads then)
+    let cases: [(u64, u64, &[u64], bool); 5] = [
+        (3, 0, &[2], true),
+        (3, 2, &[4, 5], false),
+        (3, 2, &[4, 5, 3], true),
+        (5, 1, &[2, 6], false),
+        (5, 1, &[2, 6, 4], true),
+    ];
+    for (voters, learners, grant, leads) in cases {
+        for trial in [true, false] {
+            let snapshot = Snapshot { members: list(voters, learners), ..Snapshot::default() };
+            let kept = Kept { me: MemberId(1), snapshot, ..Kept::default() };
+            let mut hedge = Hedge::new(kept, false, Tick(1_000), || 0);
+            let now = Tick(2_000);
+            hedge.tick(now);
+            let vote = |hedge: &mut Hedge, id: u64, trial| {
+                let kind = RaftKind::Vote { trial, granted: true };
+                hedge.step(Raft { from: MemberId(id), epoch: Epoch(1), kind }, now);
+            };
+            if !trial {
+                (2..=voters).for_each(|id| vote(&mut hedge, id, true));
+            }
+            let before = hedge.kept.epoch;
+            grant.iter().for_each(|id| vote(&mut hedge, *id, trial));
+            let won = if trial { hedge.kept.epoch > before } else { hedge.is_leader() };
+            assert_eq!(won, leads, "{voters} voters, {learners} learners, {grant:?}, {trial}");
+        }
+    }
+}
