--- a/tests/members.rs
+++ b/tests/members.rs
@@ -396,3 +396,26 @@
         }
     }
 }
+
+#[test]
+fn the_members_change_once_more_only_after_the_last_change_is_committed() {
+    let mut led = Led::new(3);
+    let (first, second) = (member(4, 4, false), member(5, 5, false));
+    let wanted = |led: &Led| {
+        let joining = [&first, &second].into_iter();
+        led.hedge.wanted_members(joining, 1, 4_000, led.now).map(|list| list.len())
+    };
+    assert_eq!(wanted(&led), Some(4));
+    led.hedge.propose(Body::Members(list(3, 1)), led.now);
+    led.store();
+    assert_eq!(wanted(&led), None, "the change is on one disk of three");
+    led.holds(4, led.hedge.last().1.0);
+    assert_eq!(wanted(&led), None, "and on a learner's");
+    led.holds(2, led.hedge.last().1.0);
+    assert_eq!(wanted(&led), Some(5));
+    // One that hands over adds nothing to its log any more.
+    led.hedge.hand_over(led.now);
+    let last = led.hedge.last();
+    assert_eq!(led.hedge.propose(Body::Members(list(3, 2)), led.now), None);
+    assert_eq!(led.hedge.last(), last);
+}
