--- a/tests/hedge.rs
+++ b/tests/hedge.rs
@@ -1135,3 +1135,20 @@
         assert_eq!((on_disk.epoch, on_disk.voted), (Epoch(6), Some(MemberId(2))));
     }
 }
+
+#[test]
+fn a_candidate_says_that_it_led_only_of_the_term_before_the_one_it_asks_for() {
+    // (the last term that it led, whether it tells voters that nobody leads the term before 6)
+    for (led, says) in [(None, false), (Some(3), false), (Some(4), false), (Some(5), true)] {
+        let led = led.map(Epoch);
+        let kept = Kept { epoch: Epoch(5), led, log: log_of(&[1, 5]), ..founder(1, 3) };
+        let mut candidate = Hedge::new(kept, false, Tick(1_000), || 0);
+        candidate.tick(ELECTED);
+        candidate.step(raft(2, 6, RaftKind::Vote { trial: true, granted: true }), ELECTED);
+        let last = (Epoch(5), Index(2));
+        let ask = |trial| RaftKind::AskVote { trial, handover: false, led: says, last };
+        let asked: Vec<(u64, Raft)> = candidate.out.drain(..).map(|(to, m)| (to.0, m)).collect();
+        let expected = [(2, true), (3, true), (2, false), (3, false)];
+        assert_eq!(asked, expected.map(|(to, trial)| (to, raft(1, 6, ask(trial)))), "{led:?}");
+    }
+}
