--- a/tests/hedge.rs
+++ b/tests/hedge.rs
@@ -1152,3 +1152,40 @@
         assert_eq!(asked, expected.map(|(to, trial)| (to, raft(1, 6, ask(trial)))), "{led:?}");
     }
 }
+
+#[test]
+fn a_leader_sends_the_next_part_only_when_the_newest_one_is_answered() {
+    // (what, term of the answer, how much later a transfer it names, how long before the part was
+    // sent what it answers was, whether the next part follows)
+    let cases = [
+        ("the part", 5, 0, 0, true),
+        ("a part of another transfer", 5, 1, 0, false),
+        ("something sent before the part", 5, 0, 1, false),
+        ("in an earlier term", 4, 0, 0, false),
+    ];
+    for (what, term, other, before, follows) in cases {
+        let mut leader = elected(3, 5, &[]);
+        leader.step(raft(2, 5, appended(1)), ELECTED);
+        leader.reads(MemberId(2), LAYOUT);
+        leader.out.clear();
+        let now = ELECTED.plus(10);
+        leader.propose(Body::Change(ByteBuf::from(vec![0; 100_000])), now);
+        let parts = |leader: &mut Hedge| -> Vec<(u64, u64, u64)> {
+            let out = leader.out.drain(..).filter(|(to, _)| *to == MemberId(2));
+            out.filter_map(|(_, m)| match m.kind {
+                RaftKind::Part { transfer, offset, bytes, .. } => {
+                    Some((transfer, offset, bytes.len() as u64))
+                }
+                _ => None,
+            })
+            .collect()
+        };
+        let first = parts(&mut leader);
+        let [(transfer, 0, size)] = first[..] else { panic!("{what}: {first:?}") };
+        let sent = now.0 - before;
+        let taken = RaftKind::PartTaken { transfer: transfer + other, upto: size, sent };
+        leader.step(raft(2, term, taken), now.plus(5));
+        let next: Vec<(u64, u64)> = parts(&mut leader).iter().map(|p| (p.0, p.1)).collect();
+        assert_eq!(next, if follows { vec![(transfer, size)] } else { vec![] }, "{what}");
+    }
+}
