--- a/tests/hedge.rs
+++ b/tests/hedge.rs
@@ -1189,3 +1189,30 @@
         assert_eq!(next, if follows { vec![(transfer, size)] } else { vec![] }, "{what}");
     }
 }
+
+#[test]
+fn a_candidate_follows_a_leader_of_its_term_and_counts_no_votes_any_more() {
+    let append = RaftKind::Append {
+        previous: (Epoch(0), Index(0)),
+        entries: Vec::new(),
+        commit: Index(0),
+        sent: 1,
+    };
+    // (it still asks for pre-votes, the leader's term, whether the vote after it counts, its term)
+    let cases =
+        [(true, 5, false, 5), (false, 6, false, 6), (true, 4, true, 6), (false, 5, true, 6)];
+    for (trial, term, counts, after) in cases {
+        let what = format!("pre-vote {trial}, a leader of term {term}");
+        let mut candidate = replica(3, 5, &[1]);
+        candidate.tick(ELECTED);
+        if !trial {
+            let granted = RaftKind::Vote { trial: true, granted: true };
+            candidate.step(raft(2, 6, granted), ELECTED);
+        }
+        candidate.step(raft(2, term, append.clone()), ELECTED);
+        assert_eq!(candidate.leader, if counts { None } else { Some(MemberId(2)) }, "{what}");
+        candidate.step(raft(3, 6, RaftKind::Vote { trial, granted: true }), ELECTED);
+        assert_eq!(candidate.is_leader(), counts && !trial, "{what}");
+        assert_eq!(candidate.kept.epoch, Epoch(after), "{what}");
+    }
+}
