--- a/tests/hedge.rs
+++ b/tests/hedge.rs
@@ -1216,3 +1216,30 @@
         assert_eq!(candidate.kept.epoch, Epoch(after), "{what}");
     }
 }
+
+#[test]
+fn a_leader_that_no_quorum_answers_steps_down() {
+    // (voters, who answers 900 ms after the election, whether it leads 1000 and 1010 ms after it)
+    let cases: [(u64, &[u64], [bool; 2]); 6] = [
+        (1, &[], [true, true]),
+        (3, &[], [true, false]),
+        (3, &[2], [true, true]),
+        (3, &[3, 2], [true, true]),
+        (5, &[4], [true, false]),
+        (5, &[4, 3], [true, true]),
+    ];
+    for (voters, answer, leads) in cases {
+        let mut leader = elected(voters, 5, &[1]);
+        for id in answer {
+            let sent = ELECTED.0 + 900;
+            let kind = RaftKind::Appended { upto: Index(0), ok: true, sent };
+            leader.step(raft(*id, 5, kind), ELECTED.plus(900));
+        }
+        for (after, leads) in [1_000, 1_010].into_iter().zip(leads) {
+            leader.tick(ELECTED.plus(after));
+            assert_eq!(leader.is_leader(), leads, "{voters} voters, {answer:?}, {after} ms");
+        }
+        assert_eq!(leader.propose(change(9), ELECTED.plus(1_010)).is_some(), leads[1]);
+        assert_eq!(leader.kept.epoch, Epoch(5), "{voters} voters, {answer:?}");
+    }
+}
