--- a/tests/hedge.rs
+++ b/tests/hedge.rs
@@ -1243,3 +1243,28 @@
         assert_eq!(leader.kept.epoch, Epoch(5), "{voters} voters, {answer:?}");
     }
 }
+
+#[test]
+fn a_snapshot_has_the_term_of_the_last_entry_that_it_covers() {
+    let mut log = log_of(&[1, 3, 3]);
+    log[0].body = Body::Change(ByteBuf::from(vec![0; 2 << 20]));
+    let kept = Kept { epoch: Epoch(4), log, ..founder(1, 3) };
+    let mut follower = Hedge::new(kept, false, Tick(1_000), || 0);
+    let append = |previous: (u64, u64)| RaftKind::Append {
+        previous: (Epoch(previous.0), Index(previous.1)),
+        entries: Vec::new(),
+        commit: Index(1),
+        sent: 1,
+    };
+    follower.step(raft(2, 4, append((3, 3))), ELECTED);
+    follower.compact(follower.commit, || vec![42]);
+    assert_eq!(follower.kept.snapshot.last, (Epoch(1), Index(1)));
+    assert_eq!((terms_of(&follower), follower.last()), (vec![3, 3], (Epoch(3), Index(3))));
+    // The entry that the snapshot ends with is agreed on by its term like any other.
+    for (previous, agrees) in [((1, 1), true), ((3, 2), true), ((4, 1), false), ((1, 2), false)] {
+        follower.out.clear();
+        follower.step(raft(2, 4, append(previous)), ELECTED);
+        let ok = matches!(follower.out[0].1.kind, RaftKind::Appended { ok: true, .. });
+        assert_eq!(ok, agrees, "{previous:?}");
+    }
+}
