--- a/tests/hedge.rs
+++ b/tests/hedge.rs
@@ -1268,3 +1268,38 @@
         assert_eq!(ok, agrees, "{previous:?}");
     }
 }
+
+#[test]
+fn entries_that_a_snapshot_covers_are_not_taken_again() {
+    // (what, the entry before those that come, their terms, the terms of the log afterwards, up to
+    // where it is acknowledged). The snapshot ends with entry 3 of term 2; 4 and 5 are in the log.
+    type Case = (&'static str, (u64, u64), &'static [u64], &'static [u64], u64);
+    let cases: [Case; 6] = [
+        ("from the beginning up to the snapshot's end", (0, 0), &[1, 1, 2], &[2, 3], 3),
+        ("all of them before its end", (1, 1), &[1], &[2, 3], 3),
+        ("a heartbeat from before it", (1, 1), &[], &[2, 3], 3),
+        ("over its end", (1, 2), &[2, 2], &[2, 3], 4),
+        ("over its end and the log's", (1, 2), &[2, 2, 3, 4], &[2, 3, 4], 6),
+        ("over its end, with a conflict behind it", (1, 2), &[2, 2, 4], &[2, 4], 5),
+    ];
+    for (what, previous, terms, log, upto) in cases {
+        let behind = |from: u64, terms: &[u64]| -> Vec<Entry> {
+            let place = |e: Entry| Entry { index: Index(from + e.index.0), ..e };
+            log_of(terms).into_iter().map(place).collect()
+        };
+        let mut kept = Kept { epoch: Epoch(4), log: behind(3, &[2, 3]), ..founder(1, 3) };
+        kept.snapshot.last = (Epoch(2), Index(3));
+        let mut follower = Hedge::new(kept, false, Tick(1_000), || 0);
+        let entries = behind(previous.1, terms);
+        let previous = (Epoch(previous.0), Index(previous.1));
+        let append = RaftKind::Append { previous, entries, commit: Index(0), sent: 7 };
+        follower.step(raft(2, 4, append), ELECTED);
+        store(&mut follower);
+        assert_eq!(terms_of(&follower), log, "{what}");
+        let places = follower.kept.log.iter().map(|e| e.index.0);
+        assert!(places.eq(4..4 + log.len() as u64), "{what}: {:?}", follower.kept.log);
+        let kind = RaftKind::Appended { upto: Index(upto), ok: true, sent: 7 };
+        assert_eq!(follower.out.pop().map(|(_, m)| m.kind), Some(kind), "{what}");
+        assert_eq!(follower.commit, Index(3), "{what}");
+    }
+}
