--- a/tests/hedge.rs
+++ b/tests/hedge.rs
@@ -1303,3 +1303,24 @@
         assert_eq!(follower.commit, Index(3), "{what}");
     }
 }
+
+#[test]
+fn a_restarted_leader_that_hears_of_a_later_term_waits_as_long_as_any_other() {
+    let heartbeat = RaftKind::Append {
+        previous: (Epoch(0), Index(0)),
+        entries: Vec::new(),
+        commit: Index(0),
+        sent: 1,
+    };
+    // (the last term that it led, the term whose leader it hears, whether it may ask sooner then)
+    for (led, term, sooner) in [(5, None, true), (5, Some(6), false), (4, Some(5), false)] {
+        let led = Some(Epoch(led));
+        let kept = Kept { epoch: Epoch(5), led, log: log_of(&[5]), ..founder(1, 3) };
+        let mut hedge = Hedge::new(kept, true, ELECTED, || 0);
+        if let Some(term) = term {
+            hedge.step(raft(2, term, heartbeat.clone()), ELECTED);
+        }
+        let soon = hedge.due() < ELECTED.plus(ELECTION_MIN_MS);
+        assert_eq!(soon, sooner, "it led {led:?} and hears of {term:?}");
+    }
+}
