--- a/tests/members.rs
+++ b/tests/members.rs
@@ -419,3 +419,18 @@
     assert_eq!(led.hedge.propose(Body::Members(list(3, 2)), led.now), None);
     assert_eq!(led.hedge.last(), last);
 }
+
+#[test]
+fn a_learner_is_not_asked_to_take_over() {
+    let mut led = Led::new(3);
+    led.hedge.propose(Body::Members(list(3, 1)), led.now);
+    led.store();
+    let last = led.hedge.last().1.0;
+    led.holds(4, last);
+    led.holds(2, last - 1);
+    led.asked();
+    led.hedge.hand_over(led.now);
+    assert!(led.asked().is_empty(), "only the learner holds the whole log");
+    led.holds(2, last);
+    assert_eq!(led.asked(), [2]);
+}
