--- a/tests/hedge.rs
+++ b/tests/hedge.rs
@@ -629,3 +629,702 @@
     assert!(Granary::open(&torn).err().expect("refused").to_string().contains("is gone"));
     let _ = std::fs::remove_dir_all(&base);
 }
+
+/// Entries of these terms, from index 1 on.
+fn log_of(terms: &[u64]) -> Vec<Entry> {
+    let entry = |(term, index): (&u64, u64)| Entry {
+        epoch: Epoch(*term),
+        index: Index(index),
+        body: change(index as u8),
+    };
+    terms.iter().zip(1..).map(entry).collect()
+}
+/// Member 1 of so many voters in this term, with entries of these terms on its disk.
+fn replica(voters: u64, term: u64, terms: &[u64]) -> Hedge {
+    let kept = Kept { epoch: Epoch(term), log: log_of(terms), ..founder(1, voters) };
+    Hedge::new(kept, false, Tick(1_000), || 0)
+}
+fn raft(id: u64, term: u64, kind: RaftKind) -> Raft {
+    Raft { from: MemberId(id), epoch: Epoch(term), kind }
+}
+fn store(hedge: &mut Hedge) {
+    hedge.dirty = Dirty::default();
+    hedge.stored(hedge.last());
+}
+/// When member 1 was elected by `elected`.
+const ELECTED: Tick = Tick(2_000);
+/// Member 1 as the leader of this term; its first entry of that term follows those of the others.
+fn elected(voters: u64, term: u64, terms: &[u64]) -> Hedge {
+    let mut hedge = replica(voters, term - 1, terms);
+    hedge.tick(ELECTED);
+    for trial in [true, false] {
+        for id in 2..=voters {
+            hedge.step(raft(id, term, RaftKind::Vote { trial, granted: true }), ELECTED);
+        }
+    }
+    assert!(hedge.is_leader() && hedge.kept.epoch == Epoch(term));
+    store(&mut hedge);
+    hedge.out.clear();
+    hedge
+}
+fn appended(upto: u64) -> RaftKind {
+    RaftKind::Appended { upto: Index(upto), ok: true, sent: ELECTED.0 }
+}
+
+#[test]
+fn a_leader_counts_replicas_only_for_entries_of_its_own_term() {
+    // (what, voters, terms of the entries before its own, its term, how far each follower
+    // acknowledges, one after the other, the commit index after each)
+    type Case = (&'static str, u64, &'static [u64], u64, &'static [u64], &'static [u64]);
+    let cases: [Case; 4] = [
+        ("figure 8: an entry of term 2 on most disks", 5, &[1, 2], 4, &[2, 2, 2, 2], &[0; 4]),
+        ("and with one of its own term behind it", 5, &[1, 2], 4, &[3, 2, 3], &[0, 0, 3]),
+        ("three voters", 3, &[1, 1, 3], 7, &[3, 4], &[0, 4]),
+        ("nothing of older terms", 3, &[], 1, &[1], &[1]),
+    ];
+    for (what, voters, terms, term, acknowledged, commits) in cases {
+        let mut leader = elected(voters, term, terms);
+        for (id, (upto, commit)) in (2..).zip(acknowledged.iter().zip(commits)) {
+            leader.step(raft(id, term, appended(*upto)), ELECTED);
+            assert_eq!(leader.commit, Index(*commit), "{what}: member {id} has {upto}");
+        }
+    }
+}
+
+/// The answers to candidates that leave: of a pre-vote or not, granted or not, and their term.
+fn votes_of(hedge: &mut Hedge) -> Vec<(bool, bool, u64)> {
+    let out = hedge.out.drain(..);
+    out.filter_map(|(_, m)| match m.kind {
+        RaftKind::Vote { trial, granted } => Some((trial, granted, m.epoch.0)),
+        _ => None,
+    })
+    .collect()
+}
+
+#[test]
+fn a_vote_goes_once_in_a_term_to_a_candidate_whose_log_is_up_to_date() {
+    let log: &[u64] = &[1, 3, 3];
+    // (what, whom the voter, in term 5, voted for, the candidate's term, term and index of its last
+    // entry, whether it gets the vote, the voter's term afterwards)
+    type Case = (&'static str, Option<u64>, u64, (u64, u64), bool, u64);
+    let cases: [Case; 11] = [
+        ("the same log", None, 5, (3, 3), true, 5),
+        ("a longer log of the same last term", None, 5, (3, 4), true, 5),
+        ("a shorter log of the same last term", None, 5, (3, 2), false, 5),
+        ("a shorter log of a later last term", None, 5, (4, 2), true, 5),
+        ("a longer log of an earlier last term", None, 5, (2, 9), false, 5),
+        ("an empty log", None, 6, (0, 0), false, 6),
+        ("asked again by the same one", Some(2), 5, (3, 3), true, 5),
+        ("a second candidate in the term", Some(3), 5, (4, 9), false, 5),
+        ("a vote of an earlier term binds no more", Some(3), 6, (3, 3), true, 6),
+        ("a candidate of an earlier term", None, 4, (4, 9), false, 5),
+        ("its own term's candidate is itself", Some(1), 5, (4, 9), false, 5),
+    ];
+    for (what, voted, term, last, granted, after) in cases {
+        let mut voter = replica(3, 5, log);
+        voter.kept.voted = voted.map(MemberId);
+        let last = (Epoch(last.0), Index(last.1));
+        let ask = |trial| RaftKind::AskVote { trial, handover: false, led: false, last };
+        voter.step(raft(2, term, ask(false)), ELECTED);
+        assert_eq!(votes_of(&mut voter), [(false, granted, after)], "{what}");
+        assert_eq!(voter.kept.epoch, Epoch(after), "{what}");
+        if granted {
+            assert_eq!(voter.kept.voted, Some(MemberId(2)), "{what}");
+            let new = voted != Some(2) || after > 5;
+            assert!(voter.dirty.hard || !new, "{what}: the vote goes to the disk");
+            // From now on this term's vote is spent.
+            voter.step(raft(3, term, ask(false)), ELECTED);
+            assert_eq!(votes_of(&mut voter), [(false, false, after)], "{what}: a second one");
+        }
+        // A pre-vote goes by the log alone, spends nothing, and is for a later term only.
+        let mut voter = replica(3, 5, log);
+        voter.kept.voted = voted.map(MemberId);
+        voter.step(raft(2, 5, ask(true)), ELECTED);
+        assert_eq!(votes_of(&mut voter), [(true, false, 5)], "{what}: pre-vote of this term");
+        voter.step(raft(2, 6, ask(true)), ELECTED);
+        let current = last >= (Epoch(3), Index(3));
+        let at = if current { 6 } else { 5 };
+        assert_eq!(votes_of(&mut voter), [(true, current, at)], "{what}: pre-vote");
+        assert_eq!((voter.kept.epoch.0, voter.kept.voted), (5, voted.map(MemberId)), "{what}");
+        assert!(!voter.dirty.hard, "{what}");
+    }
+}
+
+#[test]
+fn whoever_has_a_leader_helps_no_candidate() {
+    let heartbeat = RaftKind::Append {
+        previous: (Epoch(0), Index(0)),
+        entries: Vec::new(),
+        commit: Index(0),
+        sent: 1,
+    };
+    // (milliseconds since the follower heard its leader, the leader itself asked for the election,
+    // whether the follower answers)
+    let cases = [
+        (0, false, false),
+        (ELECTION_MIN_MS - 1, false, false),
+        (ELECTION_MIN_MS - 1, true, true),
+        (ELECTION_MIN_MS, false, true),
+    ];
+    for (since, handover, answers) in cases {
+        for trial in [true, false] {
+            let what = format!("{since} ms, handover {handover}, pre-vote {trial}");
+            let mut follower = replica(3, 5, &[1]);
+            follower.step(raft(2, 5, heartbeat.clone()), ELECTED);
+            store(&mut follower);
+            follower.out.clear();
+            let last = (Epoch(5), Index(9));
+            let ask = RaftKind::AskVote { trial, handover, led: false, last };
+            follower.step(raft(3, 6, ask.clone()), ELECTED.plus(since));
+            let expected = if answers { vec![(trial, true, 6)] } else { vec![] };
+            assert_eq!(votes_of(&mut follower), expected, "{what}");
+            let moved = answers && !trial;
+            assert_eq!(follower.kept.epoch, Epoch(if moved { 6 } else { 5 }), "{what}");
+            // A leader answers so too, by when a quorum last answered it.
+            let mut leader = elected(3, 5, &[1]);
+            leader.step(raft(2, 5, appended(2)), ELECTED);
+            leader.step(raft(3, 6, ask), ELECTED.plus(since));
+            assert_eq!(votes_of(&mut leader), expected, "{what}: leader");
+            assert_eq!(leader.is_leader(), !moved, "{what}");
+        }
+    }
+    // In a term whose leader it knows it votes no more, however long that one has been silent.
+    let mut follower = replica(3, 5, &[1]);
+    follower.step(raft(2, 5, heartbeat), ELECTED);
+    follower.out.clear();
+    let last = (Epoch(4), Index(9));
+    let ask = RaftKind::AskVote { trial: false, handover: false, led: false, last };
+    follower.step(raft(3, 5, ask), ELECTED.plus(60_000));
+    assert_eq!(votes_of(&mut follower), [(false, false, 5)]);
+    assert_eq!((follower.leader, follower.kept.voted), (Some(MemberId(2)), None));
+}
+
+#[test]
+fn a_candidate_counts_votes_of_its_own_term_and_kind_only() {
+    // (what, the answer is to a pre-vote, granted, its term, whether the candidate of term 6 leads)
+    let cases = [
+        ("a vote", false, true, 6, true),
+        ("a vote of the term before", false, true, 5, false),
+        ("a vote of a later term", false, true, 7, false),
+        ("a pre-vote", true, true, 6, false),
+        ("a pre-vote of the next term", true, true, 7, false),
+        ("a refusal", false, false, 6, false),
+        ("a refusal of the term before", false, false, 5, false),
+    ];
+    for (what, trial, granted, term, leads) in cases {
+        let mut candidate = replica(3, 5, &[1]);
+        candidate.tick(ELECTED);
+        assert_eq!(candidate.kept.epoch, Epoch(5), "a pre-vote moves no term");
+        // Nothing but a granted pre-vote for the next term moves it.
+        for (trial, granted, term) in [(true, true, 5), (true, false, 5), (false, true, 6)] {
+            candidate.step(raft(2, term, RaftKind::Vote { trial, granted }), ELECTED);
+            assert_eq!(candidate.kept.epoch, Epoch(5), "{trial} {granted} {term}");
+        }
+        candidate.step(raft(2, 6, RaftKind::Vote { trial: true, granted: true }), ELECTED);
+        assert_eq!((candidate.kept.epoch, candidate.kept.voted), (Epoch(6), Some(MemberId(1))));
+        assert!(candidate.dirty.hard && !candidate.is_leader(), "{what}: its own vote is kept");
+        candidate.step(raft(3, term, RaftKind::Vote { trial, granted }), ELECTED);
+        assert_eq!(candidate.is_leader(), leads, "{what}");
+    }
+    // One that hears of a later term in a refusal goes there as a follower, with its vote unspent.
+    for leads in [false, true] {
+        let mut hedge = if leads { elected(3, 6, &[1]) } else { replica(3, 5, &[1]) };
+        hedge.tick(ELECTED);
+        hedge.step(raft(3, 9, RaftKind::Vote { trial: false, granted: false }), ELECTED);
+        assert!(!hedge.is_leader());
+        assert_eq!((hedge.kept.epoch, hedge.kept.voted), (Epoch(9), None), "leads: {leads}");
+        hedge.step(raft(2, 6, RaftKind::Vote { trial: true, granted: true }), ELECTED);
+        assert_eq!(hedge.kept.epoch, Epoch(9), "it is no candidate any more");
+    }
+}
+
+/// The terms of the entries that a member holds in its log.
+fn terms_of(hedge: &Hedge) -> Vec<u64> {
+    hedge.kept.log.iter().map(|e| e.epoch.0).collect()
+}
+
+#[test]
+fn a_follower_takes_entries_only_where_its_log_agrees_with_the_leaders() {
+    // (what, term of the Append, the entry before it, terms of its entries, the leader's commit
+    // index; the log afterwards, the commit index, whether it says yes, up to where). The follower
+    // in term 4 holds entries of terms 1, 1, 2, 2, of which the first is committed.
+    type Append = (u64, (u64, u64), &'static [u64], u64);
+    type Case = (&'static str, Append, &'static [u64], u64, (bool, u64));
+    let cases: [Case; 12] = [
+        ("the next entry", (4, (2, 4), &[4], 2), &[1, 1, 2, 2, 4], 2, (true, 5)),
+        ("a conflicting suffix is replaced", (4, (1, 2), &[3], 0), &[1, 1, 3], 1, (true, 3)),
+        ("in its middle", (4, (1, 2), &[2, 4, 4], 0), &[1, 1, 2, 4, 4], 1, (true, 5)),
+        ("one that came late shortens nothing", (4, (1, 1), &[1], 1), &[1, 1, 2, 2], 1, (true, 2)),
+        ("a heartbeat shortens nothing", (4, (1, 1), &[], 1), &[1, 1, 2, 2], 1, (true, 1)),
+        ("the entry before is of another term", (4, (3, 3), &[4], 4), &[1, 1, 2, 2], 1, (false, 2)),
+        ("and of an earlier one", (4, (1, 3), &[4], 4), &[1, 1, 2, 2], 1, (false, 2)),
+        ("the entry before is missing", (4, (4, 6), &[4], 6), &[1, 1, 2, 2], 1, (false, 4)),
+        (
+            "commit ends with the last entry that agrees",
+            (4, (1, 2), &[], 4),
+            &[1, 1, 2, 2],
+            2,
+            (true, 2),
+        ),
+        (
+            "commit ends with the last new entry",
+            (4, (2, 4), &[4], 9),
+            &[1, 1, 2, 2, 4],
+            5,
+            (true, 5),
+        ),
+        ("commit never moves back", (4, (2, 4), &[], 0), &[1, 1, 2, 2], 1, (true, 4)),
+        ("a leader of an earlier term", (3, (1, 2), &[3], 3), &[1, 1, 2, 2], 1, (false, 0)),
+    ];
+    for (what, (term, previous, terms, commit), log, committed, answer) in cases {
+        let mut follower = replica(3, 4, &[1, 1, 2, 2]);
+        let append = |previous: (u64, u64), terms: &[u64], commit| {
+            let (previous, commit) = ((Epoch(previous.0), Index(previous.1)), Index(commit));
+            let place =
+                |entry: Entry| Entry { index: Index(previous.1.0 + entry.index.0), ..entry };
+            let entries = log_of(terms).into_iter().map(place).collect();
+            RaftKind::Append { previous, entries, commit, sent: 7 }
+        };
+        follower.step(raft(3, 4, append((1, 1), &[], 1)), ELECTED);
+        follower.out.clear();
+        follower.step(raft(2, term, append(previous, terms, commit)), ELECTED);
+        store(&mut follower);
+        assert_eq!(terms_of(&follower), log, "{what}");
+        assert_eq!(follower.commit, Index(committed), "{what}");
+        let last = follower.out.pop().map(|(to, m)| (to, m.epoch, m.kind));
+        let sent = if term < 4 { 0 } else { 7 };
+        let kind = RaftKind::Appended { upto: Index(answer.1), ok: answer.0, sent };
+        assert_eq!(last, Some((MemberId(2), Epoch(4), kind)), "{what}");
+        let leader = if term < 4 { 3 } else { 2 };
+        assert_eq!(follower.leader, Some(MemberId(leader)), "{what}");
+    }
+}
+
+#[test]
+fn a_follower_acknowledges_what_its_disk_has_of_this_leaders_log() {
+    let entries = |from: u64, terms: &[u64]| -> Vec<Entry> {
+        let place = |e: Entry| Entry { index: Index(from + e.index.0 - 1), ..e };
+        log_of(terms).into_iter().map(place).collect()
+    };
+    let append = |previous: (u64, u64), entries| RaftKind::Append {
+        previous: (Epoch(previous.0), Index(previous.1)),
+        entries,
+        commit: Index(0),
+        sent: 7,
+    };
+    let acknowledged = |hedge: &mut Hedge| -> Vec<(u64, u64)> {
+        let out = hedge.out.drain(..);
+        out.filter_map(|(to, m)| match m.kind {
+            RaftKind::Appended { upto, ok: true, .. } => Some((to.0, upto.0)),
+            _ => None,
+        })
+        .collect()
+    };
+    // A heartbeat vouches only for the entry before it, not for what the log has behind.
+    let mut follower = replica(3, 4, &[1, 1, 2, 2]);
+    follower.step(raft(2, 4, append((1, 2), vec![])), ELECTED);
+    assert_eq!(acknowledged(&mut follower), [(2, 2)]);
+    // A suffix that replaces another is not on disk because the one before was.
+    follower.step(raft(2, 4, append((1, 2), entries(3, &[4, 4]))), ELECTED);
+    assert_eq!(acknowledged(&mut follower), []);
+    // Nor when a write of the old suffix ends; and as soon as its own write does.
+    follower.stored((Epoch(2), Index(4)));
+    assert_eq!(acknowledged(&mut follower), [(2, 2)]);
+    follower.stored((Epoch(4), Index(3)));
+    assert_eq!(acknowledged(&mut follower), [(2, 3)]);
+    follower.stored((Epoch(4), Index(4)));
+    assert_eq!(acknowledged(&mut follower), [(2, 4)]);
+    // What an earlier term's leader still waits for is not told to anyone in the next.
+    follower.step(raft(2, 4, append((4, 4), entries(5, &[4]))), ELECTED);
+    acknowledged(&mut follower);
+    follower.step(raft(2, 5, append((4, 2), vec![])), ELECTED);
+    acknowledged(&mut follower);
+    follower.stored((Epoch(4), Index(5)));
+    assert_eq!(acknowledged(&mut follower), [], "nothing is owed in the new term");
+}
+
+#[test]
+fn a_leader_counts_an_acknowledgement_of_its_own_term_only() {
+    // (what, term of the answer, its yes, up to where, commit index and whether it leads afterwards)
+    let cases = [
+        ("an answer of its term", 5, true, 2, 2, true),
+        ("an answer of an earlier term", 4, true, 2, 0, true),
+        ("a no", 5, false, 2, 0, true),
+        ("a no of an earlier term", 4, false, 2, 0, true),
+        ("an answer of a later term", 6, true, 2, 0, false),
+        ("a no of a later term", 6, false, 0, 0, false),
+    ];
+    for (what, term, ok, upto, commit, leads) in cases {
+        let mut leader = elected(3, 5, &[1]);
+        let answer = RaftKind::Appended { upto: Index(upto), ok, sent: ELECTED.0 };
+        leader.step(raft(2, term, answer), ELECTED);
+        assert_eq!((leader.commit, leader.is_leader()), (Index(commit), leads), "{what}");
+        let fresh = leads && term == 5;
+        assert_eq!(leader.granting(ELECTED.plus(10)), fresh && commit == 2, "{what}");
+        assert_eq!(leader.kept.epoch, Epoch(term.max(5)), "{what}");
+    }
+    // What answers a part keeps a leader's quorum fresh in its own term only.
+    for (term, fresh) in [(5, true), (4, false)] {
+        let mut leader = elected(3, 5, &[]);
+        leader.step(raft(2, 5, appended(1)), ELECTED);
+        let later = ELECTED.plus(440);
+        let taken = RaftKind::PartTaken { transfer: 1, upto: 0, sent: later.0 };
+        leader.step(raft(2, term, taken), later);
+        assert!(leader.granting(later));
+        assert_eq!(leader.granting(ELECTED.plus(500)), fresh, "a part of term {term}");
+    }
+    // An answer that comes late takes back nothing that was acknowledged before it.
+    let mut leader = elected(5, 5, &[1]);
+    for (id, upto, commit) in [(2, 2, 0), (2, 1, 0), (3, 2, 2)] {
+        leader.step(raft(id, 5, appended(upto)), ELECTED);
+        assert_eq!(leader.commit, Index(commit), "member {id} has {upto}");
+    }
+    // One from a time to come is of another life's clock, and makes no quorum fresh.
+    let mut leader = elected(3, 5, &[1]);
+    let answer = RaftKind::Appended { upto: Index(2), ok: true, sent: ELECTED.0 + 5_000 };
+    leader.step(raft(2, 5, answer), ELECTED);
+    assert_eq!(leader.commit, Index(2));
+    assert!(!leader.granting(ELECTED.plus(4_900)));
+}
+
+#[test]
+fn a_snapshot_replaces_what_it_covers_and_nothing_newer() {
+    // (what, term of the leader, term and index of the snapshot's last entry, the log afterwards,
+    // the commit index, whether the snapshot is taken). The follower in term 4 holds entries of
+    // terms 1, 1, 2, 2, of which two are committed.
+    type Case = (&'static str, u64, (u64, u64), &'static [u64], u64, bool);
+    let cases: [Case; 7] = [
+        ("it ends behind the log", 4, (3, 6), &[], 6, true),
+        ("it ends with the log", 4, (2, 4), &[], 4, true),
+        ("the log agrees at its end and goes on", 4, (2, 3), &[2], 3, true),
+        ("the log is of another term at its end", 4, (3, 3), &[], 3, true),
+        ("it ends at the commit index", 4, (1, 2), &[1, 1, 2, 2], 2, false),
+        ("it ends before the commit index", 4, (1, 1), &[1, 1, 2, 2], 2, false),
+        ("it is of an earlier term's leader", 3, (3, 6), &[1, 1, 2, 2], 2, false),
+    ];
+    for (what, term, last, log, commit, taken) in cases {
+        let mut follower = replica(3, 4, &[1, 1, 2, 2]);
+        let (previous, committed) = ((Epoch(1), Index(2)), Index(2));
+        let entries = Vec::new();
+        let heartbeat = RaftKind::Append { previous, entries, commit: committed, sent: 1 };
+        follower.step(raft(2, 4, heartbeat), ELECTED);
+        follower.out.clear();
+        let members: Vec<Member> = (1..=4).map(|id| member(id, true)).collect();
+        let state = ByteBuf::from(vec![42]);
+        let upto = Index(last.1);
+        let snapshot = Snapshot { last: (Epoch(last.0), upto), members, state };
+        follower.step(raft(2, term, RaftKind::Snapshot { snapshot, sent: 7 }), ELECTED);
+        assert_eq!(follower.out.is_empty(), taken, "{what}: not acknowledged before it is on disk");
+        assert_eq!(follower.dirty.snapshot, taken, "{what}");
+        store(&mut follower);
+        let (ok, sent) = if term == 4 { (true, 7) } else { (false, 0) };
+        let kind = RaftKind::Appended { upto: if ok { upto } else { Index(0) }, ok, sent };
+        assert_eq!(follower.out.pop().map(|(_, m)| m.kind), Some(kind), "{what}");
+        assert_eq!(terms_of(&follower), log, "{what}");
+        assert_eq!(follower.commit, Index(commit), "{what}");
+        assert_eq!(follower.kept.snapshot.state.len(), usize::from(taken), "{what}");
+        assert_eq!(follower.members().len(), if taken { 4 } else { 3 }, "{what}: members");
+    }
+}
+
+#[test]
+fn the_members_are_those_of_the_newest_list_that_is_still_in_the_log() {
+    let listed = |term, index, voters| Entry {
+        epoch: Epoch(term),
+        index: Index(index),
+        body: Body::Members((1..=voters).map(|id| member(id, true)).collect()),
+    };
+    let append = |previous: (u64, u64), entries| RaftKind::Append {
+        previous: (Epoch(previous.0), Index(previous.1)),
+        entries,
+        commit: Index(0),
+        sent: 1,
+    };
+    // A list counts from when it is in the log, and no more once another leader replaced it.
+    let mut follower = replica(3, 4, &[1, 1]);
+    follower.step(raft(2, 4, append((1, 2), vec![listed(4, 3, 4)])), ELECTED);
+    assert_eq!(follower.members().len(), 4);
+    let other = Entry { epoch: Epoch(5), index: Index(3), body: Body::Opened };
+    follower.step(raft(3, 5, append((1, 2), vec![other])), ELECTED);
+    assert_eq!((follower.members().len(), terms_of(&follower)), (3, vec![1, 1, 5]));
+    // A snapshot holds the list as of its last entry, not one that came later.
+    let mut leader = elected(1, 5, &[]);
+    leader.propose(Body::Change(ByteBuf::from(vec![0; 2 << 20])), ELECTED);
+    store(&mut leader);
+    let commit = leader.commit;
+    leader.propose(Body::Members((1..=2).map(|id| member(id, true)).collect()), ELECTED);
+    leader.compact(commit, || vec![42]);
+    assert_eq!(leader.kept.snapshot.last, (Epoch(5), commit));
+    assert_eq!((leader.kept.snapshot.members.len(), leader.members().len()), (1, 2));
+}
+
+#[test]
+fn only_a_voter_that_its_leader_asks_stands_for_election_at_once() {
+    // (what, whether it votes, who asks it to take over, in which term, whether it stands). The
+    // leader of term 5 is member 2.
+    let cases = [
+        ("its leader", true, 2, 5, true),
+        ("one that is not its leader", true, 3, 5, false),
+        ("its leader, in an earlier term", true, 2, 4, false),
+        ("its leader, in a term that it has not heard of", true, 2, 6, false),
+        ("its leader, but it is a learner", false, 2, 5, false),
+    ];
+    for (what, votes, from, term, stands) in cases {
+        let members: Vec<Member> = (1..=4).map(|id| member(id, id != 1 || votes)).collect();
+        let snapshot = Snapshot { members, ..Snapshot::default() };
+        let kept = Kept { me: MemberId(1), epoch: Epoch(5), snapshot, ..Kept::default() };
+        let mut hedge = Hedge::new(kept, false, Tick(1_000), || 0);
+        let (previous, commit) = ((Epoch(0), Index(0)), Index(0));
+        let heartbeat = RaftKind::Append { previous, entries: Vec::new(), commit, sent: 1 };
+        hedge.step(raft(2, 5, heartbeat), ELECTED);
+        hedge.out.clear();
+        hedge.step(raft(from, term, RaftKind::TakeOver), ELECTED);
+        let asked = hedge.out.iter().filter(|(_, m)| matches!(m.kind, RaftKind::AskVote { .. }));
+        assert_eq!(asked.count(), if stands { 3 } else { 0 }, "{what}");
+        assert_eq!(hedge.kept.epoch, Epoch(if stands { 6 } else { 5 }), "{what}");
+        // Nor does a learner when it has heard of no leader for long.
+        hedge.out.clear();
+        hedge.tick(ELECTED.plus(60_000));
+        assert_eq!(hedge.out.is_empty(), !votes, "{what}: after a silence");
+    }
+}
+
+#[test]
+fn a_leader_answers_reads_and_grants_only_with_a_committed_entry_of_its_own_term() {
+    // (what, terms of the entries before its own, how far a follower acknowledges, whether it may)
+    let cases: [(&str, &[u64], Option<u64>, bool); 6] = [
+        ("nobody answers", &[1, 1], None, false),
+        ("the entries of earlier terms are on most disks", &[1, 1], Some(2), false),
+        ("its own is", &[1, 1], Some(3), true),
+        ("an empty log, and nobody answers", &[], None, false),
+        ("an empty log, nothing is acknowledged", &[], Some(0), false),
+        ("an empty log, its own entry is acknowledged", &[], Some(1), true),
+    ];
+    for (what, terms, acknowledged, may) in cases {
+        let mut leader = elected(3, 5, terms);
+        if let Some(upto) = acknowledged {
+            leader.step(raft(2, 5, appended(upto)), ELECTED);
+        }
+        let now = ELECTED.plus(10);
+        assert_eq!(leader.granting(now), may, "{what}");
+        let read = leader.read_index(now);
+        assert_eq!(read.map(|r| r.upto), may.then_some(leader.commit), "{what}");
+    }
+}
+
+#[test]
+fn a_vote_leaves_only_once_it_is_on_disk_however_often_a_write_fails() {
+    for failed in [0, 1, 3] {
+        let mut granary = Granary::none().expect("in memory");
+        let (mut voter, mut desk, mut now) = (replica(3, 5, &[1]), Desk::default(), ELECTED);
+        let last = (Epoch(1), Index(1));
+        let ask = RaftKind::AskVote { trial: false, handover: false, led: false, last };
+        voter.step(raft(2, 6, ask), now);
+        assert!(desk.leaving(&mut voter).is_empty(), "{failed} writes fail");
+        for _ in 0..failed {
+            now = now.plus(1_000);
+            assert!(desk.start(&mut voter, now).is_some(), "{failed} writes fail");
+            assert!(desk.leaving(&mut voter).is_empty(), "{failed} writes fail");
+            assert!(desk.ended(&mut voter, false, now).is_empty(), "{failed} writes fail");
+            assert!(desk.leaving(&mut voter).is_empty(), "{failed} writes fail");
+        }
+        now = now.plus(1_000);
+        let sheaf = desk.start(&mut voter, now).expect("the vote is still to be written");
+        assert!(desk.leaving(&mut voter).is_empty(), "{failed} writes fail");
+        granary.save(&sheaf).expect("saved");
+        let left: Vec<RaftKind> =
+            desk.ended(&mut voter, true, now).into_iter().map(|(_, m)| m.kind).collect();
+        assert_eq!(left, [RaftKind::Vote { trial: false, granted: true }]);
+        let on_disk = granary.kept().expect("read").expect("kept");
+        assert_eq!((on_disk.epoch, on_disk.voted), (Epoch(6), Some(MemberId(2))));
+    }
+}
+
+#[test]
+fn a_candidate_says_that_it_led_only_of_the_term_before_the_one_it_asks_for() {
+    // (the last term that it led, whether it tells voters that nobody leads the term before 6)
+    for (led, says) in [(None, false), (Some(3), false), (Some(4), false), (Some(5), true)] {
+        let led = led.map(Epoch);
+        let kept = Kept { epoch: Epoch(5), led, log: log_of(&[1, 5]), ..founder(1, 3) };
+        let mut candidate = Hedge::new(kept, false, Tick(1_000), || 0);
+        candidate.tick(ELECTED);
+        candidate.step(raft(2, 6, RaftKind::Vote { trial: true, granted: true }), ELECTED);
+        let last = (Epoch(5), Index(2));
+        let ask = |trial| RaftKind::AskVote { trial, handover: false, led: says, last };
+        let asked: Vec<(u64, Raft)> = candidate.out.drain(..).map(|(to, m)| (to.0, m)).collect();
+        let expected = [(2, true), (3, true), (2, false), (3, false)];
+        assert_eq!(asked, expected.map(|(to, trial)| (to, raft(1, 6, ask(trial)))), "{led:?}");
+    }
+}
+
+#[test]
+fn a_leader_sends_the_next_part_only_when_the_newest_one_is_answered() {
+    // (what, term of the answer, how much later a transfer it names, how long before the part was
+    // sent what it answers was, whether the next part follows)
+    let cases = [
+        ("the part", 5, 0, 0, true),
+        ("a part of another transfer", 5, 1, 0, false),
+        ("something sent before the part", 5, 0, 1, false),
+        ("in an earlier term", 4, 0, 0, false),
+    ];
+    for (what, term, other, before, follows) in cases {
+        let mut leader = elected(3, 5, &[]);
+        leader.step(raft(2, 5, appended(1)), ELECTED);
+        leader.reads(MemberId(2), LAYOUT);
+        leader.out.clear();
+        let now = ELECTED.plus(10);
+        leader.propose(Body::Change(ByteBuf::from(vec![0; 100_000])), now);
+        let parts = |leader: &mut Hedge| -> Vec<(u64, u64, u64)> {
+            let out = leader.out.drain(..).filter(|(to, _)| *to == MemberId(2));
+            out.filter_map(|(_, m)| match m.kind {
+                RaftKind::Part { transfer, offset, bytes, .. } => {
+                    Some((transfer, offset, bytes.len() as u64))
+                }
+                _ => None,
+            })
+            .collect()
+        };
+        let first = parts(&mut leader);
+        let [(transfer, 0, size)] = first[..] else { panic!("{what}: {first:?}") };
+        let sent = now.0 - before;
+        let taken = RaftKind::PartTaken { transfer: transfer + other, upto: size, sent };
+        leader.step(raft(2, term, taken), now.plus(5));
+        let next: Vec<(u64, u64)> = parts(&mut leader).iter().map(|p| (p.0, p.1)).collect();
+        assert_eq!(next, if follows { vec![(transfer, size)] } else { vec![] }, "{what}");
+    }
+}
+
+#[test]
+fn a_candidate_follows_a_leader_of_its_term_and_counts_no_votes_any_more() {
+    let append = RaftKind::Append {
+        previous: (Epoch(0), Index(0)),
+        entries: Vec::new(),
+        commit: Index(0),
+        sent: 1,
+    };
+    // (it still asks for pre-votes, the leader's term, whether the vote after it counts, its term)
+    let cases =
+        [(true, 5, false, 5), (false, 6, false, 6), (true, 4, true, 6), (false, 5, true, 6)];
+    for (trial, term, counts, after) in cases {
+        let what = format!("pre-vote {trial}, a leader of term {term}");
+        let mut candidate = replica(3, 5, &[1]);
+        candidate.tick(ELECTED);
+        if !trial {
+            let granted = RaftKind::Vote { trial: true, granted: true };
+            candidate.step(raft(2, 6, granted), ELECTED);
+        }
+        candidate.step(raft(2, term, append.clone()), ELECTED);
+        assert_eq!(candidate.leader, if counts { None } else { Some(MemberId(2)) }, "{what}");
+        candidate.step(raft(3, 6, RaftKind::Vote { trial, granted: true }), ELECTED);
+        assert_eq!(candidate.is_leader(), counts && !trial, "{what}");
+        assert_eq!(candidate.kept.epoch, Epoch(after), "{what}");
+    }
+}
+
+#[test]
+fn a_leader_that_no_quorum_answers_steps_down() {
+    // (voters, who answers 900 ms after the election, whether it leads 1000 and 1010 ms after it)
+    let cases: [(u64, &[u64], [bool; 2]); 6] = [
+        (1, &[], [true, true]),
+        (3, &[], [true, false]),
+        (3, &[2], [true, true]),
+        (3, &[3, 2], [true, true]),
+        (5, &[4], [true, false]),
+        (5, &[4, 3], [true, true]),
+    ];
+    for (voters, answer, leads) in cases {
+        let mut leader = elected(voters, 5, &[1]);
+        for id in answer {
+            let sent = ELECTED.0 + 900;
+            let kind = RaftKind::Appended { upto: Index(0), ok: true, sent };
+            leader.step(raft(*id, 5, kind), ELECTED.plus(900));
+        }
+        for (after, leads) in [1_000, 1_010].into_iter().zip(leads) {
+            leader.tick(ELECTED.plus(after));
+            assert_eq!(leader.is_leader(), leads, "{voters} voters, {answer:?}, {after} ms");
+        }
+        assert_eq!(leader.propose(change(9), ELECTED.plus(1_010)).is_some(), leads[1]);
+        assert_eq!(leader.kept.epoch, Epoch(5), "{voters} voters, {answer:?}");
+    }
+}
+
+#[test]
+fn a_snapshot_has_the_term_of_the_last_entry_that_it_covers() {
+    let mut log = log_of(&[1, 3, 3]);
+    log[0].body = Body::Change(ByteBuf::from(vec![0; 2 << 20]));
+    let kept = Kept { epoch: Epoch(4), log, ..founder(1, 3) };
+    let mut follower = Hedge::new(kept, false, Tick(1_000), || 0);
+    let append = |previous: (u64, u64)| RaftKind::Append {
+        previous: (Epoch(previous.0), Index(previous.1)),
+        entries: Vec::new(),
+        commit: Index(1),
+        sent: 1,
+    };
+    follower.step(raft(2, 4, append((3, 3))), ELECTED);
+    follower.compact(follower.commit, || vec![42]);
+    assert_eq!(follower.kept.snapshot.last, (Epoch(1), Index(1)));
+    assert_eq!((terms_of(&follower), follower.last()), (vec![3, 3], (Epoch(3), Index(3))));
+    // The entry that the snapshot ends with is agreed on by its term like any other.
+    for (previous, agrees) in [((1, 1), true), ((3, 2), true), ((4, 1), false), ((1, 2), false)] {
+        follower.out.clear();
+        follower.step(raft(2, 4, append(previous)), ELECTED);
+        let ok = matches!(follower.out[0].1.kind, RaftKind::Appended { ok: true, .. });
+        assert_eq!(ok, agrees, "{previous:?}");
+    }
+}
+
+#[test]
+fn entries_that_a_snapshot_covers_are_not_taken_again() {
+    // (what, the entry before those that come, their terms, the terms of the log afterwards, up to
+    // where it is acknowledged). The snapshot ends with entry 3 of term 2; 4 and 5 are in the log.
+    type Case = (&'static str, (u64, u64), &'static [u64], &'static [u64], u64);
+    let cases: [Case; 6] = [
+        ("from the beginning up to the snapshot's end", (0, 0), &[1, 1, 2], &[2, 3], 3),
+        ("all of them before its end", (1, 1), &[1], &[2, 3], 3),
+        ("a heartbeat from before it", (1, 1), &[], &[2, 3], 3),
+        ("over its end", (1, 2), &[2, 2], &[2, 3], 4),
+        ("over its end and the log's", (1, 2), &[2, 2, 3, 4], &[2, 3, 4], 6),
+        ("over its end, with a conflict behind it", (1, 2), &[2, 2, 4], &[2, 4], 5),
+    ];
+    for (what, previous, terms, log, upto) in cases {
+        let behind = |from: u64, terms: &[u64]| -> Vec<Entry> {
+            let place = |e: Entry| Entry { index: Index(from + e.index.0), ..e };
+            log_of(terms).into_iter().map(place).collect()
+        };
+        let mut kept = Kept { epoch: Epoch(4), log: behind(3, &[2, 3]), ..founder(1, 3) };
+        kept.snapshot.last = (Epoch(2), Index(3));
+        let mut follower = Hedge::new(kept, false, Tick(1_000), || 0);
+        let entries = behind(previous.1, terms);
+        let previous = (Epoch(previous.0), Index(previous.1));
+        let append = RaftKind::Append { previous, entries, commit: Index(0), sent: 7 };
+        follower.step(raft(2, 4, append), ELECTED);
+        store(&mut follower);
+        assert_eq!(terms_of(&follower), log, "{what}");
+        let places = follower.kept.log.iter().map(|e| e.index.0);
+        assert!(places.eq(4..4 + log.len() as u64), "{what}: {:?}", follower.kept.log);
+        let kind = RaftKind::Appended { upto: Index(upto), ok: true, sent: 7 };
+        assert_eq!(follower.out.pop().map(|(_, m)| m.kind), Some(kind), "{what}");
+        assert_eq!(follower.commit, Index(3), "{what}");
+    }
+}
+
+#[test]
+fn a_restarted_leader_that_hears_of_a_later_term_waits_as_long_as_any_other() {
+    let heartbeat = RaftKind::Append {
+        previous: (Epoch(0), Index(0)),
+        entries: Vec::new(),
+        commit: Index(0),
+        sent: 1,
+    };
+    // (the last term that it led, the term whose leader it hears, whether it may ask sooner then)
+    for (led, term, sooner) in [(5, None, true), (5, Some(6), false), (4, Some(5), false)] {
+        let led = Some(Epoch(led));
+        let kept = Kept { epoch: Epoch(5), led, log: log_of(&[5]), ..founder(1, 3) };
+        let mut hedge = Hedge::new(kept, true, ELECTED, || 0);
+        if let Some(term) = term {
+            hedge.step(raft(2, term, heartbeat.clone()), ELECTED);
+        }
+        let soon = hedge.due() < ELECTED.plus(ELECTION_MIN_MS);
+        assert_eq!(soon, sooner, "it led {led:?} and hears of {term:?}");
+    }
+}
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -324,3 +324,116 @@
     assert!(sent <= 2 * missing, "{sent} entries for {missing} that it had missed");
     assert!(orchard.acked.iter().all(|order| orchard.holds(at, *order)));
 }
+
+/// So many voters, and learners with the ids after theirs.
+fn list(voters: u64, learners: u64) -> Vec<Member> {
+    (1..=voters + learners).map(|id| member(id, id, id <= voters)).collect()
+}
+
+#[test]
+fn only_voters_of_the_newest_list_count_to_a_commit_and_to_a_leaders_quorum() {
+    // (what, voters at first, voters and learners of the list that is proposed, who acknowledges
+    // everything, whether that commits it)
+    type Case = (&'static str, u64, (u64, u64), &'static [u64], bool);
+    let cases: [Case; 8] = [
+        ("a learner", 3, (3, 1), &[4], false),
+        ("more learners than voters", 3, (3, 4), &[4, 5, 6, 7], false),
+        ("a voter", 3, (3, 4), &[2], true),
+        ("one that the list takes in as a voter", 3, (4, 0), &[4], false),
+        ("two of the longer list", 3, (4, 0), &[4, 2], true),
+        ("one that the list leaves out", 4, (3, 0), &[4], false),
+        ("one that the shorter list keeps", 4, (3, 0), &[2], true),
+        ("one that is in no list", 3, (3, 1), &[9], false),
+    ];
+    for (what, before, (voters, learners), acknowledge, commits) in cases {
+        let mut led = Led::new(before);
+        for id in 2..=before {
+            led.holds(id, led.hedge.last().1.0);
+        }
+        assert!(led.hedge.granting(led.now), "{what}");
+        led.wait(500);
+        let commit = led.hedge.commit;
+        led.hedge.propose(Body::Members(list(voters, learners)), led.now);
+        led.store();
+        assert_eq!(led.hedge.commit, commit, "{what}: its own disk alone");
+        let last = led.hedge.last().1;
+        let read = led.hedge.read_index(led.now).expect("it leads");
+        led.wait(1);
+        for id in acknowledge {
+            led.holds(*id, last.0);
+        }
+        assert_eq!(led.hedge.commit == last, commits, "{what}");
+        assert_eq!(led.hedge.granting(led.now), commits, "{what}: a quorum answered");
+        assert_eq!(led.hedge.confirmed(&read), commits.then_some(true), "{what}: ReadIndex");
+    }
+}
+
+#[test]
+fn only_voters_elect_a_leader() {
+    // (voters, learners, who grants its vote, whether member 1 leads then)
+    let cases: [(u64, u64, &[u64], bool); 5] = [
+        (3, 0, &[2], true),
+        (3, 2, &[4, 5], false),
+        (3, 2, &[4, 5, 3], true),
+        (5, 1, &[2, 6], false),
+        (5, 1, &[2, 6, 4], true),
+    ];
+    for (voters, learners, grant, leads) in cases {
+        for trial in [true, false] {
+            let snapshot = Snapshot { members: list(voters, learners), ..Snapshot::default() };
+            let kept = Kept { me: MemberId(1), snapshot, ..Kept::default() };
+            let mut hedge = Hedge::new(kept, false, Tick(1_000), || 0);
+            let now = Tick(2_000);
+            hedge.tick(now);
+            let vote = |hedge: &mut Hedge, id: u64, trial| {
+                let kind = RaftKind::Vote { trial, granted: true };
+                hedge.step(Raft { from: MemberId(id), epoch: Epoch(1), kind }, now);
+            };
+            if !trial {
+                (2..=voters).for_each(|id| vote(&mut hedge, id, true));
+            }
+            let before = hedge.kept.epoch;
+            grant.iter().for_each(|id| vote(&mut hedge, *id, trial));
+            let won = if trial { hedge.kept.epoch > before } else { hedge.is_leader() };
+            assert_eq!(won, leads, "{voters} voters, {learners} learners, {grant:?}, {trial}");
+        }
+    }
+}
+
+#[test]
+fn the_members_change_once_more_only_after_the_last_change_is_committed() {
+    let mut led = Led::new(3);
+    let (first, second) = (member(4, 4, false), member(5, 5, false));
+    let wanted = |led: &Led| {
+        let joining = [&first, &second].into_iter();
+        led.hedge.wanted_members(joining, 1, 4_000, led.now).map(|list| list.len())
+    };
+    assert_eq!(wanted(&led), Some(4));
+    led.hedge.propose(Body::Members(list(3, 1)), led.now);
+    led.store();
+    assert_eq!(wanted(&led), None, "the change is on one disk of three");
+    led.holds(4, led.hedge.last().1.0);
+    assert_eq!(wanted(&led), None, "and on a learner's");
+    led.holds(2, led.hedge.last().1.0);
+    assert_eq!(wanted(&led), Some(5));
+    // One that hands over adds nothing to its log any more.
+    led.hedge.hand_over(led.now);
+    let last = led.hedge.last();
+    assert_eq!(led.hedge.propose(Body::Members(list(3, 2)), led.now), None);
+    assert_eq!(led.hedge.last(), last);
+}
+
+#[test]
+fn a_learner_is_not_asked_to_take_over() {
+    let mut led = Led::new(3);
+    led.hedge.propose(Body::Members(list(3, 1)), led.now);
+    led.store();
+    let last = led.hedge.last().1.0;
+    led.holds(4, last);
+    led.holds(2, last - 1);
+    led.asked();
+    led.hedge.hand_over(led.now);
+    assert!(led.asked().is_empty(), "only the learner holds the whole log");
+    led.holds(2, last);
+    assert_eq!(led.asked(), [2]);
+}
