--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -563,3 +563,37 @@
         almanac = Almanac::read(&pack(&almanac)).expect("both kinds side by side");
     }
 }
+
+#[test]
+fn a_read_is_answered_from_all_that_was_committed_when_it_came() {
+    let mut site = Site::new(1);
+    let leader = site.lead();
+    assert_eq!(site.ask(leader, put(0, 3, 'a')).0, 200);
+    let (now, node) = (site.now, site.nodes.get_mut(&leader).expect("leader"));
+    let before = Almanac::default();
+    let mut reads = Reads::<u32>::default();
+    assert_eq!(reads.ask(&mut node.hedge, &node.almanac, Call::ReadConfiguration, 7, now), None);
+    let behind = Index(node.applied.0 - 1);
+    let early = reads.settled(&node.hedge, &before, behind, now);
+    assert_eq!(early, [], "the last entry is not applied yet");
+    let settled = reads.settled(&node.hedge, &node.almanac, node.applied, now);
+    let statuses = settled.into_iter().map(|(from, verdict)| (from, status(verdict)));
+    assert_eq!(statuses.collect::<Vec<_>>(), [(7, Some(200))]);
+}
+
+#[test]
+fn a_read_of_an_epoch_that_is_over_is_refused_at_once() {
+    let mut site = Site::new(3);
+    let leader = site.lead();
+    let now = site.now;
+    let node = site.nodes.get_mut(&leader).expect("leader");
+    let mut reads = Reads::<u32>::default();
+    let asked = reads.ask(&mut node.hedge, &node.almanac, Call::ReadConfiguration, 7, now);
+    assert_eq!(asked, None);
+    assert_eq!(reads.settled(&node.hedge, &node.almanac, node.applied, now), [], "still open");
+    site.restart(&[leader]);
+    let node = &site.nodes[&leader];
+    let settled = reads.settled(&node.hedge, &node.almanac, node.applied, now);
+    let statuses = settled.into_iter().map(|(from, verdict)| (from, status(verdict)));
+    assert_eq!(statuses.collect::<Vec<_>>(), [(7, Some(503))]);
+}
