--- a/tests/copies.rs
+++ b/tests/copies.rs
@@ -782,3 +782,295 @@
     println!("{seeds} seeds: {promoted} promoted, {covered} covered");
     assert!(promoted > seeds as usize / 2 && covered > seeds as usize / 2, "{promoted} {covered}");
 }
+
+/// The primary is `a` in term 2, with an intent or without.
+#[test]
+fn a_lead_and_its_intent_change_only_as_the_present_term_allows() {
+    let service = || ServiceName::from("s");
+    let led = |term, primary: &str| Change::Led {
+        service: service(),
+        term: DbTerm(term),
+        primary: primary.into(),
+    };
+    let intend = |term, target: &str| Change::Intend {
+        service: service(),
+        term: DbTerm(term),
+        target: target.into(),
+    };
+    let abandon = |target: &str| Change::Abandon { service: service(), target: target.into() };
+    let returned = |term, primary: &str| Change::Returned {
+        service: service(),
+        term: DbTerm(term),
+        primary: primary.into(),
+    };
+    let lead = |term, primary: &str, intent: Option<&str>| Lead {
+        term: DbTerm(term),
+        primary: primary.into(),
+        intent: intent.map(InstanceId::from),
+    };
+    let (free, bound) = (lead(2, "a", None), lead(2, "a", Some("b")));
+    // (lead before, change, lead after, none if the change comes to nothing)
+    let cases = [
+        (&free, led(1, "c"), None),
+        (&free, led(2, "c"), None),
+        (&free, led(3, "c"), Some(lead(3, "c", None))),
+        (&bound, led(1, "b"), None),
+        (&bound, led(2, "b"), None),
+        (&bound, led(3, "b"), Some(lead(3, "b", None))),
+        (&free, intend(1, "c"), None),
+        (&free, intend(3, "c"), None),
+        (&free, intend(2, "c"), Some(lead(2, "a", Some("c")))),
+        (&bound, intend(2, "c"), None),
+        (&bound, intend(2, "b"), None),
+        (&free, abandon("b"), None),
+        (&bound, abandon("c"), None),
+        (&bound, abandon("b"), Some(free.clone())),
+        (&free, returned(1, "d"), None),
+        (&free, returned(3, "d"), None),
+        (&free, returned(2, "d"), Some(lead(2, "d", None))),
+        (&bound, returned(2, "d"), None),
+    ];
+    for (before, change, after) in cases {
+        let mut almanac = Almanac::default();
+        almanac.apply(&led(2, "a"));
+        if let Some(target) = &before.intent {
+            assert_eq!(almanac.apply(&intend(2, &target.0)), Effect::Done);
+        }
+        assert_eq!(almanac.leads[&service()], *before);
+        let whole = almanac.clone();
+        let effect = if after.is_some() { Effect::Done } else { Effect::Nothing };
+        assert_eq!(almanac.apply(&change), effect, "{before:?} {change:?}");
+        match after {
+            Some(after) => assert_eq!(almanac.leads[&service()], after, "{change:?}"),
+            None => assert_eq!(almanac, whole, "{change:?} leaves all as it was"),
+        }
+    }
+    for change in [intend(1, "b"), abandon("b"), returned(1, "d")] {
+        let mut almanac = Almanac::default();
+        assert_eq!(almanac.apply(&change), Effect::Nothing, "{change:?} without a lead");
+        assert_eq!(almanac, Almanac::default());
+    }
+}
+
+#[test]
+fn who_counts_as_departed() {
+    let service = ServiceName::from("s");
+    let led = || Change::Led { service: service.clone(), term: DbTerm(1), primary: "a".into() };
+    let returned =
+        || Change::Returned { service: service.clone(), term: DbTerm(1), primary: "d".into() };
+    // (what happens after `a` and `b` were listed, who counts)
+    let cases: [(&str, Vec<Change>, &[&str]); 6] = [
+        ("a replica of a led service", vec![led(), goes("b", 9)], &["b"]),
+        ("before there is a lead", vec![goes("b", 9), led()], &[]),
+        ("the primary", vec![led(), goes("a", 9)], &[]),
+        ("a replica that is back", vec![led(), goes("b", 9), comes("b", 10)], &[]),
+        ("a primary under another id", vec![led(), goes("a", 9), returned()], &[]),
+        ("a replica and that one", vec![led(), goes("a", 9), goes("b", 9), returned()], &["b"]),
+    ];
+    for (what, changes, counted) in cases {
+        let mut almanac = Almanac::default();
+        for change in [comes("a", 1), comes("b", 1)].iter().chain(&changes) {
+            assert_eq!(almanac.apply(change), Effect::Done, "{what}: {change:?}");
+        }
+        let departed: Vec<InstanceId> = almanac.departed(&service).into_keys().collect();
+        let counted: Vec<InstanceId> = counted.iter().map(|id| InstanceId::from(*id)).collect();
+        assert_eq!(departed, counted, "{what}");
+    }
+}
+
+#[test]
+fn one_that_left_twice_is_remembered_from_the_second_time() {
+    let mut almanac = Almanac::default();
+    for change in [comes("b", 1), goes("b", 5), comes("b", 6), goes("b", 9)] {
+        assert_eq!(almanac.apply(&change), Effect::Done);
+    }
+    for n in 0..4_095 {
+        let id = format!("i{n}");
+        almanac.apply(&comes(&id, 1));
+        almanac.apply(&goes(&id, 1));
+    }
+    assert_eq!(almanac.apply(&comes("b", 8)), Effect::Nothing, "a late heartbeat");
+    assert_eq!(almanac.apply(&comes("b", 10)), Effect::Done);
+}
+
+/// `c` left. What it had is covered by as many others as a commit needs.
+#[test]
+fn a_departed_replica_is_covered_by_listed_replicas_that_reached_the_primary() {
+    let now = Tick(50_000);
+    let describe = |id| ask(id, Ask::Describe);
+    let begin = |sync_replicas: u32| {
+        let mut facts = Facts { sync_replicas, ..without_c(&facts()) };
+        facts.databases.push(("d".into(), database(Role::Replica)));
+        facts.beating.insert("d".into());
+        let mut s = begun(&facts, now);
+        tell(&mut s, &facts, "d", Ask::Continue, 7, now);
+        assert_eq!(s.tick(&facts, now), []);
+        assert_eq!(s.tick(&facts, now.plus(2_100)), [describe("a")]);
+        (s, facts)
+    };
+    let now = now.plus(2_110);
+    let primary =
+        |primary, term| Told::Row(Described { primary, term: DbTerm(term), received: at(9) });
+    // (what `a` says of itself, whether its position is the mark)
+    for (leads, term, mark) in [(true, 1, true), (false, 1, false), (true, 2, false)] {
+        let (mut s, facts) = begin(1);
+        let told = primary(leads, term);
+        let deeds = s.told(&facts, s.attempt, &"a".into(), Ask::Describe, &told, now);
+        let asked = if mark { vec![describe("b"), describe("d")] } else { Vec::new() };
+        assert_eq!(deeds, asked, "{leads} {term}");
+    }
+    // Before the primary has answered no replica is asked.
+    let (mut s, facts) = begin(1);
+    assert_eq!(s.tick(&facts, now.plus(500)), []);
+    // (synchronous replicas, whether `b` leaves after it answered, who answers, whether it is
+    // covered)
+    type Answers<'a> = &'a [(&'a str, u64)];
+    let cases: [(u32, bool, Answers, bool); 8] = [
+        (1, false, &[("b", 8)], false),
+        (1, false, &[("b", 9)], true),
+        (2, false, &[("b", 9)], false),
+        (2, false, &[("b", 9), ("b", 9)], false),
+        (2, false, &[("b", 9), ("d", 8)], false),
+        (2, false, &[("b", 9), ("d", 9)], true),
+        (2, true, &[("b", 9), ("d", 9)], false),
+        (0, false, &[("b", 9)], true),
+    ];
+    for (sync_replicas, leaves, answers, covered) in cases {
+        let (mut s, mut facts) = begin(sync_replicas);
+        let told = primary(true, 1);
+        s.told(&facts, s.attempt, &"a".into(), Ask::Describe, &told, now);
+        let mut deeds = Vec::new();
+        for (id, number) in answers {
+            assert_eq!(deeds, [], "{answers:?}");
+            deeds = tell(&mut s, &facts, id, Ask::Describe, *number, now);
+            if leaves {
+                facts.databases.retain(|(id, _)| *id != "b".into());
+            }
+        }
+        let departed = BTreeMap::from([("c".into(), u64::MAX)]);
+        let change = Change::Covered { service: "s".into(), departed };
+        let expected = if covered { vec![Deed::Propose(change)] } else { Vec::new() };
+        assert_eq!(deeds, expected, "{sync_replicas} {leaves} {answers:?}");
+    }
+}
+
+#[test]
+fn a_replica_that_left_again_is_waited_for_anew() {
+    let (mut facts, now) = (without_c(&facts()), Tick(50_000));
+    let mut s = begun(&facts, now);
+    let describe = [ask("a", Ask::Describe)];
+    facts.departed.insert("c".into(), 5);
+    assert_eq!(s.tick(&facts, now), []);
+    facts.departed.insert("c".into(), 9);
+    for (after, asked) in [(1_500, false), (2_100, false), (3_400, false), (3_500, true)] {
+        let deeds = s.tick(&facts, now.plus(after));
+        assert_eq!(deeds, if asked { &describe[..] } else { &[] }, "after {after}");
+    }
+}
+
+/// A late answer, with the same number from an earlier leader or from an earlier attempt.
+#[test]
+fn an_answer_counts_for_its_own_attempt_and_its_own_database() {
+    let now = Tick(50_000);
+    let facts = facts();
+    let steady = begun(&facts, now);
+    let mut doubting = steady.clone();
+    doubting.suspect(&facts, &"n1".into(), &"a".into(), Doubt::Broken, now);
+    let mut fencing = steady.clone();
+    lost(&mut fencing, &facts, now);
+    let mut chosen = fencing.clone();
+    tell(&mut chosen, &facts, "b", PAUSE, 7, now);
+    tell(&mut chosen, &facts, "c", PAUSE, 9, now);
+    let lead = Lead { term: DbTerm(1), primary: "a".into(), intent: Some("c".into()) };
+    let posting_facts = Facts { lead: Some(lead), ..facts.clone() };
+    let mut posting = chosen.clone();
+    assert_eq!(posting.tick(&posting_facts, now), [Deed::Post("c".into())]);
+    let others = |own: Attempt| {
+        [
+            Attempt { number: own.number - 1, ..own },
+            Attempt { number: own.number + 1, ..own },
+            Attempt { epoch: Epoch(own.epoch.0 - 1), ..own },
+            Attempt { epoch: Epoch(own.epoch.0 + 1), ..own },
+        ]
+    };
+    // (stage, who, what was asked, the answer)
+    let table = [
+        (&doubting, "a", Ask::Describe, Told::Lost),
+        (&doubting, "a", Ask::Describe, row(true, at(7))),
+        (&doubting, "a", Ask::Describe, Told::Reached),
+        (&fencing, "a", Ask::Describe, row(true, at(7))),
+        (&fencing, "c", PAUSE, row(false, at(9))),
+        (&fencing, "c", Ask::Describe, row(false, at(9))),
+    ];
+    for (stage, who, what, told) in &table {
+        for attempt in others(stage.attempt) {
+            let mut s = (*stage).clone();
+            let deeds = s.told(&facts, attempt, &(*who).into(), *what, told, now);
+            assert_eq!((deeds, &s.stage), (vec![], &stage.stage), "{attempt:?} {what:?} {told:?}");
+        }
+        let mut s = (*stage).clone();
+        s.told(&facts, s.attempt, &(*who).into(), *what, told, now);
+        assert_ne!(s.stage, stage.stage, "its own answer counts: {what:?} {told:?}");
+    }
+    for outcome in [Posted::Refused, Posted::Accepted, Posted::Unclear, Posted::Busy] {
+        for attempt in others(posting.attempt) {
+            let mut s = posting.clone();
+            let deeds = s.posted(&posting_facts, attempt, &"c".into(), outcome, now);
+            assert_eq!((deeds, &s.stage), (vec![], &posting.stage), "{attempt:?} {outcome:?}");
+        }
+        let mut s = posting.clone();
+        let deeds = s.posted(&posting_facts, s.attempt, &"b".into(), outcome, now);
+        assert_eq!((deeds, &s.stage), (vec![], &posting.stage), "of another: {outcome:?}");
+    }
+}
+
+#[test]
+fn an_order_is_ended_by_an_answer_of_this_leader_only() {
+    let (facts, now) = (facts(), Tick(50_000));
+    // (the epoch of the answer that `c` goes on, whether it may be paused)
+    for (epoch, ended) in [(2, false), (3, true), (4, false)] {
+        let (mut s, _) = Succession::begin(&facts, now);
+        tell(&mut s, &facts, "b", Ask::Continue, 7, now);
+        let attempt = Attempt { epoch: Epoch(epoch), ..s.attempt };
+        s.told(&facts, attempt, &"c".into(), Ask::Continue, &row(false, at(7)), now);
+        let paused = lost(&mut s, &facts, now.plus(10));
+        assert_eq!(paused.contains(&ask("c", PAUSE)), ended, "epoch {epoch}");
+    }
+}
+
+#[test]
+fn a_replica_let_go_again_is_asked_until_it_answers_that_order() {
+    let (facts, now) = (facts(), Tick(50_000));
+    // (whether the answer is to the order of the present attempt, whether `c` is asked again)
+    for (present, again) in [(false, true), (true, false)] {
+        let (mut s, _) = Succession::begin(&facts, now);
+        let first = s.attempt;
+        tell(&mut s, &facts, "b", Ask::Continue, 7, now);
+        let now = now.plus(3_100);
+        assert_eq!(lost(&mut s, &facts, now), [ask("b", PAUSE), ask("c", PAUSE)]);
+        for id in ["b", "c"] {
+            s.told(&facts, s.attempt, &id.into(), PAUSE, &Told::Alive, now);
+        }
+        s.told(&facts, s.attempt, &"a".into(), Ask::Describe, &row(true, at(7)), now);
+        tell(&mut s, &facts, "b", Ask::Continue, 7, now);
+        let attempt = if present { s.attempt } else { first };
+        s.told(&facts, attempt, &"c".into(), Ask::Continue, &row(false, at(7)), now);
+        let expected = if again { vec![ask("c", Ask::Continue)] } else { Vec::new() };
+        assert_eq!(s.tick(&facts, now.plus(1_100)), expected, "{present}");
+    }
+}
+
+#[test]
+fn a_later_call_has_a_higher_fence() {
+    let attempt = |epoch, number| Attempt { epoch: Epoch(epoch), number };
+    // Each is above the one before, but for numbers beyond all that a leader can reach.
+    let rising = [(1, 0), (1, 1), (1, 7), (1, (1 << 20) - 1), (2, 0), (2, 1), (9, 0)];
+    for pair in rising.windows(2) {
+        let [low, high] = [pair[0], pair[1]].map(|(epoch, number)| attempt(epoch, number).fence());
+        assert!(low < high, "{pair:?}");
+    }
+    for number in [1 << 20, (1 << 20) + 5, 1 << 40, u64::MAX] {
+        assert!(attempt(1, number).fence() < attempt(2, 0).fence(), "{number}");
+        assert!(attempt(1, number).fence() > attempt(1, 7).fence(), "{number}");
+    }
+}
