--- /dev/null
+++ b/tests/leases.rs
@@ -0,0 +1,791 @@
+//! Leases, connection quotas and parts: each row is a rule by which no two poolers get the same.
+use silvertack::common::ids::*;
+use silvertack::common::peer::*;
+use silvertack::common::settings::Settings;
+use silvertack::common::wire::Described;
+use silvertack::steward::{
+    Almanac, Ask, Attempt, Cadastre, Change, Dirty, Effect, Effects, Hedge, Input, Kept, LEASE_MS,
+    Lead, LeaseBook, Posted, Sheaf, Steward, Told,
+};
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+/// From the grant of a lease until nobody can use it.
+const LEASE_ENDS_MS: u64 = LEASE_MS + 50;
+/// So long a lost pooler's connections are counted, and its last word is waited for.
+const QUOTA_HELD_MS: u64 = 4_500;
+const WORD_AWAITED_MS: u64 = 10_000;
+
+const START: Tick = Tick(100_000);
+const TERM: DbTerm = DbTerm(2);
+
+fn at(number: u64) -> Position {
+    Position { term: DbTerm(1), number }
+}
+fn service() -> ServiceName {
+    "s".into()
+}
+fn node(number: u64) -> NodeName {
+    NodeName(format!("n{number}"))
+}
+fn grant(standing: Standing, share: u32) -> Grant {
+    Grant { service: service(), standing, share }
+}
+fn led(term: u64) -> Standing {
+    Standing::Led { term: DbTerm(term), primary: "a".into() }
+}
+/// A book that has long been led with, and so many poolers on connections 0, 1 and so on.
+fn book(poolers: u64) -> LeaseBook {
+    let mut book = LeaseBook::new(Tick(0));
+    for n in 0..poolers {
+        book.seat(&node(n), 1, n, START);
+    }
+    book
+}
+/// A renewal is answered with this.
+fn granted(book: &mut LeaseBook, to: u64, standing: Standing, share: u32, now: Tick) {
+    book.tell(&node(to), grant(standing, share));
+    book.renewed(&node(to), now);
+}
+/// A pooler asks for its quota of `total` and is told it.
+fn quota(book: &mut LeaseBook, of: u64, total: u32, now: Tick) -> u32 {
+    let share = book.share(&node(of), &service(), total, now);
+    granted(book, of, Standing::Unled, share, now);
+    share
+}
+
+/// The lease that is asked about is of term 2.
+#[test]
+fn a_lease_may_be_in_use_until_its_slack_is_over_or_it_was_given_back() {
+    // (what was granted, what happens then, ms after the grant, whether the lease is gone)
+    let cases = [
+        ("not ended", 2, "nothing", LEASE_MS, false),
+        ("within the slack", 2, "nothing", LEASE_ENDS_MS, false),
+        ("after the slack", 2, "nothing", LEASE_ENDS_MS + 1, true),
+        ("of an older term, not ended", 1, "nothing", 10, false),
+        ("of an older term, within the slack", 1, "nothing", LEASE_ENDS_MS, false),
+        ("of a newer term", 3, "nothing", 10, true),
+        ("revoked, not ended", 2, "revoked", LEASE_ENDS_MS, false),
+        ("revoked, of an older term", 1, "revoked", LEASE_ENDS_MS, false),
+        ("revoked, after the slack", 2, "revoked", LEASE_ENDS_MS + 1, true),
+        ("given back", 2, "term 2 given back", 10, true),
+        ("an older term given back", 2, "term 1 given back", 10, false),
+        ("an older term given back, slack", 2, "term 1 given back", LEASE_ENDS_MS, false),
+        ("an older term given back, over", 2, "term 1 given back", LEASE_ENDS_MS + 1, true),
+        ("a newer term given back", 2, "term 3 given back", 10, true),
+        ("lost, within the slack", 2, "lost", LEASE_ENDS_MS, false),
+        ("goodbye said", 2, "goodbye", 10, true),
+        ("revoked, then goodbye said", 2, "revoked, goodbye", 10, true),
+    ];
+    for (what, term, then, after, gone) in cases {
+        let mut book = book(1);
+        granted(&mut book, 0, led(term), 8, START);
+        let revoke = |book: &mut LeaseBook| granted(book, 0, Standing::Unled, 8, START.plus(5));
+        let give_back = |book: &mut LeaseBook, term| {
+            book.give_back(&node(0), &service(), DbTerm(term), Some(at(5)));
+        };
+        match then {
+            "revoked" => revoke(&mut book),
+            "term 1 given back" => give_back(&mut book, 1),
+            "term 2 given back" => give_back(&mut book, 2),
+            "term 3 given back" => give_back(&mut book, 3),
+            "lost" => drop(book.lose(0, START.plus(5))),
+            "goodbye" => book.leave(&node(0)),
+            "revoked, goodbye" => {
+                revoke(&mut book);
+                book.leave(&node(0));
+            }
+            _ => assert_eq!(then, "nothing"),
+        }
+        assert_eq!(book.gone(&service(), TERM, START.plus(after)), gone, "{what}");
+    }
+}
+
+#[test]
+fn a_new_leader_waits_for_leases_of_which_it_may_not_know() {
+    let book = LeaseBook::new(START);
+    for (after, gone) in [(0, false), (LEASE_ENDS_MS, false), (LEASE_ENDS_MS + 1, true)] {
+        assert_eq!(book.gone(&service(), TERM, START.plus(after)), gone, "after {after}");
+    }
+}
+
+/// The watermark of a revoked term is certain once every pooler has said it or is covered.
+#[test]
+fn the_watermark_needs_a_word_on_this_term_or_a_sight_after_the_lease() {
+    let seen = |after: u64| Some((START.plus(after), at(9)));
+    // (what becomes of the pooler, what was seen, what is certain)
+    let cases = [
+        ("gave this term back", None, None),
+        ("gave this term back", Some((Tick(LEASE_ENDS_MS), at(3))), Some(Some(at(5)))),
+        ("gave an older term back", Some((Tick(LEASE_ENDS_MS), at(3))), None),
+        ("gave an older term back", seen(LEASE_ENDS_MS - 1), None),
+        ("gave an older term back", seen(LEASE_ENDS_MS), Some(Some(at(9)))),
+        ("revoked", Some((Tick(LEASE_ENDS_MS), at(3))), None),
+        ("revoked", seen(LEASE_ENDS_MS - 1), None),
+        ("revoked", seen(LEASE_ENDS_MS), Some(Some(at(9)))),
+        ("another process", Some((Tick(LEASE_ENDS_MS), at(3))), None),
+        ("another process", seen(LEASE_ENDS_MS - 1), None),
+        ("another process", seen(LEASE_ENDS_MS), Some(Some(at(9)))),
+    ];
+    for (what, seen, certain) in cases {
+        let mut book = book(1);
+        granted(&mut book, 0, led(2), 8, START);
+        let now = START.plus(100);
+        match what {
+            "gave this term back" => book.give_back(&node(0), &service(), TERM, Some(at(5))),
+            "gave an older term back" => {
+                book.give_back(&node(0), &service(), DbTerm(1), Some(at(5)));
+            }
+            "another process" => {
+                book.seat(&node(0), 2, 1, now);
+                book.give_back(&node(0), &service(), TERM, None);
+            }
+            _ => granted(&mut book, 0, Standing::Unled, 8, now),
+        }
+        let told = book.given_back(&service(), TERM, seen, false, START.plus(30_000));
+        assert_eq!(told, certain, "{what}, {seen:?}");
+    }
+}
+
+#[test]
+fn of_poolers_that_are_forgotten_the_last_lease_counts() {
+    for (first, second) in [(2_000, 0), (0, 2_000)] {
+        let mut book = book(2);
+        granted(&mut book, 0, led(2), 4, START.plus(first));
+        granted(&mut book, 1, led(2), 4, START.plus(second));
+        book.lose(0, START.plus(2_100));
+        book.lose(1, START.plus(2_100));
+        let now = START.plus(2_100 + WORD_AWAITED_MS);
+        book.forget_old(now);
+        assert!(book.seats.is_empty());
+        for (after, certain) in [(0, false), (1_999, false), (2_000, true)] {
+            let seen = Some((START.plus(LEASE_ENDS_MS + after), at(9)));
+            let told = book.given_back(&service(), TERM, seen, false, now);
+            assert_eq!(told, certain.then_some(Some(at(9))), "{first} {second}, {after}");
+        }
+    }
+}
+
+#[test]
+fn a_lost_pooler_may_come_back_and_is_forgotten_only_after_its_word_is_overdue() {
+    // (ms after the loss, whether its quota is freed there, whether it is still known)
+    for (after, freed, known) in [
+        (QUOTA_HELD_MS - 1, false, true),
+        (QUOTA_HELD_MS, true, true),
+        (WORD_AWAITED_MS - 1, true, true),
+        (WORD_AWAITED_MS, true, false),
+    ] {
+        let mut lost = book(1);
+        lost.lose(0, START);
+        assert_eq!(lost.forget_old(START.plus(after)), freed, "after {after}");
+        assert_eq!(lost.seats.contains_key(&node(0)), known, "after {after}");
+        // Back on a new connection it is lost no more, however much later that is looked at.
+        let mut back = book(1);
+        back.lose(0, START);
+        back.seat(&node(0), 1, 1, START.plus(1_000));
+        assert!(!back.forget_old(START.plus(after)), "back, after {after}");
+        assert!(back.seats.contains_key(&node(0)), "back, after {after}");
+    }
+}
+
+#[test]
+fn what_is_told_again_to_a_pooler() {
+    let sealed = Standing::Sealed(at(9));
+    // (what is told twice, whether there is a new connection in between, whether it is told again)
+    let cases = [
+        (led(2), false, false),
+        (led(2), true, true),
+        (Standing::Unled, false, false),
+        (Standing::Unled, true, true),
+        (sealed.clone(), false, true),
+        (sealed, true, true),
+    ];
+    for (standing, anew, again) in cases {
+        let mut book = book(1);
+        let told = grant(standing, 4);
+        assert_eq!(book.tell(&node(0), told.clone()), Some(told.clone()));
+        if anew {
+            book.seat(&node(0), 1, 1, START.plus(10));
+        }
+        assert_eq!(book.tell(&node(0), told.clone()), again.then_some(told.clone()), "{told:?}");
+    }
+}
+
+/// Of twelve connections nine are given out, as a quarter of so few is kept back.
+#[test]
+fn a_quota_counts_whatever_another_process_may_still_hold() {
+    let total = 12;
+    // (what becomes of the one that had all, ms after that, the quotas of it and of another then)
+    let cases = [
+        ("there", 10, Some(4), 0),
+        ("another connection", 10, Some(4), 0),
+        ("another process", 10, Some(4), 4),
+        ("lost", QUOTA_HELD_MS - 1, None, 0),
+        ("lost", QUOTA_HELD_MS, None, 9),
+        ("lost and back", QUOTA_HELD_MS, Some(0), 9),
+    ];
+    for (what, after, own, others) in cases {
+        let mut book = book(1);
+        assert_eq!(quota(&mut book, 0, total, START), 9);
+        book.seat(&node(1), 1, 1, START);
+        assert_eq!(quota(&mut book, 1, total, START), 0, "nothing is left");
+        let now = START.plus(after);
+        match what {
+            "another connection" => book.seat(&node(0), 1, 2, START),
+            "another process" => book.seat(&node(0), 2, 2, START),
+            "lost" | "lost and back" => drop(book.lose(0, START)),
+            _ => assert_eq!(what, "there"),
+        }
+        book.forget_old(now);
+        assert_eq!(book.share(&node(1), &service(), total, now), others, "{what}");
+        if what == "lost and back" {
+            // The other was given all meanwhile, and the first still has what it had.
+            granted(&mut book, 1, Standing::Unled, 9, now);
+            book.seat(&node(0), 1, 2, now);
+        }
+        if let Some(own) = own {
+            assert_eq!(book.share(&node(0), &service(), total, now), own, "{what}");
+        }
+    }
+}
+
+#[test]
+fn a_pooler_on_a_second_connection_is_one_pooler() {
+    let mut book = book(1);
+    for conn in 1..4 {
+        book.seat(&node(0), 1, conn, START);
+    }
+    assert_eq!(quota(&mut book, 0, 12, START), 9);
+}
+
+#[test]
+fn quotas_of_more_poolers_than_connections_stay_below_the_total() {
+    // (connections of the database, poolers, what they get one after the other)
+    let cases: [(u32, u64, &[u32]); 4] = [
+        (4, 5, &[1, 1, 1, 0, 0]),
+        (1, 2, &[1, 0]),
+        (12, 2, &[4, 4]),
+        (92, 8, &[11, 11, 11, 11, 11, 11, 11, 11]),
+    ];
+    for (total, poolers, quotas) in cases {
+        let mut book = book(poolers);
+        let got: Vec<u32> = (0..poolers).map(|n| quota(&mut book, n, total, START)).collect();
+        assert_eq!(got, quotas, "{total} among {poolers}");
+    }
+}
+
+#[test]
+fn a_young_leader_gives_no_more_than_somebody_has_while_quotas_may_be_held() {
+    // (ms after the election, what the only pooler it knows gets of 88)
+    for (after, share) in [(0, 4), (1_000, 4), (QUOTA_HELD_MS - 1, 4), (QUOTA_HELD_MS, 88)] {
+        let mut book = LeaseBook::new(START);
+        book.seat(&node(0), 1, 0, START);
+        assert_eq!(book.share(&node(0), &service(), 92, START.plus(after)), share, "{after}");
+    }
+}
+
+#[test]
+fn others_hear_of_a_quota_that_shrank_or_is_the_largest_so_far() {
+    let mut book = book(2);
+    granted(&mut book, 0, Standing::Unled, 4, START);
+    // (who, the connections it says it has, whether others may get more now)
+    let cases =
+        [(0, 9, true), (0, 9, false), (1, 9, false), (0, 4, true), (0, 2, false), (1, 10, true)];
+    for (row, (who, share, stirred)) in cases.into_iter().enumerate() {
+        let names = book.report(&node(who), vec![(service(), share)], START);
+        assert_eq!(names == [service()], stirred, "row {row}: {names:?}");
+    }
+}
+
+/// Four poolers, nine connections to give: two each, and one is left to lend.
+#[test]
+fn what_is_lent_is_lent_once_and_looked_at_until_it_is_back() {
+    let mut book = book(4);
+    book.want(&node(0), &service(), 5, START);
+    assert_eq!(quota(&mut book, 0, 12, START), 3);
+    // The others have not taken their parts yet, which are theirs all the same.
+    book.want(&node(1), &service(), 5, START);
+    assert_eq!(quota(&mut book, 1, 12, START), 2, "it is lent already");
+    // (ms later, what the first says it has, its quota, whether it is looked at after that)
+    for (after, says, share, looked) in
+        [(2_999, 3, 3, true), (3_000, 3, 2, true), (3_100, 3, 2, true), (3_200, 2, 2, false)]
+    {
+        let now = START.plus(after);
+        book.report(&node(0), vec![(service(), says)], now);
+        assert_eq!(quota(&mut book, 0, 12, now), share, "after {after}");
+        assert_eq!(book.lent(&node(0)).count() == 1, looked, "after {after}");
+    }
+}
+
+#[test]
+fn a_part_is_told_once_on_a_connection_and_again_on_the_next() {
+    let mut cadastre = Cadastre::new(START);
+    cadastre.report(&node(0), "here", service(), 100);
+    cadastre.divide(|_| true, START.plus(3_000));
+    for (row, (all, told)) in [(false, 1), (false, 0), (true, 1)].into_iter().enumerate() {
+        assert_eq!(cadastre.due(&node(0), all).len(), told, "row {row}");
+    }
+}
+
+/// What a steward sends and asks; nothing of it goes anywhere by itself.
+#[derive(Default)]
+struct Queue {
+    writes: bool,
+    asks: Vec<(InstanceId, Ask, Attempt)>,
+    posts: Vec<(InstanceId, Attempt)>,
+    sent: Vec<(u64, ToStile)>,
+    raft: Vec<(MemberId, Raft)>,
+}
+impl Queue {
+    fn keep(&mut self, conn: u64, frame: &[u8]) {
+        if let Ok(Frame::Steward(message)) = receive(&mut &frame[..]) {
+            self.sent.push((conn, message));
+        }
+    }
+}
+impl Effects for Queue {
+    fn send_raft(&mut self, to: MemberId, _: SocketAddr, message: Raft, _: Tick) {
+        self.raft.push((to, message));
+    }
+    fn keep_links(&mut self, _: &[Member]) {}
+    fn write(&mut self, _: Sheaf) -> bool {
+        self.writes = true;
+        true
+    }
+    fn ask_standing(&mut self, _: SocketAddr, _: Member, _: bool) {}
+    fn ask_database(
+        &mut self,
+        _: &ServiceName,
+        id: &InstanceId,
+        _: SocketAddr,
+        ask: Ask,
+        attempt: Attempt,
+    ) -> bool {
+        self.asks.push((id.clone(), ask, attempt));
+        true
+    }
+    fn post_failover(
+        &mut self,
+        _: SocketAddr,
+        _: &str,
+        _: &ServiceName,
+        target: &InstanceId,
+        attempt: Attempt,
+    ) {
+        self.posts.push((target.clone(), attempt));
+    }
+    fn send(&mut self, conn: u64, frame: Arc<[u8]>) {
+        self.keep(conn, &frame);
+    }
+    fn send_first(&mut self, conn: u64, frame: Arc<[u8]>) {
+        self.keep(conn, &frame);
+    }
+    fn waiting(&self, _: u64) -> Option<usize> {
+        Some(0)
+    }
+    fn pump(&mut self) -> Vec<u64> {
+        Vec::new()
+    }
+    fn peers(&self) -> usize {
+        0
+    }
+}
+
+const SETTINGS: &str = "node_name = \"one\"\nip_address = \"10.0.0.1\"\nzone = \"z\"\n\
+    port_range = [7440, 7440]\nseed_nodes = [\"10.0.0.1:8782\"]\nheartbeat_ms = 600000\n\
+    [listeners]\nadmin = \"10.0.0.1:8782\"\n[provider]\naddress = \"10.0.0.8:1\"\n";
+
+/// A leader, with followers that only answer it, or with none. The primary is `a` in term 1, its replicas are `b` and `c`.
+struct Leader {
+    steward: Steward<Queue>,
+    followers: Vec<Hedge>,
+    /// The followers are out of reach.
+    cut: bool,
+    now: Tick,
+}
+impl Leader {
+    /// With changes of the state from before it leads.
+    fn new(sync_replicas: u32, before: &[Change]) -> Self {
+        Self::of(1, sync_replicas, before)
+    }
+    fn of(voters: u64, sync_replicas: u32, before: &[Change]) -> Self {
+        let instance = |role: &str| {
+            let instance = serde_json::json!({
+                "target_service": "s", "address": "10.0.0.9:1", "zone": "z", "revision": "v1",
+                "capacity": 7, "lifecycle_state": "available", "warmup_left_ms": 0,
+                "database_role": role,
+            });
+            serde_json::from_value(instance).expect("instance")
+        };
+        let body = serde_json::json!({
+            "revision": 1, "route_rules": [], "limits": {},
+            "services": [{ "name": "s", "max_connections": 16, "sync_replicas": sync_replicas }],
+        });
+        let body = serde_bytes::ByteBuf::from(body.to_string());
+        let mut almanac = Almanac::default();
+        almanac.apply(&Change::Configure { base: Revision(0), revision: Revision(1), body });
+        for (id, role) in [("a", "primary"), ("b", "replica"), ("c", "replica")] {
+            let (id, instance) = (id.into(), instance(role));
+            almanac.apply(&Change::Beat { id, instance, sequence: 1 });
+        }
+        let primary = "a".into();
+        almanac.apply(&Change::Led { service: service(), term: DbTerm(1), primary });
+        for change in before {
+            assert_eq!(almanac.apply(change), Effect::Done, "{change:?}");
+        }
+        let member = |id| Member {
+            id: MemberId(id),
+            node: NodeName(format!("steward{id}")),
+            peer: format!("10.0.0.{id}:7440").parse().expect("address"),
+            admin: format!("10.0.0.{id}:8782").parse().expect("address"),
+            voter: true,
+            can_vote: true,
+        };
+        let snapshot = Snapshot {
+            last: (Epoch(1), Index(5)),
+            members: (1..=voters).map(member).collect(),
+            state: serde_bytes::ByteBuf::from(almanac.write()),
+        };
+        let kept = |id| Kept {
+            me: MemberId(id),
+            epoch: Epoch(1),
+            snapshot: snapshot.clone(),
+            ..Kept::default()
+        };
+        let follower = |id| Hedge::new(kept(id), false, START, || 10);
+        let settings = Settings::parse(SETTINGS).expect("settings");
+        let steward = Steward::new(settings, kept(1), true, || 10, Queue::default(), START);
+        let followers = (2..=voters).map(follower).collect();
+        let steward = steward.expect("starts");
+        let mut this = Self { steward, followers, cut: false, now: START };
+        this.run(10_000);
+        assert!(this.steward.hedge().granting(this.now), "it leads");
+        this
+    }
+    fn turn(&mut self) {
+        self.steward.turn(self.now).expect("readable");
+        while std::mem::take(&mut self.steward.effects.writes) {
+            self.steward.take(Input::Saved(Ok(())), self.now);
+            self.steward.turn(self.now).expect("readable");
+            self.exchange();
+        }
+        self.exchange();
+    }
+    /// What it sends its followers is answered at once.
+    fn exchange(&mut self) {
+        loop {
+            let messages = std::mem::take(&mut self.steward.effects.raft);
+            if messages.is_empty() || self.cut {
+                return;
+            }
+            for (to, message) in messages {
+                let follower = self.followers.iter_mut().find(|f| f.kept.me == to);
+                let follower = follower.expect("a follower");
+                follower.step(message, self.now);
+                follower.dirty = Dirty::default();
+                follower.stored(follower.last());
+                for (to, answer) in follower.out.drain(..) {
+                    let message = Box::new(answer);
+                    self.steward.take(Input::Frame(0, Frame::Raft { to, message }), self.now);
+                }
+            }
+            self.steward.turn(self.now).expect("readable");
+        }
+    }
+    fn run(&mut self, ms: u64) {
+        for _ in 0..ms / 10 {
+            self.now = self.now.plus(10);
+            self.turn();
+        }
+    }
+    fn hear(&mut self, conn: u64, message: ToSteward) {
+        self.steward.take(Input::Frame(conn, Frame::Stile(message)), self.now);
+        self.turn();
+    }
+    fn hello(&mut self, conn: u64, name: &str) {
+        let (node, zone, revision) = (name.into(), "z".into(), Revision(1));
+        self.hear(conn, ToSteward::Hello { node, life: 1, revision, zone });
+    }
+    fn close(&mut self, conn: u64) {
+        self.steward.take(Input::Closed(conn), self.now);
+        self.turn();
+    }
+    /// A renewal with what was seen; gives its answer's grant and watermark of the service.
+    fn renew_with(&mut self, conn: u64, seq: u64, heard: u64, saw: Vec<Saw>) -> Granted {
+        self.steward.effects.sent.clear();
+        let (shares, wants, busy) = (Vec::new(), Vec::new(), Vec::new());
+        let asks = vec![service()];
+        self.hear(conn, ToSteward::Renew { seq, heard, shares, wants, saw, asks, busy });
+        let answers = std::mem::take(&mut self.steward.effects.sent).into_iter();
+        let mut granted = answers.filter_map(|(to, message)| match message {
+            ToStile::Granted { seq: of, grants, fresh, .. } if (to, of) == (conn, seq) => {
+                Some((grants.into_iter().next(), fresh.into_iter().next()))
+            }
+            _ => None,
+        });
+        granted.next_back()
+    }
+    fn renew(&mut self, conn: u64) -> Option<Grant> {
+        self.renew_with(conn, 1, 0, Vec::new()).expect("answered").0
+    }
+    fn standing(&mut self, conn: u64) -> Option<Standing> {
+        self.renew(conn).map(|grant| grant.standing)
+    }
+    fn share(&mut self, conn: u64) -> Option<u32> {
+        self.renew(conn).map(|grant| grant.share)
+    }
+    fn says(&mut self, conn: u64, share: u32) {
+        let (shares, wants, saw) = (vec![(service(), share)], Vec::new(), Vec::new());
+        let (seq, heard, asks, busy) = (1, 0, Vec::new(), Vec::new());
+        self.hear(conn, ToSteward::Renew { seq, heard, shares, wants, saw, asks, busy });
+    }
+    /// A database answers the question of this kind that it was asked.
+    fn answer(&mut self, id: &str, kind: fn(&Ask) -> bool, told: Told) {
+        let asks = &mut self.steward.effects.asks;
+        let place = asks.iter().position(|(of, ask, _)| *of == id.into() && kind(ask));
+        let (id, ask, attempt) = asks.remove(place.unwrap_or_else(|| panic!("{id} is not asked")));
+        self.steward.take(Input::Told(service(), id, ask, attempt, told), self.now);
+        self.turn();
+    }
+    fn asked(&self, id: &str, kind: fn(&Ask) -> bool) -> bool {
+        self.steward.effects.asks.iter().any(|(of, ask, _)| *of == id.into() && kind(ask))
+    }
+    /// The replicas go on after the earlier leader.
+    fn settle(&mut self, replicas: &[&str]) {
+        for id in replicas {
+            // It was asked again and again while the leader waited.
+            while self.asked(id, |ask| *ask == Ask::Continue) {
+                self.answer(id, |ask| *ask == Ask::Continue, row(false, 1, 7));
+            }
+        }
+    }
+    /// The primary is doubted and refuses.
+    fn lose_primary(&mut self, conn: u64) {
+        let (instance, why) = ("a".into(), Doubt::Broken);
+        self.hear(conn, ToSteward::Suspect { service: service(), instance, why });
+        self.answer("a", |ask| *ask == Ask::Describe, Told::Lost);
+    }
+    fn lead(&self) -> &Lead {
+        &self.steward.almanac().leads[&service()]
+    }
+}
+type Granted = Option<(Option<Grant>, Option<Fresh>)>;
+
+fn row(primary: bool, term: u64, number: u64) -> Told {
+    Told::Row(Described { primary, term: DbTerm(term), received: at(number) })
+}
+fn pauses(ask: &Ask) -> bool {
+    matches!(ask, Ask::Pause(_))
+}
+
+/// From the loss of a primary to the next one's term, as the poolers are told.
+#[test]
+fn a_renewal_grants_no_lease_that_is_revoked_and_the_next_term_waits_for_the_old() {
+    let revoked = |highest| ToSteward::Revoked { service: service(), term: DbTerm(1), highest };
+    // (what the pooler does, ms after its last lease at which the next term may begin)
+    for (what, until) in
+        [("nothing", LEASE_ENDS_MS), ("closes", LEASE_ENDS_MS), ("gives back", 0), ("goodbye", 0)]
+    {
+        let mut leader = Leader::new(1, &[]);
+        leader.settle(&["b", "c"]);
+        leader.hello(1, "n1");
+        leader.hello(2, "n2");
+        assert_eq!(leader.standing(1), Some(led(1)), "{what}");
+        let leased = leader.now;
+        leader.lose_primary(2);
+        assert_eq!(leader.standing(2), Some(Standing::Unled), "{what}: never leased");
+        match what {
+            "closes" => leader.close(1),
+            "gives back" => leader.hear(1, revoked(Some(at(8)))),
+            "goodbye" => leader.hear(1, ToSteward::Bye),
+            _ => assert_eq!(leader.standing(1), Some(Standing::Unled)),
+        }
+        leader.answer("b", pauses, row(false, 1, 7));
+        leader.answer("c", pauses, row(false, 1, 9));
+        assert_eq!(leader.lead().intent, Some("c".into()), "{what}");
+        for _ in 0..2 {
+            assert_eq!(leader.standing(2), Some(Standing::Sealed(at(9))), "{what}: each time");
+        }
+        let (target, attempt) = leader.steward.effects.posts.pop().expect("promoted");
+        let posted = Input::Posted(service(), target, attempt, Posted::Accepted);
+        leader.steward.take(posted, leader.now);
+        leader.run(600);
+        leader.answer("c", |ask| *ask == Ask::Describe, row(true, 2, 9));
+        leader.run(100);
+        while leader.now.since(leased) < until {
+            assert_eq!(leader.lead().term, DbTerm(1), "{what}: {}", leader.now.since(leased));
+            assert_eq!(leader.standing(2), Some(Standing::Sealed(at(9))), "{what}");
+            leader.run(50);
+        }
+        leader.run(150);
+        assert_eq!((&leader.lead().primary, leader.lead().term), (&"c".into(), TERM), "{what}");
+        let next = Standing::Led { term: TERM, primary: "c".into() };
+        assert_eq!(leader.standing(2), Some(next), "{what}");
+    }
+}
+
+/// Only `b` of two replicas is paused, at 7.
+#[test]
+fn a_word_of_the_poolers_stands_in_for_a_replica_only_if_all_gave_it() {
+    let cases = [
+        ("nothing", 1, 12_000, false),
+        ("closes", 1, 12_000, false),
+        ("closes", 0, 1_000, false),
+        ("closes", 0, 12_000, true),
+        ("gives back 7", 1, 1_000, true),
+        ("gives back 8", 1, 12_000, false),
+        ("gives back 7, nothing seen", 1, 12_000, false),
+        ("gives back 7", 0, 1_000, true),
+    ];
+    // (what the pooler does, synchronous replicas, ms, whether `b` takes over)
+    for (what, sync_replicas, ms, may) in cases {
+        let mut leader = Leader::new(sync_replicas, &[]);
+        leader.settle(&["b", "c"]);
+        leader.hello(1, "n1");
+        leader.hello(2, "n2");
+        assert_eq!(leader.standing(1), Some(led(1)), "{what}");
+        // What was seen since the election covers poolers that only the leader before knew.
+        if what != "gives back 7, nothing seen" {
+            leader.run(100);
+            let saw = Saw { service: service(), term: DbTerm(1), position: at(6), after: 50 };
+            leader.renew_with(1, 2, 1, vec![saw]).expect("answered");
+        }
+        leader.lose_primary(2);
+        let word = |number| {
+            let highest = Some(at(number));
+            ToSteward::Revoked { service: service(), term: DbTerm(1), highest }
+        };
+        match what {
+            "closes" => leader.close(1),
+            "gives back 7" | "gives back 7, nothing seen" => leader.hear(1, word(7)),
+            "gives back 8" => leader.hear(1, word(8)),
+            _ => assert_eq!(what, "nothing"),
+        }
+        // The other pooler never had a lease, and says that it passed on nothing.
+        leader.hear(2, ToSteward::Revoked { service: service(), term: DbTerm(1), highest: None });
+        leader.answer("b", pauses, row(false, 1, 7));
+        leader.run(ms);
+        let target = may.then(|| "b".into());
+        assert_eq!(leader.lead().intent, target, "{what} {sync_replicas} {ms}");
+    }
+}
+
+#[test]
+fn a_departed_replica_holds_up_a_planned_change_only_where_copies_are_counted_on() {
+    let gone = Change::Gone { id: "c".into(), sequence: u64::MAX };
+    // (synchronous replicas, whether `c` has departed, whether the change begins at once)
+    for (sync_replicas, departed, begins) in [(1, true, false), (0, true, true), (1, false, true)] {
+        let draining = || {
+            let instance = serde_json::json!({
+                "target_service": "s", "address": "10.0.0.9:1", "zone": "z", "revision": "v1",
+                "capacity": 7, "lifecycle_state": "draining", "warmup_left_ms": 0,
+                "database_role": "primary",
+            });
+            let instance = serde_json::from_value(instance).expect("instance");
+            Change::Beat { id: "a".into(), instance, sequence: 2 }
+        };
+        let before = if departed { vec![draining(), gone.clone()] } else { vec![draining()] };
+        let mut leader = Leader::new(sync_replicas, &before);
+        leader.settle(if departed { &["b"] } else { &["b", "c"] });
+        leader.run(200);
+        let began = leader.asked("b", |ask| *ask == Ask::Describe) || leader.asked("c", pauses);
+        assert_eq!(began, begins, "{sync_replicas} {departed}");
+    }
+}
+
+#[test]
+fn a_watermark_is_as_old_as_the_answer_that_was_heard_before_it() {
+    // (the answer that the pooler says it heard, ms after it, the age that others are told)
+    let cases = [
+        (1, 100, Some(1_401)),
+        (2, 100, Some(401)),
+        (1, 1_500, Some(1)),
+        (2, 501, None),
+        (0, 0, None),
+        (9, 0, None),
+    ];
+    for (heard, after, age) in cases {
+        let mut leader = Leader::new(1, &[]);
+        leader.settle(&["b", "c"]);
+        leader.hello(1, "n1");
+        leader.hello(2, "n2");
+        leader.renew_with(1, 1, 0, Vec::new()).expect("answered");
+        leader.run(1_000);
+        leader.renew_with(1, 2, 1, Vec::new()).expect("answered");
+        leader.run(500);
+        let saw = Saw { service: service(), term: DbTerm(1), position: at(7), after };
+        leader.renew_with(1, 3, heard, vec![saw]).expect("answered");
+        let (_, fresh) = leader.renew_with(2, 1, 0, Vec::new()).expect("answered");
+        assert_eq!(fresh.map(|f| f.age), age, "{heard} {after}");
+    }
+}
+
+#[test]
+fn what_an_older_connection_of_a_pooler_brings_is_not_heard() {
+    let mut leader = Leader::new(1, &[]);
+    leader.settle(&["b", "c"]);
+    leader.hello(1, "n1");
+    leader.hello(2, "n1");
+    assert_eq!(leader.renew_with(1, 1, 0, Vec::new()), None, "no lease on the older one");
+    assert_eq!(leader.standing(2), Some(led(1)));
+    assert_eq!(leader.standing(2), None, "told already, and granted again");
+    // A give-back or a goodbye that was under way would end what is granted on the newer one.
+    for late in
+        [ToSteward::Revoked { service: service(), term: DbTerm(1), highest: None }, ToSteward::Bye]
+    {
+        leader.hear(1, late);
+        assert_eq!(leader.standing(2), None, "it has what it was told");
+    }
+    leader.close(1);
+    assert_eq!(leader.standing(2), None, "the end of the older one is no loss");
+}
+
+/// Twelve connections of sixteen are given out.
+#[test]
+fn quotas_move_as_poolers_come_and_go() {
+    let mut leader = Leader::new(1, &[]);
+    leader.settle(&["b", "c"]);
+    leader.hello(1, "n1");
+    assert_eq!(leader.share(1), Some(12));
+    leader.hello(2, "n2");
+    assert_eq!(leader.share(2), Some(0), "the first has all");
+    assert_eq!(leader.share(1), Some(6), "it is told to give some back");
+    assert_eq!(leader.share(2), None, "but has not yet");
+    leader.says(1, 12);
+    assert_eq!(leader.share(2), None);
+    leader.says(1, 6);
+    assert_eq!(leader.share(2), Some(6));
+    leader.close(1);
+    leader.run(4_400);
+    assert_eq!(leader.share(2), None, "its connections may still be open");
+    leader.run(300);
+    assert_eq!(leader.share(2), Some(12));
+}
+
+/// Another may lead by then, and may have granted, asked or promoted.
+#[test]
+fn a_leader_that_does_not_hear_its_quorum_grants_and_asks_nothing() {
+    let mut leader = Leader::of(3, 1, &[]);
+    leader.settle(&["b", "c"]);
+    leader.hello(1, "n1");
+    assert_eq!(leader.standing(1), Some(led(1)));
+    leader.cut = true;
+    while leader.steward.hedge().granting(leader.now) {
+        leader.run(10);
+    }
+    assert!(leader.steward.hedge().is_leader(), "for a moment it leads all the same");
+    assert_eq!(leader.renew_with(1, 2, 1, Vec::new()), None, "no lease is renewed");
+    leader.steward.effects.asks.clear();
+    let (instance, why) = ("a".into(), Doubt::Broken);
+    leader.hear(1, ToSteward::Suspect { service: service(), instance, why });
+    assert_eq!(leader.steward.effects.asks, [], "no database is asked");
+    leader.steward.effects.sent.clear();
+    leader.hello(2, "n2");
+    assert!(leader.steward.effects.sent.is_empty(), "nobody new is taken in");
+    // Heard again in time, it goes on.
+    leader.cut = false;
+    leader.run(500);
+    assert!(leader.steward.hedge().granting(leader.now));
+    assert!(leader.steward.effects.sent.iter().any(|(to, _)| *to == 2), "now it is welcome");
+    assert_eq!(leader.standing(2), Some(led(1)));
+}
