--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -6,12 +6,20 @@
 use serde::de::{Deserialize, Deserializer, MapAccess, SeqAccess, Visitor};
 use serde_bytes::ByteBuf;
 use sha2::{Digest as _, Sha256};
-use silvertack::common::config::{
-    Configuration, Instance, Lanes, Lifecycle, Listed, Role, Run, SessionLimits,
+use silvertack::base::ids::{
+    DbTerm, Epoch, Index, MemberId, NodeName, Position, Revision, ServiceName,
 };
-use silvertack::common::ids::*;
-use silvertack::common::peer::*;
-use silvertack::steward::{Almanac, Change, Effect, Granary, Kept, read_kept};
+use silvertack::config::configuration::{Configuration, SessionLimits};
+use silvertack::config::directory::{Instance, Lifecycle, Listed, Role};
+use silvertack::config::route_table::{Lanes, Run};
+use silvertack::net::rpc::pooler_messages::{
+    Doubt, Fresh, Grant, Plot, Saw, Standing, ToSteward, ToStile,
+};
+use silvertack::net::rpc::raft_messages::{Body, Entry, Joined, Member, Raft, RaftKind, Snapshot};
+use silvertack::net::rpc::{Frame, encode, pack, receive_with_layout, unpack};
+use silvertack::raft::node::Kept;
+use silvertack::raft::storage::Granary;
+use silvertack::state_machine::{Almanac, Change, Effect, read_kept};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write as _;
 use std::net::SocketAddr;
--- a/tests/hedge.rs
+++ b/tests/hedge.rs
@@ -4,6 +4,7 @@
 use silvertack::base::time::Tick;
 use silvertack::config::settings::Settings;
 use silvertack::controller::transport::Outbox;
+use silvertack::net::rpc::LAYOUT;
 use silvertack::net::rpc::raft_messages::{Body, Entry, Joined, Member, Raft, RaftKind, Snapshot};
 use silvertack::raft::node::{Dirty, ELECTION_MIN_MS, Hedge, Kept};
 use silvertack::raft::persister::Desk;
--- a/tests/interfaces.rs
+++ b/tests/interfaces.rs
@@ -6,7 +6,7 @@
 
 use gateway::Shed;
 use serde_json::Value;
-use silvertack::common::settings::{Rollout, Settings};
+use silvertack::config::settings::{Rollout, Settings};
 use std::collections::BTreeSet;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -420,7 +420,7 @@
 
 /// What is read of each key, in the file's order; every field is named.
 fn values(settings: &Settings) -> Vec<String> {
-    use silvertack::common::settings::{FaultTolerance, Limits, Listeners, TimingBounds};
+    use silvertack::config::settings::{FaultTolerance, Limits, Listeners, TimingBounds};
     let Settings {
         node_name,
         ip_address,
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -1,12 +1,22 @@
 //! Leases, connection quotas and parts: each row is a rule by which no two poolers get the same.
-use silvertack::common::ids::*;
-use silvertack::common::peer::*;
-use silvertack::common::settings::Settings;
-use silvertack::common::wire::Described;
-use silvertack::steward::{
-    Almanac, Ask, Attempt, Cadastre, Change, Dirty, Effect, Effects, Hedge, Input, Kept, LEASE_MS,
-    Lead, LeaseBook, Posted, Sheaf, Steward, Told,
+use silvertack::base::ids::{
+    DbTerm, Epoch, Index, InstanceId, MemberId, NodeName, Position, Revision, ServiceName,
 };
+use silvertack::base::time::Tick;
+use silvertack::config::settings::Settings;
+use silvertack::controller::controller::{Effects, Input, Steward};
+use silvertack::failover::{Ask, Attempt, Posted, Told};
+use silvertack::leases::lease_table::{LEASE_MS, LeaseBook};
+use silvertack::leases::subset_assignments::Cadastre;
+use silvertack::net::rpc::pooler_messages::{
+    Doubt, Fresh, Grant, Saw, Standing, ToSteward, ToStile,
+};
+use silvertack::net::rpc::raft_messages::{Member, Raft, Snapshot};
+use silvertack::net::rpc::{Frame, receive};
+use silvertack::net::statement_protocol::Described;
+use silvertack::raft::node::{Dirty, Hedge, Kept};
+use silvertack::raft::storage::Sheaf;
+use silvertack::state_machine::{Almanac, Change, Effect, Lead};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
