--- a/tests/succession.rs
+++ b/tests/succession.rs
@@ -787,3 +787,297 @@
     }
     assert_eq!(book.lent(&node(0)).count(), 0, "and is looked at no more");
 }
+
+/// The planned change: `a` is about to end, `b` is to take over, `c` is paused.
+fn planned(facts: &mut Facts, now: Tick) -> Succession {
+    facts.databases[0].1.lifecycle_state = Lifecycle::Draining;
+    let mut s = begun(facts, now);
+    assert_eq!(s.tick(facts, now), [ask("c", PAUSE)]);
+    s
+}
+
+#[test]
+fn a_planned_change_goes_on_only_if_the_target_has_every_commit() {
+    let now = Tick(50_000);
+    // (synchronous replicas, what poolers passed on if all said it, what the paused `c` has if it
+    // answered, what the target has, whether it takes over)
+    let table = [
+        (1, None, Some(7), 9, true),
+        (1, None, Some(9), 9, true),
+        (1, None, Some(9), 8, false),
+        (1, None, None, 9, false),
+        (1, Some(Some(at(9))), None, 9, true),
+        (1, Some(Some(at(9))), None, 8, false),
+        (1, Some(None), None, 0, true),
+        (0, None, Some(7), 9, false),
+        (0, Some(Some(at(9))), Some(7), 9, true),
+        (0, Some(Some(at(9))), Some(7), 8, false),
+        (0, Some(Some(at(7))), Some(9), 8, false),
+        (0, Some(None), Some(7), 7, true),
+    ];
+    for (sync_replicas, given_back, paused, target, goes_on) in table {
+        let mut facts = Facts { sync_replicas, ..facts() };
+        let mut s = planned(&mut facts, now);
+        facts.given_back = given_back;
+        if let Some(number) = paused {
+            let answer = row(false, 1, at(number));
+            let deeds = s.told(&facts, s.attempt, &"c".into(), PAUSE, &answer, now);
+            assert_eq!(deeds, [ask("b", Ask::Describe)], "the target is asked last");
+        }
+        let answer = row(false, 1, at(target));
+        let deeds = s.told(&facts, s.attempt, &"b".into(), Ask::Describe, &answer, now);
+        let expected = if goes_on { vec![intend("b")] } else { Vec::new() };
+        assert_eq!(deeds, expected, "{sync_replicas} {given_back:?} {paused:?} {target}");
+    }
+}
+
+#[test]
+fn who_a_planned_change_goes_to() {
+    let now = Tick(50_000);
+    let (there, ends) = (Lifecycle::Available, Lifecycle::Draining);
+    // (state and heartbeat of `b`, of `c`, who takes over)
+    let table = [
+        ((there, true), (there, true), Some("b")),
+        ((ends, true), (there, true), Some("c")),
+        ((there, false), (there, true), Some("c")),
+        ((ends, true), (there, false), None),
+        ((there, false), (ends, true), None),
+    ];
+    for (b, c, target) in table {
+        let mut facts = facts();
+        facts.databases[0].1.lifecycle_state = Lifecycle::Draining;
+        for (n, (state, beats)) in [(1, b), (2, c)] {
+            let (id, instance) = &mut facts.databases[n];
+            instance.lifecycle_state = state;
+            if !beats {
+                facts.beating.remove(id);
+            }
+        }
+        let mut s = begun(&facts, now);
+        let deeds = s.tick(&facts, now);
+        let paused = target.map(|target| ask(if target == "b" { "c" } else { "b" }, PAUSE));
+        assert_eq!(deeds, paused.into_iter().collect::<Vec<_>>(), "{b:?} {c:?}");
+    }
+}
+
+#[test]
+fn a_planned_change_that_is_given_up_resumes_all_and_rests() {
+    let (mut facts, now) = (facts(), Tick(50_000));
+    let mut s = planned(&mut facts, now);
+    // With a replica that does not answer its pause the leases are taken back: the poolers' word
+    // may do instead.
+    assert_eq!(s.tick(&facts, now.plus(550)), []);
+    assert_eq!(s.tick(&facts, now.plus(650)), [Deed::Revoke(DbTerm(1))], "`c` does not answer");
+    assert!(s.revoking);
+    assert_eq!(s.tick(&facts, now.plus(3_000)), []);
+    let now = now.plus(3_010);
+    assert_eq!(s.tick(&facts, now), [ask("c", Ask::Continue)]);
+    assert!(s.stage == Stage::Steady && !s.revoking);
+    went_on(&mut s, &facts, now);
+    s.told(&facts, s.attempt, &"c".into(), PAUSE, &Told::Lost, now);
+    for (after, again) in [(10, false), (1_000, false), (1_010, true)] {
+        let expected = if again { vec![ask("c", PAUSE)] } else { Vec::new() };
+        assert_eq!(s.tick(&facts, now.plus(after)), expected, "after {after}");
+    }
+}
+
+#[test]
+fn a_primary_that_is_lost_during_a_planned_change_is_fenced() {
+    let now = Tick(50_000);
+    // (what the primary says, whether it is given up)
+    for (told, lost) in [
+        (Told::Lost, true),
+        (row(false, 1, at(9)), true),
+        (row(true, 1, at(9)), false),
+        (Told::Alive, false),
+    ] {
+        let mut facts = facts();
+        let mut s = planned(&mut facts, now);
+        let asked = s.suspect(&facts, &"n1".into(), &"a".into(), Doubt::Broken, now);
+        assert_eq!(asked, [ask("a", Ask::Describe)]);
+        let deeds = s.told(&facts, s.attempt, &"a".into(), Ask::Describe, &told, now);
+        let fenced = [Deed::Revoke(DbTerm(1)), ask("b", PAUSE), ask("c", PAUSE)];
+        assert_eq!(deeds, if lost { &fenced[..] } else { &[] }, "{told:?}");
+        assert_eq!(s.revoking, lost, "{told:?}");
+    }
+}
+
+#[test]
+fn only_the_primary_of_the_present_term_answers_a_doubt() {
+    let (facts, now) = (facts(), Tick(50_000));
+    // (whether it says that it leads, in which term, whether that ends the doubt)
+    for (leads, term, fine) in
+        [(true, 1, true), (false, 1, false), (true, 2, false), (true, 0, false), (false, 2, false)]
+    {
+        let mut s = begun(&facts, now);
+        s.suspect(&facts, &"n1".into(), &"a".into(), Doubt::Broken, now);
+        let told = row(leads, term, at(9));
+        s.told(&facts, s.attempt, &"a".into(), Ask::Describe, &told, now);
+        assert_eq!(s.stage == Stage::Steady, fine, "{leads} {term}");
+        assert_eq!(s.revoking, !fine, "{leads} {term}");
+    }
+}
+
+#[test]
+fn when_a_primary_is_doubted() {
+    let now = Tick(50_000);
+    let doubt = [ask("a", Ask::Describe)];
+    // (of whom a pooler reports, ms after the primary proved itself, whether it is doubted)
+    for (of, after, doubted) in
+        [("a", 299, false), ("a", 300, true), ("b", 300, false), ("x", 300, false)]
+    {
+        let facts = facts();
+        let mut s = begun(&facts, now);
+        s.suspect(&facts, &"n1".into(), &"a".into(), Doubt::Broken, now);
+        s.told(&facts, s.attempt, &"a".into(), Ask::Describe, &row(true, 1, at(9)), now);
+        let deeds = s.suspect(&facts, &"n1".into(), &of.into(), Doubt::Broken, now.plus(after));
+        assert_eq!(deeds, if doubted { &doubt[..] } else { &[] }, "{of} {after}");
+    }
+    // (whether it is listed, its heartbeats come, it is about to end, a replica has departed;
+    // what is done)
+    let fence = [Deed::Revoke(DbTerm(1)), ask("b", PAUSE), ask("c", PAUSE)];
+    let table: [(bool, bool, bool, bool, &[Deed]); 6] = [
+        (true, true, false, false, &[]),
+        (true, false, false, false, &doubt),
+        (true, false, false, true, &doubt),
+        (true, false, true, true, &doubt),
+        (true, true, true, true, &[]),
+        (false, false, false, false, &fence),
+    ];
+    for (listed, beats, ends, departed, deeds) in table {
+        let mut facts = facts();
+        let mut s = begun(&facts, now);
+        if ends {
+            facts.databases[0].1.lifecycle_state = Lifecycle::Draining;
+        }
+        if departed {
+            facts.departed.insert("d".into(), 9);
+        }
+        if !listed {
+            facts.databases.remove(0);
+        }
+        if !beats {
+            facts.beating.remove(&"a".into());
+        }
+        assert_eq!(s.tick(&facts, now), deeds, "{listed} {beats} {ends} {departed}");
+    }
+}
+
+#[test]
+fn a_slow_primary_is_left_at_most_once_in_five_seconds() {
+    let (facts, now) = (facts(), Tick(50_000));
+    let mut s = begun(&facts, now);
+    let mut left = |after: u64| {
+        let now = now.plus(after);
+        s.suspect(&facts, &"n1".into(), &"a".into(), Doubt::Broken, now);
+        let deeds =
+            s.told(&facts, s.attempt, &"a".into(), Ask::Describe, &Told::Alive, now.plus(10));
+        if !deeds.is_empty() {
+            let late = now.plus(10 + 700);
+            s.told(&facts, s.attempt, &"c".into(), PAUSE, &Told::Lost, now.plus(20));
+            assert_eq!(s.tick(&facts, late), [ask("c", Ask::Continue)], "given up");
+            went_on(&mut s, &facts, late);
+        }
+        !deeds.is_empty()
+    };
+    let table =
+        [(0, false), (1_000, true), (2_500, false), (4_300, false), (5_900, false), (6_300, true)];
+    for (after, expected) in table {
+        assert_eq!(left(after), expected, "after {after}");
+    }
+}
+
+#[test]
+fn a_promote_is_done_once_the_target_leads_a_newer_term() {
+    let now = Tick(50_000);
+    // (who answers, whether it says that it leads, in which term, whether that was the promote)
+    for (who, leads, term, done) in [
+        ("c", true, 2, true),
+        ("c", true, 3, true),
+        ("c", true, 1, false),
+        ("c", false, 2, false),
+        ("b", true, 2, false),
+    ] {
+        let mut facts = facts();
+        let mut s = posting(&mut facts, now);
+        let told = row(leads, term, at(9));
+        let deeds = s.told(&facts, s.attempt, &who.into(), Ask::Describe, &told, now);
+        let down = [ask("a", Ask::StepDown(DbTerm(term)))];
+        assert_eq!(deeds, if done { &down[..] } else { &[] }, "{who} {leads} {term}");
+        assert_eq!(matches!(s.stage, Stage::Taking { .. }), done, "{who} {leads} {term}");
+    }
+    // In a planned change leases are granted until the target leads, and none from then on.
+    let mut facts = facts();
+    let mut s = planned(&mut facts, now);
+    s.told(&facts, s.attempt, &"c".into(), PAUSE, &row(false, 1, at(7)), now);
+    s.told(&facts, s.attempt, &"b".into(), Ask::Describe, &row(false, 1, at(7)), now);
+    intended(&mut facts, "b");
+    assert_eq!(s.tick(&facts, now), [Deed::Post("b".into())]);
+    assert!(!s.revoking);
+    s.told(&facts, s.attempt, &"b".into(), Ask::Describe, &row(true, 2, at(7)), now);
+    assert!(s.revoking, "no lease on the old term is granted any more");
+}
+
+#[test]
+fn one_call_at_a_time_is_under_way() {
+    let (mut facts, now) = (facts(), Tick(50_000));
+    let mut s = posting(&mut facts, now);
+    let first = s.attempt;
+    for (after, again) in [(400, false), (2_000, false), (3_000, false), (3_010, true)] {
+        let posts = s.tick(&facts, now.plus(after)).contains(&Deed::Post("c".into()));
+        assert_eq!(posts, again, "after {after}");
+        assert_eq!(s.attempt > first, again, "after {after}");
+    }
+    // The intent that was proposed but not seen committed is proposed again.
+    let facts = self::facts();
+    let mut s = fencing(&facts, now);
+    s.told(&facts, s.attempt, &"b".into(), PAUSE, &row(false, 1, at(7)), now);
+    s.told(&facts, s.attempt, &"c".into(), PAUSE, &row(false, 1, at(9)), now);
+    let table = [(1_000, false), (1_010, true), (2_000, false), (2_020, true)];
+    for (after, again) in table {
+        let expected = if again { vec![intend("c")] } else { Vec::new() };
+        assert_eq!(s.tick(&facts, now.plus(after)), expected, "after {after}");
+    }
+}
+
+#[test]
+fn what_is_sealed_is_the_furthest_that_any_paused_replica_has() {
+    let (mut facts, now) = (facts(), Tick(50_000));
+    facts.databases[1].1.lifecycle_state = Lifecycle::Draining;
+    facts.given_back = Some(Some(at(8)));
+    let mut s = fencing(&facts, now);
+    s.told(&facts, s.attempt, &"b".into(), PAUSE, &row(false, 1, at(9)), now);
+    let deeds = s.told(&facts, s.attempt, &"c".into(), PAUSE, &row(false, 1, at(8)), now);
+    assert_eq!((deeds, s.sealed), (vec![intend("c")], Some(at(9))));
+}
+
+#[test]
+fn a_replica_founds_no_service() {
+    let now = Tick(50_000);
+    let facts = Facts { lead: None, ..facts() };
+    for (told, founds) in [
+        (row(true, 4, at(2)), true),
+        (row(false, 4, at(2)), false),
+        (Told::Alive, false),
+        (Told::Lost, false),
+    ] {
+        let (mut s, _) = Succession::begin(&facts, now);
+        s.beat(&facts, &"a".into(), Role::Primary, now);
+        let deeds = s.told(&facts, s.attempt, &"a".into(), Ask::Describe, &told, now);
+        assert_eq!(deeds, if founds { vec![led("a", 4)] } else { Vec::new() }, "{told:?}");
+    }
+}
+
+#[test]
+fn the_present_primary_is_told_neither_to_step_down_nor_to_go_on() {
+    let (mut facts, now) = (facts(), Tick(50_000));
+    let (mut s, _) = Succession::begin(&facts, now);
+    assert_eq!(s.beat(&facts, &"a".into(), Role::Primary, now), []);
+    // `c` did not say that it goes on, and leads since.
+    s.told(&facts, s.attempt, &"b".into(), Ask::Continue, &row(false, 1, at(7)), now);
+    facts.lead = Some(Lead { term: DbTerm(2), primary: "c".into(), intent: None });
+    assert_eq!(s.tick(&facts, now.plus(1_100)), []);
+    assert_eq!(s.beat(&facts, &"c".into(), Role::Primary, now), []);
+    let down = [ask("a", Ask::StepDown(DbTerm(2)))];
+    assert_eq!(s.beat(&facts, &"a".into(), Role::Primary, now), down);
+}
