--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -1,7 +1,14 @@
 //! Leases, connection quotas and parts: each row is a rule by which no two poolers get the same.
 use silvertack::common::ids::*;
-use silvertack::common::peer::{Grant, Standing};
-use silvertack::steward::{Cadastre, LEASE_MS, LeaseBook};
+use silvertack::common::peer::*;
+use silvertack::common::settings::Settings;
+use silvertack::common::wire::Described;
+use silvertack::steward::{
+    Almanac, Ask, Attempt, Cadastre, Change, Effect, Effects, Input, Kept, LEASE_MS, Lead,
+    LeaseBook, Posted, Sheaf, Steward, Told,
+};
+use std::net::SocketAddr;
+use std::sync::Arc;
 
 /// From the grant of a lease until nobody can use it.
 const LEASE_ENDS_MS: u64 = LEASE_MS + 50;
@@ -319,3 +326,398 @@
         assert_eq!(cadastre.due(&node(0), all).len(), told, "row {row}");
     }
 }
+
+/// What a steward sends and asks; nothing of it goes anywhere by itself.
+#[derive(Default)]
+struct Queue {
+    writes: bool,
+    asks: Vec<(InstanceId, Ask, Attempt)>,
+    posts: Vec<(InstanceId, Attempt)>,
+    sent: Vec<(u64, ToStile)>,
+}
+impl Queue {
+    fn keep(&mut self, conn: u64, frame: &[u8]) {
+        if let Ok(Frame::Steward(message)) = receive(&mut &frame[..]) {
+            self.sent.push((conn, message));
+        }
+    }
+}
+impl Effects for Queue {
+    fn send_raft(&mut self, _: MemberId, _: SocketAddr, _: Raft, _: Tick) {}
+    fn keep_links(&mut self, _: &[Member]) {}
+    fn write(&mut self, _: Sheaf) -> bool {
+        self.writes = true;
+        true
+    }
+    fn ask_standing(&mut self, _: SocketAddr, _: Member, _: bool) {}
+    fn ask_database(
+        &mut self,
+        _: &ServiceName,
+        id: &InstanceId,
+        _: SocketAddr,
+        ask: Ask,
+        attempt: Attempt,
+    ) -> bool {
+        self.asks.push((id.clone(), ask, attempt));
+        true
+    }
+    fn post_failover(
+        &mut self,
+        _: SocketAddr,
+        _: &str,
+        _: &ServiceName,
+        target: &InstanceId,
+        attempt: Attempt,
+    ) {
+        self.posts.push((target.clone(), attempt));
+    }
+    fn send(&mut self, conn: u64, frame: Arc<[u8]>) {
+        self.keep(conn, &frame);
+    }
+    fn send_first(&mut self, conn: u64, frame: Arc<[u8]>) {
+        self.keep(conn, &frame);
+    }
+    fn waiting(&self, _: u64) -> Option<usize> {
+        Some(0)
+    }
+    fn pump(&mut self) -> Vec<u64> {
+        Vec::new()
+    }
+    fn peers(&self) -> usize {
+        0
+    }
+}
+
+const SETTINGS: &str = "node_name = \"one\"\nip_address = \"10.0.0.1\"\nzone = \"z\"\n\
+    port_range = [7440, 7440]\nseed_nodes = [\"10.0.0.1:8782\"]\nheartbeat_ms = 600000\n\
+    [listeners]\nadmin = \"10.0.0.1:8782\"\n[provider]\naddress = \"10.0.0.8:1\"\n";
+
+/// A leader without other stewards. The primary is `a` in term 1, its replicas are `b` and `c`.
+struct Leader {
+    steward: Steward<Queue>,
+    now: Tick,
+}
+impl Leader {
+    /// With changes of the state from before it leads.
+    fn new(sync_replicas: u32, before: &[Change]) -> Self {
+        let instance = |role: &str| {
+            let instance = serde_json::json!({
+                "target_service": "s", "address": "10.0.0.9:1", "zone": "z", "revision": "v1",
+                "capacity": 7, "lifecycle_state": "available", "warmup_left_ms": 0,
+                "database_role": role,
+            });
+            serde_json::from_value(instance).expect("instance")
+        };
+        let body = serde_json::json!({
+            "revision": 1, "route_rules": [], "limits": {},
+            "services": [{ "name": "s", "max_connections": 16, "sync_replicas": sync_replicas }],
+        });
+        let body = serde_bytes::ByteBuf::from(body.to_string());
+        let mut almanac = Almanac::default();
+        almanac.apply(&Change::Configure { base: Revision(0), revision: Revision(1), body });
+        for (id, role) in [("a", "primary"), ("b", "replica"), ("c", "replica")] {
+            let (id, instance) = (id.into(), instance(role));
+            almanac.apply(&Change::Beat { id, instance, sequence: 1 });
+        }
+        let primary = "a".into();
+        almanac.apply(&Change::Led { service: service(), term: DbTerm(1), primary });
+        for change in before {
+            assert_eq!(almanac.apply(change), Effect::Done, "{change:?}");
+        }
+        let member = Member {
+            id: MemberId(1),
+            node: "one".into(),
+            peer: "10.0.0.1:7440".parse().expect("address"),
+            admin: "10.0.0.1:8782".parse().expect("address"),
+            voter: true,
+            can_vote: true,
+        };
+        let snapshot = Snapshot {
+            last: (Epoch(1), Index(5)),
+            members: vec![member],
+            state: serde_bytes::ByteBuf::from(almanac.write()),
+        };
+        let kept = Kept { me: MemberId(1), epoch: Epoch(1), snapshot, ..Kept::default() };
+        let settings = Settings::parse(SETTINGS).expect("settings");
+        let steward = Steward::new(settings, kept, true, || 10, Queue::default(), START);
+        let mut this = Self { steward: steward.expect("starts"), now: START };
+        this.run(10_000);
+        assert!(this.steward.hedge().granting(this.now), "it leads");
+        this
+    }
+    fn turn(&mut self) {
+        self.steward.turn(self.now).expect("readable");
+        while std::mem::take(&mut self.steward.effects.writes) {
+            self.steward.take(Input::Saved(Ok(())), self.now);
+            self.steward.turn(self.now).expect("readable");
+        }
+    }
+    fn run(&mut self, ms: u64) {
+        for _ in 0..ms / 10 {
+            self.now = self.now.plus(10);
+            self.turn();
+        }
+    }
+    fn hear(&mut self, conn: u64, message: ToSteward) {
+        self.steward.take(Input::Frame(conn, Frame::Stile(message)), self.now);
+        self.turn();
+    }
+    fn hello(&mut self, conn: u64, name: &str) {
+        let (node, zone, revision) = (name.into(), "z".into(), Revision(1));
+        self.hear(conn, ToSteward::Hello { node, life: 1, revision, zone });
+    }
+    fn close(&mut self, conn: u64) {
+        self.steward.take(Input::Closed(conn), self.now);
+        self.turn();
+    }
+    /// A renewal with what was seen; gives its answer's grant and watermark of the service.
+    fn renew_with(&mut self, conn: u64, seq: u64, heard: u64, saw: Vec<Saw>) -> Granted {
+        self.steward.effects.sent.clear();
+        let (shares, wants, busy) = (Vec::new(), Vec::new(), Vec::new());
+        let asks = vec![service()];
+        self.hear(conn, ToSteward::Renew { seq, heard, shares, wants, saw, asks, busy });
+        let answers = std::mem::take(&mut self.steward.effects.sent).into_iter();
+        let mut granted = answers.filter_map(|(to, message)| match message {
+            ToStile::Granted { seq: of, grants, fresh, .. } if (to, of) == (conn, seq) => {
+                Some((grants.into_iter().next(), fresh.into_iter().next()))
+            }
+            _ => None,
+        });
+        granted.next_back()
+    }
+    fn renew(&mut self, conn: u64) -> Option<Grant> {
+        self.renew_with(conn, 1, 0, Vec::new()).expect("answered").0
+    }
+    fn standing(&mut self, conn: u64) -> Option<Standing> {
+        self.renew(conn).map(|grant| grant.standing)
+    }
+    fn share(&mut self, conn: u64) -> Option<u32> {
+        self.renew(conn).map(|grant| grant.share)
+    }
+    fn says(&mut self, conn: u64, share: u32) {
+        let (shares, wants, saw) = (vec![(service(), share)], Vec::new(), Vec::new());
+        let (seq, heard, asks, busy) = (1, 0, Vec::new(), Vec::new());
+        self.hear(conn, ToSteward::Renew { seq, heard, shares, wants, saw, asks, busy });
+    }
+    /// A database answers the question of this kind that it was asked.
+    fn answer(&mut self, id: &str, kind: fn(&Ask) -> bool, told: Told) {
+        let asks = &mut self.steward.effects.asks;
+        let place = asks.iter().position(|(of, ask, _)| *of == id.into() && kind(ask));
+        let (id, ask, attempt) = asks.remove(place.unwrap_or_else(|| panic!("{id} is not asked")));
+        self.steward.take(Input::Told(service(), id, ask, attempt, told), self.now);
+        self.turn();
+    }
+    fn asked(&self, id: &str, kind: fn(&Ask) -> bool) -> bool {
+        self.steward.effects.asks.iter().any(|(of, ask, _)| *of == id.into() && kind(ask))
+    }
+    /// The replicas go on after the earlier leader.
+    fn settle(&mut self, replicas: &[&str]) {
+        for id in replicas {
+            // It was asked again and again while the leader waited.
+            while self.asked(id, |ask| *ask == Ask::Continue) {
+                self.answer(id, |ask| *ask == Ask::Continue, row(false, 1, 7));
+            }
+        }
+    }
+    /// The primary is doubted and refuses.
+    fn lose_primary(&mut self, conn: u64) {
+        let (instance, why) = ("a".into(), Doubt::Broken);
+        self.hear(conn, ToSteward::Suspect { service: service(), instance, why });
+        self.answer("a", |ask| *ask == Ask::Describe, Told::Lost);
+    }
+    fn lead(&self) -> &Lead {
+        &self.steward.almanac().leads[&service()]
+    }
+}
+type Granted = Option<(Option<Grant>, Option<Fresh>)>;
+
+fn row(primary: bool, term: u64, number: u64) -> Told {
+    Told::Row(Described { primary, term: DbTerm(term), received: at(number) })
+}
+fn pauses(ask: &Ask) -> bool {
+    matches!(ask, Ask::Pause(_))
+}
+
+/// From the loss of a primary to the next one's term, as the poolers are told.
+#[test]
+fn a_renewal_grants_no_lease_that_is_revoked_and_the_next_term_waits_for_the_old() {
+    let revoked = |highest| ToSteward::Revoked { service: service(), term: DbTerm(1), highest };
+    // (what the pooler does, ms after its last lease at which the next term may begin)
+    for (what, until) in
+        [("nothing", LEASE_ENDS_MS), ("closes", LEASE_ENDS_MS), ("gives back", 0), ("goodbye", 0)]
+    {
+        let mut leader = Leader::new(1, &[]);
+        leader.settle(&["b", "c"]);
+        leader.hello(1, "n1");
+        leader.hello(2, "n2");
+        assert_eq!(leader.standing(1), Some(led(1)), "{what}");
+        let leased = leader.now;
+        leader.lose_primary(2);
+        assert_eq!(leader.standing(2), Some(Standing::Unled), "{what}: never leased");
+        match what {
+            "closes" => leader.close(1),
+            "gives back" => leader.hear(1, revoked(Some(at(8)))),
+            "goodbye" => leader.hear(1, ToSteward::Bye),
+            _ => assert_eq!(leader.standing(1), Some(Standing::Unled)),
+        }
+        leader.answer("b", pauses, row(false, 1, 7));
+        leader.answer("c", pauses, row(false, 1, 9));
+        assert_eq!(leader.lead().intent, Some("c".into()), "{what}");
+        for _ in 0..2 {
+            assert_eq!(leader.standing(2), Some(Standing::Sealed(at(9))), "{what}: each time");
+        }
+        let (target, attempt) = leader.steward.effects.posts.pop().expect("promoted");
+        let posted = Input::Posted(service(), target, attempt, Posted::Accepted);
+        leader.steward.take(posted, leader.now);
+        leader.run(600);
+        leader.answer("c", |ask| *ask == Ask::Describe, row(true, 2, 9));
+        leader.run(100);
+        while leader.now.since(leased) < until {
+            assert_eq!(leader.lead().term, DbTerm(1), "{what}: {}", leader.now.since(leased));
+            assert_eq!(leader.standing(2), Some(Standing::Sealed(at(9))), "{what}");
+            leader.run(50);
+        }
+        leader.run(150);
+        assert_eq!((&leader.lead().primary, leader.lead().term), (&"c".into(), TERM), "{what}");
+        let next = Standing::Led { term: TERM, primary: "c".into() };
+        assert_eq!(leader.standing(2), Some(next), "{what}");
+    }
+}
+
+/// Only `b` of two replicas is paused, at 7.
+#[test]
+fn a_word_of_the_poolers_stands_in_for_a_replica_only_if_all_gave_it() {
+    let cases = [
+        ("nothing", 1, 12_000, false),
+        ("closes", 1, 12_000, false),
+        ("closes", 0, 1_000, false),
+        ("closes", 0, 12_000, true),
+        ("gives back 7", 1, 1_000, true),
+        ("gives back 8", 1, 12_000, false),
+        ("gives back 7, nothing seen", 1, 12_000, false),
+        ("gives back 7", 0, 1_000, true),
+    ];
+    // (what the pooler does, synchronous replicas, ms, whether `b` takes over)
+    for (what, sync_replicas, ms, may) in cases {
+        let mut leader = Leader::new(sync_replicas, &[]);
+        leader.settle(&["b", "c"]);
+        leader.hello(1, "n1");
+        leader.hello(2, "n2");
+        assert_eq!(leader.standing(1), Some(led(1)), "{what}");
+        // What was seen since the election covers poolers that only the leader before knew.
+        if what != "gives back 7, nothing seen" {
+            leader.run(100);
+            let saw = Saw { service: service(), term: DbTerm(1), position: at(6), after: 50 };
+            leader.renew_with(1, 2, 1, vec![saw]).expect("answered");
+        }
+        leader.lose_primary(2);
+        let word = |number| {
+            let highest = Some(at(number));
+            ToSteward::Revoked { service: service(), term: DbTerm(1), highest }
+        };
+        match what {
+            "closes" => leader.close(1),
+            "gives back 7" | "gives back 7, nothing seen" => leader.hear(1, word(7)),
+            "gives back 8" => leader.hear(1, word(8)),
+            _ => assert_eq!(what, "nothing"),
+        }
+        // The other pooler never had a lease, and says that it passed on nothing.
+        leader.hear(2, ToSteward::Revoked { service: service(), term: DbTerm(1), highest: None });
+        leader.answer("b", pauses, row(false, 1, 7));
+        leader.run(ms);
+        let target = may.then(|| "b".into());
+        assert_eq!(leader.lead().intent, target, "{what} {sync_replicas} {ms}");
+    }
+}
+
+#[test]
+fn a_departed_replica_holds_up_a_planned_change_only_where_copies_are_counted_on() {
+    let gone = Change::Gone { id: "c".into(), sequence: u64::MAX };
+    // (synchronous replicas, whether `c` has departed, whether the change begins at once)
+    for (sync_replicas, departed, begins) in [(1, true, false), (0, true, true), (1, false, true)] {
+        let draining = || {
+            let instance = serde_json::json!({
+                "target_service": "s", "address": "10.0.0.9:1", "zone": "z", "revision": "v1",
+                "capacity": 7, "lifecycle_state": "draining", "warmup_left_ms": 0,
+                "database_role": "primary",
+            });
+            let instance = serde_json::from_value(instance).expect("instance");
+            Change::Beat { id: "a".into(), instance, sequence: 2 }
+        };
+        let before = if departed { vec![draining(), gone.clone()] } else { vec![draining()] };
+        let mut leader = Leader::new(sync_replicas, &before);
+        leader.settle(if departed { &["b"] } else { &["b", "c"] });
+        leader.run(200);
+        let began = leader.asked("b", |ask| *ask == Ask::Describe) || leader.asked("c", pauses);
+        assert_eq!(began, begins, "{sync_replicas} {departed}");
+    }
+}
+
+#[test]
+fn a_watermark_is_as_old_as_the_answer_that_was_heard_before_it() {
+    // (the answer that the pooler says it heard, ms after it, the age that others are told)
+    let cases = [
+        (1, 100, Some(1_401)),
+        (2, 100, Some(401)),
+        (1, 1_500, Some(1)),
+        (2, 501, None),
+        (0, 0, None),
+        (9, 0, None),
+    ];
+    for (heard, after, age) in cases {
+        let mut leader = Leader::new(1, &[]);
+        leader.settle(&["b", "c"]);
+        leader.hello(1, "n1");
+        leader.hello(2, "n2");
+        leader.renew_with(1, 1, 0, Vec::new()).expect("answered");
+        leader.run(1_000);
+        leader.renew_with(1, 2, 1, Vec::new()).expect("answered");
+        leader.run(500);
+        let saw = Saw { service: service(), term: DbTerm(1), position: at(7), after };
+        leader.renew_with(1, 3, heard, vec![saw]).expect("answered");
+        let (_, fresh) = leader.renew_with(2, 1, 0, Vec::new()).expect("answered");
+        assert_eq!(fresh.map(|f| f.age), age, "{heard} {after}");
+    }
+}
+
+#[test]
+fn what_an_older_connection_of_a_pooler_brings_is_not_heard() {
+    let mut leader = Leader::new(1, &[]);
+    leader.settle(&["b", "c"]);
+    leader.hello(1, "n1");
+    leader.hello(2, "n1");
+    assert_eq!(leader.renew_with(1, 1, 0, Vec::new()), None, "no lease on the older one");
+    assert_eq!(leader.standing(2), Some(led(1)));
+    assert_eq!(leader.standing(2), None, "told already, and granted again");
+    // A give-back or a goodbye that was under way would end what is granted on the newer one.
+    for late in
+        [ToSteward::Revoked { service: service(), term: DbTerm(1), highest: None }, ToSteward::Bye]
+    {
+        leader.hear(1, late);
+        assert_eq!(leader.standing(2), None, "it has what it was told");
+    }
+    leader.close(1);
+    assert_eq!(leader.standing(2), None, "the end of the older one is no loss");
+}
+
+/// Twelve connections of sixteen are given out.
+#[test]
+fn quotas_move_as_poolers_come_and_go() {
+    let mut leader = Leader::new(1, &[]);
+    leader.settle(&["b", "c"]);
+    leader.hello(1, "n1");
+    assert_eq!(leader.share(1), Some(12));
+    leader.hello(2, "n2");
+    assert_eq!(leader.share(2), Some(0), "the first has all");
+    assert_eq!(leader.share(1), Some(6), "it is told to give some back");
+    assert_eq!(leader.share(2), None, "but has not yet");
+    leader.says(1, 12);
+    assert_eq!(leader.share(2), None);
+    leader.says(1, 6);
+    assert_eq!(leader.share(2), Some(6));
+    leader.close(1);
+    leader.run(4_400);
+    assert_eq!(leader.share(2), None, "its connections may still be open");
+    leader.run(300);
+    assert_eq!(leader.share(2), Some(12));
+}
