--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -4,8 +4,8 @@
 use silvertack::common::settings::Settings;
 use silvertack::common::wire::Described;
 use silvertack::steward::{
-    Almanac, Ask, Attempt, Cadastre, Change, Effect, Effects, Input, Kept, LEASE_MS, Lead,
-    LeaseBook, Posted, Sheaf, Steward, Told,
+    Almanac, Ask, Attempt, Cadastre, Change, Dirty, Effect, Effects, Hedge, Input, Kept, LEASE_MS,
+    Lead, LeaseBook, Posted, Sheaf, Steward, Told,
 };
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -334,6 +334,7 @@
     asks: Vec<(InstanceId, Ask, Attempt)>,
     posts: Vec<(InstanceId, Attempt)>,
     sent: Vec<(u64, ToStile)>,
+    raft: Vec<(MemberId, Raft)>,
 }
 impl Queue {
     fn keep(&mut self, conn: u64, frame: &[u8]) {
@@ -343,7 +344,9 @@
     }
 }
 impl Effects for Queue {
-    fn send_raft(&mut self, _: MemberId, _: SocketAddr, _: Raft, _: Tick) {}
+    fn send_raft(&mut self, to: MemberId, _: SocketAddr, message: Raft, _: Tick) {
+        self.raft.push((to, message));
+    }
     fn keep_links(&mut self, _: &[Member]) {}
     fn write(&mut self, _: Sheaf) -> bool {
         self.writes = true;
@@ -392,14 +395,20 @@
     port_range = [7440, 7440]\nseed_nodes = [\"10.0.0.1:8782\"]\nheartbeat_ms = 600000\n\
     [listeners]\nadmin = \"10.0.0.1:8782\"\n[provider]\naddress = \"10.0.0.8:1\"\n";
 
-/// A leader without other stewards. The primary is `a` in term 1, its replicas are `b` and `c`.
+/// A leader, with followers that only answer it, or with none. The primary is `a` in term 1, its replicas are `b` and `c`.
 struct Leader {
     steward: Steward<Queue>,
+    followers: Vec<Hedge>,
+    /// The followers are out of reach.
+    cut: bool,
     now: Tick,
 }
 impl Leader {
     /// With changes of the state from before it leads.
     fn new(sync_replicas: u32, before: &[Change]) -> Self {
+        Self::of(1, sync_replicas, before)
+    }
+    fn of(voters: u64, sync_replicas: u32, before: &[Change]) -> Self {
         let instance = |role: &str| {
             let instance = serde_json::json!({
                 "target_service": "s", "address": "10.0.0.9:1", "zone": "z", "revision": "v1",
@@ -424,23 +433,31 @@
         for change in before {
             assert_eq!(almanac.apply(change), Effect::Done, "{change:?}");
         }
-        let member = Member {
-            id: MemberId(1),
-            node: "one".into(),
-            peer: "10.0.0.1:7440".parse().expect("address"),
-            admin: "10.0.0.1:8782".parse().expect("address"),
+        let member = |id| Member {
+            id: MemberId(id),
+            node: NodeName(format!("steward{id}")),
+            peer: format!("10.0.0.{id}:7440").parse().expect("address"),
+            admin: format!("10.0.0.{id}:8782").parse().expect("address"),
             voter: true,
             can_vote: true,
         };
         let snapshot = Snapshot {
             last: (Epoch(1), Index(5)),
-            members: vec![member],
+            members: (1..=voters).map(member).collect(),
             state: serde_bytes::ByteBuf::from(almanac.write()),
         };
-        let kept = Kept { me: MemberId(1), epoch: Epoch(1), snapshot, ..Kept::default() };
+        let kept = |id| Kept {
+            me: MemberId(id),
+            epoch: Epoch(1),
+            snapshot: snapshot.clone(),
+            ..Kept::default()
+        };
+        let follower = |id| Hedge::new(kept(id), false, START, || 10);
         let settings = Settings::parse(SETTINGS).expect("settings");
-        let steward = Steward::new(settings, kept, true, || 10, Queue::default(), START);
-        let mut this = Self { steward: steward.expect("starts"), now: START };
+        let steward = Steward::new(settings, kept(1), true, || 10, Queue::default(), START);
+        let followers = (2..=voters).map(follower).collect();
+        let steward = steward.expect("starts");
+        let mut this = Self { steward, followers, cut: false, now: START };
         this.run(10_000);
         assert!(this.steward.hedge().granting(this.now), "it leads");
         this
@@ -450,6 +467,29 @@
         while std::mem::take(&mut self.steward.effects.writes) {
             self.steward.take(Input::Saved(Ok(())), self.now);
             self.steward.turn(self.now).expect("readable");
+            self.exchange();
+        }
+        self.exchange();
+    }
+    /// What it sends its followers is answered at once.
+    fn exchange(&mut self) {
+        loop {
+            let messages = std::mem::take(&mut self.steward.effects.raft);
+            if messages.is_empty() || self.cut {
+                return;
+            }
+            for (to, message) in messages {
+                let follower = self.followers.iter_mut().find(|f| f.kept.me == to);
+                let follower = follower.expect("a follower");
+                follower.step(message, self.now);
+                follower.dirty = Dirty::default();
+                follower.stored(follower.last());
+                for (to, answer) in follower.out.drain(..) {
+                    let message = Box::new(answer);
+                    self.steward.take(Input::Frame(0, Frame::Raft { to, message }), self.now);
+                }
+            }
+            self.steward.turn(self.now).expect("readable");
         }
     }
     fn run(&mut self, ms: u64) {
@@ -721,3 +761,31 @@
     leader.run(300);
     assert_eq!(leader.share(2), Some(12));
 }
+
+/// Another may lead by then, and may have granted, asked or promoted.
+#[test]
+fn a_leader_that_does_not_hear_its_quorum_grants_and_asks_nothing() {
+    let mut leader = Leader::of(3, 1, &[]);
+    leader.settle(&["b", "c"]);
+    leader.hello(1, "n1");
+    assert_eq!(leader.standing(1), Some(led(1)));
+    leader.cut = true;
+    while leader.steward.hedge().granting(leader.now) {
+        leader.run(10);
+    }
+    assert!(leader.steward.hedge().is_leader(), "for a moment it leads all the same");
+    assert_eq!(leader.renew_with(1, 2, 1, Vec::new()), None, "no lease is renewed");
+    leader.steward.effects.asks.clear();
+    let (instance, why) = ("a".into(), Doubt::Broken);
+    leader.hear(1, ToSteward::Suspect { service: service(), instance, why });
+    assert_eq!(leader.steward.effects.asks, [], "no database is asked");
+    leader.steward.effects.sent.clear();
+    leader.hello(2, "n2");
+    assert!(leader.steward.effects.sent.is_empty(), "nobody new is taken in");
+    // Heard again in time, it goes on.
+    leader.cut = false;
+    leader.run(500);
+    assert!(leader.steward.hedge().granting(leader.now));
+    assert!(leader.steward.effects.sent.iter().any(|(to, _)| *to == 2), "now it is welcome");
+    assert_eq!(leader.standing(2), Some(led(1)));
+}
