--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -1,4 +1,5 @@
 //! Leases, connection quotas and parts: each row is a rule by which no two poolers get the same.
+use silvertack::common::http::Request;
 use silvertack::common::ids::*;
 use silvertack::common::peer::*;
 use silvertack::common::settings::Settings;
@@ -9,6 +10,7 @@
 };
 use std::net::SocketAddr;
 use std::sync::Arc;
+use std::sync::mpsc::sync_channel;
 
 /// From the grant of a lease until nobody can use it.
 const LEASE_ENDS_MS: u64 = LEASE_MS + 50;
@@ -789,3 +791,71 @@
     assert!(leader.steward.effects.sent.iter().any(|(to, _)| *to == 2), "now it is welcome");
     assert_eq!(leader.standing(2), Some(led(1)));
 }
+
+fn call(method: &str, path: &str, body: &serde_json::Value) -> Request {
+    let (method, path) = (method.to_owned(), path.to_owned());
+    Request { method, path, if_match: None, body: body.to_string().into_bytes() }
+}
+
+/// Three heartbeats of 600 s are missed before a primary is doubted.
+#[test]
+fn only_a_newer_heartbeat_tells_that_a_primary_lives() {
+    // (the sequence of a heartbeat 200 s before the end of that time, if one comes; whether the
+    // primary is doubted after that time)
+    for (sequence, doubted) in [(None, true), (Some(0), true), (Some(1), true), (Some(2), false)] {
+        let mut leader = Leader::new(1, &[]);
+        leader.settle(&["b", "c"]);
+        leader.now = leader.now.plus(1_600_000);
+        leader.run(100);
+        assert!(!leader.asked("a", |ask| *ask == Ask::Describe), "not before its time");
+        if let Some(sequence) = sequence {
+            let body = serde_json::json!({
+                "target_service": "s", "address": "10.0.0.9:1", "zone": "z", "revision": "v1",
+                "capacity": 7, "lifecycle_state": "available", "warmup_left_ms": 0,
+                "database_role": "primary", "sequence": sequence,
+            });
+            let (reply, answer) = sync_channel(1);
+            let beat = call("PUT", "/instances/a", &body);
+            leader.steward.take(Input::Http(beat, reply), leader.now);
+            leader.turn();
+            assert_eq!(answer.try_recv().map(|a| a.status), Ok(200), "{sequence}");
+        }
+        leader.now = leader.now.plus(300_000);
+        leader.run(100);
+        assert_eq!(leader.asked("a", |ask| *ask == Ask::Describe), doubted, "{sequence:?}");
+    }
+}
+
+#[test]
+fn a_message_counts_only_for_the_member_that_it_is_for() {
+    let message = || {
+        let previous = (Epoch(0), Index(0));
+        let (entries, commit, sent) = (Vec::new(), Index(0), 0);
+        let kind = RaftKind::Append { previous, entries, commit, sent };
+        Box::new(Raft { from: MemberId(2), epoch: Epoch(99), kind })
+    };
+    for (to, heard) in [(1, true), (2, false), (9, false)] {
+        let mut leader = Leader::of(3, 1, &[]);
+        let frame = Frame::Raft { to: MemberId(to), message: message() };
+        leader.steward.take(Input::Frame(0, frame), leader.now);
+        assert_eq!(leader.steward.hedge().is_leader(), !heard, "to {to}");
+    }
+}
+
+#[test]
+fn who_waits_for_an_order_hears_that_another_leads() {
+    let mut leader = Leader::of(3, 1, &[]);
+    leader.cut = true;
+    let (reply, answer) = sync_channel(1);
+    let order = call("DELETE", "/instances/b", &serde_json::Value::Null);
+    leader.steward.take(Input::Http(order, reply), leader.now);
+    leader.turn();
+    assert!(answer.try_recv().is_err(), "it waits for the quorum");
+    let previous = (Epoch(0), Index(0));
+    let (entries, commit, sent) = (Vec::new(), Index(0), 0);
+    let kind = RaftKind::Append { previous, entries, commit, sent };
+    let message = Box::new(Raft { from: MemberId(2), epoch: Epoch(99), kind });
+    leader.steward.take(Input::Frame(0, Frame::Raft { to: MemberId(1), message }), leader.now);
+    leader.turn();
+    assert_eq!(answer.try_recv().map(|a| a.status), Ok(503));
+}
