--- a/tests/succession.rs
+++ b/tests/succession.rs
@@ -1,14 +1,15 @@
 //! Who leads a service: each case is a story of events with the deeds that must follow.
+use silvertack::config::directory::{Instance, Lifecycle, Role};
 use silvertack::base::ids::{DbTerm, Epoch, InstanceId, NodeName, Position, Revision, ServiceName};
+use silvertack::base::logging::start;
 use silvertack::base::time::Tick;
-use silvertack::config::directory::{Instance, Lifecycle, Role};
+use silvertack::net::rpc::pack;
+use silvertack::net::rpc::pooler_messages::{Doubt, Grant, Saw, Standing};
+use silvertack::net::statement_protocol::Described;
 use silvertack::controller::pending_updates::Tidings;
 use silvertack::failover::{Ask, Deed, Facts, Posted, Stage, Succession, Told};
 use silvertack::leases::lease_table::{LEASE_MS, LeaseBook};
 use silvertack::leases::watermarks::Freshness;
-use silvertack::net::rpc::pack;
-use silvertack::net::rpc::pooler_messages::{Doubt, Grant, Saw, Standing};
-use silvertack::net::statement_protocol::Described;
 use silvertack::state_machine::{Almanac, Change, Effect, Lead};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -867,7 +868,8 @@
 fn a_planned_change_that_is_given_up_resumes_all_and_rests() {
     let (mut facts, now) = (facts(), Tick(50_000));
     let mut s = planned(&mut facts, now);
-    // Only the leases that were taken back end it before its time.
+    // With a replica that does not answer its pause the leases are taken back: the poolers' word
+    // may do instead.
     assert_eq!(s.tick(&facts, now.plus(550)), []);
     assert_eq!(s.tick(&facts, now.plus(650)), [Deed::Revoke(DbTerm(1))], "`c` does not answer");
     assert!(s.revoking);
@@ -1008,7 +1010,7 @@
         assert_eq!(deeds, if done { &down[..] } else { &[] }, "{who} {leads} {term}");
         assert_eq!(matches!(s.stage, Stage::Taking { .. }), done, "{who} {leads} {term}");
     }
-    // After a planned change the leases of the old term end no earlier, and no later.
+    // In a planned change leases are granted until the target leads, and none from then on.
     let mut facts = facts();
     let mut s = planned(&mut facts, now);
     s.told(&facts, s.attempt, &"c".into(), PAUSE, &row(false, 1, at(7)), now);
