--- a/tests/interfaces.rs
+++ b/tests/interfaces.rs
@@ -6,6 +6,7 @@
 
 use gateway::Shed;
 use serde_json::Value;
+use silvertack::common::config::Configuration;
 use silvertack::common::settings::{Rollout, Settings};
 use std::collections::BTreeSet;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -236,6 +237,13 @@
     let supply = || {
         machine.put("query");
         eventually("databases", || databases.beat_all(machine.admin, 1));
+        // A beat that is news, and one that is none.
+        for (sequence, state) in [(2, "draining"), (3, "available"), (4, "available")] {
+            let (path, beat) = ("/instances/i-query-0", databases.beat(0, sequence, state));
+            let answer = http(machine.admin, "PUT", path, &[], &beat).expect("answer");
+            let told = serde_json::json!({ "heartbeat_url": machine.admin }).to_string();
+            assert_eq!(answer, (200, told), "{sequence}");
+        }
     };
     answers(&machine, "wicket", supply, |status| {
         status["databases"].as_array().map_or(0, Vec::len) == 2
@@ -387,6 +395,31 @@
     assert!(last.starts_with("silvertack: the disk: "), "{last}");
 }
 
+#[test]
+fn each_key_of_a_configuration_is_read() {
+    let order = serde_json::json!({
+        "revision": 3,
+        "route_rules": [
+            { "name": "a", "hostname": "h", "path_prefix": "/p/", "route_type": "read_your_writes",
+                "timeout_ms": 11, "target_latency_ms": 12, "priority": 13, "target_service": "s",
+                "max_attempts": 14, "stale_ms": 15 },
+            { "name": "b", "hostname": "i", "path_prefix": "/q/", "route_type": "non_idempotent",
+                "timeout_ms": 16, "target_latency_ms": 17, "priority": 18,
+                "weighted_targets": [{ "target_service": "s", "weight": 19 }],
+                "max_attempts": 20, "stale_ms": 21 },
+        ],
+        "services": [{ "name": "s", "max_connections": 22, "sync_replicas": 23 }],
+        "limits": { "txn_idle_ms": 24, "max_header_bytes": 25, "max_body_bytes": 26,
+            "header_timeout_ms": 27, "idle_timeout_ms": 28 },
+    });
+    // None of it is a default, so what is read under another name comes out otherwise.
+    let read = Configuration::read(order.to_string().as_bytes()).expect("valid");
+    assert_eq!(serde_json::to_value(&read).expect("JSON"), order);
+    let mut more = order.clone();
+    more["limits"]["of_later"] = 1.into();
+    assert_eq!(Configuration::read(more.to_string().as_bytes()), Ok(read), "others are ignored");
+}
+
 /// Every key, none with its default.
 const ALL: &str = r#"node_name = "one"
 ip_address = "10.0.0.1"
@@ -479,7 +512,7 @@
     assert_eq!((lines.len(), all.len()), (23, 23));
     for (line, value) in lines.iter().zip(&all) {
         let written = line.split_once(" = ").expect("a key").1;
-        let plain = written.replace('"', "").replace('[', "").replace(']', "");
+        let plain = written.replace(['"', '[', ']'], "");
         let plain_value = value.replace(['[', ']', '(', ')'], "");
         assert_eq!(plain, plain_value, "{line}");
     }
