--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -6,11 +6,15 @@
 use serde::de::{Deserialize, Deserializer, MapAccess, SeqAccess, Visitor};
 use serde_bytes::ByteBuf;
 use sha2::{Digest as _, Sha256};
-use silvertack::base::ids::{DbTerm, Epoch, Index, MemberId, NodeName, Position, Revision, ServiceName};
+use silvertack::base::ids::{
+    DbTerm, Epoch, Index, MemberId, NodeName, Position, Revision, ServiceName,
+};
 use silvertack::config::configuration::{Configuration, SessionLimits};
 use silvertack::config::directory::{Instance, Lifecycle, Listed, Role};
 use silvertack::config::route_table::{Lanes, Run};
-use silvertack::net::rpc::pooler_messages::{Doubt, Fresh, Grant, Plot, Saw, Standing, ToSteward, ToStile};
+use silvertack::net::rpc::pooler_messages::{
+    Doubt, Fresh, Grant, Plot, Saw, Standing, ToSteward, ToStile,
+};
 use silvertack::net::rpc::raft_messages::{Body, Entry, Joined, Member, Raft, RaftKind, Snapshot};
 use silvertack::net::rpc::{Frame, encode, pack, receive_with_layout, unpack};
 use silvertack::raft::node::Kept;
--- a/tests/succession.rs
+++ b/tests/succession.rs
@@ -1,15 +1,14 @@
 //! Who leads a service: each case is a story of events with the deeds that must follow.
-use silvertack::config::directory::{Instance, Lifecycle, Role};
 use silvertack::base::ids::{DbTerm, Epoch, InstanceId, NodeName, Position, Revision, ServiceName};
-use silvertack::base::logging::start;
 use silvertack::base::time::Tick;
-use silvertack::net::rpc::pack;
-use silvertack::net::rpc::pooler_messages::{Doubt, Grant, Saw, Standing};
-use silvertack::net::statement_protocol::Described;
+use silvertack::config::directory::{Instance, Lifecycle, Role};
 use silvertack::controller::pending_updates::Tidings;
 use silvertack::failover::{Ask, Deed, Facts, Posted, Stage, Succession, Told};
 use silvertack::leases::lease_table::{LEASE_MS, LeaseBook};
 use silvertack::leases::watermarks::Freshness;
+use silvertack::net::rpc::pack;
+use silvertack::net::rpc::pooler_messages::{Doubt, Grant, Saw, Standing};
+use silvertack::net::statement_protocol::Described;
 use silvertack::state_machine::{Almanac, Change, Effect, Lead};
 use std::collections::{BTreeMap, BTreeSet};
 
