--- a/examples/scale.rs
+++ b/examples/scale.rs
@@ -6,10 +6,12 @@
 use clap::Parser;
 use serde_json::json;
 use silvertack::base::ids::{DbTerm, NodeName, Position, Revision, ServiceName};
-use silvertack::config::route_table::Lanes;
+use silvertack::config::route_table::RouteTable;
 use silvertack::net::http;
-use silvertack::net::leader_connection::{Follower, Link};
-use silvertack::net::rpc::pooler_messages::{Saw, Standing, ToSteward, ToStile};
+use silvertack::net::leader_connection::{LeaderConnection, LeaderSubscriber};
+use silvertack::net::rpc::pooler_messages::{
+    ObservedPosition, PrimaryStatus, ToController, ToPooler,
+};
 use silvertack::net::rpc::{Frame, encode};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -67,9 +69,9 @@
 struct Hollow {
     node: NodeName,
     zone: String,
-    link: Link,
+    link: LeaderConnection,
     counts: Arc<Counts>,
-    config: Mutex<Option<Lanes>>,
+    config: Mutex<Option<RouteTable>>,
     /// The revision in force, and when it came to be.
     revision: AtomicU64,
     since: Mutex<Instant>,
@@ -81,8 +83,8 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 impl Hollow {
-    fn tell(&self, message: ToSteward) {
-        let bytes = encode(&Frame::Stile(message.clone())).len() as u64;
+    fn tell(&self, message: ToController) {
+        let bytes = encode(&Frame::Pooler(message.clone())).len() as u64;
         self.counts.bytes_out.fetch_add(bytes, Ordering::Relaxed);
         self.link.tell(message);
     }
@@ -92,7 +94,7 @@
         let position = Position { term: DbTerm(1), number: seq };
         let saw = names
             .clone()
-            .map(|service| Saw { service, term: DbTerm(1), position, after: 100 })
+            .map(|service| ObservedPosition { service, term: DbTerm(1), position, after: 100 })
             .collect();
         let busy = if seq.is_multiple_of(8) {
             (0..3).map(|n| (ServiceName(format!("s{n}")), 100 + (seq % 50) as u32)).collect()
@@ -102,42 +104,43 @@
         let (shares, wants) = (Vec::new(), Vec::new());
         let heard = self.heard.load(Ordering::Relaxed);
         let asks = names.collect();
-        self.tell(ToSteward::Renew { seq, heard, shares, wants, saw, asks, busy });
+        self.tell(ToController::RenewLeases { seq, heard, shares, wants, saw, asks, busy });
     }
-    fn configured(&self, config: Lanes) {
+    fn configured(&self, config: RouteTable) {
         *lock(&self.since) = Instant::now();
         self.revision.store(config.revision.0, Ordering::SeqCst);
         *lock(&self.config) = Some(config);
     }
 }
-impl Follower for Hollow {
-    fn hello(&self) -> ToSteward {
+impl LeaderSubscriber for Hollow {
+    fn hello(&self) -> ToController {
         let revision = Revision(self.revision.load(Ordering::Relaxed));
-        ToSteward::Hello { node: self.node.clone(), life: 1, revision, zone: self.zone.clone() }
+        ToController::Hello { node: self.node.clone(), life: 1, revision, zone: self.zone.clone() }
     }
     fn linked(&self) {}
     fn begin(&self) {
         self.renew();
     }
-    fn hear(&self, message: ToStile) {
-        let bytes = encode(&Frame::Steward(message.clone())).len() as u64;
+    fn hear(&self, message: ToPooler) {
+        let bytes = encode(&Frame::Controller(message.clone())).len() as u64;
         self.counts.bytes_in.fetch_add(bytes, Ordering::Relaxed);
         self.counts.frames_in.fetch_add(1, Ordering::Relaxed);
         match message {
-            ToStile::Configured(config) => self.configured(*config),
-            ToStile::Changed(changed) => {
+            ToPooler::RouteTable(config) => self.configured(*config),
+            ToPooler::RouteTableDelta(changed) => {
                 let next = lock(&self.config).as_ref().and_then(|c| c.with(&changed));
                 match next {
                     Some(config) => self.configured(config),
-                    None => self.tell(ToSteward::Whole),
+                    None => self.tell(ToController::RequestFullTable),
                 }
             }
-            ToStile::Granted { seq, grants, .. } => {
+            ToPooler::LeaseGrants { seq, grants, .. } => {
                 self.heard.store(seq, Ordering::Relaxed);
-                let led = grants.iter().filter(|g| matches!(g.standing, Standing::Led { .. }));
+                let led =
+                    grants.iter().filter(|g| matches!(g.standing, PrimaryStatus::Active { .. }));
                 self.counts.led.fetch_add(led.count() as u64, Ordering::Relaxed);
             }
-            ToStile::Renew => self.renew(),
+            ToPooler::RenewNow => self.renew(),
             _ => {}
         }
     }
@@ -328,7 +331,7 @@
         let node = Arc::new(Hollow {
             node: NodeName(format!("n{number}")),
             zone: format!("z{}", number % 7),
-            link: Link::new("hollow", peers.clone()),
+            link: LeaderConnection::new("hollow", peers.clone()),
             counts: Arc::clone(&counts),
             config: Mutex::new(None),
             revision: AtomicU64::new(0),
--- a/src/base/ids.rs
+++ b/src/base/ids.rs
@@ -58,12 +58,12 @@
 
 number!(
     /// The term of the stewards' own log: which steward leads.
-    Epoch
+    Term
 );
 
 number!(
     /// The place of an entry in the stewards' log.
-    Index
+    LogIndex
 );
 
 number!(
--- a/src/base/worker_pool.rs
+++ b/src/base/worker_pool.rs
@@ -9,13 +9,14 @@
 
 /// Threads that do one short job after the other, and jobs that one of them is about to take. Calls,
 /// beats and questions come by the hundred a second; a new thread for each costs more than the work.
-struct Crew {
+struct WorkerPool {
     threads: usize,
     resting: usize,
     jobs: VecDeque<Job>,
 }
 
-static CREW: Mutex<Crew> = Mutex::new(Crew { threads: 0, resting: 0, jobs: VecDeque::new() });
+static CREW: Mutex<WorkerPool> =
+    Mutex::new(WorkerPool { threads: 0, resting: 0, jobs: VecDeque::new() });
 
 static WANTED: Condvar = Condvar::new();
 
@@ -28,7 +29,7 @@
         return Some(job);
     }
     crew.resting += 1;
-    let no_job = |crew: &mut Crew| crew.jobs.is_empty();
+    let no_job = |crew: &mut WorkerPool| crew.jobs.is_empty();
     let waited = WANTED.wait_timeout_while(crew, REST, no_job);
     crew = waited.unwrap_or_else(PoisonError::into_inner).0;
     crew.resting -= 1;
--- a/src/config/directory.rs
+++ b/src/config/directory.rs
@@ -39,7 +39,7 @@
 
 /// The body of `PUT /instances/ID`.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     #[serde(flatten)]
     pub instance: Instance,
     pub sequence: u64,
@@ -48,7 +48,7 @@
 /// One entry of the directory as nodes are told of it: no more than they need, as there are hundreds
 /// of either.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Listed {
+pub struct DirectoryEntry {
     pub id: InstanceId,
     pub service: ServiceName,
     pub address: SocketAddr,
@@ -58,7 +58,7 @@
     pub capacity: u32,
 }
 
-impl Listed {
+impl DirectoryEntry {
     pub fn of(id: &InstanceId, instance: &Instance) -> Self {
         Self {
             id: id.clone(),
--- a/src/config/route_table.rs
+++ b/src/config/route_table.rs
@@ -6,7 +6,7 @@
 
 /// What a node needs of a route. Links to nodes may be thin, and there may be thousands.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Lane {
+pub struct RouteEntry {
     pub hostname: String,
     pub path_prefix: String,
     #[serde(with = "numbered")]
@@ -20,7 +20,7 @@
     targets: Vec<(u16, u32)>,
 }
 
-impl Lane {
+impl RouteEntry {
     fn place(&self) -> (&str, &str) {
         (&self.hostname, &self.path_prefix)
     }
@@ -50,21 +50,21 @@
 
 /// What a node needs of a configuration: a lane for each host and prefix, in their order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Lanes {
+pub struct RouteTable {
     pub revision: Revision,
-    lanes: Vec<Lane>,
+    lanes: Vec<RouteEntry>,
     pub services: Vec<ServiceName>,
     pub limits: SessionLimits,
 }
 
-impl Lanes {
+impl RouteTable {
     pub fn of(config: &Configuration) -> Self {
         let places: BTreeMap<&ServiceName, usize> =
             config.services.iter().enumerate().map(|(at, s)| (&s.name, at)).collect();
         // A checked configuration names only services it has, and no place twice.
         let place =
             |(service, weight): (&ServiceName, u32)| Some((*places.get(service)? as u16, weight));
-        let lane = |route: &Route| Lane {
+        let lane = |route: &Route| RouteEntry {
             hostname: route.hostname.clone(),
             path_prefix: route.path_prefix.clone(),
             route_type: route.route_type,
@@ -75,7 +75,7 @@
             stale_ms: route.stale_ms,
             targets: route.targets().filter_map(place).collect(),
         };
-        let mut lanes: Vec<Lane> = config.route_rules.iter().map(lane).collect();
+        let mut lanes: Vec<RouteEntry> = config.route_rules.iter().map(lane).collect();
         lanes.sort_by(|a, b| a.place().cmp(&b.place()));
         Self {
             revision: config.revision,
@@ -86,13 +86,13 @@
     }
     /// The lane of a database name, and the service it leads to. Of several routes with that name,
     /// the one with the first prefix counts.
-    pub fn lane(&self, hostname: &str) -> Option<(&Lane, &ServiceName)> {
+    pub fn lane(&self, hostname: &str) -> Option<(&RouteEntry, &ServiceName)> {
         let at = self.lanes.partition_point(|l| l.hostname.as_str() < hostname);
         let lane = self.lanes.get(at).filter(|l| l.hostname == hostname)?;
         Some((lane, self.service(lane, 0)?))
     }
     /// The lane of a request: of those for its host, the one with the longest prefix of its path.
-    pub fn route(&self, hostname: &str, path: &str) -> Option<&Lane> {
+    pub fn route(&self, hostname: &str, path: &str) -> Option<&RouteEntry> {
         let slashes = path.bytes().enumerate().rev().filter(|(_, b)| *b == b'/').map(|(at, _)| at);
         slashes
             .map(|at| &path[..=at])
@@ -103,7 +103,7 @@
     }
     /// The service that a lane leads to for one of its requests. The same request is led to the
     /// same service at every node.
-    pub fn service(&self, lane: &Lane, request: u64) -> Option<&ServiceName> {
+    pub fn service(&self, lane: &RouteEntry, request: u64) -> Option<&ServiceName> {
         let sum: u64 = lane.targets.iter().map(|(_, weight)| u64::from(*weight)).sum();
         let mut left = request.checked_rem(sum)?;
         for (service, weight) in &lane.targets {
@@ -115,21 +115,21 @@
         None
     }
     /// What has to be known to come here from `base`.
-    pub fn since(&self, base: &Lanes) -> Changed {
-        Changed {
+    pub fn since(&self, base: &RouteTable) -> RouteTableDelta {
+        RouteTableDelta {
             base: base.revision,
             revision: self.revision,
-            lanes: runs(&base.lanes, &self.lanes, Lane::place),
+            lanes: runs(&base.lanes, &self.lanes, RouteEntry::place),
             services: runs(&base.services, &self.services, |s| s.0.as_str()),
             limits: self.limits.clone(),
         }
     }
     /// The version that `changed` leads to from this one; none if it is not meant for this one.
-    pub fn with(&self, changed: &Changed) -> Option<Lanes> {
+    pub fn with(&self, changed: &RouteTableDelta) -> Option<RouteTable> {
         if changed.base != self.revision {
             return None;
         }
-        Some(Lanes {
+        Some(RouteTable {
             revision: changed.revision,
             lanes: laid_out(&self.lanes, &changed.lanes)?,
             services: laid_out(&self.services, &changed.services)?,
@@ -140,17 +140,17 @@
 
 /// The way from one version to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Changed {
+pub struct RouteTableDelta {
     pub base: Revision,
     pub revision: Revision,
-    pub lanes: Vec<Run<Lane>>,
-    pub services: Vec<Run<ServiceName>>,
+    pub lanes: Vec<DeltaRun<RouteEntry>>,
+    pub services: Vec<DeltaRun<ServiceName>>,
     pub limits: SessionLimits,
 }
 
 /// A part of a list: as it stood in the old one, or new.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Run<T> {
+pub enum DeltaRun<T> {
     Same { from: usize, count: usize },
     New(Vec<T>),
 }
@@ -159,29 +159,29 @@
     old: &'a [T],
     new: &'a [T],
     key: impl Fn(&'a T) -> K,
-) -> Vec<Run<T>> {
+) -> Vec<DeltaRun<T>> {
     let places: BTreeMap<K, usize> = old.iter().enumerate().map(|(i, t)| (key(t), i)).collect();
-    let mut runs: Vec<Run<T>> = Vec::new();
+    let mut runs: Vec<DeltaRun<T>> = Vec::new();
     for item in new {
         let same = places.get(&key(item)).copied().filter(|at| old[*at] == *item);
         match (runs.last_mut(), same) {
-            (Some(Run::Same { from, count }), Some(at)) if *from + *count == at => *count += 1,
-            (_, Some(at)) => runs.push(Run::Same { from: at, count: 1 }),
-            (Some(Run::New(items)), None) => items.push(item.clone()),
-            (_, None) => runs.push(Run::New(vec![item.clone()])),
+            (Some(DeltaRun::Same { from, count }), Some(at)) if *from + *count == at => *count += 1,
+            (_, Some(at)) => runs.push(DeltaRun::Same { from: at, count: 1 }),
+            (Some(DeltaRun::New(items)), None) => items.push(item.clone()),
+            (_, None) => runs.push(DeltaRun::New(vec![item.clone()])),
         }
     }
     runs
 }
 
-fn laid_out<T: Clone>(old: &[T], runs: &[Run<T>]) -> Option<Vec<T>> {
+fn laid_out<T: Clone>(old: &[T], runs: &[DeltaRun<T>]) -> Option<Vec<T>> {
     let mut new = Vec::new();
     for run in runs {
         match run {
-            Run::Same { from, count } => {
+            DeltaRun::Same { from, count } => {
                 new.extend_from_slice(old.get(*from..from.checked_add(*count)?)?);
             }
-            Run::New(items) => new.extend_from_slice(items),
+            DeltaRun::New(items) => new.extend_from_slice(items),
         }
     }
     Some(new)
--- a/src/controller/admin_api.rs
+++ b/src/controller/admin_api.rs
@@ -2,44 +2,48 @@
 use crate::base::ids::Revision;
 use crate::config::configuration::Configuration;
 use crate::net::http::{Request, Response};
-use crate::state_machine::{Almanac, Change, Effect};
+use crate::state_machine::{Command, CommandOutcome, StateMachine};
 use serde_bytes::ByteBuf;
 
 /// A call whose answer tells what is current.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Call {
+pub enum AdminCall {
     ReadConfiguration,
-    Change(Change),
+    Command(Command),
 }
 
 /// What becomes of a call.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Verdict {
+pub enum CallDecision {
     Answer(Response),
     /// It has to go into the log; what it comes to shows when it is applied.
-    Propose(Change),
+    Propose(Command),
 }
 
-impl Call {
-    pub fn judge(self, almanac: &Almanac) -> Verdict {
+impl AdminCall {
+    pub fn judge(self, almanac: &StateMachine) -> CallDecision {
         let effect = match &self {
             Self::ReadConfiguration if almanac.body.is_empty() => {
-                return Verdict::Answer(Response::refusal(404, "no configuration yet"));
+                return CallDecision::Answer(Response::refusal(404, "no configuration yet"));
             }
             Self::ReadConfiguration => {
-                return Verdict::Answer(Response::json(200, almanac.body.to_vec()));
+                return CallDecision::Answer(Response::json(200, almanac.body.to_vec()));
             }
-            Self::Change(Change::Configure { base, revision, body }) => {
+            Self::Command(Command::PutConfiguration { base, revision, body }) => {
                 almanac.judge(*base, *revision, body)
             }
-            Self::Change(Change::Gone { id, .. }) if !almanac.instances.contains_key(id) => {
-                Effect::Nothing
+            Self::Command(Command::RemoveInstance { id, .. })
+                if !almanac.instances.contains_key(id) =>
+            {
+                CommandOutcome::NoChange
             }
-            Self::Change(_) => Effect::Done,
+            Self::Command(_) => CommandOutcome::Applied,
         };
         match self {
-            Self::Change(change) if effect == Effect::Done => Verdict::Propose(change),
-            _ => Verdict::Answer(judged(&effect)),
+            Self::Command(change) if effect == CommandOutcome::Applied => {
+                CallDecision::Propose(change)
+            }
+            _ => CallDecision::Answer(judged(&effect)),
         }
     }
 }
@@ -50,17 +54,21 @@
         && !text.contains(|c: char| c.is_whitespace() || c.is_control())
 }
 
-pub(crate) fn judged(effect: &Effect) -> Response {
+pub(crate) fn judged(effect: &CommandOutcome) -> Response {
     match effect {
-        Effect::Done | Effect::Nothing => Response::ok(),
-        Effect::Outdated => Response::refusal(412, "another version is in place"),
-        Effect::NotAbove => Response::refusal(400, "revision is not above the current one"),
+        CommandOutcome::Applied | CommandOutcome::NoChange => Response::ok(),
+        CommandOutcome::StaleBase => Response::refusal(412, "another version is in place"),
+        CommandOutcome::RevisionNotAbove => {
+            Response::refusal(400, "revision is not above the current one")
+        }
         // No clear answer: a 4xx would deny one that may have been taken.
-        Effect::Forgotten => Response::refusal(503, "too old to know whether it was taken"),
+        CommandOutcome::HistoryExpired => {
+            Response::refusal(503, "too old to know whether it was taken")
+        }
     }
 }
 
-pub(crate) fn read_configuration(request: &Request) -> Result<Change, Response> {
+pub(crate) fn read_configuration(request: &Request) -> Result<Command, Response> {
     let refuse = |why: &str| Err(Response::refusal(400, why));
     let base = match request.if_match.as_deref().map(str::parse) {
         Some(Ok(base)) => Revision(base),
@@ -68,7 +76,7 @@
         None => return refuse("If-Match is missing"),
     };
     match Configuration::read(&request.body) {
-        Ok(config) => Ok(Change::Configure {
+        Ok(config) => Ok(Command::PutConfiguration {
             base,
             revision: config.revision,
             body: ByteBuf::from(request.body.clone()),
--- a/src/controller/controller.rs
+++ b/src/controller/controller.rs
@@ -1,29 +1,36 @@
 //! One controller: inputs and a passed-in time in, effects out.
 use crate::base::errors::Fatal;
-use crate::base::ids::{Index, InstanceId, MemberId, NodeName, Revision, ServiceName};
+use crate::base::ids::{InstanceId, LogIndex, MemberId, NodeName, Revision, ServiceName};
 use crate::base::signals::Signals;
 use crate::base::time::Tick;
 use crate::config::configuration::{Configuration, Service};
-use crate::config::directory::{Beat, Instance, Listed, Role};
-use crate::config::route_table::Lanes;
+use crate::config::directory::{DirectoryEntry, Heartbeat, Instance, Role};
+use crate::config::route_table::RouteTable;
 use crate::config::settings::{Rollout, Settings, Watched};
-use crate::controller::admin_api::{Call, Verdict, is_word, judged, read_configuration};
-use crate::controller::linearizable_reads::{Proposed, Reads};
-use crate::controller::pending_updates::Tidings;
+use crate::controller::admin_api::{AdminCall, CallDecision, is_word, judged, read_configuration};
+use crate::controller::linearizable_reads::{LinearizableReads, PendingProposals};
+use crate::controller::pending_updates::PendingUpdates;
 use crate::controller::process::{as_member, fresh_id};
-use crate::controller::transport::{Event, Sockets, Wire};
-use crate::failover::{Ask, Attempt, Deed, Facts, Posted, Stage, Succession, Told, stage_name};
-use crate::leases::lease_table::{LEASE_MS, LeaseBook, SHARE_HELD_MS};
-use crate::leases::subset_assignments::Cadastre;
-use crate::leases::watermarks::Freshness;
+use crate::controller::transport::{Event, PeerConnection, SocketTransport};
+use crate::failover::{
+    Attempt, DatabaseRequest, DatabaseResponse, Failover, FailoverAction, FailoverState,
+    PromotionResponse, ServiceSnapshot, stage_name,
+};
+use crate::leases::lease_table::{LEASE_MS, LeaseTable, SHARE_HELD_MS};
+use crate::leases::subset_assignments::SubsetAssignments;
+use crate::leases::watermarks::ReplicationWatermarks;
 use crate::net::http::{Request, Response};
-use crate::net::rpc::pooler_messages::{Grant, Saw, Standing, ToSteward, ToStile};
-use crate::net::rpc::raft_messages::{Body, Joined, Member, Raft, Snapshot};
+use crate::net::rpc::pooler_messages::{
+    LeaseGrant, ObservedPosition, PrimaryStatus, ToController, ToPooler,
+};
+use crate::net::rpc::raft_messages::{EntryPayload, JoinResponse, Member, RaftMessage, Snapshot};
 use crate::net::rpc::{Frame, LAYOUT, encode, pack};
-use crate::raft::node::{Dirty, Hedge, Kept};
-use crate::raft::persister::Desk;
-use crate::raft::storage::Sheaf;
-use crate::state_machine::{Almanac, Change, Effect, read_change, read_kept, read_state, readable};
+use crate::raft::node::{PersistentState, RaftNode, UnsavedChanges};
+use crate::raft::persister::LogPersister;
+use crate::raft::storage::WriteBatch;
+use crate::state_machine::{
+    Command, CommandOutcome, StateMachine, read_change, read_kept, read_state, readable,
+};
 use log::{debug, error, info, warn};
 use serde_bytes::ByteBuf;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
@@ -37,13 +44,13 @@
     /// What came over a connection on the peer port.
     Frame(u64, Frame),
     /// The layout that a steward reads, ahead of each frame that names it.
-    Reads(MemberId, u8),
+    PeerLayout(MemberId, u8),
     Closed(u64),
     Http(Request, SyncSender<Response>),
-    Told(ServiceName, InstanceId, Ask, Attempt, Told),
-    Posted(ServiceName, InstanceId, Attempt, Posted),
+    DatabaseResponse(ServiceName, InstanceId, DatabaseRequest, Attempt, DatabaseResponse),
+    PromotionResponse(ServiceName, InstanceId, Attempt, PromotionResponse),
     /// What a steward said to the wish to join, or to the question whether this id still belongs.
-    Standing(MemberId, SocketAddr, Option<Joined>),
+    JoinResponse(MemberId, SocketAddr, Option<JoinResponse>),
     /// The write under way has ended, with its error if it failed.
     Saved(Result<(), String>),
 }
@@ -52,11 +59,11 @@
 /// model in the tests with queues in virtual time. Nothing here waits.
 pub trait Effects {
     /// Sends another steward a consensus message, or drops it: the hedge asks again for what got lost.
-    fn send_raft(&mut self, to: MemberId, address: SocketAddr, message: Raft, now: Tick);
+    fn send_raft(&mut self, to: MemberId, address: SocketAddr, message: RaftMessage, now: Tick);
     /// Connections to all others are of no use any more.
     fn keep_links(&mut self, members: &[Member]);
     /// Starts to write; `Input::Saved` follows. False if nothing writes any more.
-    fn write(&mut self, sheaf: Sheaf) -> bool;
+    fn write(&mut self, sheaf: WriteBatch) -> bool;
     /// Asks a steward to be taken in, or whether one still belongs; `Input::Standing` follows.
     fn ask_standing(&mut self, at: SocketAddr, member: Member, was: bool);
     /// Asks a database one thing; `Input::Told` follows, unless this is false.
@@ -65,7 +72,7 @@
         service: &ServiceName,
         id: &InstanceId,
         address: SocketAddr,
-        ask: Ask,
+        ask: DatabaseRequest,
         attempt: Attempt,
     ) -> bool;
     /// Calls the platform; `Input::Posted` follows.
@@ -91,7 +98,7 @@
 
 /// A stile that follows this leader: what it was told, and what it is still owed. Where its link
 /// is slow, newer state takes the place of older state that has not left.
-struct Guest {
+struct Subscriber {
     node: NodeName,
     zone: String,
     /// The configuration it has, or will have once what waits has arrived.
@@ -109,36 +116,36 @@
 }
 
 /// What only the leader keeps, and forgets when it no longer leads.
-struct Office {
-    leases: LeaseBook,
+struct LeaderState {
+    leases: LeaseTable,
     /// When each database was last heard of, and its newest sequence.
     beats: BTreeMap<InstanceId, (Tick, u64)>,
-    successions: BTreeMap<ServiceName, Succession>,
+    successions: BTreeMap<ServiceName, Failover>,
     /// Services that something happened to, or that are on their way to another primary: these are
     /// looked at in every round. All are, now and then.
     stirred: BTreeSet<ServiceName>,
     swept: Tick,
-    tidings: Tidings,
+    tidings: PendingUpdates,
     sealed: BTreeSet<ServiceName>,
-    freshness: Freshness,
-    cadastre: Cadastre,
+    freshness: ReplicationWatermarks,
+    cadastre: SubsetAssignments,
     /// Leases and shares of before the election are over.
     settled: bool,
 }
 
 /// One steward, moved on by inputs and a passed-in time; `E` carries out what it decides.
-pub struct Steward<E> {
+pub struct Controller<E> {
     settings: Settings,
-    hedge: Hedge,
-    desk: Desk,
-    almanac: Almanac,
-    applied: Index,
+    hedge: RaftNode,
+    desk: LogPersister,
+    almanac: StateMachine,
+    applied: LogIndex,
     config: Option<Configuration>,
-    stiles: BTreeMap<u64, Guest>,
+    stiles: BTreeMap<u64, Subscriber>,
     /// Stiles that came before this leader had applied all that was committed.
-    early: Vec<(u64, ToSteward)>,
+    early: Vec<(u64, ToController)>,
     /// The newest versions, the last one in force; what changed since an older one is enough.
-    versions: VecDeque<Lanes>,
+    versions: VecDeque<RouteTable>,
     /// The frame that brings a stile from a version to the one in force.
     encoded: HashMap<Revision, Arc<[u8]>>,
     /// The frame that brings a stile the whole directory, until that changes.
@@ -163,16 +170,16 @@
     nominated: Option<MemberId>,
     /// Without a disk this steward is in no list and only points at the one that leads.
     pointed: Option<SocketAddr>,
-    office: Option<Office>,
-    proposed: Proposed<SyncSender<Response>>,
-    reads: Reads<SyncSender<Response>>,
+    office: Option<LeaderState>,
+    proposed: PendingProposals<SyncSender<Response>>,
+    reads: LinearizableReads<SyncSender<Response>>,
     /// Where ids and the spread of elections are drawn from.
     random: fn() -> u64,
     pub effects: E,
     known_leader: Option<MemberId>,
     /// Questions to databases: how many are under way, and those that wait.
     asking: usize,
-    questions: VecDeque<(ServiceName, InstanceId, Ask, Attempt)>,
+    questions: VecDeque<(ServiceName, InstanceId, DatabaseRequest, Attempt)>,
     /// Something that is committed can't be read here: nothing is said or done on this state any more.
     unreadable: Option<String>,
 }
@@ -220,7 +227,7 @@
 /// One that stays silent this long is dropped from the directory.
 const FORGOTTEN_MS: u64 = 60_000;
 
-impl Steward<Sockets> {
+impl Controller<SocketTransport> {
     pub(crate) fn serve(
         &mut self,
         rx: Receiver<Event>,
@@ -269,7 +276,7 @@
     fn hear(&mut self, event: Event, now: Tick) {
         match event {
             Event::Opened(id, stream) => {
-                self.effects.conns.insert(id, Wire::new(stream, now));
+                self.effects.conns.insert(id, PeerConnection::new(stream, now));
             }
             Event::Linked(member, line) => {
                 if let Some(link) = self.effects.links.get_mut(&member) {
@@ -293,14 +300,14 @@
     }
 }
 
-impl<E: Effects> Steward<E> {
+impl<E: Effects> Controller<E> {
     /// A steward as it starts with what is on its disk.
     ///
     /// # Errors
     /// `Fatal::State` if the state can't be read.
     pub fn new(
         settings: Settings,
-        kept: Kept,
+        kept: PersistentState,
         restarted: bool,
         random: fn() -> u64,
         effects: E,
@@ -312,12 +319,12 @@
         let applied = kept.snapshot.last.1;
         let config = almanac.configuration().map_err(Fatal::State)?;
         let mut steward = Self {
-            hedge: Hedge::new(kept, restarted, now, random),
+            hedge: RaftNode::new(kept, restarted, now, random),
             settings,
-            desk: Desk::default(),
+            desk: LogPersister::default(),
             almanac,
             applied,
-            versions: config.iter().map(Lanes::of).collect(),
+            versions: config.iter().map(RouteTable::of).collect(),
             config: None,
             stiles: BTreeMap::new(),
             early: Vec::new(),
@@ -335,8 +342,8 @@
             nominated: None,
             pointed: None,
             office: None,
-            proposed: Proposed::default(),
-            reads: Reads::default(),
+            proposed: PendingProposals::default(),
+            reads: LinearizableReads::default(),
             random,
             effects,
             known_leader: None,
@@ -386,14 +393,14 @@
         self.hedge.hand_over(now);
         self.flush(now);
     }
-    pub fn hedge(&self) -> &Hedge {
+    pub fn hedge(&self) -> &RaftNode {
         &self.hedge
     }
-    pub fn almanac(&self) -> &Almanac {
+    pub fn almanac(&self) -> &StateMachine {
         &self.almanac
     }
     /// Up to where the almanac holds what was agreed.
-    pub fn applied(&self) -> Index {
+    pub fn applied(&self) -> LogIndex {
         self.applied
     }
 
@@ -436,7 +443,7 @@
         }
     }
 
-    fn send_raft(&mut self, to: MemberId, message: Raft, now: Tick) {
+    fn send_raft(&mut self, to: MemberId, message: RaftMessage, now: Tick) {
         let member = self.hedge.members().iter().find(|m| m.id == to);
         // One that begins has no list yet, and that of one that was away may lack the leader.
         let leads = self.taken_in.filter(|_| self.hedge.leader == Some(to));
@@ -456,7 +463,7 @@
     pub fn take(&mut self, input: Input, now: Tick) {
         match input {
             Input::Closed(id) => {
-                if let Some(Guest { node, .. }) = self.stiles.remove(&id)
+                if let Some(Subscriber { node, .. }) = self.stiles.remove(&id)
                     && let Some(office) = &mut self.office
                     && office.leases.lose(id, now).is_some()
                 {
@@ -464,7 +471,7 @@
                     info!(target: "stiles", "{node} lost");
                 }
             }
-            Input::Reads(member, layout) => self.hedge.reads(member, layout),
+            Input::PeerLayout(member, layout) => self.hedge.reads(member, layout),
             Input::Frame(_, Frame::Raft { to, message }) => {
                 if to == self.hedge.kept.me {
                     self.hedge.step(*message, now);
@@ -473,20 +480,20 @@
             Input::Frame(conn, Frame::Join { member, was }) => {
                 let mut answer = self.hedge.standing(&member, was, now);
                 if self.names(&member, now) {
-                    answer = Joined::Found;
+                    answer = JoinResponse::FoundCluster;
                 }
                 // One that was removed is taken in again with what it has on its disk.
-                if matches!(answer, Joined::Noted | Joined::Removed) {
+                if matches!(answer, JoinResponse::Accepted | JoinResponse::Removed) {
                     self.joining.insert(member.id, (member, now));
                 }
                 self.send_conn(conn, &Frame::Joined(answer));
             }
-            Input::Standing(asked, at, answer) => self.stand(asked, at, answer, now),
-            Input::Frame(conn, Frame::Stile(message)) => self.hear_stile(conn, message, now),
+            Input::JoinResponse(asked, at, answer) => self.stand(asked, at, answer, now),
+            Input::Frame(conn, Frame::Pooler(message)) => self.hear_stile(conn, message, now),
             Input::Frame(..) => {}
             Input::Http(request, reply) => self.answer_http(request, reply, now),
-            Input::Told(service, id, ask, attempt, told) => {
-                if told != Told::Reached {
+            Input::DatabaseResponse(service, id, ask, attempt, told) => {
+                if told != DatabaseResponse::Reached {
                     self.asking -= 1;
                     self.ask_on();
                     info!(target: "failover", "{service}: {id} on {ask:?}: {told:?}");
@@ -496,7 +503,7 @@
                 });
             }
             Input::Saved(saved) => self.saved(saved, now),
-            Input::Posted(service, id, attempt, posted) => {
+            Input::PromotionResponse(service, id, attempt, posted) => {
                 info!(target: "failover", "{service}: promote of {id}: {posted:?}");
                 self.move_on(&service, now, |s, facts| s.posted(facts, attempt, &id, posted, now));
             }
@@ -523,7 +530,7 @@
         let mut relisted = None;
         for entry in self.hedge.committed(self.applied) {
             let change = match &entry.body {
-                Body::Change(bytes) => match read_change(entry.index, bytes) {
+                EntryPayload::Command(bytes) => match read_change(entry.index, bytes) {
                     Ok(change) => Some(change),
                     Err(why) => {
                         self.unreadable = Some(why);
@@ -535,13 +542,13 @@
             self.applied = entry.index;
             let waiter = self.proposed.take(&entry);
             match &entry.body {
-                Body::Opened => {}
-                Body::Members(members) => {
+                EntryPayload::NoOp => {}
+                EntryPayload::Membership(members) => {
                     relisted = Some(members.clone());
                     self.joining.retain(|id, _| !members.iter().any(|m| m.id == *id));
                     self.effects.keep_links(members);
                 }
-                Body::Change(_) => {}
+                EntryPayload::Command(_) => {}
             }
             if let Some(change) = change {
                 self.apply_change(&change, waiter, now);
@@ -563,7 +570,7 @@
                     return;
                 }
             }
-            self.versions.extend(self.config.as_ref().map(Lanes::of));
+            self.versions.extend(self.config.as_ref().map(RouteTable::of));
             if self.versions.len() > VERSIONS_KEPT {
                 self.versions.pop_front();
             }
@@ -586,9 +593,9 @@
         }
     }
 
-    fn apply_change(&mut self, change: &Change, waiter: Option<SyncSender<Response>>, now: Tick) {
+    fn apply_change(&mut self, change: &Command, waiter: Option<SyncSender<Response>>, now: Tick) {
         let primary = match change {
-            Change::Returned { service, .. } => self.almanac.leads.get(service),
+            Command::PrimaryReturned { service, .. } => self.almanac.leads.get(service),
             _ => None,
         };
         let old = primary.map(|lead| lead.primary.clone());
@@ -596,18 +603,18 @@
         if let Some(reply) = waiter {
             // A caller that no longer waits is none of our business.
             let answer = match change {
-                Change::Beat { .. } => self.beaten(),
+                Command::Heartbeat { .. } => self.beaten(),
                 _ => judged(&effect),
             };
             drop(reply.try_send(answer));
         }
-        if effect != Effect::Done {
+        if effect != CommandOutcome::Applied {
             return;
         }
         match change {
             // Read and told once all that is committed is applied: see `apply`.
-            Change::Configure { .. } => {}
-            Change::Beat { id, instance, .. } => {
+            Command::PutConfiguration { .. } => {}
+            Command::Heartbeat { id, instance, .. } => {
                 self.moved(id, now);
                 info!(target: "almanac", "{id} of {}: {:?}, {:?}", instance.target_service,
                     instance.database_role, instance.lifecycle_state);
@@ -615,45 +622,46 @@
                 self.move_on(service, now, |s, facts| s.beat(facts, id, role, now));
                 self.move_on(service, now, |s, facts| s.tick(facts, now));
             }
-            Change::Gone { id, .. } => {
+            Command::RemoveInstance { id, .. } => {
                 info!(target: "almanac", "{id} is gone");
                 self.moved(id, now);
             }
-            Change::Led { service, term, primary } => {
+            Command::SetPrimary { service, term, primary } => {
                 info!(target: "failover", "{service}: {primary} leads term {term}");
             }
-            Change::Intend { service, target, .. } => {
+            Command::BeginFailover { service, target, .. } => {
                 info!(target: "failover", "{service}: {target} is to take over");
             }
-            Change::Abandon { service, target } => {
+            Command::AbandonFailover { service, target } => {
                 info!(target: "failover", "{service}: {target} is not running, given up");
             }
-            Change::Returned { service, term, primary } => {
+            Command::PrimaryReturned { service, term, primary } => {
                 if let Some(old) = &old {
                     self.moved(old, now);
                 }
                 info!(target: "failover", "{service}: {primary} is the primary of term {term}, back");
             }
-            Change::Covered { service, departed } => {
+            Command::ForgetDeparted { service, departed } => {
                 let names: Vec<String> = departed.keys().map(|id| id.to_string()).collect();
                 info!(target: "failover", "{service}: others have what {} had", names.join(", "));
             }
         }
-        if let Change::Led { service, .. }
-        | Change::Intend { service, .. }
-        | Change::Abandon { service, .. }
-        | Change::Returned { service, .. } = change
+        if let Command::SetPrimary { service, .. }
+        | Command::BeginFailover { service, .. }
+        | Command::AbandonFailover { service, .. }
+        | Command::PrimaryReturned { service, .. } = change
         {
             self.move_on(service, now, |s, facts| s.tick(facts, now));
             if let Some(office) = &mut self.office {
                 office.tidings.stir(service);
             }
-            self.renew_due |= matches!(change, Change::Led { .. } | Change::Returned { .. });
+            self.renew_due |=
+                matches!(change, Command::SetPrimary { .. } | Command::PrimaryReturned { .. });
         }
     }
 
-    fn propose(&mut self, change: &Change, now: Tick) -> Option<Index> {
-        self.hedge.propose(Body::Change(ByteBuf::from(pack(change))), now)
+    fn propose(&mut self, change: &Command, now: Tick) -> Option<LogIndex> {
+        self.hedge.propose(EntryPayload::Command(ByteBuf::from(pack(change))), now)
     }
 
     // -- office --------------------------------------------------------------------------------
@@ -671,16 +679,16 @@
         match (self.hedge.is_leader(), self.office.is_some()) {
             (true, false) => {
                 let beats = self.almanac.instances.iter();
-                self.office = Some(Office {
-                    leases: LeaseBook::new(now),
+                self.office = Some(LeaderState {
+                    leases: LeaseTable::new(now),
                     beats: beats.map(|(id, r)| (id.clone(), (now, r.sequence))).collect(),
                     successions: BTreeMap::new(),
                     stirred: BTreeSet::new(),
                     swept: Tick(0),
-                    tidings: Tidings::default(),
+                    tidings: PendingUpdates::default(),
                     sealed: BTreeSet::new(),
-                    freshness: Freshness::default(),
-                    cadastre: Cadastre::new(now),
+                    freshness: ReplicationWatermarks::default(),
+                    cadastre: SubsetAssignments::new(now),
                     settled: false,
                 });
             }
@@ -693,7 +701,8 @@
                     // Whether it will be in force is not known here; asked again it shows.
                     drop(reply.try_send(Response::refusal(503, "no longer the leader")));
                 }
-                let elsewhere = Frame::Steward(ToStile::Elsewhere(self.leads_at().map(|l| l.0)));
+                let elsewhere =
+                    Frame::Controller(ToPooler::NotLeader(self.leads_at().map(|l| l.0)));
                 for (conn, _) in std::mem::take(&mut self.stiles) {
                     self.send_conn(conn, &elsewhere);
                 }
@@ -729,7 +738,7 @@
         let (tolerated, silent) = (self.settings.tolerated(), self.settings.given_up_ms());
         let joining = self.joining.values().map(|(member, _)| member);
         if let Some(members) = self.hedge.wanted_members(joining, tolerated, silent, now) {
-            self.hedge.propose(Body::Members(members), now);
+            self.hedge.propose(EntryPayload::Membership(members), now);
         }
         let Some(office) = &mut self.office else {
             return;
@@ -771,7 +780,7 @@
             if let Some(office) = &mut self.office {
                 office.beats.remove(&id);
             }
-            self.propose(&Change::Gone { id, sequence: 0 }, now);
+            self.propose(&Command::RemoveInstance { id, sequence: 0 }, now);
         }
     }
 
@@ -803,24 +812,24 @@
         }
     }
 
-    fn stand(&mut self, asked: MemberId, at: SocketAddr, answer: Option<Joined>, now: Tick) {
+    fn stand(&mut self, asked: MemberId, at: SocketAddr, answer: Option<JoinResponse>, now: Tick) {
         let me = self.hedge.kept.me;
         if asked != me {
             return;
         }
         if !self.settings.can_vote() {
             match answer {
-                Some(Joined::Listed) if self.pointed != Some(at) => {
+                Some(JoinResponse::Current) if self.pointed != Some(at) => {
                     info!(target: "hedge", "{at} leads");
                     self.pointed = Some(at);
                 }
-                Some(Joined::Listed) => {}
+                Some(JoinResponse::Current) => {}
                 _ if self.pointed == Some(at) => self.pointed = None,
                 _ => {}
             }
         }
         let Some(answer) = answer else { return };
-        if matches!(answer, Joined::Noted | Joined::Listed | Joined::Removed)
+        if matches!(answer, JoinResponse::Accepted | JoinResponse::Current | JoinResponse::Removed)
             && self.taken_in != Some(at)
         {
             self.taken_in = Some(at);
@@ -828,15 +837,17 @@
         }
         let listed = self.hedge.members().iter().any(|m| m.id == me);
         match answer {
-            Joined::Elsewhere(Some(leader)) if self.join_at.is_none() => {
+            JoinResponse::NotLeader(Some(leader)) if self.join_at.is_none() => {
                 self.join_at = Some(leader);
                 self.next_join = now;
             }
             // An id stands for a disk with its vote and its log, so it may come back as a learner.
-            Joined::Removed if listed && !self.hedge.is_leader() => {
+            JoinResponse::Removed if listed && !self.hedge.is_leader() => {
                 info!(target: "hedge", "member {me} was removed, is to be taken in again");
             }
-            Joined::Found if !listed && self.settings.bootstrap && self.settings.can_vote() => {
+            JoinResponse::FoundCluster
+                if !listed && self.settings.bootstrap && self.settings.can_vote() =>
+            {
                 let Some(admin) = self.settings.listeners.admin else {
                     return;
                 };
@@ -853,13 +864,18 @@
         let me = fresh_id(self.random);
         members.iter_mut().for_each(|m| m.id = me);
         let snapshot = Snapshot { members, ..Snapshot::default() };
-        let kept = Kept { me, epoch: self.hedge.kept.epoch, snapshot, ..Kept::default() };
-        self.hedge = Hedge::new(kept, false, now, self.random);
+        let kept = PersistentState {
+            me,
+            epoch: self.hedge.kept.epoch,
+            snapshot,
+            ..PersistentState::default()
+        };
+        self.hedge = RaftNode::new(kept, false, now, self.random);
         self.hedge.vet = readable;
-        self.hedge.dirty = Dirty::all();
+        self.hedge.dirty = UnsavedChanges::all();
         self.desk.forget();
-        self.almanac = Almanac::default();
-        self.applied = Index(0);
+        self.almanac = StateMachine::default();
+        self.applied = LogIndex(0);
         self.configure(None);
         self.versions.clear();
         self.listing = None;
@@ -887,10 +903,10 @@
         self.nominated == Some(member.id)
     }
 
-    fn facts(&self, service: &ServiceName, now: Tick) -> Facts {
+    fn facts(&self, service: &ServiceName, now: Tick) -> ServiceSnapshot {
         let lead = self.almanac.leads.get(service).cloned();
         let patience = MISSED_BEATS * self.settings.heartbeat_ms;
-        let mut facts = Facts {
+        let mut facts = ServiceSnapshot {
             service: service.clone(),
             epoch: self.hedge.kept.epoch,
             databases: self
@@ -915,7 +931,7 @@
             };
             facts.beating =
                 facts.databases.iter().map(|(id, _)| id).filter(beats).cloned().collect();
-            let steady = |s: &Succession| s.stage == Stage::Steady;
+            let steady = |s: &Failover| s.stage == FailoverState::Steady;
             if let Some(lead) = &facts.lead
                 && !office.successions.get(service).is_some_and(steady)
             {
@@ -933,7 +949,7 @@
         &mut self,
         service: &ServiceName,
         now: Tick,
-        step: impl FnOnce(&mut Succession, &Facts) -> Vec<Deed>,
+        step: impl FnOnce(&mut Failover, &ServiceSnapshot) -> Vec<FailoverAction>,
     ) {
         // The databases of a gateway are alike: none of them leads.
         if !self.hedge.granting(now) || self.settings.rollout == Rollout::Api {
@@ -949,9 +965,9 @@
             return;
         }
         let mut deeds = Vec::new();
-        let known = office.successions.get(service).map(Succession::standing);
+        let known = office.successions.get(service).map(Failover::standing);
         let succession = office.successions.entry(service.clone()).or_insert_with(|| {
-            let (begun, first) = Succession::begin(&facts, now);
+            let (begun, first) = Failover::begin(&facts, now);
             deeds = first;
             begun
         });
@@ -966,7 +982,7 @@
                 _ => office.sealed.remove(service),
             };
         }
-        let stirs = succession.stage != Stage::Steady || !deeds.is_empty();
+        let stirs = succession.stage != FailoverState::Steady || !deeds.is_empty();
         match stirs {
             true => office.stirred.insert(service.clone()),
             false => office.stirred.remove(service),
@@ -980,26 +996,32 @@
         }
     }
 
-    fn carry_out(&mut self, service: &ServiceName, deed: Deed, attempt: Attempt, now: Tick) {
+    fn carry_out(
+        &mut self,
+        service: &ServiceName,
+        deed: FailoverAction,
+        attempt: Attempt,
+        now: Tick,
+    ) {
         match deed {
-            Deed::Propose(Change::Covered { .. } | Change::Returned { .. })
-                if !self.hedge.all_read(LAYOUT) =>
-            {
+            FailoverAction::Propose(
+                Command::ForgetDeparted { .. } | Command::PrimaryReturned { .. },
+            ) if !self.hedge.all_read(LAYOUT) => {
                 debug!(target: "failover", "{service}: waits until all stewards are exchanged");
             }
-            Deed::Propose(change) => {
+            FailoverAction::Propose(change) => {
                 self.propose(&change, now);
             }
-            Deed::Revoke(term) => {
+            FailoverAction::Revoke(term) => {
                 // Ahead of whatever waits.
                 let frame =
-                    encode(&Frame::Steward(ToStile::Revoke { service: service.clone(), term }));
+                    encode(&Frame::Controller(ToPooler::Revoke { service: service.clone(), term }));
                 for conn in self.stiles.keys() {
                     self.effects.send_first(*conn, frame.clone());
                 }
                 self.pump(now);
             }
-            Deed::Ask(id, ask) => {
+            FailoverAction::DatabaseRequest(id, ask) => {
                 // The same question twice is one; beyond the bound whoever needs it asks again.
                 let question = (service.clone(), id, ask, attempt);
                 if self.questions.len() < QUESTIONS_WAITING && !self.questions.contains(&question) {
@@ -1007,7 +1029,7 @@
                 }
                 self.ask_on();
             }
-            Deed::Post(target) => {
+            FailoverAction::Post(target) => {
                 let Some(provider) = &self.settings.provider else {
                     warn!(target: "failover", "no provider is set, {service} can't be moved");
                     return;
@@ -1044,13 +1066,13 @@
     /// Tells all nodes which stewards there are now: one that lost this leader looks for another there.
     fn introduce(&mut self) {
         let stewards = self.hedge.members().iter().map(|m| m.peer).collect();
-        let frame = encode(&Frame::Steward(ToStile::Welcome { stewards }));
+        let frame = encode(&Frame::Controller(ToPooler::Welcome { stewards }));
         let conns: Vec<u64> = self.stiles.keys().copied().collect();
         conns.into_iter().for_each(|conn| self.send_bytes(conn, frame.clone()));
     }
     /// Tells all stiles of a change of the directory; one that is far behind gets the whole later.
-    fn tell_stiles(&mut self, message: ToStile) {
-        let frame = encode(&Frame::Steward(message));
+    fn tell_stiles(&mut self, message: ToPooler) {
+        let frame = encode(&Frame::Controller(message));
         let conns: Vec<u64> = self.stiles.keys().copied().collect();
         for conn in conns {
             let waiting = self.effects.waiting(conn).unwrap_or(0);
@@ -1074,7 +1096,7 @@
         // At once for one service, and once for many that follow.
         if self.renew_due && now.since(self.renew_told) >= GATHER_MS {
             (self.renew_due, self.renew_told) = (false, now);
-            self.tell_stiles(ToStile::Renew);
+            self.tell_stiles(ToPooler::RenewNow);
         }
         if self.moved_since.is_none_or(|t| now.since(t) < GATHER_MS) {
             return;
@@ -1083,11 +1105,11 @@
         let (mut listed, mut gone) = (Vec::new(), Vec::new());
         for id in std::mem::take(&mut self.moved) {
             match self.almanac.instances.get(&id) {
-                Some(record) => listed.push(Listed::of(&id, &record.instance)),
+                Some(record) => listed.push(DirectoryEntry::of(&id, &record.instance)),
                 None => gone.push(id),
             }
         }
-        self.tell_stiles(ToStile::Moved { listed, gone });
+        self.tell_stiles(ToPooler::DirectoryDelta { listed, gone });
     }
 
     /// Sends a stile what it is owed, as soon as nothing older waits for it.
@@ -1101,8 +1123,8 @@
         if std::mem::take(&mut guest.directory_due) {
             let instances = &self.almanac.instances;
             let whole = || {
-                let listed = instances.iter().map(|(id, r)| Listed::of(id, &r.instance));
-                encode(&Frame::Steward(ToStile::Directory(listed.collect())))
+                let listed = instances.iter().map(|(id, r)| DirectoryEntry::of(id, &r.instance));
+                encode(&Frame::Controller(ToPooler::Directory(listed.collect())))
             };
             let frame = Arc::clone(self.listing.get_or_insert_with(whole));
             self.send_bytes(conn, frame);
@@ -1114,9 +1136,9 @@
             let from = std::mem::replace(&mut guest.revision, lanes.revision);
             let frame = self.encoded.entry(from).or_insert_with(|| {
                 let base = self.versions.iter().find(|c| c.revision == from);
-                encode(&Frame::Steward(match base {
-                    Some(base) => ToStile::Changed(Box::new(lanes.since(base))),
-                    None => ToStile::Configured(Box::new(lanes.clone())),
+                encode(&Frame::Controller(match base {
+                    Some(base) => ToPooler::RouteTableDelta(Box::new(lanes.since(base))),
+                    None => ToPooler::RouteTable(Box::new(lanes.clone())),
                 }))
             });
             let frame = frame.clone();
@@ -1128,15 +1150,15 @@
         }
     }
 
-    fn hear_stile(&mut self, conn: u64, message: ToSteward, now: Tick) {
+    fn hear_stile(&mut self, conn: u64, message: ToController, now: Tick) {
         if self.office.is_none() {
             let leader = self.leads_at().map(|l| l.0);
-            return self.send_conn(conn, &Frame::Steward(ToStile::Elsewhere(leader)));
+            return self.send_conn(conn, &Frame::Controller(ToPooler::NotLeader(leader)));
         }
-        if let ToSteward::Hello { node, life, revision, zone } = message {
+        if let ToController::Hello { node, life, revision, zone } = message {
             if !self.hedge.granting(now) || self.applied < self.hedge.commit {
                 // What this leader has may be older than what the stile already heard.
-                self.early.push((conn, ToSteward::Hello { node, life, revision, zone }));
+                self.early.push((conn, ToController::Hello { node, life, revision, zone }));
                 return;
             }
             // It may have left while this leader was not sure yet; nothing would end its seat.
@@ -1148,7 +1170,7 @@
                 office.leases.seat(&node, life, conn, now);
                 office.tidings.stir_all();
             }
-            let guest = Guest {
+            let guest = Subscriber {
                 node,
                 zone,
                 revision,
@@ -1160,7 +1182,7 @@
             };
             self.stiles.insert(conn, guest);
             let stewards = self.hedge.members().iter().map(|m| m.peer).collect();
-            self.send_conn(conn, &Frame::Steward(ToStile::Welcome { stewards }));
+            self.send_conn(conn, &Frame::Controller(ToPooler::Welcome { stewards }));
             return self.catch_up(conn, now);
         }
         let Some(node) = self.stiles.get(&conn).map(|g| g.node.clone()) else {
@@ -1172,14 +1194,14 @@
             return;
         }
         match message {
-            ToSteward::Hello { .. } => {}
-            ToSteward::Whole => {
+            ToController::Hello { .. } => {}
+            ToController::RequestFullTable => {
                 if let Some(guest) = self.stiles.get_mut(&conn) {
                     guest.revision = Revision(0);
                     self.catch_up(conn, now);
                 }
             }
-            ToSteward::Renew { seq, heard, shares, wants, saw, asks, busy } => {
+            ToController::RenewLeases { seq, heard, shares, wants, saw, asks, busy } => {
                 let zone = self.stiles.get(&conn).map(|g| g.zone.as_str()).unwrap_or_default();
                 if let Some(office) = &mut self.office {
                     for (service, busy) in busy {
@@ -1200,13 +1222,13 @@
                 }
                 self.catch_up(conn, now);
             }
-            ToSteward::Suspect { service, instance, why } => {
+            ToController::Suspect { service, instance, why } => {
                 debug!(target: "failover", "{service}: {node} doubts {instance} ({why:?})");
                 self.move_on(&service, now, |s, facts| {
                     s.suspect(facts, &node, &instance, why, now)
                 });
             }
-            ToSteward::Revoked { service, term, highest } => {
+            ToController::RevokeAck { service, term, highest } => {
                 if let Some(office) = &mut self.office {
                     office.leases.give_back(&node, &service, term, highest);
                 }
@@ -1214,7 +1236,7 @@
                     guest.owed.insert(service);
                 }
             }
-            ToSteward::Bye => {
+            ToController::Goodbye => {
                 if let Some(office) = &mut self.office {
                     office.leases.leave(&node);
                 }
@@ -1223,7 +1245,7 @@
     }
 
     /// What a stile saw at primaries, told from the answer that it had heard before.
-    fn hear_saw(&mut self, conn: u64, heard: u64, saw: &[Saw], now: Tick) {
+    fn hear_saw(&mut self, conn: u64, heard: u64, saw: &[ObservedPosition], now: Tick) {
         let answers = self.stiles.get(&conn).map(|g| &g.answers);
         let answered = answers.and_then(|all| all.iter().find(|(seq, _)| *seq == heard));
         if let (Some((_, answered)), Some(office)) = (answered, &mut self.office) {
@@ -1255,16 +1277,16 @@
             let lead = self.almanac.leads.get(&service.name);
             let standing = match (lead, office.successions.get(&service.name)) {
                 (Some(_), Some(s)) if s.revoking => {
-                    s.sealed.map_or(Standing::Unled, Standing::Sealed)
+                    s.sealed.map_or(PrimaryStatus::Absent, PrimaryStatus::Sealed)
                 }
                 (Some(lead), Some(_)) => {
-                    Standing::Led { term: lead.term, primary: lead.primary.clone() }
+                    PrimaryStatus::Active { term: lead.term, primary: lead.primary.clone() }
                 }
-                _ => Standing::Unled,
+                _ => PrimaryStatus::Absent,
             };
             let share =
                 office.leases.share(&guest.node, &service.name, service.max_connections, now);
-            let grant = Grant { service: service.name.clone(), standing, share };
+            let grant = LeaseGrant { service: service.name.clone(), standing, share };
             grants.extend(office.leases.tell(&guest.node, grant));
         }
         office.leases.renewed(&guest.node, now);
@@ -1275,8 +1297,9 @@
         guest.answers.push_back((seq, now));
         let fresh = asks.iter().filter_map(|name| office.freshness.tell(name, now)).collect();
         let plots = office.cadastre.due(&guest.node, whole);
-        let granted = ToStile::Granted { seq, lease_ms: LEASE_MS, whole, grants, fresh, plots };
-        self.send_conn(conn, &Frame::Steward(granted));
+        let granted =
+            ToPooler::LeaseGrants { seq, lease_ms: LEASE_MS, whole, grants, fresh, plots };
+        self.send_conn(conn, &Frame::Controller(granted));
     }
 
     // -- HTTP ----------------------------------------------------------------------------------
@@ -1309,8 +1332,8 @@
                 Ok(change) => Some(change),
                 Err(response) => return say(response),
             },
-            ("PUT", Some(id)) => match serde_json::from_slice::<Beat>(&request.body) {
-                Ok(beat) if is_word(&beat.instance.target_service.0) => Some(Change::Beat {
+            ("PUT", Some(id)) => match serde_json::from_slice::<Heartbeat>(&request.body) {
+                Ok(beat) if is_word(&beat.instance.target_service.0) => Some(Command::Heartbeat {
                     id: InstanceId(id.to_owned()),
                     instance: beat.instance,
                     sequence: beat.sequence,
@@ -1320,7 +1343,7 @@
             },
             // One that says goodbye has ended: whatever is still under way of it is late.
             ("DELETE", Some(id)) => {
-                Some(Change::Gone { id: InstanceId(id.to_owned()), sequence: u64::MAX })
+                Some(Command::RemoveInstance { id: InstanceId(id.to_owned()), sequence: u64::MAX })
             }
             _ => None,
         };
@@ -1352,11 +1375,11 @@
             }
         }
         let call = match parsed {
-            Some(Change::Beat { id, instance, sequence }) => {
+            Some(Command::Heartbeat { id, instance, sequence }) => {
                 return self.take_beat(id, instance, sequence, reply, now);
             }
-            Some(change) => Call::Change(change),
-            None => Call::ReadConfiguration,
+            Some(change) => AdminCall::Command(change),
+            None => AdminCall::ReadConfiguration,
         };
         let ready = self.reads.ask(&mut self.hedge, &self.almanac, call, reply, now);
         self.carry_through(ready, now);
@@ -1370,14 +1393,14 @@
     }
     fn carry_through(
         &mut self,
-        verdicts: impl IntoIterator<Item = (SyncSender<Response>, Verdict)>,
+        verdicts: impl IntoIterator<Item = (SyncSender<Response>, CallDecision)>,
         now: Tick,
     ) {
         for (reply, verdict) in verdicts {
             match verdict {
                 // A caller that no longer waits is none of our business.
-                Verdict::Answer(response) => drop(reply.try_send(response)),
-                Verdict::Propose(change) => self.await_change(&change, reply, now),
+                CallDecision::Answer(response) => drop(reply.try_send(response)),
+                CallDecision::Propose(change) => self.await_change(&change, reply, now),
             }
         }
     }
@@ -1412,7 +1435,7 @@
             }
         }
         if self.almanac.news(&id, &instance, sequence) {
-            self.await_change(&Change::Beat { id, instance, sequence }, reply, now);
+            self.await_change(&Command::Heartbeat { id, instance, sequence }, reply, now);
         } else {
             drop(reply.try_send(self.beaten()));
             // A replica, or the primary that is known, says nothing new by this.
@@ -1424,7 +1447,7 @@
     }
 
     /// Proposes what a caller asked for; it is answered when that is committed and applied.
-    fn await_change(&mut self, change: &Change, reply: SyncSender<Response>, now: Tick) {
+    fn await_change(&mut self, change: &Command, reply: SyncSender<Response>, now: Tick) {
         match self.propose(change, now) {
             Some(index) => self.proposed.add(self.hedge.kept.epoch, index, reply),
             // A caller that no longer waits is none of our business.
@@ -1453,7 +1476,7 @@
                 "lease_left_ms": (seat.granted.0 + LEASE_MS).saturating_sub(now.0),
                 "services": seat.told.values().map(|g| serde_json::json!({
                     "service": g.service, "connections_allowed": g.share,
-                    "term": match &g.standing { Standing::Led { term, .. } => Some(term), _ => None },
+                    "term": match &g.standing { PrimaryStatus::Active { term, .. } => Some(term), _ => None },
                 })).collect::<Vec<_>>(),
             })
         }).collect();
--- a/src/controller/linearizable_reads.rs
+++ b/src/controller/linearizable_reads.rs
@@ -1,55 +1,55 @@
 //! Calls that wait until this controller is known to lead, or for their log entry to be committed.
-use crate::base::ids::{Epoch, Index};
+use crate::base::ids::{LogIndex, Term};
 use crate::base::time::Tick;
-use crate::controller::admin_api::{Call, Verdict};
+use crate::controller::admin_api::{AdminCall, CallDecision};
 use crate::net::http::Response;
-use crate::net::rpc::raft_messages::Entry;
-use crate::raft::node::{Hedge, ReadIndex};
-use crate::state_machine::Almanac;
+use crate::net::rpc::raft_messages::LogEntry;
+use crate::raft::node::{RaftNode, ReadIndex};
+use crate::state_machine::StateMachine;
 use std::collections::BTreeMap;
 
 /// Calls that are answered from what is applied, once this steward is known to have led after
 /// they came.
-pub struct Reads<R> {
-    waiting: Vec<(ReadIndex, Call, R)>,
+pub struct LinearizableReads<R> {
+    waiting: Vec<(ReadIndex, AdminCall, R)>,
 }
 
-impl<R> Default for Reads<R> {
+impl<R> Default for LinearizableReads<R> {
     fn default() -> Self {
         Self { waiting: Vec::new() }
     }
 }
 
-impl<R> Reads<R> {
+impl<R> LinearizableReads<R> {
     /// Takes in a call. What goes into the log anyway waits for nothing: it is judged once more
     /// where it is applied.
     pub fn ask(
         &mut self,
-        hedge: &mut Hedge,
-        almanac: &Almanac,
-        call: Call,
+        hedge: &mut RaftNode,
+        almanac: &StateMachine,
+        call: AdminCall,
         from: R,
         now: Tick,
-    ) -> Option<(R, Verdict)> {
-        if let Verdict::Propose(change) = call.clone().judge(almanac) {
-            return Some((from, Verdict::Propose(change)));
+    ) -> Option<(R, CallDecision)> {
+        if let CallDecision::Propose(change) = call.clone().judge(almanac) {
+            return Some((from, CallDecision::Propose(change)));
         }
         match hedge.read_index(now) {
             Some(read) => self.waiting.push((read, call, from)),
-            None => return Some((from, Verdict::Answer(Response::refusal(503, "no quorum")))),
+            None => return Some((from, CallDecision::Answer(Response::refusal(503, "no quorum")))),
         }
         None
     }
     /// The calls that wait no longer, judged by what is applied now.
     pub fn settled(
         &mut self,
-        hedge: &Hedge,
-        almanac: &Almanac,
-        applied: Index,
+        hedge: &RaftNode,
+        almanac: &StateMachine,
+        applied: LogIndex,
         now: Tick,
-    ) -> Vec<(R, Verdict)> {
+    ) -> Vec<(R, CallDecision)> {
         let mut settled = Vec::new();
-        let unclear = |why| Verdict::Answer(Response::refusal(503, why));
+        let unclear = |why| CallDecision::Answer(Response::refusal(503, why));
         for (read, call, from) in std::mem::take(&mut self.waiting) {
             match hedge.confirmed(&read) {
                 Some(false) => settled.push((from, unclear("no longer the leader"))),
@@ -63,22 +63,22 @@
 }
 
 /// Callers whose change is on its way into the log, by its place there.
-pub struct Proposed<R> {
-    waiting: BTreeMap<Index, (Epoch, R)>,
+pub struct PendingProposals<R> {
+    waiting: BTreeMap<LogIndex, (Term, R)>,
 }
 
-impl<R> Default for Proposed<R> {
+impl<R> Default for PendingProposals<R> {
     fn default() -> Self {
         Self { waiting: BTreeMap::new() }
     }
 }
 
-impl<R> Proposed<R> {
-    pub fn add(&mut self, epoch: Epoch, index: Index, from: R) {
+impl<R> PendingProposals<R> {
+    pub fn add(&mut self, epoch: Term, index: LogIndex, from: R) {
         self.waiting.insert(index, (epoch, from));
     }
     /// Whose change this is. Another leader's entry may have come to stand in its place.
-    pub fn take(&mut self, entry: &Entry) -> Option<R> {
+    pub fn take(&mut self, entry: &LogEntry) -> Option<R> {
         let (epoch, from) = self.waiting.remove(&entry.index)?;
         (epoch == entry.epoch).then_some(from)
     }
--- a/src/controller/pending_updates.rs
+++ b/src/controller/pending_updates.rs
@@ -4,7 +4,7 @@
 
 /// Which services there is something new to tell of, and since when.
 #[derive(Clone, Debug, Default)]
-pub struct Tidings {
+pub struct PendingUpdates {
     newest: u64,
     /// Up to here everybody must look at all services.
     all: u64,
@@ -12,7 +12,7 @@
     places: BTreeMap<ServiceName, u64>,
 }
 
-impl Tidings {
+impl PendingUpdates {
     pub fn stir(&mut self, service: &ServiceName) {
         self.newest += 1;
         if let Some(old) = self.places.insert(service.clone(), self.newest) {
--- a/src/controller/process.rs
+++ b/src/controller/process.rs
@@ -5,13 +5,13 @@
 use crate::base::time::Tick;
 use crate::base::worker_pool::must_start;
 use crate::config::settings::{Settings, Watched};
-use crate::controller::controller::{Input, Steward};
-use crate::controller::transport::{Event, Sockets, accept_peers, ask_core};
+use crate::controller::controller::{Controller, Input};
+use crate::controller::transport::{Event, SocketTransport, accept_peers, ask_core};
 use crate::net::http;
 use crate::net::rpc::raft_messages::Member;
 use crate::net::sockets::listen;
-use crate::raft::node::Kept;
-use crate::raft::storage::{Granary, Sheaf};
+use crate::raft::node::PersistentState;
+use crate::raft::storage::{RaftStorage, WriteBatch};
 use log::warn;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -27,8 +27,8 @@
     let signals = Signals::install().map_err(|e| Fatal::Call(e.to_string()))?;
     let first = || first_state(&settings, admin, rand::random::<u64>);
     let opened = || match &settings.data_path {
-        Some(folder) if settings.can_vote() => Granary::found(folder, first),
-        _ => Ok((Granary::none()?, first(), false)),
+        Some(folder) if settings.can_vote() => RaftStorage::found(folder, first),
+        _ => Ok((RaftStorage::none()?, first(), false)),
     };
     let (granary, kept, restarted) = loop {
         match opened() {
@@ -50,15 +50,18 @@
     http::serve(listen(admin)?, "admin", callers, move |request| ask_core(&http_tx, request))
         .map_err(|e| Fatal::Listen(admin.to_string(), e))?;
     let scribe = start_scribe(granary, tx.clone())?;
-    let effects = Sockets { conns: HashMap::new(), links: HashMap::new(), scribe, tx };
+    let effects = SocketTransport { conns: HashMap::new(), links: HashMap::new(), scribe, tx };
     let mut steward =
-        Steward::new(settings, kept, restarted, rand::random::<u64>, effects, Tick::now())?;
+        Controller::new(settings, kept, restarted, rand::random::<u64>, effects, Tick::now())?;
     steward.serve(rx, &signals, Watched::new(path))
 }
 
 /// The thread that waits for the disk, so that nothing else does.
-fn start_scribe(mut granary: Granary, done: Sender<Event>) -> Result<Sender<Sheaf>, Fatal> {
-    let (jobs, next) = channel::<Sheaf>();
+fn start_scribe(
+    mut granary: RaftStorage,
+    done: Sender<Event>,
+) -> Result<Sender<WriteBatch>, Fatal> {
+    let (jobs, next) = channel::<WriteBatch>();
     must_start("the disk", move || {
         for sheaf in next {
             let saved = granary.save(&sheaf).map_err(|e| e.to_string());
@@ -72,8 +75,8 @@
 
 /// The first state of an empty disk. When the system starts for the first time, the first of the
 /// seeds begins alone, and all others ask it to be taken in. Ids are drawn anew for each disk.
-pub fn first_state(settings: &Settings, admin: SocketAddr, random: fn() -> u64) -> Kept {
-    let mut kept = Kept { me: fresh_id(random), ..Kept::default() };
+pub fn first_state(settings: &Settings, admin: SocketAddr, random: fn() -> u64) -> PersistentState {
+    let mut kept = PersistentState { me: fresh_id(random), ..PersistentState::default() };
     if settings.can_vote() && settings.founder() == Some(admin) {
         kept.snapshot.members = vec![Member { voter: true, ..as_member(settings, admin, kept.me) }];
     }
--- a/src/controller/transport.rs
+++ b/src/controller/transport.rs
@@ -4,14 +4,14 @@
 use crate::base::time::Tick;
 use crate::base::worker_pool::{must_start, start_thread};
 use crate::controller::controller::{Effects, Input, USELESS_MS};
-use crate::failover::{Ask, Attempt, Posted, Told};
+use crate::failover::{Attempt, DatabaseRequest, DatabaseResponse, PromotionResponse};
 use crate::net::http::{self, Request, Response};
-use crate::net::rpc::raft_messages::{Joined, Member, Raft, RaftKind};
+use crate::net::rpc::raft_messages::{JoinResponse, Member, RaftMessage, RaftMessageKind};
 use crate::net::rpc::{Frame, encode, receive, receive_with_layout, send};
 use crate::net::sockets::{REACH, dial, keep_alive, listen, tune};
 use crate::net::statement_protocol;
 use crate::raft::node::FLIGHT_BYTES;
-use crate::raft::storage::Sheaf;
+use crate::raft::storage::WriteBatch;
 use log::{info, warn};
 use std::collections::{HashMap, VecDeque};
 use std::io::Write;
@@ -22,15 +22,15 @@
 use std::time::Duration;
 
 /// A connection of ours to another steward.
-pub(crate) struct Link {
-    pub(crate) line: Option<Wire>,
+pub(crate) struct PeerLink {
+    pub(crate) line: Option<PeerConnection>,
     pub(crate) dialing: bool,
     retry: Tick,
 }
 
 /// Frames on their way to one peer, as a value: which bytes go next, and how many wait.
 #[derive(Debug, Default)]
-pub struct Outbox {
+pub struct SendQueue {
     frames: VecDeque<Arc<[u8]>>,
     /// Bytes of the first frame that have left.
     left: usize,
@@ -39,7 +39,7 @@
     gone: u64,
 }
 
-impl Outbox {
+impl SendQueue {
     pub fn push(&mut self, frame: Arc<[u8]>) {
         self.waiting += frame.len();
         self.frames.push_back(frame);
@@ -71,19 +71,23 @@
 
 /// Whether a message is not to wait behind so many bytes that a link has not taken yet. What is left
 /// out here is asked for again, and heartbeats go on as long as there is a way at all.
-pub fn left_out(kind: &RaftKind, waiting: usize) -> bool {
+pub fn left_out(kind: &RaftMessageKind, waiting: usize) -> bool {
     match kind {
-        RaftKind::Snapshot { .. } => waiting > 0,
-        RaftKind::Append { entries, .. } if !entries.is_empty() => waiting > FLIGHT_BYTES,
-        RaftKind::Append { .. } | RaftKind::Part { .. } => waiting > LINK_WAITING,
+        RaftMessageKind::InstallSnapshot { .. } => waiting > 0,
+        RaftMessageKind::AppendEntries { entries, .. } if !entries.is_empty() => {
+            waiting > FLIGHT_BYTES
+        }
+        RaftMessageKind::AppendEntries { .. } | RaftMessageKind::Chunk { .. } => {
+            waiting > LINK_WAITING
+        }
         _ => false,
     }
 }
 
 /// A peer's socket and what waits for it. The core never waits for a peer to read.
-pub(crate) struct Wire {
+pub(crate) struct PeerConnection {
     stream: TcpStream,
-    out: Outbox,
+    out: SendQueue,
     /// What had left when it was last looked at and something had, or nothing waited.
     gone: u64,
     moved: Tick,
@@ -92,9 +96,9 @@
     opened: Tick,
 }
 
-impl Wire {
+impl PeerConnection {
     pub(crate) fn new(stream: TcpStream, now: Tick) -> Self {
-        Self { stream, out: Outbox::default(), gone: 0, moved: now, heard: None, opened: now }
+        Self { stream, out: SendQueue::default(), gone: 0, moved: now, heard: None, opened: now }
     }
     /// The far end reads nothing for long, or says nothing where it should.
     fn useless(&mut self, talks: bool, now: Tick) -> bool {
@@ -128,7 +132,7 @@
 const LINK_WAITING: usize = 4 * FLIGHT_BYTES;
 
 /// Asks a steward to be taken in, or whether one still belongs.
-fn ask_standing(at: SocketAddr, member: Member, was: bool) -> std::io::Result<Joined> {
+fn ask_standing(at: SocketAddr, member: Member, was: bool) -> std::io::Result<JoinResponse> {
     let mut stream = dial(at, REACH, Duration::from_secs(1))?;
     stream.set_read_timeout(Some(Duration::from_secs(1)))?;
     send(&mut stream, &Frame::Join { member, was })?;
@@ -186,7 +190,7 @@
                                 _ => None,
                             };
                             if let Some(said) = said {
-                                drop(tx.send(Event::Input(Input::Reads(said, layout))));
+                                drop(tx.send(Event::Input(Input::PeerLayout(said, layout))));
                             }
                             if tx.send(Event::Input(Input::Frame(id, frame))).is_err() {
                                 return;
@@ -214,27 +218,27 @@
     service: &ServiceName,
     id: &InstanceId,
     address: SocketAddr,
-    ask: Ask,
+    ask: DatabaseRequest,
     reached: impl FnOnce(),
-) -> Told {
+) -> DatabaseResponse {
     let text = match ask {
-        Ask::Describe => "DESCRIBE".to_owned(),
-        Ask::Pause(term) => format!("PAUSE {term}"),
-        Ask::Continue => "CONTINUE".to_owned(),
-        Ask::StepDown(term) => format!("STEPDOWN {term}"),
+        DatabaseRequest::Describe => "DESCRIBE".to_owned(),
+        DatabaseRequest::Pause(term) => format!("PAUSE {term}"),
+        DatabaseRequest::Continue => "CONTINUE".to_owned(),
+        DatabaseRequest::StepDown(term) => format!("STEPDOWN {term}"),
     };
-    let exchange = move || -> std::io::Result<Told> {
+    let exchange = move || -> std::io::Result<DatabaseResponse> {
         let limit = Duration::from_millis(300);
         let mut stream = dial(address, limit, Duration::from_secs(1))?;
         reached();
         stream.set_read_timeout(Some(Duration::from_millis(1_000)))?;
         stream.write_all(format!("CONNECT {service} steward {id}\r\n").as_bytes())?;
-        let mut inbox = statement_protocol::Inbox::default();
+        let mut inbox = statement_protocol::ReadBuffer::default();
         if let Some(refused) = read_answer(&mut stream, &mut inbox)? {
             use crate::base::errors::ErrorKind;
             return Ok(match refused {
-                ErrorKind::WrongNode => Told::Lost,
-                _ => Told::Alive,
+                ErrorKind::WrongNode => DatabaseResponse::Lost,
+                _ => DatabaseResponse::Alive,
             });
         }
         stream.write_all(format!("QUERY - {text}\r\n").as_bytes())?;
@@ -242,22 +246,24 @@
             match statement_protocol::reply(inbox.pending()) {
                 Ok(Some(reply)) => {
                     let row = reply.described(inbox.pending());
-                    return Ok(row.map_or(Told::Alive, Told::Row));
+                    return Ok(row.map_or(DatabaseResponse::Alive, DatabaseResponse::Description));
                 }
                 Ok(None) => {
                     if inbox.fill(&mut stream)? == 0 {
-                        return Ok(Told::Lost);
+                        return Ok(DatabaseResponse::Lost);
                     }
                 }
-                Err(statement_protocol::Garbled) => return Ok(Told::Lost),
+                Err(statement_protocol::Garbled) => return Ok(DatabaseResponse::Lost),
             }
         }
     };
     match exchange() {
         Ok(told) => told,
         Err(e) => match e.kind() {
-            std::io::ErrorKind::TimedOut | std::io::ErrorKind::WouldBlock => Told::Silent,
-            _ => Told::Lost,
+            std::io::ErrorKind::TimedOut | std::io::ErrorKind::WouldBlock => {
+                DatabaseResponse::Silent
+            }
+            _ => DatabaseResponse::Lost,
         },
     }
 }
@@ -265,7 +271,7 @@
 /// Waits for the answer to CONNECT; a refusal is given back.
 fn read_answer(
     stream: &mut TcpStream,
-    inbox: &mut statement_protocol::Inbox,
+    inbox: &mut statement_protocol::ReadBuffer,
 ) -> std::io::Result<Option<crate::base::errors::ErrorKind>> {
     loop {
         if let Some(kind) = statement_protocol::refused_connect(inbox.pending()) {
@@ -292,7 +298,7 @@
     fence: u64,
     service: &ServiceName,
     target: &InstanceId,
-) -> Posted {
+) -> PromotionResponse {
     let body = serde_json::json!({ "target_service": service, "instance_id": target }).to_string();
     let headers = [("Duty-Holder", holder.to_owned()), ("Fence-Token", fence.to_string())];
     match http::call(
@@ -303,16 +309,16 @@
         body.as_bytes(),
         Duration::from_secs(1),
     ) {
-        Ok((200..=299, ..)) => Posted::Accepted,
-        Ok((409, ..)) => Posted::Refused,
-        Ok((429, ..)) => Posted::Busy,
+        Ok((200..=299, ..)) => PromotionResponse::Accepted,
+        Ok((409, ..)) => PromotionResponse::Refused,
+        Ok((429, ..)) => PromotionResponse::Busy,
         Ok((status, _, body)) => {
             warn!(target: "failover", "platform answered {status}: {}", String::from_utf8_lossy(&body));
-            Posted::Unclear
+            PromotionResponse::Unclear
         }
         Err(e) => {
             warn!(target: "failover", "platform: {e}");
-            Posted::Unclear
+            PromotionResponse::Unclear
         }
     }
 }
@@ -323,18 +329,18 @@
     /// A connection on the peer port.
     Opened(u64, TcpStream),
     /// A connection of ours to another steward.
-    Linked(MemberId, Option<Wire>),
+    Linked(MemberId, Option<PeerConnection>),
 }
 
 /// The steward's effects with real sockets, threads and a disk.
-pub(crate) struct Sockets {
-    pub(crate) conns: HashMap<u64, Wire>,
-    pub(crate) links: HashMap<MemberId, Link>,
-    pub(crate) scribe: Sender<Sheaf>,
+pub(crate) struct SocketTransport {
+    pub(crate) conns: HashMap<u64, PeerConnection>,
+    pub(crate) links: HashMap<MemberId, PeerLink>,
+    pub(crate) scribe: Sender<WriteBatch>,
     pub(crate) tx: Sender<Event>,
 }
 
-impl Sockets {
+impl SocketTransport {
     fn pump_conn(&mut self, conn: u64) {
         if let Some(line) = self.conns.get_mut(&conn)
             && line.pump().is_err()
@@ -357,9 +363,10 @@
     }
 }
 
-impl Effects for Sockets {
-    fn send_raft(&mut self, to: MemberId, address: SocketAddr, message: Raft, now: Tick) {
-        let link = self.links.entry(to).or_insert(Link { line: None, dialing: false, retry: now });
+impl Effects for SocketTransport {
+    fn send_raft(&mut self, to: MemberId, address: SocketAddr, message: RaftMessage, now: Tick) {
+        let link =
+            self.links.entry(to).or_insert(PeerLink { line: None, dialing: false, retry: now });
         if link.line.as_ref().is_some_and(|l| left_out(&message.kind, l.out.waiting())) {
             return;
         }
@@ -377,7 +384,7 @@
             link.dialing = start_thread(move || {
                 let stream = dial(address, REACH, Duration::from_secs(2));
                 let line = stream.ok().map(|stream| {
-                    let mut line = Wire::new(stream, Tick::now());
+                    let mut line = PeerConnection::new(stream, Tick::now());
                     line.out.push(frame);
                     line
                 });
@@ -389,7 +396,7 @@
     fn keep_links(&mut self, members: &[Member]) {
         self.links.retain(|id, _| members.iter().any(|m| m.id == *id));
     }
-    fn write(&mut self, sheaf: Sheaf) -> bool {
+    fn write(&mut self, sheaf: WriteBatch) -> bool {
         self.scribe.send(sheaf).is_ok()
     }
     fn ask_standing(&mut self, at: SocketAddr, member: Member, was: bool) {
@@ -398,7 +405,7 @@
             let me = member.id;
             // Asked again soon; one that is down is no reason to stop.
             let answer = ask_standing(at, member, was).ok();
-            drop(tx.send(Event::Input(Input::Standing(me, at, answer))));
+            drop(tx.send(Event::Input(Input::JoinResponse(me, at, answer))));
         });
     }
     fn ask_database(
@@ -406,22 +413,28 @@
         service: &ServiceName,
         id: &InstanceId,
         address: SocketAddr,
-        ask: Ask,
+        ask: DatabaseRequest,
         attempt: Attempt,
     ) -> bool {
         let (tx, service, id) = (self.tx.clone(), service.clone(), id.clone());
         start_thread(move || {
             // Of use only where a dark machine is to be told from a slow one.
             let reached = || {
-                if ask == Ask::Describe {
+                if ask == DatabaseRequest::Describe {
                     let (service, id) = (service.clone(), id.clone());
-                    let told = Input::Told(service, id, ask, attempt, Told::Reached);
+                    let told = Input::DatabaseResponse(
+                        service,
+                        id,
+                        ask,
+                        attempt,
+                        DatabaseResponse::Reached,
+                    );
                     drop(tx.send(Event::Input(told)));
                 }
             };
             let told = ask_database(&service, &id, address, ask, reached);
             // The core may have ended meanwhile.
-            drop(tx.send(Event::Input(Input::Told(service, id, ask, attempt, told))));
+            drop(tx.send(Event::Input(Input::DatabaseResponse(service, id, ask, attempt, told))));
         })
     }
     fn post_failover(
@@ -438,11 +451,11 @@
         let started = start_thread(move || {
             let posted = post_failover(provider, &holder, attempt.fence(), &service, &target);
             // The core may have ended meanwhile.
-            drop(tx.send(Event::Input(Input::Posted(service, target, attempt, posted))));
+            drop(tx.send(Event::Input(Input::PromotionResponse(service, target, attempt, posted))));
         });
         if !started {
             let (tx, service, target) = again;
-            let busy = Input::Posted(service, target, attempt, Posted::Busy);
+            let busy = Input::PromotionResponse(service, target, attempt, PromotionResponse::Busy);
             drop(tx.send(Event::Input(busy)));
         }
     }
--- a/src/failover/mod.rs
+++ b/src/failover/mod.rs
@@ -1,15 +1,15 @@
 //! The change of a service's primary, lost or planned, as a value moved on by events and a passed-in time.
-use crate::base::ids::{DbTerm, Epoch, InstanceId, NodeName, Position, ServiceName};
+use crate::base::ids::{DbTerm, InstanceId, NodeName, Position, ServiceName, Term};
 use crate::base::time::Tick;
 use crate::config::directory::{Instance, Lifecycle, Role};
-use crate::net::rpc::pooler_messages::Doubt;
-use crate::net::statement_protocol::Described;
-use crate::state_machine::{Change, Lead};
+use crate::net::rpc::pooler_messages::SuspicionReason;
+use crate::net::statement_protocol::ServerDescription;
+use crate::state_machine::{Command, PrimaryRecord};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// What the system asks a database for itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ask {
+pub enum DatabaseRequest {
     Describe,
     Pause(DbTerm),
     Continue,
@@ -18,8 +18,8 @@
 
 /// What came of asking.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Told {
-    Row(Described),
+pub enum DatabaseResponse {
+    Description(ServerDescription),
     /// Its machine took the connection; the answer may follow.
     Reached,
     /// It answered, so it lives, but not with its state.
@@ -30,7 +30,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Posted {
+pub enum PromotionResponse {
     Accepted,
     /// The named database is not running.
     Refused,
@@ -43,7 +43,7 @@
 /// nothing about a later one. The epoch tells the offices of one process apart.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Attempt {
-    pub epoch: Epoch,
+    pub epoch: Term,
     pub number: u64,
 }
 
@@ -59,20 +59,20 @@
 
 /// What each is asked belongs to the attempt that is under way when the step ends.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Deed {
-    Ask(InstanceId, Ask),
+pub enum FailoverAction {
+    DatabaseRequest(InstanceId, DatabaseRequest),
     Post(InstanceId),
-    Propose(Change),
+    Propose(Command),
     Revoke(DbTerm),
 }
 
 /// A service as the leader sees it when a step is taken.
 #[derive(Clone, Debug)]
-pub struct Facts {
+pub struct ServiceSnapshot {
     pub service: ServiceName,
     /// The epoch in which this leader was elected.
-    pub epoch: Epoch,
-    pub lead: Option<Lead>,
+    pub epoch: Term,
+    pub lead: Option<PrimaryRecord>,
     /// Every listed database of the service.
     pub databases: Vec<(InstanceId, Instance)>,
     /// Replicas that left and may hold the only copy of a commit; see `Almanac::departed`.
@@ -87,7 +87,7 @@
     pub given_back: Option<Option<Position>>,
 }
 
-impl Facts {
+impl ServiceSnapshot {
     fn database(&self, wanted: &InstanceId) -> Option<&(InstanceId, Instance)> {
         self.databases.iter().find(|(id, _)| id == wanted)
     }
@@ -102,7 +102,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Stage {
+pub enum FailoverState {
     Steady,
     /// A first primary says so itself; its term is being asked for.
     Founding {
@@ -122,7 +122,7 @@
         slow: bool,
         since: Tick,
         asked: Tick,
-        rows: BTreeMap<InstanceId, Described>,
+        rows: BTreeMap<InstanceId, ServerDescription>,
     },
     /// The intent is on its way into the log.
     Intending {
@@ -213,7 +213,7 @@
 
 /// One look at whether the listed replicas have what some that left may have taken along.
 #[derive(Clone, Debug)]
-struct Cover {
+struct DepartedReplicaCheck {
     attempt: Attempt,
     departed: BTreeMap<InstanceId, u64>,
     began: Tick,
@@ -223,11 +223,13 @@
     holders: BTreeSet<InstanceId>,
 }
 
-impl Cover {
-    fn ask(&self, facts: &Facts) -> Vec<Deed> {
+impl DepartedReplicaCheck {
+    fn ask(&self, facts: &ServiceSnapshot) -> Vec<FailoverAction> {
         let living = facts.replicas().map(|(id, _)| id).filter(|id| facts.beating.contains(*id));
         let missing = living.filter(|id| !self.holders.contains(*id));
-        missing.map(|id| Deed::Ask(id.clone(), Ask::Describe)).collect()
+        missing
+            .map(|id| FailoverAction::DatabaseRequest(id.clone(), DatabaseRequest::Describe))
+            .collect()
     }
 }
 
@@ -255,8 +257,8 @@
 
 /// Brings one service from primary to primary. Every step is safe to take again.
 #[derive(Clone, Debug)]
-pub struct Succession {
-    pub stage: Stage,
+pub struct Failover {
+    pub stage: FailoverState,
     /// The attempt under way, or the last one.
     pub attempt: Attempt,
     /// The term whose leases are being taken back; none is granted meanwhile.
@@ -275,7 +277,7 @@
     letting_go: Orders,
     /// Who left, and since when this leader knows it.
     departed: BTreeMap<InstanceId, (u64, Tick)>,
-    cover: Option<Cover>,
+    cover: Option<DepartedReplicaCheck>,
     cover_due: Tick,
     cover_rest: u64,
     owed_asked: Tick,
@@ -287,12 +289,12 @@
     breaks: VecDeque<(Tick, NodeName)>,
 }
 
-impl Succession {
+impl Failover {
     /// Taken up by a new leader. An intent it finds is finished first, with the same target;
     /// replicas that an earlier leader paused are let go.
-    pub fn begin(facts: &Facts, now: Tick) -> (Self, Vec<Deed>) {
+    pub fn begin(facts: &ServiceSnapshot, now: Tick) -> (Self, Vec<FailoverAction>) {
         let mut this = Self {
-            stage: Stage::Steady,
+            stage: FailoverState::Steady,
             attempt: Attempt { epoch: facts.epoch, number: 0 },
             revoking: false,
             sealed: None,
@@ -327,9 +329,15 @@
     }
 
     /// Finishes an intent that an earlier leader left.
-    fn take_up(&mut self, facts: &Facts, term: DbTerm, target: InstanceId, now: Tick) -> Vec<Deed> {
+    fn take_up(
+        &mut self,
+        facts: &ServiceSnapshot,
+        term: DbTerm,
+        target: InstanceId,
+        now: Tick,
+    ) -> Vec<FailoverAction> {
         self.revoking = true;
-        let mut deeds = vec![Deed::Revoke(term)];
+        let mut deeds = vec![FailoverAction::Revoke(term)];
         deeds.extend(self.pause_newcomers(facts, &target, now));
         self.paused.insert(target.clone());
         self.post(target, now, &mut deeds);
@@ -337,15 +345,24 @@
     }
 
     /// The target leads a newer term than is written down.
-    fn taking(&mut self, facts: &Facts, target: InstanceId, term: DbTerm, now: Tick) -> Vec<Deed> {
-        self.stage = Stage::Taking { target, term, recorded: false };
+    fn taking(
+        &mut self,
+        facts: &ServiceSnapshot,
+        target: InstanceId,
+        term: DbTerm,
+        now: Tick,
+    ) -> Vec<FailoverAction> {
+        self.stage = FailoverState::Taking { target, term, recorded: false };
         let mut deeds = Vec::new();
         if let Some(lead) = &facts.lead {
             if !self.revoking {
                 self.revoking = true;
-                deeds.push(Deed::Revoke(lead.term));
+                deeds.push(FailoverAction::Revoke(lead.term));
             }
-            deeds.push(Deed::Ask(lead.primary.clone(), Ask::StepDown(term)));
+            deeds.push(FailoverAction::DatabaseRequest(
+                lead.primary.clone(),
+                DatabaseRequest::StepDown(term),
+            ));
         }
         deeds.extend(self.tick(facts, now));
         deeds
@@ -360,15 +377,20 @@
         self.attempt.number += 1;
     }
 
-    fn post(&mut self, target: InstanceId, now: Tick, deeds: &mut Vec<Deed>) {
+    fn post(&mut self, target: InstanceId, now: Tick, deeds: &mut Vec<FailoverAction>) {
         self.renumber();
-        deeds.push(Deed::Post(target.clone()));
-        self.stage =
-            Stage::Posting { target, tried: now, in_flight: true, perhaps: None, looked: now };
+        deeds.push(FailoverAction::Post(target.clone()));
+        self.stage = FailoverState::Posting {
+            target,
+            tried: now,
+            in_flight: true,
+            perhaps: None,
+            looked: now,
+        };
     }
 
     fn settle(&mut self, now: Tick) {
-        self.stage = Stage::Steady;
+        self.stage = FailoverState::Steady;
         self.revoking = false;
         self.sealed = None;
         self.suspects.clear();
@@ -376,38 +398,41 @@
     }
 
     /// Lets everything go as it was, while nothing has been posted.
-    fn call_off(&mut self, now: Tick) -> Vec<Deed> {
+    fn call_off(&mut self, now: Tick) -> Vec<FailoverAction> {
         self.settle(now);
         self.rested = Some(now);
         self.let_go(now)
     }
 
-    fn let_go(&mut self, now: Tick) -> Vec<Deed> {
+    fn let_go(&mut self, now: Tick) -> Vec<FailoverAction> {
         let paused = std::mem::take(&mut self.paused);
         self.owed.extend(paused.iter().map(|id| (id.clone(), self.attempt)));
         self.owed_asked = now;
         self.ask_to_go_on(paused.into_iter().collect(), now)
     }
-    fn ask_to_go_on(&mut self, which: Vec<InstanceId>, now: Tick) -> Vec<Deed> {
+    fn ask_to_go_on(&mut self, which: Vec<InstanceId>, now: Tick) -> Vec<FailoverAction> {
         which.iter().for_each(|id| self.letting_go.sent(id, now));
-        which.into_iter().map(|id| Deed::Ask(id, Ask::Continue)).collect()
+        which
+            .into_iter()
+            .map(|id| FailoverAction::DatabaseRequest(id, DatabaseRequest::Continue))
+            .collect()
     }
 
     pub fn suspect(
         &mut self,
-        facts: &Facts,
+        facts: &ServiceSnapshot,
         who: &NodeName,
         of: &InstanceId,
-        why: Doubt,
+        why: SuspicionReason,
         now: Tick,
-    ) -> Vec<Deed> {
+    ) -> Vec<FailoverAction> {
         let Some(lead) = &facts.lead else {
             return Vec::new();
         };
         if lead.primary != *of {
             return Vec::new();
         }
-        if why == Doubt::Broken {
+        if why == SuspicionReason::ConnectionsBroken {
             self.breaks.push_back((now, who.clone()));
             if self.breaks.len() > BREAKS_KEPT {
                 self.breaks.pop_front();
@@ -416,42 +441,45 @@
         if self.trusted.is_some_and(|t| now.since(t) < TRUST_MS) {
             return Vec::new();
         }
-        if why == Doubt::Silent {
+        if why == SuspicionReason::NoResponse {
             self.suspects.insert(who.clone());
         }
-        let planned = matches!(self.stage, Stage::Fencing { target: Some(_), .. });
+        let planned = matches!(self.stage, FailoverState::Fencing { target: Some(_), .. });
         match self.stage {
-            Stage::Doubting { .. } => self.tick(facts, now),
-            Stage::Steady => self.doubt(&lead.primary, now),
-            _ if planned => vec![Deed::Ask(lead.primary.clone(), Ask::Describe)],
+            FailoverState::Doubting { .. } => self.tick(facts, now),
+            FailoverState::Steady => self.doubt(&lead.primary, now),
+            _ if planned => vec![FailoverAction::DatabaseRequest(
+                lead.primary.clone(),
+                DatabaseRequest::Describe,
+            )],
             _ => Vec::new(),
         }
     }
 
-    fn doubt(&mut self, primary: &InstanceId, now: Tick) -> Vec<Deed> {
+    fn doubt(&mut self, primary: &InstanceId, now: Tick) -> Vec<FailoverAction> {
         self.renumber();
-        self.stage = Stage::Doubting { asked: now, reached: false };
-        vec![Deed::Ask(primary.clone(), Ask::Describe)]
+        self.stage = FailoverState::Doubting { asked: now, reached: false };
+        vec![FailoverAction::DatabaseRequest(primary.clone(), DatabaseRequest::Describe)]
     }
 
-    fn fence(&mut self, facts: &Facts, now: Tick) -> Vec<Deed> {
+    fn fence(&mut self, facts: &ServiceSnapshot, now: Tick) -> Vec<FailoverAction> {
         let Some(lead) = &facts.lead else {
             return Vec::new();
         };
         // The doubt before it asked for no pause, and its question still counts.
-        if !matches!(self.stage, Stage::Doubting { .. }) {
+        if !matches!(self.stage, FailoverState::Doubting { .. }) {
             self.renumber();
         }
         self.revoking = true;
         self.suspects.clear();
-        self.stage = Stage::Fencing {
+        self.stage = FailoverState::Fencing {
             target: None,
             slow: false,
             since: now,
             asked: now,
             rows: BTreeMap::new(),
         };
-        let mut deeds = vec![Deed::Revoke(lead.term)];
+        let mut deeds = vec![FailoverAction::Revoke(lead.term)];
         deeds.extend(self.pause(
             facts.replicas().map(|(id, _)| id.clone()).collect(),
             lead.term,
@@ -461,17 +489,32 @@
     }
 
     /// One that is still being let go is paused once that has ended.
-    fn pause(&mut self, mut which: Vec<InstanceId>, term: DbTerm, now: Tick) -> Vec<Deed> {
+    fn pause(
+        &mut self,
+        mut which: Vec<InstanceId>,
+        term: DbTerm,
+        now: Tick,
+    ) -> Vec<FailoverAction> {
         which.retain(|id| !self.letting_go.under_way(id, now));
         which.iter().for_each(|id| self.pausing.sent(id, now));
         self.paused.extend(which.iter().cloned());
         self.owed.retain(|id, _| !which.contains(id));
-        which.into_iter().map(|id| Deed::Ask(id, Ask::Pause(DbTerm(term.0 + 1)))).collect()
+        which
+            .into_iter()
+            .map(|id| {
+                FailoverAction::DatabaseRequest(id, DatabaseRequest::Pause(DbTerm(term.0 + 1)))
+            })
+            .collect()
     }
 
     /// Replicas that came after the others were paused: a commit that only they receive would be
     /// acknowledged, and missing at the target.
-    fn pause_newcomers(&mut self, facts: &Facts, target: &InstanceId, now: Tick) -> Vec<Deed> {
+    fn pause_newcomers(
+        &mut self,
+        facts: &ServiceSnapshot,
+        target: &InstanceId,
+        now: Tick,
+    ) -> Vec<FailoverAction> {
         let Some(lead) = &facts.lead else { return Vec::new() };
         let new = |id: &&InstanceId| *id != target && !self.paused.contains(*id);
         let newcomers = facts.replicas().map(|(id, _)| id).filter(new).cloned().collect();
@@ -480,7 +523,12 @@
 
     /// The primary was seen slow. Seen so twice in a row it is left, if a replica can take over
     /// at once and the last try was long ago.
-    fn leave_slow(&mut self, facts: &Facts, term: DbTerm, now: Tick) -> Vec<Deed> {
+    fn leave_slow(
+        &mut self,
+        facts: &ServiceSnapshot,
+        term: DbTerm,
+        now: Tick,
+    ) -> Vec<FailoverAction> {
         let again = self.slow_before.is_some_and(|t| now.since(t) < SLOW_TWICE_MS);
         self.slow_before = Some(now);
         if again { self.leave(facts, term, now) } else { Vec::new() }
@@ -492,7 +540,7 @@
         recent().count() >= BREAKS_MANY
             && recent().map(|(_, who)| who).collect::<BTreeSet<_>>().len() >= BREAKS_STILES
     }
-    fn leave(&mut self, facts: &Facts, term: DbTerm, now: Tick) -> Vec<Deed> {
+    fn leave(&mut self, facts: &ServiceSnapshot, term: DbTerm, now: Tick) -> Vec<FailoverAction> {
         if self.slow_tried.is_some_and(|t| now.since(t) < SLOW_AGAIN_MS) {
             return Vec::new();
         }
@@ -502,7 +550,13 @@
 
     /// Begins a planned change: all replicas but the target are paused, so that from then on every
     /// acknowledged commit is on the target, and the primary serves until the promote.
-    fn plan(&mut self, facts: &Facts, term: DbTerm, slow: bool, now: Tick) -> Vec<Deed> {
+    fn plan(
+        &mut self,
+        facts: &ServiceSnapshot,
+        term: DbTerm,
+        slow: bool,
+        now: Tick,
+    ) -> Vec<FailoverAction> {
         // What one that left may have taken along no pause brings out: first others must have it.
         if !facts.departed.is_empty() {
             return Vec::new();
@@ -513,10 +567,10 @@
         self.renumber();
         let mut deeds = Vec::new();
         if others.is_empty() {
-            deeds.push(Deed::Ask(target.clone(), Ask::Describe));
+            deeds.push(FailoverAction::DatabaseRequest(target.clone(), DatabaseRequest::Describe));
         }
         deeds.extend(self.pause(others, term, now));
-        self.stage = Stage::Fencing {
+        self.stage = FailoverState::Fencing {
             target: Some(target),
             slow,
             since: now,
@@ -528,7 +582,12 @@
 
     /// A replica that left took its log along, and was acknowledged for until it ended. What it had
     /// is safe once enough listed ones have all that the primary had after that.
-    fn cover(&mut self, facts: &Facts, primary: &InstanceId, now: Tick) -> Vec<Deed> {
+    fn cover(
+        &mut self,
+        facts: &ServiceSnapshot,
+        primary: &InstanceId,
+        now: Tick,
+    ) -> Vec<FailoverAction> {
         self.departed.retain(|id, (last, _)| facts.departed.get(id) == Some(last));
         for (id, last) in &facts.departed {
             self.departed.entry(id.clone()).or_insert((*last, now));
@@ -555,11 +614,18 @@
         }
         self.renumber();
         let (attempt, holders) = (self.attempt, BTreeSet::new());
-        let cover = Cover { attempt, departed, began: now, asked: now, mark: None, holders };
+        let cover =
+            DepartedReplicaCheck { attempt, departed, began: now, asked: now, mark: None, holders };
         self.cover = Some(cover);
-        vec![Deed::Ask(primary.clone(), Ask::Describe)]
+        vec![FailoverAction::DatabaseRequest(primary.clone(), DatabaseRequest::Describe)]
     }
-    fn looked(&mut self, facts: &Facts, of: &InstanceId, row: &Described, now: Tick) -> Vec<Deed> {
+    fn looked(
+        &mut self,
+        facts: &ServiceSnapshot,
+        of: &InstanceId,
+        row: &ServerDescription,
+        now: Tick,
+    ) -> Vec<FailoverAction> {
         let (Some(cover), Some(lead)) = (&mut self.cover, &facts.lead) else {
             return Vec::new();
         };
@@ -580,11 +646,11 @@
         let (service, departed) = (facts.service.clone(), std::mem::take(&mut cover.departed));
         self.cover = None;
         self.cover_due = now.plus(COVER_REST_MS);
-        vec![Deed::Propose(Change::Covered { service, departed })]
+        vec![FailoverAction::Propose(Command::ForgetDeparted { service, departed })]
     }
 
     /// The replica a planned change should go to, so that one promote is enough.
-    fn successor(facts: &Facts) -> Option<InstanceId> {
+    fn successor(facts: &ServiceSnapshot) -> Option<InstanceId> {
         facts
             .replicas()
             .filter(|(id, i)| {
@@ -598,47 +664,51 @@
 
     pub fn told(
         &mut self,
-        facts: &Facts,
+        facts: &ServiceSnapshot,
         attempt: Attempt,
         of: &InstanceId,
-        ask: Ask,
-        told: &Told,
+        ask: DatabaseRequest,
+        told: &DatabaseResponse,
         now: Tick,
-    ) -> Vec<Deed> {
+    ) -> Vec<FailoverAction> {
         let lead = facts.lead.clone();
         // Unanswered it may still be carried out; the time says when not.
         match (ask, told) {
-            (_, Told::Reached | Told::Silent) => {}
+            (_, DatabaseResponse::Reached | DatabaseResponse::Silent) => {}
             _ if attempt.epoch != self.attempt.epoch => {}
-            (Ask::Pause(_), _) => self.pausing.ended(of),
-            (Ask::Continue, _) => self.letting_go.ended(of),
+            (DatabaseRequest::Pause(_), _) => self.pausing.ended(of),
+            (DatabaseRequest::Continue, _) => self.letting_go.ended(of),
             _ => {}
         }
-        if let (Ask::Describe, Some(cover)) = (ask, &self.cover)
+        if let (DatabaseRequest::Describe, Some(cover)) = (ask, &self.cover)
             && cover.attempt == attempt
         {
             return match told {
-                Told::Row(row) => self.looked(facts, of, row, now),
+                DatabaseResponse::Description(row) => self.looked(facts, of, row, now),
                 _ => Vec::new(),
             };
         }
         let late = match (&self.stage, ask) {
             // Whoever leads a newer term does so whenever it was asked.
-            (Stage::Posting { .. }, Ask::Describe) => false,
-            (_, Ask::Pause(_) | Ask::Describe) => attempt != self.attempt,
-            (_, Ask::Continue | Ask::StepDown(_)) => false,
+            (FailoverState::Posting { .. }, DatabaseRequest::Describe) => false,
+            (_, DatabaseRequest::Pause(_) | DatabaseRequest::Describe) => attempt != self.attempt,
+            (_, DatabaseRequest::Continue | DatabaseRequest::StepDown(_)) => false,
         };
         if late {
             return Vec::new();
         }
         match (&mut self.stage, ask, told) {
-            (Stage::Doubting { reached, .. }, Ask::Describe, Told::Reached) => {
+            (
+                FailoverState::Doubting { reached, .. },
+                DatabaseRequest::Describe,
+                DatabaseResponse::Reached,
+            ) => {
                 *reached = true;
                 Vec::new()
             }
-            (_, _, Told::Reached) => Vec::new(),
-            (_, Ask::Continue, told) => {
-                if matches!(told, Told::Row(_))
+            (_, _, DatabaseResponse::Reached) => Vec::new(),
+            (_, DatabaseRequest::Continue, told) => {
+                if matches!(told, DatabaseResponse::Description(_))
                     && self.owed.get(of).is_some_and(|since| attempt >= *since)
                     && !self.pausing.under_way(of, now)
                 {
@@ -646,7 +716,7 @@
                 }
                 // A pause may have waited for this.
                 match (&self.stage, lead) {
-                    (Stage::Fencing { target, rows, .. }, Some(lead))
+                    (FailoverState::Fencing { target, rows, .. }, Some(lead))
                         if target.as_ref() != Some(of)
                             && !rows.contains_key(of)
                             && !self.pausing.under_way(of, now)
@@ -657,32 +727,43 @@
                     _ => Vec::new(),
                 }
             }
-            (Stage::Founding { .. }, Ask::Describe, Told::Row(row)) if lead.is_none() => {
-                self.stage = Stage::Steady;
+            (
+                FailoverState::Founding { .. },
+                DatabaseRequest::Describe,
+                DatabaseResponse::Description(row),
+            ) if lead.is_none() => {
+                self.stage = FailoverState::Steady;
                 if !row.primary {
                     return Vec::new();
                 }
                 let (service, primary) = (facts.service.clone(), of.clone());
-                vec![Deed::Propose(Change::Led { service, term: row.term, primary })]
+                vec![FailoverAction::Propose(Command::SetPrimary {
+                    service,
+                    term: row.term,
+                    primary,
+                })]
             }
-            (Stage::Founding { .. }, ..) => {
-                self.stage = Stage::Steady;
+            (FailoverState::Founding { .. }, ..) => {
+                self.stage = FailoverState::Steady;
                 Vec::new()
             }
-            (Stage::Doubting { .. } | Stage::Fencing { .. }, Ask::Describe, told)
-                if lead.as_ref().is_some_and(|l| l.primary == *of) =>
-            {
+            (
+                FailoverState::Doubting { .. } | FailoverState::Fencing { .. },
+                DatabaseRequest::Describe,
+                told,
+            ) if lead.as_ref().is_some_and(|l| l.primary == *of) => {
                 let leads = match told {
-                    Told::Row(row) => {
+                    DatabaseResponse::Description(row) => {
                         row.primary && lead.as_ref().is_some_and(|l| l.term == row.term)
                     }
-                    Told::Alive | Told::Reached => true,
-                    Told::Lost | Told::Silent => false,
+                    DatabaseResponse::Alive | DatabaseResponse::Reached => true,
+                    DatabaseResponse::Lost | DatabaseResponse::Silent => false,
                 };
                 match (&self.stage, leads) {
-                    (Stage::Doubting { asked, .. }, true) => {
+                    (FailoverState::Doubting { asked, .. }, true) => {
                         // Its own answer was slow, or it turned even this question away.
-                        let slow = now.since(*asked) > SLOW_ANSWER_MS || *told == Told::Alive;
+                        let slow =
+                            now.since(*asked) > SLOW_ANSWER_MS || *told == DatabaseResponse::Alive;
                         self.settle(now);
                         match lead {
                             Some(lead) if slow => self.leave_slow(facts, lead.term, now),
@@ -691,58 +772,77 @@
                         }
                     }
                     // One question without an answer may be a lost packet: it is asked once more.
-                    (Stage::Doubting { .. }, false)
-                        if *told == Told::Silent
+                    (FailoverState::Doubting { .. }, false)
+                        if *told == DatabaseResponse::Silent
                             && self.suspects.len() < SILENT_STILES
                             && self.unanswered.is_none_or(|t| now.since(t) > UNANSWERED_MS) =>
                     {
                         self.unanswered = Some(now);
-                        self.stage = Stage::Doubting { asked: now, reached: false };
-                        vec![Deed::Ask(of.clone(), Ask::Describe)]
+                        self.stage = FailoverState::Doubting { asked: now, reached: false };
+                        vec![FailoverAction::DatabaseRequest(of.clone(), DatabaseRequest::Describe)]
                     }
                     // Nothing was posted yet, and the alarm was false.
-                    (Stage::Fencing { target: None, .. }, true) => self.call_off(now),
-                    (Stage::Fencing { target: None, .. }, false) | (_, true) => Vec::new(),
+                    (FailoverState::Fencing { target: None, .. }, true) => self.call_off(now),
+                    (FailoverState::Fencing { target: None, .. }, false) | (_, true) => Vec::new(),
                     _ => self.fence(facts, now),
                 }
             }
             // No pause holds one that leads. Of the present term it is the primary itself.
-            (Stage::Fencing { .. }, Ask::Pause(_) | Ask::Describe, Told::Row(row))
-                if row.primary =>
-            {
+            (
+                FailoverState::Fencing { .. },
+                DatabaseRequest::Pause(_) | DatabaseRequest::Describe,
+                DatabaseResponse::Description(row),
+            ) if row.primary => {
                 let (service, primary) = (facts.service.clone(), of.clone());
                 match lead {
-                    Some(Lead { term, .. }) if row.term == term => {
-                        vec![Deed::Propose(Change::Returned { service, term, primary })]
+                    Some(PrimaryRecord { term, .. }) if row.term == term => {
+                        vec![FailoverAction::Propose(Command::PrimaryReturned {
+                            service,
+                            term,
+                            primary,
+                        })]
                     }
                     // An earlier leader's call has taken effect.
-                    Some(Lead { term, .. }) if row.term > term => {
+                    Some(PrimaryRecord { term, .. }) if row.term > term => {
                         self.taking(facts, primary, row.term, now)
                     }
-                    Some(Lead { term, .. }) => vec![Deed::Ask(primary, Ask::StepDown(term))],
+                    Some(PrimaryRecord { term, .. }) => vec![FailoverAction::DatabaseRequest(
+                        primary,
+                        DatabaseRequest::StepDown(term),
+                    )],
                     None => Vec::new(),
                 }
             }
-            (Stage::Fencing { rows, .. }, Ask::Pause(_) | Ask::Describe, Told::Row(row)) => {
+            (
+                FailoverState::Fencing { rows, .. },
+                DatabaseRequest::Pause(_) | DatabaseRequest::Describe,
+                DatabaseResponse::Description(row),
+            ) => {
                 rows.insert(of.clone(), row.clone());
                 let deeds = self.choose(facts, now);
                 match &self.stage {
                     // The others are paused: now see how far the target is.
-                    Stage::Fencing { target: Some(target), rows, .. }
+                    FailoverState::Fencing { target: Some(target), rows, .. }
                         if !rows.contains_key(target)
                             && facts
                                 .replicas()
                                 .all(|(id, _)| id == target || rows.contains_key(id)) =>
                     {
-                        vec![Deed::Ask(target.clone(), Ask::Describe)]
+                        vec![FailoverAction::DatabaseRequest(
+                            target.clone(),
+                            DatabaseRequest::Describe,
+                        )]
                     }
                     _ => deeds,
                 }
             }
-            (Stage::Posting { target, .. }, Ask::Describe, Told::Row(row))
-                if of == target
-                    && row.primary
-                    && lead.as_ref().is_some_and(|l| l.term < row.term) =>
+            (
+                FailoverState::Posting { target, .. },
+                DatabaseRequest::Describe,
+                DatabaseResponse::Description(row),
+            ) if of == target
+                && row.primary
+                && lead.as_ref().is_some_and(|l| l.term < row.term) =>
             {
                 self.taking(facts, of.clone(), row.term, now)
             }
@@ -751,8 +851,8 @@
     }
 
     /// Whether the paused replicas are enough, and which one then takes over.
-    fn choose(&mut self, facts: &Facts, now: Tick) -> Vec<Deed> {
-        let Stage::Fencing { target, rows, since, .. } = &self.stage else {
+    fn choose(&mut self, facts: &ServiceSnapshot, now: Tick) -> Vec<FailoverAction> {
+        let FailoverState::Fencing { target, rows, since, .. } = &self.stage else {
             return Vec::new();
         };
         let Some(lead) = &facts.lead else {
@@ -808,20 +908,21 @@
         let Some(target) = chosen else {
             return Vec::new();
         };
-        self.stage = Stage::Intending { target: target.clone(), since: now };
+        self.stage = FailoverState::Intending { target: target.clone(), since: now };
         let (service, term) = (facts.service.clone(), lead.term);
-        vec![Deed::Propose(Change::Intend { service, term, target })]
+        vec![FailoverAction::Propose(Command::BeginFailover { service, term, target })]
     }
 
     pub fn posted(
         &mut self,
-        facts: &Facts,
+        facts: &ServiceSnapshot,
         attempt: Attempt,
         of: &InstanceId,
-        posted: Posted,
+        posted: PromotionResponse,
         now: Tick,
-    ) -> Vec<Deed> {
-        let Stage::Posting { target, in_flight, perhaps, tried, .. } = &mut self.stage else {
+    ) -> Vec<FailoverAction> {
+        let FailoverState::Posting { target, in_flight, perhaps, tried, .. } = &mut self.stage
+        else {
             return Vec::new();
         };
         if of != target || attempt != self.attempt {
@@ -829,19 +930,22 @@
         }
         *in_flight = false;
         match posted {
-            Posted::Accepted => {
+            PromotionResponse::Accepted => {
                 *perhaps = Some(now);
                 // Accepted: not to be repeated unless the target stays silent for long.
                 *tried = now.plus(POST_SETTLED_MS);
             }
-            Posted::Unclear => *perhaps = Some(now),
-            Posted::Busy => {}
-            Posted::Refused => {
+            PromotionResponse::Unclear => *perhaps = Some(now),
+            PromotionResponse::Busy => {}
+            PromotionResponse::Refused => {
                 // One that has left for good will not lead any more, whatever is under way.
                 let left = facts.database(target).is_none();
                 if left || perhaps.is_none_or(|t| now.since(t) > POST_SETTLED_MS) {
                     let (service, target) = (facts.service.clone(), target.clone());
-                    return vec![Deed::Propose(Change::Abandon { service, target })];
+                    return vec![FailoverAction::Propose(Command::AbandonFailover {
+                        service,
+                        target,
+                    })];
                 }
             }
         }
@@ -850,28 +954,28 @@
 
     /// Goes on from what is committed of this service: the stage may wait for just that, and the moment
     /// of its commit may have passed while this leader was not certain of leading.
-    fn agreed(&mut self, facts: &Facts, now: Tick) -> Option<Vec<Deed>> {
+    fn agreed(&mut self, facts: &ServiceSnapshot, now: Tick) -> Option<Vec<FailoverAction>> {
         let lead = facts.lead.as_ref()?;
         match &self.stage {
-            Stage::Intending { target, .. } if lead.intent.as_ref() == Some(target) => {
+            FailoverState::Intending { target, .. } if lead.intent.as_ref() == Some(target) => {
                 let mut deeds = Vec::new();
                 self.post(target.clone(), now, &mut deeds);
                 Some(deeds)
             }
             // Another leader's, which came into force after this one began.
-            Stage::Steady
-            | Stage::Doubting { .. }
-            | Stage::Fencing { .. }
-            | Stage::Intending { .. }
+            FailoverState::Steady
+            | FailoverState::Doubting { .. }
+            | FailoverState::Fencing { .. }
+            | FailoverState::Intending { .. }
                 if lead.intent.is_some() =>
             {
                 let target = lead.intent.clone()?;
                 Some(self.take_up(facts, lead.term, target, now))
             }
-            Stage::Posting { target, .. } if lead.intent.as_ref() != Some(target) => {
+            FailoverState::Posting { target, .. } if lead.intent.as_ref() != Some(target) => {
                 Some(self.fence(facts, now))
             }
-            Stage::Taking { term, .. } if lead.term >= *term => {
+            FailoverState::Taking { term, .. } if lead.term >= *term => {
                 self.paused.remove(&lead.primary);
                 let deeds = self.call_off(now);
                 self.rested = None;
@@ -882,43 +986,54 @@
     }
 
     /// A beat came in; `role` is how the database sees itself.
-    pub fn beat(&mut self, facts: &Facts, of: &InstanceId, role: Role, now: Tick) -> Vec<Deed> {
+    pub fn beat(
+        &mut self,
+        facts: &ServiceSnapshot,
+        of: &InstanceId,
+        role: Role,
+        now: Tick,
+    ) -> Vec<FailoverAction> {
         match (&mut self.stage, &facts.lead) {
-            (Stage::Steady, None) if role == Role::Primary => {
-                self.stage = Stage::Founding { asked: now };
-                vec![Deed::Ask(of.clone(), Ask::Describe)]
+            (FailoverState::Steady, None) if role == Role::Primary => {
+                self.stage = FailoverState::Founding { asked: now };
+                vec![FailoverAction::DatabaseRequest(of.clone(), DatabaseRequest::Describe)]
             }
-            (Stage::Steady, Some(lead))
+            (FailoverState::Steady, Some(lead))
                 if role == Role::Primary
                     && lead.primary != *of
                     && self.stepped_down.is_none_or(|t| now.since(t) > 1_000) =>
             {
                 self.stepped_down = Some(now);
-                vec![Deed::Ask(of.clone(), Ask::StepDown(lead.term))]
+                vec![FailoverAction::DatabaseRequest(
+                    of.clone(),
+                    DatabaseRequest::StepDown(lead.term),
+                )]
             }
-            (Stage::Posting { target, looked, .. }, _) if target == of && role == Role::Primary => {
+            (FailoverState::Posting { target, looked, .. }, _)
+                if target == of && role == Role::Primary =>
+            {
                 *looked = now;
-                vec![Deed::Ask(of.clone(), Ask::Describe)]
+                vec![FailoverAction::DatabaseRequest(of.clone(), DatabaseRequest::Describe)]
             }
             _ => Vec::new(),
         }
     }
 
-    pub fn tick(&mut self, facts: &Facts, now: Tick) -> Vec<Deed> {
+    pub fn tick(&mut self, facts: &ServiceSnapshot, now: Tick) -> Vec<FailoverAction> {
         let Some(lead) = &facts.lead else {
-            if let Stage::Founding { asked } = self.stage
+            if let FailoverState::Founding { asked } = self.stage
                 && now.since(asked) > 2 * ASK_AGAIN_MS
             {
-                self.stage = Stage::Steady;
+                self.stage = FailoverState::Steady;
             }
             return Vec::new();
         };
         if let Some(deeds) = self.agreed(facts, now) {
             return deeds;
         }
-        if let Stage::Fencing { target: Some(target), .. }
-        | Stage::Intending { target, .. }
-        | Stage::Posting { target, .. } = &self.stage
+        if let FailoverState::Fencing { target: Some(target), .. }
+        | FailoverState::Intending { target, .. }
+        | FailoverState::Posting { target, .. } = &self.stage
         {
             let deeds = self.pause_newcomers(facts, &target.clone(), now);
             if !deeds.is_empty() {
@@ -927,7 +1042,7 @@
         }
         let listed = facts.database(&lead.primary);
         match &mut self.stage {
-            Stage::Steady => {
+            FailoverState::Steady => {
                 if facts.databases.is_empty() {
                     return Vec::new();
                 }
@@ -954,10 +1069,10 @@
                     return self.doubt(id, now);
                 }
             }
-            Stage::Founding { .. } => self.stage = Stage::Steady,
+            FailoverState::Founding { .. } => self.stage = FailoverState::Steady,
             // Several stiles are owed answers. If its machine does not even take a connection, it
             // is lost; if it does, it is slow, and a replica may do better while it still serves.
-            Stage::Doubting { asked, reached }
+            FailoverState::Doubting { asked, reached }
                 if self.suspects.len() >= SILENT_STILES && now.since(*asked) >= DARK_MS =>
             {
                 if !*reached {
@@ -966,10 +1081,10 @@
                 self.slow_before = Some(now);
                 return self.leave_slow(facts, lead.term, now);
             }
-            Stage::Doubting { asked, .. } if now.since(*asked) > 4 * ASK_AGAIN_MS => {
-                self.stage = Stage::Steady;
+            FailoverState::Doubting { asked, .. } if now.since(*asked) > 4 * ASK_AGAIN_MS => {
+                self.stage = FailoverState::Steady;
             }
-            Stage::Fencing { target, slow, since, asked, rows } => {
+            FailoverState::Fencing { target, slow, since, asked, rows } => {
                 let waited = now.since(*since);
                 if let Some(target) = target {
                     let target = target.clone();
@@ -985,11 +1100,14 @@
                     if (others.is_empty() || facts.given_back.is_some()) && now.since(*asked) >= 100
                     {
                         *asked = now;
-                        return vec![Deed::Ask(target, Ask::Describe)];
+                        return vec![FailoverAction::DatabaseRequest(
+                            target,
+                            DatabaseRequest::Describe,
+                        )];
                     }
                     if stuck && !*slow && !self.revoking {
                         self.revoking = true;
-                        return vec![Deed::Revoke(lead.term)];
+                        return vec![FailoverAction::Revoke(lead.term)];
                     }
                     return Vec::new();
                 }
@@ -1003,19 +1121,26 @@
                         .collect();
                     deeds = self.pause(missing, lead.term, now);
                     if waited > 2 * ASK_AGAIN_MS && listed.is_some() {
-                        deeds.push(Deed::Ask(lead.primary.clone(), Ask::Describe));
+                        deeds.push(FailoverAction::DatabaseRequest(
+                            lead.primary.clone(),
+                            DatabaseRequest::Describe,
+                        ));
                     }
                 }
                 deeds.extend(self.choose(facts, now));
                 return deeds;
             }
-            Stage::Intending { target, since } if now.since(*since) > 1_000 => {
+            FailoverState::Intending { target, since } if now.since(*since) > 1_000 => {
                 // Proposed but not seen committed: the same proposal again changes nothing twice.
                 *since = now;
                 let (service, term, target) = (facts.service.clone(), lead.term, target.clone());
-                return vec![Deed::Propose(Change::Intend { service, term, target })];
+                return vec![FailoverAction::Propose(Command::BeginFailover {
+                    service,
+                    term,
+                    target,
+                })];
             }
-            Stage::Posting { target, tried, in_flight, looked, perhaps } => {
+            FailoverState::Posting { target, tried, in_flight, looked, perhaps } => {
                 let mut deeds = Vec::new();
                 // Having left in the meantime, the target is asked for again at once: the refusal
                 // settles it.
@@ -1030,20 +1155,27 @@
                     *in_flight = true;
                     *tried = now;
                     self.attempt.number += 1;
-                    deeds.push(Deed::Post(target.clone()));
+                    deeds.push(FailoverAction::Post(target.clone()));
                 }
                 if perhaps.is_some_and(|t| now.since(t) > LOOK_AGAIN_MS)
                     && now.since(*looked) > LOOK_AGAIN_MS
                 {
                     *looked = now;
-                    deeds.push(Deed::Ask(target.clone(), Ask::Describe));
+                    deeds.push(FailoverAction::DatabaseRequest(
+                        target.clone(),
+                        DatabaseRequest::Describe,
+                    ));
                 }
                 return deeds;
             }
-            Stage::Taking { target, term, recorded } if facts.leases_gone && !*recorded => {
+            FailoverState::Taking { target, term, recorded } if facts.leases_gone && !*recorded => {
                 *recorded = true;
                 let (service, term, primary) = (facts.service.clone(), *term, target.clone());
-                return vec![Deed::Propose(Change::Led { service, term, primary })];
+                return vec![FailoverAction::Propose(Command::SetPrimary {
+                    service,
+                    term,
+                    primary,
+                })];
             }
             _ => {}
         }
@@ -1051,15 +1183,15 @@
     }
 }
 
-pub(crate) fn stage_name(stage: &Stage) -> &'static str {
+pub(crate) fn stage_name(stage: &FailoverState) -> &'static str {
     match stage {
-        Stage::Steady => "steady",
-        Stage::Founding { .. } => "asking the first primary",
-        Stage::Doubting { .. } => "doubting the primary",
-        Stage::Fencing { target: Some(_), .. } => "fencing for a planned change",
-        Stage::Fencing { target: None, .. } => "fencing a lost primary",
-        Stage::Intending { .. } => "writing down the intent",
-        Stage::Posting { .. } => "promoting",
-        Stage::Taking { .. } => "waiting for old leases",
+        FailoverState::Steady => "steady",
+        FailoverState::Founding { .. } => "asking the first primary",
+        FailoverState::Doubting { .. } => "doubting the primary",
+        FailoverState::Fencing { target: Some(_), .. } => "fencing for a planned change",
+        FailoverState::Fencing { target: None, .. } => "fencing a lost primary",
+        FailoverState::Intending { .. } => "writing down the intent",
+        FailoverState::Posting { .. } => "promoting",
+        FailoverState::Taking { .. } => "waiting for old leases",
     }
 }
--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -3,7 +3,7 @@
 
 /// How the sending of a request to one database ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum AttemptOutcome {
     /// No byte of it can have reached the database.
     NotSent,
     /// The database says that it did not run it.
@@ -25,7 +25,7 @@
 
 /// The sends of one request of a client.
 #[derive(Clone, Debug)]
-pub struct Tries {
+pub struct AttemptPolicy {
     repeatable: bool,
     most: u32,
     /// Databases that it was offered to.
@@ -37,7 +37,7 @@
 /// Databases in a row that could not be reached before a request is given up.
 const MAX_UNREACHED: u32 = 4;
 
-impl Tries {
+impl AttemptPolicy {
     pub fn new(repeatable: bool, most: u32) -> Self {
         Self { repeatable, most: most.max(1), sent: 0, unreached: 0, may_have_run: false }
     }
@@ -65,27 +65,29 @@
         self.may_have_run = true;
     }
     /// One send has ended. `others` are still under way; `time` is left and `budget` would pay.
-    pub fn after(&mut self, ended: Ended, others: bool, time: bool, budget: bool) -> Next {
+    pub fn after(&mut self, ended: AttemptOutcome, others: bool, time: bool, budget: bool) -> Next {
         match ended {
-            Ended::NotSent => self.unreached += 1,
-            Ended::NotRun => {}
-            Ended::MayHaveRun | Ended::Failed => self.may_have_run = true,
+            AttemptOutcome::NotSent => self.unreached += 1,
+            AttemptOutcome::NotRun => {}
+            AttemptOutcome::MayHaveRun | AttemptOutcome::Failed => self.may_have_run = true,
         }
         let allowed = match ended {
-            Ended::NotSent => self.unreached < MAX_UNREACHED,
-            Ended::NotRun => self.sent < self.most,
-            Ended::MayHaveRun | Ended::Failed => self.repeatable && self.sent < self.most,
+            AttemptOutcome::NotSent => self.unreached < MAX_UNREACHED,
+            AttemptOutcome::NotRun => self.sent < self.most,
+            AttemptOutcome::MayHaveRun | AttemptOutcome::Failed => {
+                self.repeatable && self.sent < self.most
+            }
         };
         // Without a send before, nothing is repeated.
-        let paid = budget || (ended == Ended::NotSent && !self.is_repeat());
+        let paid = budget || (ended == AttemptOutcome::NotSent && !self.is_repeat());
         if allowed && time && paid && (self.repeatable || !self.may_have_run) {
             return Next::Another;
         }
         let running = self.may_have_run || others;
         match ended {
             // Its own words promise what is true only if no other database has it.
-            Ended::NotRun if !running => Next::Pass,
-            Ended::Failed => Next::Pass,
+            AttemptOutcome::NotRun if !running => Next::Pass,
+            AttemptOutcome::Failed => Next::Pass,
             _ if !running => Next::Refuse(Refusal::Full),
             _ => Next::Refuse(if time { Refusal::Lost } else { Refusal::Late }),
         }
--- a/src/gateway/client_connection.rs
+++ b/src/gateway/client_connection.rs
@@ -1,9 +1,9 @@
 //! One client's connection.
 use crate::base::sync::lock;
 use crate::base::time::Tick;
-use crate::gateway::forwarding::Errand;
-use crate::gateway::server::Wicket;
-use crate::net::statement_protocol::Inbox;
+use crate::gateway::forwarding::RequestContext;
+use crate::gateway::server::Gateway;
+use crate::net::statement_protocol::ReadBuffer;
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, TcpStream};
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// A client's connection, as others may see and end it.
-pub(crate) struct Guest {
+pub(crate) struct ClientConnection {
     pub(crate) stream: TcpStream,
     /// Since when it waits for its client with nothing half read; 0 while it does not.
     pub(crate) resting: AtomicU64,
@@ -19,20 +19,20 @@
     pub(crate) watched: AtomicBool,
 }
 
-impl Guest {
+impl ClientConnection {
     pub(crate) fn rests(&self) -> Option<Tick> {
         Some(Tick(self.resting.load(Ordering::Relaxed))).filter(|t| t.0 > 0)
     }
 }
 
 /// A client that is being served, or rests until it speaks. However it ends, it is off the list.
-pub(crate) struct Visit {
+pub(crate) struct ClientGuard {
     pub(crate) id: u64,
-    pub(crate) guest: Arc<Guest>,
-    pub(crate) wicket: Arc<Wicket>,
+    pub(crate) guest: Arc<ClientConnection>,
+    pub(crate) wicket: Arc<Gateway>,
 }
 
-impl Drop for Visit {
+impl Drop for ClientGuard {
     fn drop(&mut self) {
         lock(&self.wicket.guests).remove(&self.id);
     }
@@ -40,7 +40,7 @@
 
 pub(crate) struct Client<'a> {
     pub(crate) stream: &'a TcpStream,
-    pub(crate) inbox: Inbox,
+    pub(crate) inbox: ReadBuffer,
     pub(crate) max_body: u64,
 }
 
@@ -87,7 +87,7 @@
 
 impl Client<'_> {
     /// A part of the request is still to come, so that the connection can't go on.
-    pub(crate) fn half_read(&self, errand: &Errand<'_>) -> bool {
+    pub(crate) fn half_read(&self, errand: &RequestContext<'_>) -> bool {
         errand.rest.is_some()
     }
 }
--- a/src/gateway/forwarding.rs
+++ b/src/gateway/forwarding.rs
@@ -2,10 +2,12 @@
 use crate::base::errors::Refusal;
 use crate::base::ids::{InstanceId, ServiceName};
 use crate::base::time::Tick;
-use crate::config::route_table::Lane;
-use crate::gateway::attempts::Ended;
-use crate::gateway::http1::{Answered, Asked, Body, Framing, Garbled, as_chunk, read_answer};
-use crate::gateway::upstreams::{IDLE_MS, Stem};
+use crate::config::route_table::RouteEntry;
+use crate::gateway::attempts::AttemptOutcome;
+use crate::gateway::http1::{
+    BodyDecoder, BodyFraming, ParseError, RequestHead, ResponseHead, as_chunk, read_answer,
+};
+use crate::gateway::upstreams::{EndpointConnection, IDLE_MS};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use std::io::{self, Write};
 use std::net::SocketAddr;
@@ -29,14 +31,14 @@
 pub(crate) const TAKES_NOTHING: Duration = Duration::from_secs(10);
 
 /// One send of a request to one database.
-pub(crate) struct Leg {
+pub(crate) struct Attempt {
     pub(crate) id: InstanceId,
     pub(crate) address: SocketAddr,
-    pub(crate) stem: Stem,
+    pub(crate) stem: EndpointConnection,
     pub(crate) reused: bool,
     pub(crate) sent: Tick,
-    pub(crate) head: Option<Answered>,
-    pub(crate) body: Body,
+    pub(crate) head: Option<ResponseHead>,
+    pub(crate) body: BodyDecoder,
     pub(crate) held: Vec<u8>,
     /// An answer to another request came first on this connection.
     pub(crate) stray: bool,
@@ -49,29 +51,29 @@
     Waits,
     /// Whole, or more than is held; the client may have it.
     Ready,
-    Ended(Ended),
+    AttemptOutcome(AttemptOutcome),
 }
 
 /// Everything that is fixed for one request.
-pub(crate) struct Errand<'a> {
-    pub(crate) asked: &'a Asked,
-    pub(crate) lane: &'a Lane,
+pub(crate) struct RequestContext<'a> {
+    pub(crate) asked: &'a RequestHead,
+    pub(crate) lane: &'a RouteEntry,
     pub(crate) service: &'a ServiceName,
     pub(crate) arrived: Tick,
     pub(crate) limit: Tick,
     pub(crate) body: &'a [u8],
     /// The rest of a body that is too large to be held.
-    pub(crate) rest: Option<Body>,
+    pub(crate) rest: Option<BodyDecoder>,
 }
 
 /// What goes back to the client.
-pub(crate) enum Say {
+pub(crate) enum ForwardResult {
     Own(Refusal, u64),
-    Leg(Box<Leg>),
+    Attempt(Box<Attempt>),
 }
 
 /// Writes it all. Once a byte has left, the far end may have begun with it.
-pub fn send_whole(to: &mut impl Write, parts: &[&[u8]]) -> Result<(), Ended> {
+pub fn send_whole(to: &mut impl Write, parts: &[&[u8]]) -> Result<(), AttemptOutcome> {
     let mut begun = false;
     for part in parts {
         let mut left = *part;
@@ -82,8 +84,8 @@
                     left = &left[n..];
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                _ if begun => return Err(Ended::MayHaveRun),
-                _ => return Err(Ended::NotSent),
+                _ if begun => return Err(AttemptOutcome::MayHaveRun),
+                _ => return Err(AttemptOutcome::NotSent),
             }
         }
     }
@@ -91,7 +93,7 @@
 }
 
 /// Waits until one of the legs has something to read, or the time is over.
-pub(crate) fn wait_for(legs: &[Leg], ms: u64) -> io::Result<Vec<bool>> {
+pub(crate) fn wait_for(legs: &[Attempt], ms: u64) -> io::Result<Vec<bool>> {
     let mut fds: Vec<PollFd<'_>> =
         legs.iter().map(|l| PollFd::new(&l.stem.stream, PollFlags::IN)).collect();
     let wait = Timespec { tv_sec: (ms / 1_000) as i64, tv_nsec: (ms % 1_000 * 1_000_000) as i64 };
@@ -102,7 +104,7 @@
     }
 }
 
-impl Leg {
+impl Attempt {
     /// A connection that had rested came to its end before any answer.
     pub(crate) fn forgotten(&self) -> bool {
         self.reused && self.ended && self.head.is_none() && self.stem.inbox.is_empty()
@@ -114,9 +116,9 @@
         self.stem.stream.write_all(&as_chunk(piece))
     }
     /// Reads once; something is there to read.
-    pub(crate) fn read(&mut self, asked: &Asked) -> Progress {
+    pub(crate) fn read(&mut self, asked: &RequestHead) -> Progress {
         // What may be lost here may have run, unless the head says otherwise.
-        let lost = Progress::Ended(Ended::MayHaveRun);
+        let lost = Progress::AttemptOutcome(AttemptOutcome::MayHaveRun);
         match self.stem.inbox.fill(&mut self.stem.stream) {
             Ok(0) => {
                 self.ended = true;
@@ -132,8 +134,8 @@
         }
         self.progress(asked)
     }
-    fn progress(&mut self, asked: &Asked) -> Progress {
-        let lost = Progress::Ended(Ended::MayHaveRun);
+    fn progress(&mut self, asked: &RequestHead) -> Progress {
+        let lost = Progress::AttemptOutcome(AttemptOutcome::MayHaveRun);
         loop {
             if self.head.is_none() {
                 match read_answer(self.stem.inbox.pending(), &asked.method) {
@@ -145,22 +147,22 @@
                     }
                     Ok(Some((head, size))) => {
                         self.stem.inbox.use_up(size);
-                        self.body = Body::new(head.framing);
+                        self.body = BodyDecoder::new(head.framing);
                         self.head = Some(head);
                         self.held.clear();
                     }
-                    Err(Garbled) => return lost,
+                    Err(ParseError) => return lost,
                 }
             }
             let used = match self.body.take(self.stem.inbox.pending(), &mut self.held) {
                 Ok(used) => used,
-                Err(Garbled) => return lost,
+                Err(ParseError) => return lost,
             };
             self.stem.inbox.use_up(used);
             let Some(head) = &self.head else { return lost };
             // One answer too many may come where the next is due; it belongs to no request.
             if head.id != asked.id {
-                if self.stray || !self.reused || head.framing == Framing::UntilClose {
+                if self.stray || !self.reused || head.framing == BodyFraming::UntilClose {
                     return lost;
                 }
                 if !self.body.done() {
@@ -181,7 +183,7 @@
             }
             // Whether its promise may be passed on is decided with all sends in view.
             return match head.not_executed {
-                true => Progress::Ended(Ended::NotRun),
+                true => Progress::AttemptOutcome(AttemptOutcome::NotRun),
                 false => Progress::Ready,
             };
         }
@@ -189,13 +191,13 @@
     /// The whole answer is there.
     fn whole(&mut self) -> Progress {
         match &self.head {
-            Some(head) if head.not_executed => Progress::Ended(Ended::NotRun),
-            Some(head) if head.status >= 500 => Progress::Ended(Ended::Failed),
+            Some(head) if head.not_executed => Progress::AttemptOutcome(AttemptOutcome::NotRun),
+            Some(head) if head.status >= 500 => Progress::AttemptOutcome(AttemptOutcome::Failed),
             _ => Progress::Ready,
         }
     }
     /// The connection, if another request may use it.
-    pub(crate) fn kept(self) -> Option<Stem> {
+    pub(crate) fn kept(self) -> Option<EndpointConnection> {
         let head = self.head.as_ref()?;
         // An answer too many is known by its id; where there is none, nothing may follow.
         let clean = head.id.is_some()
@@ -204,10 +206,10 @@
             && !self.stray
             && !self.ended
             && !head.close
-            && head.framing != Framing::UntilClose;
+            && head.framing != BodyFraming::UntilClose;
         // Closed by the database when its time is over; a request must not meet that.
         let keep = head.keep_s.map_or(IDLE_MS, |s| (s * 1_000).saturating_sub(1_000).min(IDLE_MS));
         let until = Tick::now().plus(keep);
-        clean.then(|| Stem { until, ..self.stem })
+        clean.then(|| EndpointConnection { until, ..self.stem })
     }
 }
--- a/src/gateway/http1.rs
+++ b/src/gateway/http1.rs
@@ -3,11 +3,11 @@
 
 /// What came is no answer of HTTP, or could be read in two ways.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Garbled;
+pub struct ParseError;
 
 /// How long a body is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Framing {
+pub enum BodyFraming {
     Length(u64),
     Chunked,
     /// To the end of the connection; only an answer may be so.
@@ -16,7 +16,7 @@
 
 /// The head of a client's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Asked {
+pub struct RequestHead {
     pub method: String,
     /// Path and query, as they came.
     pub target: String,
@@ -24,7 +24,7 @@
     pub host: String,
     pub id: Option<String>,
     pub deadline_ms: Option<u64>,
-    pub framing: Framing,
+    pub framing: BodyFraming,
     /// The client closes its connection after this one, or knows no kept ones.
     pub close: bool,
     /// It understands chunks.
@@ -35,7 +35,7 @@
     pub passed: Vec<u8>,
 }
 
-impl Asked {
+impl RequestHead {
     pub fn path(&self) -> &str {
         self.target.split('?').next().unwrap_or_default()
     }
@@ -43,14 +43,14 @@
 
 /// The head of a database's answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answered {
+pub struct ResponseHead {
     pub status: u16,
     pub reason: String,
     pub id: Option<String>,
     pub stamped: bool,
     /// The database says that it did not run the request.
     pub not_executed: bool,
-    pub framing: Framing,
+    pub framing: BodyFraming,
     pub close: bool,
     /// For how long the connection is kept, where the database says so.
     pub keep_s: Option<u64>,
@@ -93,21 +93,21 @@
 
 impl Common {
     /// Nothing but one length, or chunks and no length, says how long a body is.
-    fn read(headers: &[httparse::Header<'_>]) -> Result<Self, Garbled> {
+    fn read(headers: &[httparse::Header<'_>]) -> Result<Self, ParseError> {
         let mut common = Self::default();
         for header in headers {
-            let text = || std::str::from_utf8(header.value).map(str::trim).map_err(|_| Garbled);
+            let text = || std::str::from_utf8(header.value).map(str::trim).map_err(|_| ParseError);
             if header.name.eq_ignore_ascii_case("content-length") {
                 let text = text()?;
                 let digits = !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit());
-                let length = text.parse().ok().filter(|_| digits).ok_or(Garbled)?;
+                let length = text.parse().ok().filter(|_| digits).ok_or(ParseError)?;
                 if common.length.is_some_and(|l| l != length) {
-                    return Err(Garbled);
+                    return Err(ParseError);
                 }
                 common.length = Some(length);
             } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
                 if common.chunked || !text()?.eq_ignore_ascii_case("chunked") {
-                    return Err(Garbled);
+                    return Err(ParseError);
                 }
                 common.chunked = true;
             } else if header.name.eq_ignore_ascii_case("connection") {
@@ -119,7 +119,7 @@
             }
         }
         if common.chunked && common.length.is_some() {
-            return Err(Garbled);
+            return Err(ParseError);
         }
         Ok(common)
     }
@@ -141,7 +141,7 @@
 }
 
 /// Reads the head of a request; `None` asks for more bytes. Tells how many bytes it has.
-pub fn read_request(bytes: &[u8], most: usize) -> Result<Option<(Asked, usize)>, Refusal> {
+pub fn read_request(bytes: &[u8], most: usize) -> Result<Option<(RequestHead, usize)>, Refusal> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
     let size = match parsed.parse(bytes) {
@@ -164,15 +164,15 @@
         return Err(bad);
     }
     let common = Common::read(parsed.headers).map_err(|_| bad)?;
-    let mut asked = Asked {
+    let mut asked = RequestHead {
         method: method.to_owned(),
         target: target.to_owned(),
         host: String::new(),
         id: None,
         deadline_ms: None,
         framing: match common.length {
-            _ if common.chunked => Framing::Chunked,
-            length => Framing::Length(length.unwrap_or(0)),
+            _ if common.chunked => BodyFraming::Chunked,
+            length => BodyFraming::Length(length.unwrap_or(0)),
         },
         close: common.close || (!modern && !common.keep),
         modern,
@@ -223,28 +223,31 @@
 }
 
 /// Reads the head of an answer to a request with `method`.
-pub fn read_answer(bytes: &[u8], method: &str) -> Result<Option<(Answered, usize)>, Garbled> {
+pub fn read_answer(
+    bytes: &[u8],
+    method: &str,
+) -> Result<Option<(ResponseHead, usize)>, ParseError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut headers);
     let size = match parsed.parse(bytes) {
         Ok(httparse::Status::Complete(size)) => size,
         Ok(httparse::Status::Partial) if bytes.len() <= MAX_ANSWER_HEAD => return Ok(None),
-        _ => return Err(Garbled),
+        _ => return Err(ParseError),
     };
-    let status = parsed.code.ok_or(Garbled)?;
+    let status = parsed.code.ok_or(ParseError)?;
     let common = Common::read(parsed.headers)?;
     let bodiless = method == "HEAD" || status < 200 || status == 204 || status == 304;
-    let mut answered = Answered {
+    let mut answered = ResponseHead {
         status,
         reason: parsed.reason.unwrap_or_default().to_owned(),
         id: None,
         stamped: false,
         not_executed: false,
         framing: match common.length {
-            _ if bodiless => Framing::Length(0),
-            Some(length) => Framing::Length(length),
-            None if common.chunked => Framing::Chunked,
-            None => Framing::UntilClose,
+            _ if bodiless => BodyFraming::Length(0),
+            Some(length) => BodyFraming::Length(length),
+            None if common.chunked => BodyFraming::Chunked,
+            None => BodyFraming::UntilClose,
         },
         close: common.close || (parsed.version == Some(0) && !common.keep),
         keep_s: None,
@@ -255,7 +258,7 @@
         if header.name.eq_ignore_ascii_case("request-id") {
             let id = text().to_owned();
             if answered.id.replace(id.clone()).is_some_and(|before| before != id) {
-                return Err(Garbled);
+                return Err(ParseError);
             }
         } else if header.name.eq_ignore_ascii_case("response-signature") {
             answered.stamped = !text().is_empty();
@@ -276,7 +279,7 @@
 
 /// Takes a body out of the bytes of a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Body {
+pub struct BodyDecoder {
     stage: Stage,
     /// Bytes of the trailer so far.
     trailer: usize,
@@ -298,13 +301,13 @@
 
 const MAX_CHUNK_HEAD: usize = 256;
 
-impl Body {
-    pub fn new(framing: Framing) -> Self {
+impl BodyDecoder {
+    pub fn new(framing: BodyFraming) -> Self {
         let stage = match framing {
-            Framing::Length(0) => Stage::Done,
-            Framing::Length(n) => Stage::Left(n),
-            Framing::Chunked => Stage::ChunkHead,
-            Framing::UntilClose => Stage::UntilClose,
+            BodyFraming::Length(0) => Stage::Done,
+            BodyFraming::Length(n) => Stage::Left(n),
+            BodyFraming::Chunked => Stage::ChunkHead,
+            BodyFraming::UntilClose => Stage::UntilClose,
         };
         Self { stage, trailer: 0 }
     }
@@ -319,7 +322,7 @@
         self.done()
     }
     /// Appends what belongs to the body to `into`; tells how many bytes were used up.
-    pub fn take(&mut self, from: &[u8], into: &mut Vec<u8>) -> Result<usize, Garbled> {
+    pub fn take(&mut self, from: &[u8], into: &mut Vec<u8>) -> Result<usize, ParseError> {
         let mut at = 0;
         loop {
             let rest = &from[at..];
@@ -351,7 +354,7 @@
                         self.stage = if size == 0 { Stage::Trailer } else { Stage::Chunk(size) };
                     }
                     Ok(httparse::Status::Partial) if rest.len() <= MAX_CHUNK_HEAD => return Ok(at),
-                    _ => return Err(Garbled),
+                    _ => return Err(ParseError),
                 },
                 Stage::ChunkEnd => match rest {
                     [b'\r', b'\n', ..] => {
@@ -359,17 +362,17 @@
                         self.stage = Stage::ChunkHead;
                     }
                     [] | [b'\r'] => return Ok(at),
-                    _ => return Err(Garbled),
+                    _ => return Err(ParseError),
                 },
                 Stage::Trailer => {
                     let Some(end) = rest.iter().position(|b| *b == b'\n') else {
                         let long = self.trailer + rest.len() > MAX_TRAILER;
-                        return if long { Err(Garbled) } else { Ok(at) };
+                        return if long { Err(ParseError) } else { Ok(at) };
                     };
-                    let line = rest[..end].strip_suffix(b"\r").ok_or(Garbled)?;
+                    let line = rest[..end].strip_suffix(b"\r").ok_or(ParseError)?;
                     self.trailer += end;
                     if self.trailer > MAX_TRAILER {
-                        return Err(Garbled);
+                        return Err(ParseError);
                     }
                     at += end + 1;
                     if line.is_empty() {
--- a/src/gateway/load_balancing.rs
+++ b/src/gateway/load_balancing.rs
@@ -48,12 +48,12 @@
 
 /// Times of recent answers of a service, and from when on one is late.
 #[derive(Clone, Debug, Default)]
-pub struct Pace {
+pub struct LatencyEstimator {
     mean: f64,
     spread: f64,
 }
 
-impl Pace {
+impl LatencyEstimator {
     pub fn learn(&mut self, ms: u64) {
         let ms = ms as f64;
         if self.mean == 0.0 {
--- a/src/gateway/outlier_detection.rs
+++ b/src/gateway/outlier_detection.rs
@@ -3,7 +3,7 @@
 
 /// What a node has seen of a database, and whether it is tried at the moment.
 #[derive(Clone, Debug, Default)]
-pub struct Health {
+pub struct OutlierDetector {
     /// Time of recent answers, in ms; 0 with none.
     pub pace: f64,
     out_until: Tick,
@@ -26,7 +26,7 @@
 /// A failed answer alone may be the request's own fault; so many lately are not.
 const FAILED_ANSWERS: f64 = 1.5;
 
-impl Health {
+impl OutlierDetector {
     pub fn served(&mut self, ms: u64) {
         let ms = ms.max(1) as f64;
         self.pace = if self.pace == 0.0 { ms } else { self.pace * 0.8 + ms * 0.2 };
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -5,25 +5,27 @@
 use crate::base::sync::lock;
 use crate::base::time::Tick;
 use crate::base::worker_pool::{must_start, start_thread};
-use crate::config::route_table::Lanes;
+use crate::config::route_table::RouteTable;
 use crate::config::settings::{Settings, Watched};
-use crate::gateway::attempts::{Ended, Next, Tries};
-use crate::gateway::client_connection::{Client, Filled, Guest, Visit};
+use crate::gateway::attempts::{AttemptOutcome, AttemptPolicy, Next};
+use crate::gateway::client_connection::{Client, ClientConnection, ClientGuard, Filled};
 use crate::gateway::forwarding::{
-    CONNECT_MS, Errand, HELD_BODY, Leg, MARGIN_MS, MOST_CONNECT_MS, Progress, Say, TAKES_NOTHING,
-    send_whole, wait_for,
+    Attempt, CONNECT_MS, ForwardResult, HELD_BODY, MARGIN_MS, MOST_CONNECT_MS, Progress,
+    RequestContext, TAKES_NOTHING, send_whole, wait_for,
+};
+use crate::gateway::http1::{
+    BodyDecoder, BodyFraming, ParseError, RequestHead, add_line, as_chunk, read_request,
 };
-use crate::gateway::http1::{Asked, Body, Framing, Garbled, add_line, as_chunk, read_request};
 use crate::gateway::load_balancing::digest;
-use crate::gateway::outlier_detection::Health;
+use crate::gateway::outlier_detection::OutlierDetector;
 use crate::gateway::retry_budget::RetryBudget;
-use crate::gateway::upstreams::{MAX_IDLE, Orchard, Stem, Taken};
+use crate::gateway::upstreams::{EndpointConnection, EndpointGuard, MAX_IDLE, Upstreams};
 use crate::net::http;
-use crate::net::idle_connections::{Parked, has_news};
-use crate::net::leader_connection::{Follower, Link};
-use crate::net::rpc::pooler_messages::{Plot, ToSteward, ToStile};
+use crate::net::idle_connections::{IdleConnections, has_news};
+use crate::net::leader_connection::{LeaderConnection, LeaderSubscriber};
+use crate::net::rpc::pooler_messages::{SubsetRange, ToController, ToPooler};
 use crate::net::sockets::{dial, listen, tune};
-use crate::net::statement_protocol::Inbox;
+use crate::net::statement_protocol::ReadBuffer;
 use log::{debug, info, warn};
 use std::collections::HashMap;
 use std::io::{self, Write};
@@ -33,16 +35,16 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::Duration;
 
-pub(crate) struct Wicket {
+pub(crate) struct Gateway {
     node: NodeName,
     zone: String,
     life: u64,
-    link: Link,
+    link: LeaderConnection,
     seq: AtomicU64,
     renewed: AtomicU64,
     /// The last renewal that was answered on this connection.
     heard: AtomicU64,
-    orchard: Mutex<Orchard>,
+    orchard: Mutex<Upstreams>,
     /// A database has room again, or there is news.
     changed: Condvar,
     budget: Mutex<RetryBudget>,
@@ -50,8 +52,8 @@
     draining: AtomicBool,
     /// While draining, resting clients are sent off from here on.
     closing: AtomicBool,
-    pub(crate) guests: Mutex<HashMap<u64, Arc<Guest>>>,
-    parked: Parked<Visit>,
+    pub(crate) guests: Mutex<HashMap<u64, Arc<ClientConnection>>>,
+    parked: IdleConnections<ClientGuard>,
     next_guest: AtomicU64,
     max_guests: usize,
     counts: Counts,
@@ -76,8 +78,8 @@
 /// Used where the client sets no deadline.
 const DEADLINE_MS: u64 = 60_000;
 
-impl Wicket {
-    fn config(&self) -> Option<Arc<Lanes>> {
+impl Gateway {
+    fn config(&self) -> Option<Arc<RouteTable>> {
         lock(&self.orchard).config.clone()
     }
     /// It knows what to serve.
@@ -101,7 +103,7 @@
         let seq = self.seq.fetch_add(1, Ordering::Relaxed) + 1;
         let heard = self.heard.load(Ordering::Relaxed);
         let (shares, wants, saw, asks) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
-        self.link.tell(ToSteward::Renew { seq, heard, shares, wants, saw, asks, busy });
+        self.link.tell(ToController::RenewLeases { seq, heard, shares, wants, saw, asks, busy });
     }
     /// How busy this node is, where that is news.
     fn busy(&self, ms: u64) -> Vec<(ServiceName, u32)> {
@@ -110,7 +112,7 @@
         rows.filter_map(|(name, row)| Some((name.clone(), row.work.news(ms)?))).collect()
     }
     /// A wicket never goes back to an older version.
-    fn configured(&self, config: Lanes) {
+    fn configured(&self, config: RouteTable) {
         let mut orchard = lock(&self.orchard);
         if orchard.config.as_ref().is_none_or(|c| c.revision < config.revision) {
             info!(target: "wicket", "configuration {} is in force", config.revision);
@@ -155,7 +157,12 @@
     // -- databases -----------------------------------------------------------------------------
 
     /// Takes a database, waiting for one with room until `until`.
-    fn take(&self, errand: &Errand<'_>, tried: &[InstanceId], until: Tick) -> Option<Taken> {
+    fn take(
+        &self,
+        errand: &RequestContext<'_>,
+        tried: &[InstanceId],
+        until: Tick,
+    ) -> Option<EndpointGuard> {
         let fresh = !errand.lane.route_type.repeatable();
         let mut orchard = lock(&self.orchard);
         loop {
@@ -176,8 +183,8 @@
         &self,
         id: &InstanceId,
         took: u64,
-        seen: impl FnOnce(&mut Health),
-        stem: Option<Stem>,
+        seen: impl FnOnce(&mut OutlierDetector),
+        stem: Option<EndpointConnection>,
     ) {
         {
             let mut orchard = lock(&self.orchard);
@@ -200,9 +207,13 @@
     }
 
     /// Sends the request to a database. `Err` tells how that ended.
-    fn send_to(&self, errand: &Errand<'_>, taken: Taken) -> Result<Leg, (InstanceId, Ended)> {
-        let Taken { id, address, stem } = taken;
-        let fail = |id: InstanceId, ended: Ended| {
+    fn send_to(
+        &self,
+        errand: &RequestContext<'_>,
+        taken: EndpointGuard,
+    ) -> Result<Attempt, (InstanceId, AttemptOutcome)> {
+        let EndpointGuard { id, address, stem } = taken;
+        let fail = |id: InstanceId, ended: AttemptOutcome| {
             let now = Tick::now();
             self.release(&id, 0, |h| h.broke(now), None);
             Err((id, ended))
@@ -222,19 +233,23 @@
                     // A refusal is quick; what is not may be this node's own link.
                     lock(&self.orchard).reach.learn(Tick::now().since(now));
                     match dialled {
-                        Ok(stream) => Stem { stream, inbox: Inbox::default(), until: Tick(0) },
+                        Ok(stream) => EndpointConnection {
+                            stream,
+                            inbox: ReadBuffer::default(),
+                            until: Tick(0),
+                        },
                         Err(e) if e.kind() == io::ErrorKind::TimedOut => {
                             self.release(&id, 0, |h| h.unreached(Tick::now()), None);
-                            return Err((id, Ended::NotSent));
+                            return Err((id, AttemptOutcome::NotSent));
                         }
-                        Err(_) => return fail(id, Ended::NotSent),
+                        Err(_) => return fail(id, AttemptOutcome::NotSent),
                     }
                 }
             };
             let sent = Tick::now();
             let head = self.head_for(errand, &id, sent);
             let patient = one.stream.set_write_timeout(Some(Duration::from_secs(2)));
-            let done = patient.map_err(|_| Ended::NotSent).and_then(|()| {
+            let done = patient.map_err(|_| AttemptOutcome::NotSent).and_then(|()| {
                 if head.len() + errand.body.len() <= 64 << 10 {
                     let mut all = head;
                     all.extend_from_slice(errand.body);
@@ -245,27 +260,27 @@
             });
             match done {
                 Ok(()) => {
-                    return Ok(Leg {
+                    return Ok(Attempt {
                         id,
                         address,
                         stem: one,
                         reused,
                         sent,
                         head: None,
-                        body: Body::new(Framing::Length(0)),
+                        body: BodyDecoder::new(BodyFraming::Length(0)),
                         held: Vec::new(),
                         stray: false,
                         ended: false,
                     });
                 }
                 // Closed while it rested, and nothing of the request has left.
-                Err(Ended::NotSent) if reused => {}
+                Err(AttemptOutcome::NotSent) if reused => {}
                 Err(ended) => return fail(id, ended),
             }
         }
-        fail(id, Ended::NotSent)
+        fail(id, AttemptOutcome::NotSent)
     }
-    fn head_for(&self, errand: &Errand<'_>, id: &InstanceId, now: Tick) -> Vec<u8> {
+    fn head_for(&self, errand: &RequestContext<'_>, id: &InstanceId, now: Tick) -> Vec<u8> {
         let asked = errand.asked;
         let mut head = Vec::with_capacity(asked.passed.len() + 256);
         head.extend_from_slice(
@@ -276,13 +291,13 @@
         add_line(&mut head, "Deadline-Ms", left.to_string().as_bytes());
         add_line(&mut head, "Target-Instance", id.0.as_bytes());
         match (&errand.rest, asked.framing) {
-            (Some(_), Framing::Length(all)) => {
+            (Some(_), BodyFraming::Length(all)) => {
                 add_line(&mut head, "Content-Length", all.to_string().as_bytes());
             }
             (Some(_), _) => add_line(&mut head, "Transfer-Encoding", b"chunked"),
             // A body that was held came whole, and its length is known by now.
             (None, framing) => {
-                let bodiless = framing == Framing::Length(0);
+                let bodiless = framing == BodyFraming::Length(0);
                 let usual = !matches!(asked.method.as_str(), "POST" | "PUT" | "PATCH");
                 if !bodiless || !usual {
                     add_line(&mut head, "Content-Length", errand.body.len().to_string().as_bytes());
@@ -296,11 +311,15 @@
     // -- one request ---------------------------------------------------------------------------
 
     /// Carries a request to a database and finds an answer to it.
-    fn carry(&self, errand: &mut Errand<'_>, client: &mut Client<'_>) -> io::Result<Say> {
+    fn carry(
+        &self,
+        errand: &mut RequestContext<'_>,
+        client: &mut Client<'_>,
+    ) -> io::Result<ForwardResult> {
         let lane = errand.lane;
-        let mut tries = Tries::new(lane.route_type.repeatable(), lane.max_attempts);
+        let mut tries = AttemptPolicy::new(lane.route_type.repeatable(), lane.max_attempts);
         let mut tried: Vec<InstanceId> = Vec::new();
-        let mut legs: Vec<Leg> = Vec::new();
+        let mut legs: Vec<Attempt> = Vec::new();
         let patience = {
             let orchard = lock(&self.orchard);
             let row = orchard.services.get(errand.service);
@@ -336,7 +355,7 @@
                                             // The client's connection has the end of it unread.
                                             errand.rest = Some(rest);
                                             self.drop_leg(leg, true);
-                                            return Ok(Say::Own(ended, 0));
+                                            return Ok(ForwardResult::Own(ended, 0));
                                         }
                                         Err(e) => {
                                             self.drop_leg(leg, false);
@@ -347,7 +366,7 @@
                                 legs.push(leg);
                             }
                             Err((_, ended)) => {
-                                if ended != Ended::NotSent {
+                                if ended != AttemptOutcome::NotSent {
                                     tries.offered();
                                 }
                                 let others = !legs.is_empty();
@@ -400,15 +419,16 @@
                             let late = leg.sent < winner.sent;
                             self.drop_leg(leg, late);
                         }
-                        return Ok(Say::Leg(Box::new(winner)));
+                        return Ok(ForwardResult::Attempt(Box::new(winner)));
                     }
-                    Progress::Ended(ended) => {
+                    Progress::AttemptOutcome(ended) => {
                         let leg = legs.swap_remove(at);
                         // Most likely forgotten while it rested: the same database may have it again,
                         // on a connection of its own.
                         if lane.route_type.repeatable() && !streamed && leg.forgotten() {
                             tries.sent_anew();
-                            let taken = Taken { id: leg.id, address: leg.address, stem: None };
+                            let taken =
+                                EndpointGuard { id: leg.id, address: leg.address, stem: None };
                             match self.send_to(errand, taken) {
                                 Ok(leg) => legs.push(leg),
                                 Err((_, ended)) => {
@@ -431,12 +451,14 @@
                                 self.judge(leg, ended);
                             }
                             _ if others => self.judge(leg, ended),
-                            Next::Pass if leg.body.done() => return Ok(Say::Leg(Box::new(leg))),
+                            Next::Pass if leg.body.done() => {
+                                return Ok(ForwardResult::Attempt(Box::new(leg)));
+                            }
                             Next::Pass => {
                                 self.judge(leg, ended);
                                 // Its own words are too many to be held; these say the same.
                                 let same = match ended {
-                                    Ended::NotRun => Refusal::Full,
+                                    AttemptOutcome::NotRun => Refusal::Full,
                                     _ => Refusal::Lost,
                                 };
                                 return Ok(self.own(errand, same));
@@ -452,42 +474,48 @@
             }
         }
     }
-    fn next(&self, errand: &Errand<'_>, tries: &mut Tries, ended: Ended, others: bool) -> Next {
+    fn next(
+        &self,
+        errand: &RequestContext<'_>,
+        tries: &mut AttemptPolicy,
+        ended: AttemptOutcome,
+        others: bool,
+    ) -> Next {
         let now = Tick::now();
         let time = now.plus(MARGIN_MS) < errand.limit;
         let budget = lock(&self.budget).has(now);
         tries.after(ended, others, time, budget)
     }
-    fn own(&self, errand: &Errand<'_>, refusal: Refusal) -> Say {
+    fn own(&self, errand: &RequestContext<'_>, refusal: Refusal) -> ForwardResult {
         match refusal {
             Refusal::Full => count(&self.counts.refused),
             Refusal::Lost | Refusal::Late => count(&self.counts.lost),
             _ => {}
         }
-        Say::Own(refusal, (errand.lane.target_latency_ms / 4).clamp(50, 1_000))
+        ForwardResult::Own(refusal, (errand.lane.target_latency_ms / 4).clamp(50, 1_000))
     }
     /// The connection of this leg is of no more use.
-    fn drop_leg(&self, leg: Leg, late: bool) {
+    fn drop_leg(&self, leg: Attempt, late: bool) {
         let now = Tick::now();
-        let seen = |h: &mut Health| {
+        let seen = |h: &mut OutlierDetector| {
             if late {
                 h.broke(now);
             }
         };
         self.release(&leg.id, now.since(leg.sent), seen, None);
     }
-    fn judge(&self, leg: Leg, ended: Ended) {
+    fn judge(&self, leg: Attempt, ended: AttemptOutcome) {
         let now = Tick::now();
         let reused = leg.reused;
-        let see = |h: &mut Health| match ended {
-            Ended::NotRun => h.full(now),
-            Ended::Failed => h.failed(now),
+        let see = |h: &mut OutlierDetector| match ended {
+            AttemptOutcome::NotRun => h.full(now),
+            AttemptOutcome::Failed => h.failed(now),
             // A resting connection may be forgotten by the best of databases.
-            Ended::MayHaveRun if reused => {}
-            Ended::NotSent | Ended::MayHaveRun => h.broke(now),
+            AttemptOutcome::MayHaveRun if reused => {}
+            AttemptOutcome::NotSent | AttemptOutcome::MayHaveRun => h.broke(now),
         };
         self.release(&leg.id.clone(), now.since(leg.sent), see, leg.kept());
-        if ended == Ended::MayHaveRun
+        if ended == AttemptOutcome::MayHaveRun
             && now.since(Tick(self.garbled.load(Ordering::Relaxed))) >= 1_000
         {
             self.garbled.store(now.0, Ordering::Relaxed);
@@ -498,19 +526,19 @@
     /// Sends on a body that is too large to be held, as it comes.
     fn send_rest(
         &self,
-        errand: &Errand<'_>,
-        leg: &mut Leg,
-        body: &mut Body,
+        errand: &RequestContext<'_>,
+        leg: &mut Attempt,
+        body: &mut BodyDecoder,
         client: &mut Client<'_>,
     ) -> io::Result<Option<Refusal>> {
-        let chunked = errand.asked.framing == Framing::Chunked;
+        let chunked = errand.asked.framing == BodyFraming::Chunked;
         let mut sent = errand.body.len() as u64;
         let mut piece = Vec::new();
         while !body.done() {
             piece.clear();
             let used = match body.take(client.inbox.pending(), &mut piece) {
                 Ok(used) => used,
-                Err(Garbled) => return Ok(Some(Refusal::Unreadable)),
+                Err(ParseError) => return Ok(Some(Refusal::Unreadable)),
             };
             client.inbox.use_up(used);
             sent += piece.len() as u64;
@@ -536,10 +564,11 @@
     }
 }
 
-impl Wicket {
+impl Gateway {
     /// Serves one client until it rests or its connection ends; true if it rests.
-    fn attend(&self, guest: &Guest) -> io::Result<bool> {
-        let mut client = Client { stream: &guest.stream, inbox: Inbox::default(), max_body: 0 };
+    fn attend(&self, guest: &ClientConnection) -> io::Result<bool> {
+        let mut client =
+            Client { stream: &guest.stream, inbox: ReadBuffer::default(), max_body: 0 };
         loop {
             let Some(config) = self.config() else { return Ok(false) };
             let limits = &config.limits;
@@ -589,10 +618,15 @@
     }
 
     /// Serves one request; false when the connection ends with it.
-    fn serve(&self, config: &Lanes, asked: &Asked, client: &mut Client<'_>) -> io::Result<bool> {
+    fn serve(
+        &self,
+        config: &RouteTable,
+        asked: &RequestHead,
+        client: &mut Client<'_>,
+    ) -> io::Result<bool> {
         let arrived = Tick::now();
         let close = asked.close || self.draining.load(Ordering::Relaxed);
-        if let Framing::Length(length) = asked.framing
+        if let BodyFraming::Length(length) = asked.framing
             && length > client.max_body
         {
             self.refuse(client, Refusal::TooLarge, 0, true)?;
@@ -603,21 +637,21 @@
         let found = found.and_then(|lane| Some((lane, config.service(lane, number)?)));
         let Some((lane, service)) = found else {
             // A body that nobody reads ends the connection.
-            let close = close || asked.framing != Framing::Length(0);
+            let close = close || asked.framing != BodyFraming::Length(0);
             self.refuse(client, Refusal::NoRoute, 0, close)?;
             return Ok(!close);
         };
         let wait = asked.deadline_ms.unwrap_or(DEADLINE_MS).min(lane.timeout_ms);
         let limit = arrived.plus(wait);
-        if asked.expects && asked.framing != Framing::Length(0) && client.inbox.is_empty() {
+        if asked.expects && asked.framing != BodyFraming::Length(0) && client.inbox.is_empty() {
             client.write(b"HTTP/1.1 100 Continue\r\n\r\n")?;
         }
-        let mut body = Body::new(asked.framing);
+        let mut body = BodyDecoder::new(asked.framing);
         let mut held = Vec::new();
         while !body.done() && held.len() < HELD_BODY {
             let used = match body.take(client.inbox.pending(), &mut held) {
                 Ok(used) => used,
-                Err(Garbled) => {
+                Err(ParseError) => {
                     self.refuse(client, Refusal::Unreadable, 0, true)?;
                     return Ok(false);
                 }
@@ -640,18 +674,18 @@
             }
         }
         let rest = (!body.done()).then_some(body);
-        if rest.is_some() && asked.framing == Framing::Chunked {
+        if rest.is_some() && asked.framing == BodyFraming::Chunked {
             held = as_chunk(&held);
         }
         lock(&self.budget).asked(arrived);
-        let mut errand = Errand { asked, lane, service, arrived, limit, body: &held, rest };
+        let mut errand = RequestContext { asked, lane, service, arrived, limit, body: &held, rest };
         match self.carry(&mut errand, client)? {
-            Say::Own(refusal, come_back_ms) => {
+            ForwardResult::Own(refusal, come_back_ms) => {
                 let close = close || refusal.answer().closes || client.half_read(&errand);
                 self.refuse(client, refusal, come_back_ms, close)?;
                 Ok(!close)
             }
-            Say::Leg(leg) => self.pass(service, asked, *leg, client, close),
+            ForwardResult::Attempt(leg) => self.pass(service, asked, *leg, client, close),
         }
     }
 
@@ -659,8 +693,8 @@
     fn pass(
         &self,
         service: &ServiceName,
-        asked: &Asked,
-        mut leg: Leg,
+        asked: &RequestHead,
+        mut leg: Attempt,
         client: &mut Client<'_>,
         mut close: bool,
     ) -> io::Result<bool> {
@@ -675,7 +709,7 @@
         let mut chunked = false;
         if !bodiless {
             match head.framing {
-                Framing::Length(n) => {
+                BodyFraming::Length(n) => {
                     add_line(&mut out, "Content-Length", n.to_string().as_bytes())
                 }
                 _ if whole => {
@@ -725,7 +759,7 @@
             let mut piece = Vec::new();
             match leg.body.take(leg.stem.inbox.pending(), &mut piece) {
                 Ok(used) => leg.stem.inbox.use_up(used),
-                Err(Garbled) => {
+                Err(ParseError) => {
                     broken = Some(());
                     break;
                 }
@@ -745,13 +779,13 @@
                 row.pace.learn(took);
             }
         }
-        let see = |h: &mut Health| match (broken, head.not_executed) {
+        let see = |h: &mut OutlierDetector| match (broken, head.not_executed) {
             (Some(()), _) => h.broke(now),
             (None, true) => h.full(now),
             _ if failed => h.failed(now),
             _ => h.served(took),
         };
-        let kept = |leg: Leg| if broken.is_none() { leg.kept() } else { None };
+        let kept = |leg: Attempt| if broken.is_none() { leg.kept() } else { None };
         self.release(&leg.id.clone(), now.since(leg.sent), see, kept(leg));
         sent?;
         if broken.is_some() {
@@ -800,9 +834,9 @@
         }
         let id = self.next_guest.fetch_add(1, Ordering::Relaxed);
         let resting = AtomicU64::new(Tick::now().0);
-        let guest = Arc::new(Guest { stream, resting, watched: AtomicBool::new(false) });
+        let guest = Arc::new(ClientConnection { stream, resting, watched: AtomicBool::new(false) });
         lock(&self.guests).insert(id, Arc::clone(&guest));
-        self.hand(Visit { id, guest, wicket: Arc::clone(self) });
+        self.hand(ClientGuard { id, guest, wicket: Arc::clone(self) });
     }
     /// Closes connections that rested for longer than they may.
     fn send_off_idle(&self, now: Tick) {
@@ -815,7 +849,7 @@
         }
     }
     /// Has a thread serve a client. Without any, its connection ends.
-    fn hand(&self, visit: Visit) {
+    fn hand(&self, visit: ClientGuard) {
         start_thread(move || {
             let guest = Arc::clone(&visit.guest);
             match visit.wicket.attend(&guest) {
@@ -832,10 +866,10 @@
     }
 }
 
-impl Follower for Wicket {
-    fn hello(&self) -> ToSteward {
+impl LeaderSubscriber for Gateway {
+    fn hello(&self) -> ToController {
         let revision = self.config().map_or(Revision(0), |c| c.revision);
-        ToSteward::Hello {
+        ToController::Hello {
             node: self.node.clone(),
             life: self.life,
             revision,
@@ -851,21 +885,21 @@
     fn begin(&self) {
         self.renew();
     }
-    fn hear(&self, message: ToStile) {
+    fn hear(&self, message: ToPooler) {
         match message {
-            ToStile::Elsewhere(_) | ToStile::Welcome { .. } | ToStile::Revoke { .. } => {}
-            ToStile::Configured(config) => self.configured(*config),
-            ToStile::Changed(changed) => {
+            ToPooler::NotLeader(_) | ToPooler::Welcome { .. } | ToPooler::Revoke { .. } => {}
+            ToPooler::RouteTable(config) => self.configured(*config),
+            ToPooler::RouteTableDelta(changed) => {
                 let config = self.config();
                 if config.as_ref().is_some_and(|c| c.revision >= changed.revision) {
                     return;
                 }
                 match config.and_then(|c| c.with(&changed)) {
                     Some(config) => self.configured(config),
-                    None => self.link.tell(ToSteward::Whole),
+                    None => self.link.tell(ToController::RequestFullTable),
                 }
             }
-            ToStile::Directory(listed) => {
+            ToPooler::Directory(listed) => {
                 let mut orchard = lock(&self.orchard);
                 let named = |id: &InstanceId| listed.iter().any(|l| l.id == *id);
                 let gone: Vec<_> = orchard.trees.keys().filter(|id| !named(id)).cloned().collect();
@@ -874,24 +908,24 @@
                 orchard.settle(&self.zone);
                 orchard.listed = true;
             }
-            ToStile::Moved { listed, gone } => {
+            ToPooler::DirectoryDelta { listed, gone } => {
                 let mut orchard = lock(&self.orchard);
                 gone.iter().for_each(|id| orchard.remove(id));
                 listed.into_iter().for_each(|one| orchard.upsert(one));
                 orchard.settle(&self.zone);
             }
-            ToStile::Granted { seq, plots, .. } => {
+            ToPooler::LeaseGrants { seq, plots, .. } => {
                 self.heard.store(seq, Ordering::Relaxed);
                 if plots.is_empty() {
                     return;
                 }
                 let mut orchard = lock(&self.orchard);
-                for Plot { service, from, upto } in plots {
+                for SubsetRange { service, from, upto } in plots {
                     orchard.services.entry(service).or_default().plot = Some((from, upto));
                 }
                 orchard.settle(&self.zone);
             }
-            ToStile::Renew => self.renew(),
+            ToPooler::RenewNow => self.renew(),
         }
         self.changed.notify_all();
     }
@@ -917,11 +951,11 @@
     let files = settings.limits.max_open_files.saturating_sub(SPARE_FILES).max(16) / 2;
     let bounds = &settings.timing_bounds;
     let budget = RetryBudget::new(bounds.retry_ratio, 1_000 * bounds.retry_window_s);
-    let wicket = Arc::new(Wicket {
+    let wicket = Arc::new(Gateway {
         node: settings.node(),
         zone: settings.zone.clone(),
         life: rand::random(),
-        link: Link::new("wicket", settings.seed_peers()),
+        link: LeaderConnection::new("wicket", settings.seed_peers()),
         seq: AtomicU64::new(0),
         renewed: AtomicU64::new(0),
         heard: AtomicU64::new(0),
@@ -932,7 +966,7 @@
         draining: AtomicBool::new(false),
         closing: AtomicBool::new(false),
         guests: Mutex::default(),
-        parked: Parked::new("wicket").map_err(|e| Fatal::Call(e.to_string()))?,
+        parked: IdleConnections::new("wicket").map_err(|e| Fatal::Call(e.to_string()))?,
         next_guest: AtomicU64::new(1),
         max_guests: files as usize,
         counts: Counts::default(),
@@ -974,7 +1008,7 @@
 
 /// The loop that keeps in touch with the leader and ends the program in order.
 fn tend(
-    wicket: &Arc<Wicket>,
+    wicket: &Arc<Gateway>,
     signals: &Signals,
     mut watched: Watched,
     mut settings: Settings,
@@ -1006,12 +1040,12 @@
         }
         // Takes nothing more from clients that rest; what was read is still answered.
         wicket.closing.store(true, Ordering::Relaxed);
-        let guests: Vec<Arc<Guest>> = lock(&wicket.guests).values().cloned().collect();
+        let guests: Vec<Arc<ClientConnection>> = lock(&wicket.guests).values().cloned().collect();
         for guest in guests.iter().filter(|g| g.rests().is_some()) {
             drop(guest.stream.shutdown(Shutdown::Read));
         }
         if guests.is_empty() || waited + 300 > grace {
-            wicket.link.tell(ToSteward::Bye);
+            wicket.link.tell(ToController::Goodbye);
             info!(target: "wicket", "stopped with {} clients", guests.len());
             return Ok(());
         }
--- a/src/gateway/upstreams.rs
+++ b/src/gateway/upstreams.rs
@@ -1,49 +1,49 @@
 //! The databases of each service, with their idle connections and load.
 use crate::base::ids::{InstanceId, ServiceName};
 use crate::base::time::Tick;
-use crate::config::directory::Listed;
-use crate::config::route_table::Lanes;
-use crate::gateway::load_balancing::{Candidate, Pace, Work, choose, homes};
-use crate::gateway::outlier_detection::Health;
-use crate::net::statement_protocol::Inbox;
+use crate::config::directory::DirectoryEntry;
+use crate::config::route_table::RouteTable;
+use crate::gateway::load_balancing::{Candidate, LatencyEstimator, Work, choose, homes};
+use crate::gateway::outlier_detection::OutlierDetector;
+use crate::net::statement_protocol::ReadBuffer;
 use std::collections::{BTreeMap, HashMap};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
 
 /// A connection to a database.
-pub(crate) struct Stem {
+pub(crate) struct EndpointConnection {
     pub(crate) stream: TcpStream,
-    pub(crate) inbox: Inbox,
+    pub(crate) inbox: ReadBuffer,
     /// Nothing may be sent on it after this.
     pub(crate) until: Tick,
 }
 
-pub(crate) struct Tree {
+pub(crate) struct Endpoint {
     pub(crate) service: ServiceName,
     pub(crate) address: SocketAddr,
     pub(crate) zone: String,
     pub(crate) capacity: u32,
     pub(crate) draining: bool,
-    pub(crate) health: Health,
+    pub(crate) health: OutlierDetector,
     pub(crate) load: u32,
-    pub(crate) idle: Vec<Stem>,
+    pub(crate) idle: Vec<EndpointConnection>,
 }
 
 /// What this wicket knows.
 #[derive(Default)]
-pub(crate) struct Orchard {
-    pub(crate) config: Option<Arc<Lanes>>,
+pub(crate) struct Upstreams {
+    pub(crate) config: Option<Arc<RouteTable>>,
     pub(crate) listed: bool,
-    pub(crate) trees: BTreeMap<InstanceId, Tree>,
-    pub(crate) services: HashMap<ServiceName, Row>,
+    pub(crate) trees: BTreeMap<InstanceId, Endpoint>,
+    pub(crate) services: HashMap<ServiceName, UpstreamService>,
     /// How long connections to databases take.
-    pub(crate) reach: Pace,
+    pub(crate) reach: LatencyEstimator,
 }
 
 #[derive(Default)]
-pub(crate) struct Row {
+pub(crate) struct UpstreamService {
     trees: Vec<InstanceId>,
-    pub(crate) pace: Pace,
+    pub(crate) pace: LatencyEstimator,
     /// The part of the zone's databases that is used first, and what that comes to.
     pub(crate) plot: Option<(u32, u32)>,
     homes: HashMap<InstanceId, f64>,
@@ -51,10 +51,10 @@
 }
 
 /// A database that was taken for a request.
-pub(crate) struct Taken {
+pub(crate) struct EndpointGuard {
     pub(crate) id: InstanceId,
     pub(crate) address: SocketAddr,
-    pub(crate) stem: Option<Stem>,
+    pub(crate) stem: Option<EndpointConnection>,
 }
 
 /// Connections to one database that rest.
@@ -66,8 +66,8 @@
 /// A request that can't be repeated goes only on a connection that rested no longer.
 const FRESH_MS: u64 = 20;
 
-impl Orchard {
-    pub(crate) fn upsert(&mut self, listed: Listed) {
+impl Upstreams {
+    pub(crate) fn upsert(&mut self, listed: DirectoryEntry) {
         let known = self.trees.get_mut(&listed.id);
         match known.filter(|t| t.address == listed.address && t.service == listed.service) {
             Some(tree) => {
@@ -82,13 +82,13 @@
                 self.remove(&listed.id);
                 let row = self.services.entry(listed.service.clone()).or_default();
                 row.trees.push(listed.id.clone());
-                let tree = Tree {
+                let tree = Endpoint {
                     service: listed.service,
                     address: listed.address,
                     zone: listed.zone,
                     capacity: listed.capacity,
                     draining: listed.draining,
-                    health: Health::default(),
+                    health: OutlierDetector::default(),
                     load: 0,
                     idle: Vec::new(),
                 };
@@ -120,7 +120,7 @@
         tried: &[InstanceId],
         fresh: bool,
         now: Tick,
-    ) -> Option<Taken> {
+    ) -> Option<EndpointGuard> {
         let row = self.services.get(service)?;
         let (mut ids, mut candidates) = (Vec::new(), Vec::new());
         for id in &row.trees {
@@ -148,6 +148,6 @@
         // The one that was used last is the likeliest to live.
         let usable = tree.idle.last().is_some_and(|s| s.until.since(now) > need);
         let stem = if usable { tree.idle.pop() } else { None };
-        Some(Taken { address: tree.address, id, stem })
+        Some(EndpointGuard { address: tree.address, id, stem })
     }
 }
--- a/src/leases/lease_table.rs
+++ b/src/leases/lease_table.rs
@@ -1,7 +1,7 @@
 //! The leases that poolers hold on primaries, and their quotas of connections.
 use crate::base::ids::{DbTerm, NodeName, Position, ServiceName};
 use crate::base::time::Tick;
-use crate::net::rpc::pooler_messages::{Grant, Standing};
+use crate::net::rpc::pooler_messages::{LeaseGrant, PrimaryStatus};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How long a stile may use what it was last granted, from when it asked.
@@ -27,14 +27,14 @@
 
 /// One stile, as the leader accounts for it.
 #[derive(Clone, Debug, Default)]
-pub struct Seat {
+pub struct PoolerLeases {
     pub life: u64,
     pub conn: Option<u64>,
     pub lost: Option<Tick>,
     /// Its connections are counted no more, unless it comes back.
     released: bool,
     /// What it was last told. Whoever leads in here is leased to it as of `granted`.
-    pub(crate) told: BTreeMap<ServiceName, Grant>,
+    pub(crate) told: BTreeMap<ServiceName, LeaseGrant>,
     pub(crate) granted: Tick,
     /// Leases that were not renewed further, and when they were last granted.
     ended: BTreeMap<ServiceName, (DbTerm, Tick)>,
@@ -45,7 +45,7 @@
     pub(crate) heard: Tick,
 }
 
-impl Seat {
+impl PoolerLeases {
     /// Connections it may have to a database of the service.
     fn holds(&self, service: &ServiceName) -> u32 {
         let told = self.told.get(service).map_or(0, |g| g.share);
@@ -57,13 +57,15 @@
     }
     /// When this leader last granted it a lease on the service.
     fn leased(&self, service: &ServiceName) -> Option<Tick> {
-        let led = |g: &&Grant| matches!(g.standing, Standing::Led { .. });
+        let led = |g: &&LeaseGrant| matches!(g.standing, PrimaryStatus::Active { .. });
         let now = self.told.get(service).filter(led).map(|_| self.granted);
         now.max(self.ended.get(service).map(|(_, at)| *at))
     }
     /// The lease on this service is renewed no more; it runs out by itself.
     fn end(&mut self, service: &ServiceName) {
-        if let Some(Grant { standing: Standing::Led { term, .. }, .. }) = self.told.get(service) {
+        if let Some(LeaseGrant { standing: PrimaryStatus::Active { term, .. }, .. }) =
+            self.told.get(service)
+        {
             self.ended.insert(service.clone(), (*term, self.granted));
         }
     }
@@ -74,8 +76,8 @@
 /// One lease covers all services of a stile. An answer to a renewal renews whatever it was told
 /// before on the same connection, so only what changed is told.
 #[derive(Clone, Debug, Default)]
-pub struct LeaseBook {
-    pub seats: BTreeMap<NodeName, Seat>,
+pub struct LeaseTable {
+    pub seats: BTreeMap<NodeName, PoolerLeases>,
     pub(crate) elected: Tick,
     live: u32,
     /// For each service, the connections that all stiles may have.
@@ -91,7 +93,7 @@
     granted.plus(LEASE_MS + LEASE_SLACK_MS)
 }
 
-impl LeaseBook {
+impl LeaseTable {
     pub fn new(elected: Tick) -> Self {
         Self { elected, ..Self::default() }
     }
@@ -101,7 +103,7 @@
             *held = (*held + now).saturating_sub(before);
         }
     }
-    fn count_all(&mut self, seat: &Seat, add: bool) {
+    fn count_all(&mut self, seat: &PoolerLeases, add: bool) {
         for (service, holds) in seat.holdings() {
             let (before, now) = if add { (0, holds) } else { (holds, 0) };
             self.count(service, before, now);
@@ -118,7 +120,7 @@
                 self.count_all(&seat, false);
             }
             self.never_heard(&seat);
-            seat = Seat { life, ..Seat::default() };
+            seat = PoolerLeases { life, ..PoolerLeases::default() };
         } else if seat.released {
             self.count_all(&seat, true);
         }
@@ -144,14 +146,14 @@
         if let Some(seat) = self.seats.get_mut(node) {
             seat.ended.clear();
             for grant in seat.told.values_mut() {
-                grant.standing = Standing::Unled;
+                grant.standing = PrimaryStatus::Absent;
             }
         }
     }
     /// Counts the connections of stiles that were lost long ago no more, and forgets the stiles
     /// themselves later. True if some connections are free for others now.
     pub fn forget_old(&mut self, now: Tick) -> bool {
-        let over = |s: &Seat, ms| s.lost.is_some_and(|t| now.since(t) >= ms);
+        let over = |s: &PoolerLeases, ms| s.lost.is_some_and(|t| now.since(t) >= ms);
         let names: Vec<NodeName> = self
             .seats
             .iter()
@@ -178,7 +180,7 @@
         freed
     }
     /// What this stile passed on will not be told any more.
-    fn never_heard(&mut self, seat: &Seat) {
+    fn never_heard(&mut self, seat: &PoolerLeases) {
         for service in seat.told.keys().chain(seat.ended.keys()) {
             if let Some(granted) = seat.leased(service) {
                 let end = self.unheard.entry(service.clone()).or_default();
@@ -198,17 +200,17 @@
             // It has dropped what it was told of this service.
             seat.end(service);
             if let Some(grant) = seat.told.get_mut(service) {
-                grant.standing = Standing::Unled;
+                grant.standing = PrimaryStatus::Absent;
             }
         }
     }
     /// What a stile is to be told of a service now; none if that is what it was told last.
     /// `renewed` follows once all services have been through.
-    pub fn tell(&mut self, node: &NodeName, grant: Grant) -> Option<Grant> {
+    pub fn tell(&mut self, node: &NodeName, grant: LeaseGrant) -> Option<LeaseGrant> {
         let seat = self.seats.get_mut(node)?;
         let service = grant.service.clone();
         // A sealed position is true for the moment it is told in, so it is told each time.
-        let sealed = matches!(grant.standing, Standing::Sealed(_));
+        let sealed = matches!(grant.standing, PrimaryStatus::Sealed(_));
         if !sealed && seat.told.get(&service) == Some(&grant) {
             return None;
         }
@@ -216,7 +218,7 @@
         if seat.told.get(&service).is_none_or(|old| old.standing != grant.standing) {
             seat.end(&service);
         }
-        if matches!(grant.standing, Standing::Led { .. }) {
+        if matches!(grant.standing, PrimaryStatus::Active { .. }) {
             // A false alarm brings the same term again; what was given back before is old news.
             seat.given_back.remove(&service);
         }
@@ -234,10 +236,10 @@
     /// No lease on `term` or an earlier one can still be in use.
     pub fn gone(&self, service: &ServiceName, term: DbTerm, now: Tick) -> bool {
         let over = |from: Tick| now.since(from) > LEASE_MS + LEASE_SLACK_MS;
-        let free = |seat: &Seat| {
+        let free = |seat: &PoolerLeases| {
             let ended = seat.ended.get(service);
             let led = match seat.told.get(service).map(|g| &g.standing) {
-                Some(Standing::Led { term, .. }) => Some((*term, seat.granted)),
+                Some(PrimaryStatus::Active { term, .. }) => Some((*term, seat.granted)),
                 _ => None,
             };
             seat.given_back.get(service).is_some_and(|(t, _)| *t >= term)
@@ -268,7 +270,7 @@
         if !covered(unheard.unwrap_or_default().max(before)) {
             return None;
         }
-        let word = |seat: &Seat| match seat.given_back.get(service) {
+        let word = |seat: &PoolerLeases| match seat.given_back.get(service) {
             Some((t, highest)) if *t >= term => Some(*highest),
             _ => covered(seat.leased(service).map_or(before, lease_end)).then_some(None),
         };
@@ -327,7 +329,7 @@
             && let Some((wanted, at)) = seat.wants.get(service).copied()
         {
             if now.since(at) < LENT_MS {
-                let over = |s: &Seat| s.holds(service).saturating_sub(part);
+                let over = |s: &PoolerLeases| s.holds(service).saturating_sub(part);
                 let others = self.seats.iter().filter(|(name, _)| *name != node);
                 let lent: u32 = others.map(|(_, s)| over(s)).sum();
                 let left =
--- a/src/leases/subset_assignments.rs
+++ b/src/leases/subset_assignments.rs
@@ -1,21 +1,21 @@
 //! Which subset of a zone's databases each gateway node uses first.
 use crate::base::ids::{NodeName, ServiceName};
 use crate::base::time::Tick;
-use crate::net::rpc::pooler_messages::Plot;
+use crate::net::rpc::pooler_messages::SubsetRange;
 use std::collections::BTreeMap;
 
 /// Which part of its zone's databases each node of a gateway uses first. Where one node sees most of
 /// a database's load, its own count of requests under way is nearly the truth. A hint: nothing breaks
 /// where two nodes believe different things. A value; kept while this one leads.
 #[derive(Clone, Debug)]
-pub struct Cadastre {
+pub struct SubsetAssignments {
     elected: Tick,
     divided: Tick,
-    claims: BTreeMap<(String, ServiceName), BTreeMap<NodeName, Claim>>,
+    claims: BTreeMap<(String, ServiceName), BTreeMap<NodeName, SubsetClaim>>,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Claim {
+struct SubsetClaim {
     /// Requests under way, in hundredths.
     busy: u32,
     plot: (u32, u32),
@@ -34,7 +34,7 @@
 /// All of a zone's databases of a service.
 const WHOLE_PLOT: f64 = 1e6;
 
-impl Cadastre {
+impl SubsetAssignments {
     pub fn new(elected: Tick) -> Self {
         Self { elected, divided: elected, claims: BTreeMap::new() }
     }
@@ -52,7 +52,7 @@
             claims.retain(|node, _| there(node));
             let mean =
                 claims.values().map(|c| f64::from(c.busy)).sum::<f64>() / claims.len() as f64;
-            let weight = |c: &Claim| f64::from(c.busy).max(mean * LEAST_PART).max(1.0);
+            let weight = |c: &SubsetClaim| f64::from(c.busy).max(mean * LEAST_PART).max(1.0);
             let all: f64 = claims.values().map(weight).sum();
             let mut upto = 0.0;
             for claim in claims.values_mut() {
@@ -64,7 +64,7 @@
         self.claims.retain(|_, claims| !claims.is_empty());
     }
     /// The plots that a node is to be told of: those that moved by a good part of themselves, or all.
-    pub fn due(&mut self, node: &NodeName, all: bool) -> Vec<Plot> {
+    pub fn due(&mut self, node: &NodeName, all: bool) -> Vec<SubsetRange> {
         let mut due = Vec::new();
         for ((_, service), claims) in &mut self.claims {
             let Some(claim) = claims.get_mut(node) else { continue };
@@ -73,7 +73,7 @@
                 |(f, u): (u32, u32)| f.abs_diff(from).max(u.abs_diff(upto)) * 4 > upto - from;
             if upto > from && (all || claim.told.is_none_or(moved)) {
                 claim.told = Some(claim.plot);
-                due.push(Plot { service: service.clone(), from, upto });
+                due.push(SubsetRange { service: service.clone(), from, upto });
             }
         }
         due
--- a/src/net/idle_connections.rs
+++ b/src/net/idle_connections.rs
@@ -15,7 +15,7 @@
 }
 
 /// Those that rest, by a number of their own, and what wakes when one of them speaks or leaves.
-pub struct Parked<T> {
+pub struct IdleConnections<T> {
     part: &'static str,
     resting: Mutex<HashMap<u64, T>>,
     watch: OwnedFd,
@@ -24,7 +24,7 @@
 /// Resting clients that are woken in one round.
 const EVENTS: usize = 64;
 
-impl<T> Parked<T> {
+impl<T> IdleConnections<T> {
     pub fn new(part: &'static str) -> std::io::Result<Self> {
         let watch = epoll::create(epoll::CreateFlags::CLOEXEC)?;
         Ok(Self { part, resting: Mutex::default(), watch })
