--- a/src/net/leader_connection.rs
+++ b/src/net/leader_connection.rs
@@ -2,8 +2,8 @@
 use crate::base::sync::lock;
 use crate::base::time::Tick;
 use crate::base::worker_pool::start_thread;
-use crate::net::leader_discovery::{Search, TURN_MS};
-use crate::net::rpc::pooler_messages::{ToSteward, ToStile};
+use crate::net::leader_discovery::{LeaderDiscovery, TURN_MS};
+use crate::net::rpc::pooler_messages::{ToController, ToPooler};
 use crate::net::rpc::{Frame, receive, send};
 use crate::net::sockets::dial;
 use log::info;
@@ -16,14 +16,14 @@
 use std::time::Duration;
 
 /// A node that follows the leader.
-pub trait Follower {
+pub trait LeaderSubscriber {
     /// How it introduces itself on a new connection.
-    fn hello(&self) -> ToSteward;
+    fn hello(&self) -> ToController;
     /// A leader has welcomed it; nothing was said on the connection yet.
     fn linked(&self);
     /// Messages may be sent now.
     fn begin(&self);
-    fn hear(&self, message: ToStile);
+    fn hear(&self, message: ToPooler);
 }
 
 /// The longest that is waited for a connection to a steward, and again for its first word. Behind a
@@ -46,7 +46,7 @@
 /// each but once at a time: to the leader only the newest greeting counts.
 type Greeted = Mutex<Option<BTreeSet<SocketAddr>>>;
 
-fn greet(dial: Dial, to: SocketAddr, hello: ToSteward, greeted: &Greeted) -> io::Result<Answer> {
+fn greet(dial: Dial, to: SocketAddr, hello: ToController, greeted: &Greeted) -> io::Result<Answer> {
     let mut stream = dial(to, PATIENCE)?;
     stream.set_write_timeout(Some(Duration::from_millis(500)))?;
     stream.set_read_timeout(Some(PATIENCE))?;
@@ -62,21 +62,21 @@
     answer
 }
 
-fn first_word(stream: &mut TcpStream, hello: ToSteward) -> io::Result<Answer> {
-    send(stream, &Frame::Stile(hello))?;
+fn first_word(stream: &mut TcpStream, hello: ToController) -> io::Result<Answer> {
+    send(stream, &Frame::Pooler(hello))?;
     let mut reader = BufReader::with_capacity(4096, stream.try_clone()?);
     match receive(&mut reader)? {
-        Frame::Steward(ToStile::Welcome { stewards }) => {
+        Frame::Controller(ToPooler::Welcome { stewards }) => {
             // Renewals are answered far more often than this; silence means another leader.
             stream.set_read_timeout(Some(Duration::from_millis(1_200)))?;
             Ok(Answer::Welcome { stream: stream.try_clone()?, reader, stewards })
         }
-        Frame::Steward(ToStile::Elsewhere(other)) => Ok(Answer::Elsewhere(other)),
+        Frame::Controller(ToPooler::NotLeader(other)) => Ok(Answer::Elsewhere(other)),
         _ => Err(io::ErrorKind::InvalidData.into()),
     }
 }
 
-pub struct Link {
+pub struct LeaderConnection {
     /// The part that logs.
     part: &'static str,
     /// Where stewards are looked for, as the settings name them now.
@@ -88,7 +88,7 @@
     dial: Dial,
 }
 
-impl Link {
+impl LeaderConnection {
     pub fn new(part: &'static str, seeds: Vec<SocketAddr>) -> Self {
         Self::through(part, seeds, |to, within| dial(to, within, Duration::from_secs(2)))
     }
@@ -116,12 +116,12 @@
     pub fn held(&self) -> MutexGuard<'_, Option<TcpStream>> {
         lock(&self.stream)
     }
-    pub fn tell(&self, message: ToSteward) {
+    pub fn tell(&self, message: ToController) {
         Self::tell_under(&mut self.held(), message);
     }
-    pub fn tell_under(link: &mut Option<TcpStream>, message: ToSteward) {
+    pub fn tell_under(link: &mut Option<TcpStream>, message: ToController) {
         if let Some(stream) = link.as_mut()
-            && send(stream, &Frame::Stile(message)).is_err()
+            && send(stream, &Frame::Pooler(message)).is_err()
         {
             // The reader sees the end and looks for another leader.
             drop(stream.shutdown(Shutdown::Both));
@@ -129,8 +129,8 @@
     }
 
     /// Keeps a connection to the leader, looking for it whenever there is none.
-    pub fn keep(&self, follower: &dyn Follower) {
-        let mut search = Search::new(lock(&self.seeds).clone());
+    pub fn keep(&self, follower: &dyn LeaderSubscriber) {
+        let mut search = LeaderDiscovery::new(lock(&self.seeds).clone());
         let mut hint = None;
         loop {
             search.begin(hint.take(), Tick::now());
@@ -146,7 +146,7 @@
     }
 
     /// Asks stewards side by side until one that leads has welcomed the node.
-    fn find(&self, hello: ToSteward, search: &mut Search) -> Found {
+    fn find(&self, hello: ToController, search: &mut LeaderDiscovery) -> Found {
         let greeted: Arc<Greeted> = Arc::new(Mutex::new(Some(BTreeSet::new())));
         let (tx, rx) = channel();
         loop {
@@ -180,7 +180,7 @@
     /// Follows one steward for as long as it leads; tells who leads otherwise.
     fn follow(
         &self,
-        follower: &dyn Follower,
+        follower: &dyn LeaderSubscriber,
         to: SocketAddr,
         stream: TcpStream,
         mut reader: BufReader<TcpStream>,
@@ -193,10 +193,10 @@
         follower.begin();
         let ended = loop {
             match receive(&mut reader) {
-                Ok(Frame::Steward(ToStile::Elsewhere(other))) => break Ok(other),
+                Ok(Frame::Controller(ToPooler::NotLeader(other))) => break Ok(other),
                 // There are others now than when the connection began.
-                Ok(Frame::Steward(ToStile::Welcome { stewards })) => *known = stewards,
-                Ok(Frame::Steward(message)) => {
+                Ok(Frame::Controller(ToPooler::Welcome { stewards })) => *known = stewards,
+                Ok(Frame::Controller(message)) => {
                     self.heard.store(Tick::now().0, Ordering::Relaxed);
                     follower.hear(message);
                 }
--- a/src/net/leader_discovery.rs
+++ b/src/net/leader_discovery.rs
@@ -14,7 +14,7 @@
 /// Which steward is tried when, as a value. A try that has not ended goes on while the next begins: how
 /// long an answer takes on this node's own link can't be told from a steward that gives none.
 #[derive(Debug)]
-pub struct Search {
+pub struct LeaderDiscovery {
     pub(crate) known: Vec<SocketAddr>,
     next: usize,
     /// Said to lead.
@@ -24,7 +24,7 @@
     due: Tick,
 }
 
-impl Search {
+impl LeaderDiscovery {
     pub fn new(known: Vec<SocketAddr>) -> Self {
         Self { known, next: 0, hint: None, open: Vec::new(), due: Tick(0) }
     }
--- a/src/net/rpc/mod.rs
+++ b/src/net/rpc/mod.rs
@@ -3,8 +3,8 @@
 pub mod raft_messages;
 
 use crate::base::ids::MemberId;
-use crate::net::rpc::pooler_messages::{ToSteward, ToStile};
-use crate::net::rpc::raft_messages::{Joined, Member, Raft, RaftKind};
+use crate::net::rpc::pooler_messages::{ToController, ToPooler};
+use crate::net::rpc::raft_messages::{JoinResponse, Member, RaftMessage, RaftMessageKind};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::io::{self, Read, Write};
@@ -30,25 +30,27 @@
     /// A steward's consensus message, and the member it is meant for.
     Raft {
         to: MemberId,
-        message: Box<Raft>,
+        message: Box<RaftMessage>,
     },
     /// A steward that is not yet a member asks to become one; one that was asks if it still is.
     Join {
         member: Member,
         was: bool,
     },
-    Joined(Joined),
+    Joined(JoinResponse),
     /// What a stile tells the leader.
-    Stile(ToSteward),
+    #[serde(rename = "Stile")]
+    Pooler(ToController),
     /// What a steward tells a stile.
-    Steward(ToStile),
+    #[serde(rename = "Steward")]
+    Controller(ToPooler),
 }
 
 /// The layout that a frame's reader must know.
 fn needed(frame: &Frame) -> u8 {
     match frame {
         Frame::Raft { message, .. } => match message.kind {
-            RaftKind::Part { .. } | RaftKind::PartTaken { .. } => PARTS_LAYOUT,
+            RaftMessageKind::Chunk { .. } | RaftMessageKind::ChunkResponse { .. } => PARTS_LAYOUT,
             _ => 0,
         },
         _ => 0,
--- a/src/net/rpc/pooler_messages.rs
+++ b/src/net/rpc/pooler_messages.rs
@@ -1,21 +1,23 @@
 //! The messages between a node and the leading controller.
 use crate::base::ids::{DbTerm, InstanceId, NodeName, Position, Revision, ServiceName};
-use crate::config::directory::Listed;
-use crate::config::route_table::{Changed, Lanes};
+use crate::config::directory::DirectoryEntry;
+use crate::config::route_table::{RouteTable, RouteTableDelta};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
 /// Why a stile believes a database lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Doubt {
+pub enum SuspicionReason {
     /// Its connections broke or were refused.
-    Broken,
+    #[serde(rename = "Broken")]
+    ConnectionsBroken,
     /// It owes answers and says nothing.
-    Silent,
+    #[serde(rename = "Silent")]
+    NoResponse,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum ToSteward {
+pub enum ToController {
     Hello {
         node: NodeName,
         /// Drawn anew at every start of the process.
@@ -23,7 +25,8 @@
         revision: Revision,
         zone: String,
     },
-    Renew {
+    #[serde(rename = "Renew")]
+    RenewLeases {
         seq: u64,
         /// The last answer that came on this connection; none yet if 0.
         heard: u64,
@@ -33,7 +36,7 @@
         /// How many connections more would be used now, where sessions wait for one.
         wants: Vec<(ServiceName, u32)>,
         /// How far primaries were seen, where that moved.
-        saw: Vec<Saw>,
+        saw: Vec<ObservedPosition>,
         /// Services whose reads want a newer floor than this stile has.
         asks: Vec<ServiceName>,
         /// Requests under way at databases of a service, in hundredths, where that changed much.
@@ -42,61 +45,70 @@
     Suspect {
         service: ServiceName,
         instance: InstanceId,
-        why: Doubt,
+        why: SuspicionReason,
     },
-    Revoked {
+    #[serde(rename = "Revoked")]
+    RevokeAck {
         service: ServiceName,
         term: DbTerm,
         /// The furthest position this stile saw acknowledged.
         highest: Option<Position>,
     },
     /// A change came for a version that this stile does not have: the whole is needed.
-    Whole,
+    #[serde(rename = "Whole")]
+    RequestFullTable,
     /// Leaving in order: no lease is used any more.
-    Bye,
+    #[serde(rename = "Bye")]
+    Goodbye,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum ToStile {
+pub enum ToPooler {
     /// Not the leader; perhaps this one is.
-    Elsewhere(Option<SocketAddr>),
+    #[serde(rename = "Elsewhere")]
+    NotLeader(Option<SocketAddr>),
     Welcome {
         stewards: Vec<SocketAddr>,
     },
-    Configured(Box<Lanes>),
+    #[serde(rename = "Configured")]
+    RouteTable(Box<RouteTable>),
     /// What differs from a version that the stile has.
-    Changed(Box<Changed>),
+    #[serde(rename = "Changed")]
+    RouteTableDelta(Box<RouteTableDelta>),
     /// The whole directory, when a connection begins.
-    Directory(Vec<Listed>),
+    Directory(Vec<DirectoryEntry>),
     /// Changes of the directory, those of a moment at once.
-    Moved {
-        listed: Vec<Listed>,
+    #[serde(rename = "Moved")]
+    DirectoryDelta {
+        listed: Vec<DirectoryEntry>,
         gone: Vec<InstanceId>,
     },
-    Granted {
+    #[serde(rename = "Granted")]
+    LeaseGrants {
         seq: u64,
         lease_ms: u64,
         /// The first answer on a connection: nothing holds that is not in it.
         whole: bool,
         /// What changed. All else that was told on this connection is granted again.
-        grants: Vec<Grant>,
+        grants: Vec<LeaseGrant>,
         /// The floors that were asked for.
-        fresh: Vec<Fresh>,
+        fresh: Vec<PositionBound>,
         /// The parts of its zone's databases that a gateway's node is to use first.
-        plots: Vec<Plot>,
+        plots: Vec<SubsetRange>,
     },
     Revoke {
         service: ServiceName,
         term: DbTerm,
     },
     /// Something changed that a renewal would tell: ask now.
-    Renew,
+    #[serde(rename = "Renew")]
+    RenewNow,
 }
 
 /// A position that the primary of a term told under a lease that still held: it covers every commit
 /// acknowledged before its statement was sent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Saw {
+pub struct ObservedPosition {
     pub service: ServiceName,
     pub term: DbTerm,
     pub position: Position,
@@ -106,7 +118,7 @@
 
 /// A position that covers every commit acknowledged up to `age` ms before the renewal was asked for.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Fresh {
+pub struct PositionBound {
     pub service: ServiceName,
     pub position: Position,
     pub age: u64,
@@ -115,27 +127,26 @@
 /// A part of a service's databases in a zone, laid out in one order at all nodes, in millionths of
 /// what they can work on at once.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Plot {
+pub struct SubsetRange {
     pub service: ServiceName,
     pub from: u32,
     pub upto: u32,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Grant {
+pub struct LeaseGrant {
     pub service: ServiceName,
-    pub standing: Standing,
+    pub standing: PrimaryStatus,
     /// Connections this stile may have to each database of the service.
     pub share: u32,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Standing {
-    Led {
-        term: DbTerm,
-        primary: InstanceId,
-    },
+pub enum PrimaryStatus {
+    #[serde(rename = "Led")]
+    Active { term: DbTerm, primary: InstanceId },
     /// Nobody can commit; every acknowledged commit lies at or before this position.
     Sealed(Position),
-    Unled,
+    #[serde(rename = "Unled")]
+    Absent,
 }
--- a/src/net/rpc/raft_messages.rs
+++ b/src/net/rpc/raft_messages.rs
@@ -1,5 +1,5 @@
 //! The consensus messages between controllers.
-use crate::base::ids::{Epoch, Index, MemberId, NodeName};
+use crate::base::ids::{LogIndex, MemberId, NodeName, Term};
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
 use std::net::SocketAddr;
@@ -23,78 +23,86 @@
 
 /// The answer to a wish to join.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Joined {
+pub enum JoinResponse {
     /// Not the leader; perhaps this one is.
-    Elsewhere(Option<SocketAddr>),
+    #[serde(rename = "Elsewhere")]
+    NotLeader(Option<SocketAddr>),
     /// It will be taken in.
-    Noted,
+    #[serde(rename = "Noted")]
+    Accepted,
     /// It is a member, or needs to be none; the one that says so leads.
-    Listed,
+    #[serde(rename = "Listed")]
+    Current,
     /// It was one and is not any more.
     Removed,
     /// Nobody is there yet: it is to found the hedge.
-    Found,
+    #[serde(rename = "Found")]
+    FoundCluster,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Entry {
-    pub epoch: Epoch,
-    pub index: Index,
-    pub body: Body,
+pub struct LogEntry {
+    pub epoch: Term,
+    pub index: LogIndex,
+    pub body: EntryPayload,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Body {
+pub enum EntryPayload {
     /// A new leader's first entry.
-    Opened,
-    Members(Vec<Member>),
+    #[serde(rename = "Opened")]
+    NoOp,
+    #[serde(rename = "Members")]
+    Membership(Vec<Member>),
     /// A change of the Almanac, as its own module encodes it.
-    Change(ByteBuf),
+    #[serde(rename = "Change")]
+    Command(ByteBuf),
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Raft {
+pub struct RaftMessage {
     pub from: MemberId,
-    pub epoch: Epoch,
-    pub kind: RaftKind,
+    pub epoch: Term,
+    pub kind: RaftMessageKind,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum RaftKind {
-    AskVote {
+pub enum RaftMessageKind {
+    #[serde(rename = "AskVote")]
+    RequestVote {
         /// A try only: nobody's vote is spent and no epoch moves.
         trial: bool,
         /// The old leader itself asked for this election.
         handover: bool,
         /// The asker led the epoch before this one, and does so no more.
         led: bool,
-        last: (Epoch, Index),
+        last: (Term, LogIndex),
     },
-    Vote {
-        trial: bool,
-        granted: bool,
-    },
-    Append {
-        previous: (Epoch, Index),
-        entries: Vec<Entry>,
-        commit: Index,
+    #[serde(rename = "Vote")]
+    VoteResponse { trial: bool, granted: bool },
+    #[serde(rename = "Append")]
+    AppendEntries {
+        previous: (Term, LogIndex),
+        entries: Vec<LogEntry>,
+        commit: LogIndex,
         /// The leader's clock when it sent this, handed back by the answer.
         sent: u64,
     },
-    Appended {
+    #[serde(rename = "Appended")]
+    AppendResponse {
         /// The last entry known to agree, or where to look next when `ok` is false.
-        upto: Index,
+        upto: LogIndex,
         ok: bool,
         sent: u64,
     },
-    Snapshot {
-        snapshot: Snapshot,
-        sent: u64,
-    },
-    TakeOver,
+    #[serde(rename = "Snapshot")]
+    InstallSnapshot { snapshot: Snapshot, sent: u64 },
+    #[serde(rename = "TakeOver")]
+    TimeoutNow,
     /// A part of a message too large to go at once: of an `Append` or a `Snapshot`, encoded. Only to
     /// members that read layout 2; the next follows once this one is answered.
-    Part {
+    #[serde(rename = "Part")]
+    Chunk {
         /// Told apart within the sender's epoch.
         transfer: u64,
         size: u64,
@@ -103,16 +111,13 @@
         sent: u64,
     },
     /// So many bytes of that transfer are here without a gap.
-    PartTaken {
-        transfer: u64,
-        upto: u64,
-        sent: u64,
-    },
+    #[serde(rename = "PartTaken")]
+    ChunkResponse { transfer: u64, upto: u64, sent: u64 },
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    pub last: (Epoch, Index),
+    pub last: (Term, LogIndex),
     pub members: Vec<Member>,
     pub state: ByteBuf,
 }
--- a/src/net/statement_protocol.rs
+++ b/src/net/statement_protocol.rs
@@ -166,7 +166,7 @@
 impl Reply {
     /// The row that one of the system's own questions was answered with, if it was in success. `bytes`
     /// are those that it was read from.
-    pub fn described(&self, bytes: &[u8]) -> Option<Described> {
+    pub fn described(&self, bytes: &[u8]) -> Option<ServerDescription> {
         if self.outcome != Outcome::Complete {
             return None;
         }
@@ -249,13 +249,13 @@
 
 /// The row that DESCRIBE, PAUSE, CONTINUE and STEPDOWN answer with.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Described {
+pub struct ServerDescription {
     pub primary: bool,
     pub term: crate::base::ids::DbTerm,
     pub received: Position,
 }
 
-pub fn described(row: &str) -> Option<Described> {
+pub fn described(row: &str) -> Option<ServerDescription> {
     let mut words = row.split(' ');
     let primary = match words.next()? {
         "primary" => true,
@@ -264,7 +264,7 @@
     };
     let term = crate::base::ids::DbTerm(words.next()?.parse().ok()?);
     let received = words.next()?.parse().ok()?;
-    Some(Described { primary, term, received })
+    Some(ServerDescription { primary, term, received })
 }
 
 /// Why no line could be had.
@@ -280,12 +280,12 @@
 
 /// Bytes that came and were not yet used up.
 #[derive(Default)]
-pub struct Inbox {
+pub struct ReadBuffer {
     bytes: Vec<u8>,
     start: usize,
 }
 
-impl Inbox {
+impl ReadBuffer {
     /// Waits for a whole line and hands it out without its CR LF.
     pub fn line<'a>(&'a mut self, from: &mut impl Read) -> Result<&'a [u8], NoLine> {
         let mut looked = self.start;
--- a/src/pooler/admission.rs
+++ b/src/pooler/admission.rs
@@ -4,7 +4,7 @@
 
 /// How a connection can be refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoRoom {
+pub enum AcquireError {
     /// The database can't be reached now.
     Down,
     /// All connections are in use, and waiting longer makes no sense.
@@ -12,14 +12,14 @@
 }
 
 /// The order in which waiters get connections.
-pub type Turn = (u8, Tick, u64);
+pub type QueueTicket = (u8, Tick, u64);
 
 /// Who may open or borrow, as a value: the pool puts sockets to it.
 #[derive(Debug, Default)]
 pub struct Admission {
     pub cap: u32,
     pub open: u32,
-    waiting: BTreeSet<Turn>,
+    waiting: BTreeSet<QueueTicket>,
     next: u64,
 }
 
@@ -33,18 +33,18 @@
     pub fn shrink(&mut self) {
         self.open = self.open.saturating_sub(1);
     }
-    pub fn queue(&mut self, priority: u8, deadline: Tick) -> Turn {
+    pub fn queue(&mut self, priority: u8, deadline: Tick) -> QueueTicket {
         self.next += 1;
         let turn = (priority, deadline, self.next);
         self.waiting.insert(turn);
         turn
     }
-    pub fn leave(&mut self, turn: &Turn) {
+    pub fn leave(&mut self, turn: &QueueTicket) {
         self.waiting.remove(turn);
     }
     /// Whether it is this waiter's turn, with `free` connections to hand out. One that does not
     /// wait yet comes after all who do.
-    pub fn turn(&self, turn: Option<&Turn>, free: usize) -> bool {
+    pub fn turn(&self, turn: Option<&QueueTicket>, free: usize) -> bool {
         let ahead = match turn {
             Some(turn) => self.waiting.range(..turn).count(),
             None => self.waiting.len(),
@@ -67,7 +67,7 @@
 /// How long answers take, so that a lost one is told from a slow one: a running mean and how far
 /// answers stray from it.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Pace {
+pub struct LatencyEstimator {
     mean: f32,
     stray: f32,
     seen: u32,
@@ -78,7 +78,7 @@
 
 const PATIENCE_MIN_MS: u64 = 40;
 
-impl Pace {
+impl LatencyEstimator {
     pub fn learn(&mut self, took_ms: u64) {
         let took = took_ms as f32;
         if self.seen == 0 {
--- a/src/pooler/client_session.rs
+++ b/src/pooler/client_session.rs
@@ -4,14 +4,18 @@
 use crate::base::sync::lock;
 use crate::base::time::Tick;
 use crate::config::configuration::RouteType;
-use crate::config::route_table::{Lane, Lanes};
-use crate::net::rpc::pooler_messages::Doubt;
-use crate::net::statement_protocol::{self, Inbox, Line, NoLine, Outcome, Reply, State, Statement};
-use crate::pooler::admission::NoRoom;
+use crate::config::route_table::{RouteEntry, RouteTable};
+use crate::net::rpc::pooler_messages::SuspicionReason;
+use crate::net::statement_protocol::{
+    self, Line, NoLine, Outcome, ReadBuffer, Reply, State, Statement,
+};
+use crate::pooler::admission::AcquireError;
 use crate::pooler::leases::Seen;
 use crate::pooler::replica_reads::{BEHIND, LAG_SKIPPED_MS};
-use crate::pooler::reroute::{Fate, Graft, Kind, Task, Verdict, shape_id};
-use crate::pooler::server::{Bound, Stile};
+use crate::pooler::reroute::{
+    Kind, LossOutcome, SessionReroute, StatementDecision, StatementPlan, shape_id,
+};
+use crate::pooler::server::{CheckedOutConnection, Pooler};
 use crate::pooler::server_connection::{Loss, SILENT_MS, lay_on};
 use log::warn;
 use std::io::{self, Write};
@@ -25,15 +29,15 @@
 
 const RERUN_PAUSE_MS: u64 = 15;
 
-pub(crate) struct Scion {
-    stile: Arc<Stile>,
+pub(crate) struct ClientSession {
+    stile: Arc<Pooler>,
     seen: Arc<Seen>,
     id: u64,
-    graft: Graft,
-    bound: Option<Bound>,
+    graft: SessionReroute,
+    bound: Option<CheckedOutConnection>,
     database: String,
-    config: Arc<Lanes>,
-    route: Lane,
+    config: Arc<RouteTable>,
+    route: RouteEntry,
     service: ServiceName,
     /// The last position of this session's own commits.
     own: Option<Position>,
@@ -41,16 +45,16 @@
 }
 
 /// A statement that a database has to run, as it came.
-struct Asked<'a> {
+struct ClientStatement<'a> {
     id: &'a str,
     text: &'a str,
     statement: Statement<'a>,
-    task: Task,
+    task: StatementPlan,
     arrived: Tick,
 }
 
 /// What goes back to the client.
-enum Say {
+enum ClientReply {
     /// The database's own bytes, up to `end` in the inbox of the bound connection.
     Passed {
         reply: Reply,
@@ -68,11 +72,11 @@
 /// A client's connection. Between two lines it is no thread's: see `Parked`.
 pub(crate) struct Session {
     pub(crate) id: u64,
-    pub(crate) stile: Arc<Stile>,
+    pub(crate) stile: Arc<Pooler>,
     pub(crate) seen: Arc<Seen>,
-    pub(crate) inbox: Inbox,
+    pub(crate) inbox: ReadBuffer,
     /// There once the client has said CONNECT.
-    pub(crate) scion: Option<Scion>,
+    pub(crate) scion: Option<ClientSession>,
 }
 
 impl Session {
@@ -117,11 +121,11 @@
         };
         client.write_all(b"READY I -\r\n")?;
         self.seen.connected.store(true, Ordering::Relaxed);
-        self.scion = Some(Scion {
+        self.scion = Some(ClientSession {
             stile: Arc::clone(&self.stile),
             seen: Arc::clone(&self.seen),
             id: self.id,
-            graft: Graft::default(),
+            graft: SessionReroute::default(),
             bound: None,
             database,
             config,
@@ -144,8 +148,8 @@
     }
 }
 
-impl Scion {
-    fn converse(&mut self, inbox: &mut Inbox) -> io::Result<Next> {
+impl ClientSession {
+    fn converse(&mut self, inbox: &mut ReadBuffer) -> io::Result<Next> {
         let seen = Arc::clone(&self.seen);
         let mut client = &seen.stream;
         let mut served = false;
@@ -186,19 +190,19 @@
                         return Ok(Next::End);
                     }
                     match self.graft.hear(&statement, arrived) {
-                        Verdict::Settled => Say::Complete,
-                        Verdict::RolledBack => {
+                        StatementDecision::Settled => ClientReply::Complete,
+                        StatementDecision::RolledBack => {
                             self.unbind();
-                            Say::Complete
+                            ClientReply::Complete
                         }
-                        Verdict::Refused(kind) => {
+                        StatementDecision::Refused(kind) => {
                             if self.graft.reusable() {
                                 self.unbind();
                             }
-                            Say::Error(kind, refusal_text(kind).to_owned())
+                            ClientReply::Error(kind, refusal_text(kind).to_owned())
                         }
-                        Verdict::Run(task) => {
-                            self.run(&Asked { id, text, statement, task, arrived })
+                        StatementDecision::Run(task) => {
+                            self.run(&ClientStatement { id, text, statement, task, arrived })
                         }
                     }
                 }
@@ -207,10 +211,10 @@
                         self.graft.fail();
                         self.unbind();
                     }
-                    Say::Error(ErrorKind::Malformed, "not understood".to_owned())
+                    ClientReply::Error(ErrorKind::Malformed, "not understood".to_owned())
                 }
             };
-            let refused = matches!(say, Say::Error(ErrorKind::Throttled, _));
+            let refused = matches!(say, ClientReply::Error(ErrorKind::Throttled, _));
             self.say(&mut client, say)?;
             let idle = self.graft.state() == State::Idle && inbox.is_empty();
             if refused && idle && self.stile.deaf(Tick::now()) {
@@ -234,22 +238,22 @@
         true
     }
 
-    fn say(&mut self, client: &mut &TcpStream, say: Say) -> io::Result<()> {
+    fn say(&mut self, client: &mut &TcpStream, say: ClientReply) -> io::Result<()> {
         let position = |p: Option<Position>| p.map_or("-".to_owned(), |p| p.to_string());
         match say {
-            Say::Complete => {
+            ClientReply::Complete => {
                 let state = self.graft.state().letter();
                 let position = position(self.last_position);
                 client.write_all(format!("COMPLETE -\r\nREADY {state} {position}\r\n").as_bytes())
             }
-            Say::Error(kind, text) => {
+            ClientReply::Error(kind, text) => {
                 let state = self.graft.state().letter();
                 let position = position(self.last_position);
                 client.write_all(
                     format!("ERROR {kind} {text}\r\nREADY {state} {position}\r\n").as_bytes(),
                 )
             }
-            Say::Passed { reply } => {
+            ClientReply::Passed { reply } => {
                 self.last_position = reply.position.or(self.last_position);
                 let Some(bound) = &mut self.bound else {
                     return Ok(());
@@ -266,7 +270,7 @@
 
     /// Lets go of the connection; what it has open is rolled back first.
     fn unbind(&mut self) {
-        let Some(Bound { mut stock, pool, .. }) = self.bound.take() else {
+        let Some(CheckedOutConnection { mut stock, pool, .. }) = self.bound.take() else {
             return;
         };
         if !stock.open {
@@ -288,14 +292,14 @@
     }
     /// The connection can't be used any more.
     fn cut(&mut self) {
-        if let Some(Bound { stock, pool, .. }) = self.bound.take() {
+        if let Some(CheckedOutConnection { stock, pool, .. }) = self.bound.take() {
             pool.lose(stock);
         }
     }
 
     /// Has a database run the statement, on as many connections as the reroute rules allow.
-    fn run(&mut self, asked: &Asked<'_>) -> Say {
-        let Asked { task, arrived, .. } = asked;
+    fn run(&mut self, asked: &ClientStatement<'_>) -> ClientReply {
+        let ClientStatement { task, arrived, .. } = asked;
         let limit = arrived.plus(self.route.timeout_ms);
         // Waiting for a connection longer than this rarely ends well; the client is better off
         // coming back, and has the time to.
@@ -307,7 +311,7 @@
             if self.bound.is_none() {
                 if !task.first {
                     self.graft.give_up();
-                    return Say::Error(ErrorKind::RolledBack, "connection lost".to_owned());
+                    return ClientReply::Error(ErrorKind::RolledBack, "connection lost".to_owned());
                 }
                 match self.bind(asked, hold, &mut avoid) {
                     Ok(bound) => self.bound = Some(bound),
@@ -331,8 +335,8 @@
                 }
             };
             if let Some(loss) = loss {
-                if let Fate::Tell(kind) = self.graft.lost(task, sent) {
-                    return Say::Error(kind, "connection lost".to_owned());
+                if let LossOutcome::Tell(kind) = self.graft.lost(task, sent) {
+                    return ClientReply::Error(kind, "connection lost".to_owned());
                 }
                 patient |= matches!(loss, Loss::Overdue);
                 if matches!(loss, Loss::Late) {
@@ -351,29 +355,29 @@
     }
 
     /// The statement's time is over; nothing of it can have been kept.
-    fn expired(&mut self, task: &Task) -> Say {
+    fn expired(&mut self, task: &StatementPlan) -> ClientReply {
         if task.alone {
-            return Say::Error(ErrorKind::TimedOut, "no answer in time".to_owned());
+            return ClientReply::Error(ErrorKind::TimedOut, "no answer in time".to_owned());
         }
         self.graft.give_up();
-        Say::Error(ErrorKind::RolledBack, "no answer in time".to_owned())
+        ClientReply::Error(ErrorKind::RolledBack, "no answer in time".to_owned())
     }
 
     /// It did not run, and nothing is kept: the client is told when to come back.
-    fn refuse(&mut self, kind: ErrorKind) -> Say {
+    fn refuse(&mut self, kind: ErrorKind) -> ClientReply {
         self.graft.give_up();
         self.unbind();
         let after = self.stile.come_back_ms(&self.service);
-        Say::Error(kind, format!("retry_after_ms={after}"))
+        ClientReply::Error(kind, format!("retry_after_ms={after}"))
     }
 
     /// Picks a database and borrows a connection to it.
     fn bind(
         &self,
-        asked: &Asked<'_>,
+        asked: &ClientStatement<'_>,
         hold: Tick,
         avoid: &mut Vec<InstanceId>,
-    ) -> Result<Bound, ErrorKind> {
+    ) -> Result<CheckedOutConnection, ErrorKind> {
         let task = &asked.task;
         let stile = &self.stile;
         let service = &self.service;
@@ -389,7 +393,7 @@
                     }
                     let priority = self.route.priority;
                     if let Ok(stock) = pool.borrow(&self.graft, self.id, priority, hold, waits) {
-                        return Ok(Bound { stock, pool, term: None });
+                        return Ok(CheckedOutConnection { stock, pool, term: None });
                     }
                 }
             }
@@ -400,11 +404,13 @@
                 match pool.borrow(&self.graft, self.id, priority, hold, waits) {
                     // The lease may have run out while waiting.
                     Ok(stock) if stile.still(service, term, Tick::now()) => {
-                        return Ok(Bound { stock, pool, term: Some(term) });
+                        return Ok(CheckedOutConnection { stock, pool, term: Some(term) });
                     }
                     Ok(stock) => pool.give_back(stock),
-                    Err(NoRoom::Full) => {}
-                    Err(NoRoom::Down) => stile.doubt(&pool, Doubt::Broken, Tick::now()),
+                    Err(AcquireError::Full) => {}
+                    Err(AcquireError::Down) => {
+                        stile.doubt(&pool, SuspicionReason::ConnectionsBroken, Tick::now())
+                    }
                 }
             }
             let now = Tick::now();
@@ -433,11 +439,11 @@
     /// opened where one is wanted, and the statement is sent. An error tells whether it was sent.
     fn exchange(
         &mut self,
-        asked: &Asked<'_>,
+        asked: &ClientStatement<'_>,
         limit: Tick,
         patient: bool,
     ) -> Result<Reply, (Loss, bool)> {
-        let Asked { id, text, statement, task, arrived } = asked;
+        let ClientStatement { id, text, statement, task, arrived } = asked;
         let began = self.graft.began(*arrived);
         let waits = match &self.bound {
             Some(bound) if bound.term.is_none() => match self.need(began) {
@@ -474,7 +480,7 @@
                 let waited = now.since(sent);
                 if waited >= SILENT_MS && pool.heard.load(Ordering::Relaxed) < sent.0 {
                     if term.is_some() {
-                        stile.doubt(pool, Doubt::Silent, now);
+                        stile.doubt(pool, SuspicionReason::NoResponse, now);
                     } else {
                         pool.failed(now);
                     }
@@ -488,7 +494,7 @@
         let broken = |loss: Loss, sent: bool| {
             if matches!(loss, Loss::Broken) {
                 if term.is_some() {
-                    stile.doubt(&pool, Doubt::Broken, Tick::now());
+                    stile.doubt(&pool, SuspicionReason::ConnectionsBroken, Tick::now());
                 } else {
                     pool.failed(Tick::now());
                 }
@@ -553,7 +559,7 @@
         Ok(reply)
     }
 
-    fn passed(&mut self, task: &Task, reply: Reply) -> Say {
+    fn passed(&mut self, task: &StatementPlan, reply: Reply) -> ClientReply {
         let state = match (task.alone, task.kind) {
             (true, _) | (false, Kind::Commit) => State::Idle,
             _ => State::Open,
@@ -563,8 +569,8 @@
             warn!(target: "pool", "answered {:?} where {state:?} was due", reply.state);
             self.cut();
             return match self.graft.lost(task, true) {
-                Fate::Tell(kind) => Say::Error(kind, "out of step".to_owned()),
-                Fate::Rerun => self.refuse(ErrorKind::Throttled),
+                LossOutcome::Tell(kind) => ClientReply::Error(kind, "out of step".to_owned()),
+                LossOutcome::Rerun => self.refuse(ErrorKind::Throttled),
             };
         }
         let kept = task.kind == Kind::Commit || (task.alone && task.kind == Kind::Write);
@@ -578,17 +584,17 @@
             }
         }
         self.graft.answered(state);
-        Say::Passed { reply }
+        ClientReply::Passed { reply }
     }
 
     /// A database answered with an error. `None`: to be run again.
     fn denied(
         &mut self,
-        task: &Task,
+        task: &StatementPlan,
         kind: ErrorKind,
         reply: &Reply,
         avoid: &mut Vec<InstanceId>,
-    ) -> Option<Say> {
+    ) -> Option<ClientReply> {
         let ran = matches!(kind, ErrorKind::Failed | ErrorKind::TimedOut | ErrorKind::Unknown);
         let again = if ran {
             task.alone && task.kind == Kind::Read && avoid.is_empty()
@@ -606,7 +612,7 @@
                     // It has lost the lead; the stewards find out who has it.
                     let pool = Arc::clone(&bound.pool);
                     self.unbind();
-                    self.stile.doubt(&pool, Doubt::Broken, Tick::now());
+                    self.stile.doubt(&pool, SuspicionReason::ConnectionsBroken, Tick::now());
                     self.stile.wait_for_news(50);
                 }
                 ErrorKind::Lagging => {
@@ -635,18 +641,18 @@
             bound.stock.open = reply.state != State::Idle;
             self.graft.answered(state);
             if same {
-                return Some(Say::Passed { reply: reply.clone() });
+                return Some(ClientReply::Passed { reply: reply.clone() });
             }
             bound.stock.taken(reply);
             self.unbind();
-            return Some(Say::Error(kind, "from the database".to_owned()));
+            return Some(ClientReply::Error(kind, "from the database".to_owned()));
         }
         // It did not run, but its transaction can't go on as if nothing had been.
         bound.stock.taken(reply);
         bound.stock.open = reply.state != State::Idle;
         self.unbind();
         self.graft.give_up();
-        Some(Say::Error(ErrorKind::RolledBack, format!("{kind} at the database")))
+        Some(ClientReply::Error(ErrorKind::RolledBack, format!("{kind} at the database")))
     }
 }
 
--- a/src/pooler/leases.rs
+++ b/src/pooler/leases.rs
@@ -2,9 +2,9 @@
 use crate::base::ids::{DbTerm, InstanceId, Position, ServiceName};
 use crate::base::sync::lock;
 use crate::base::time::Tick;
-use crate::config::route_table::Lanes;
+use crate::config::route_table::RouteTable;
 use crate::pooler::pool::{Held, Pool};
-use crate::pooler::replica_reads::Floors;
+use crate::pooler::replica_reads::ReadWatermarks;
 use std::collections::BTreeMap;
 use std::net::{Shutdown, TcpStream};
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 /// The connections that this stile may have to each database of a service, as long as the leader
 /// keeps saying so.
 #[derive(Debug, Default)]
-pub struct Share {
+pub struct ConnectionQuota {
     pub size: u32,
     pub(crate) until: Tick,
     /// What the pools go by.
@@ -22,7 +22,7 @@
     pub(crate) told: Option<u32>,
 }
 
-impl Share {
+impl ConnectionQuota {
     pub fn renew(&mut self, until: Tick) {
         self.until = self.until.max(until);
     }
@@ -51,10 +51,10 @@
     /// Terms up to this were taken back; only a renewal asked for after that one may bring them
     /// again, when the alarm was false.
     pub(crate) revoked: Option<(DbTerm, u64)>,
-    pub(crate) floors: Floors,
+    pub(crate) floors: ReadWatermarks,
     /// The furthest position passed on to a client or seen at the primary.
     pub(crate) highest: Option<Position>,
-    pub(crate) share: Share,
+    pub(crate) share: ConnectionQuota,
     /// When the primary was last lost to this stile, for saying when to come back.
     pub(crate) unled_since: Option<Tick>,
     /// The databases of the service.
@@ -70,9 +70,9 @@
         Self {
             held: Held::None,
             revoked: None,
-            floors: Floors::default(),
+            floors: ReadWatermarks::default(),
             highest: None,
-            share: Share::default(),
+            share: ConnectionQuota::default(),
             unled_since: None,
             pools: Vec::new(),
             news: None,
@@ -105,7 +105,7 @@
 
 #[derive(Default)]
 pub(crate) struct View {
-    pub(crate) config: Option<Arc<Lanes>>,
+    pub(crate) config: Option<Arc<RouteTable>>,
     pub(crate) listed: bool,
     pub(crate) pools: BTreeMap<InstanceId, Arc<Pool>>,
     pub(crate) services: BTreeMap<ServiceName, ServiceView>,
--- a/src/pooler/pool.rs
+++ b/src/pooler/pool.rs
@@ -3,13 +3,13 @@
 use crate::base::ids::{DbTerm, InstanceId, ServiceName};
 use crate::base::sync::lock;
 use crate::base::time::Tick;
-use crate::config::directory::Listed;
+use crate::config::directory::DirectoryEntry;
 use crate::net::sockets::dial;
 use crate::net::statement_protocol::{self, State};
-use crate::pooler::admission::{Admission, NoRoom, Pace, Turn};
-use crate::pooler::reroute::Graft;
+use crate::pooler::admission::{AcquireError, Admission, LatencyEstimator, QueueTicket};
+use crate::pooler::reroute::SessionReroute;
 use crate::pooler::server_connection::{
-    CONNECT_MS, HANDSHAKE_MS, LEFT_BEFORE_MS, LOOK_MS, Rootstock,
+    CONNECT_MS, HANDSHAKE_MS, LEFT_BEFORE_MS, LOOK_MS, ServerConnection,
 };
 use std::io::{self, Write};
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
 #[derive(Default)]
 pub(crate) struct PoolInner {
     pub(crate) admission: Admission,
-    pub(crate) idle: Vec<Rootstock>,
+    pub(crate) idle: Vec<ServerConnection>,
     pub(crate) draining: bool,
     gone: bool,
 }
@@ -48,11 +48,11 @@
     /// It lacked even the floor; other databases are asked until this.
     pub(crate) lags_until: AtomicU64,
     /// By the type of the route: their statements differ in work.
-    pub(crate) paces: Mutex<[Pace; 3]>,
+    pub(crate) paces: Mutex<[LatencyEstimator; 3]>,
 }
 
 impl Pool {
-    pub(crate) fn new(listed: &Listed) -> Self {
+    pub(crate) fn new(listed: &DirectoryEntry) -> Self {
         Self {
             id: listed.id.clone(),
             service: listed.service.clone(),
@@ -130,14 +130,14 @@
     /// wait for one is told by `waits`.
     pub(crate) fn borrow(
         &self,
-        graft: &Graft,
+        graft: &SessionReroute,
         session: u64,
         priority: u8,
         until: Tick,
         waits: impl Fn(),
-    ) -> Result<Rootstock, NoRoom> {
+    ) -> Result<ServerConnection, AcquireError> {
         let mut inner = lock(&self.inner);
-        let mut turn: Option<Turn> = None;
+        let mut turn: Option<QueueTicket> = None;
         loop {
             let now = Tick::now();
             if inner.gone || self.is_down(now) {
@@ -191,16 +191,16 @@
         drop(inner);
         // The one behind may be next now.
         self.freed.notify_all();
-        Err(if down { NoRoom::Down } else { NoRoom::Full })
+        Err(if down { AcquireError::Down } else { AcquireError::Full })
     }
 
-    fn open(&self, now: Tick, until: Tick) -> Result<Rootstock, NoRoom> {
-        let connect = || -> io::Result<Result<Rootstock, ErrorKind>> {
+    fn open(&self, now: Tick, until: Tick) -> Result<ServerConnection, AcquireError> {
+        let connect = || -> io::Result<Result<ServerConnection, ErrorKind>> {
             let stream =
                 dial(self.address, Duration::from_millis(CONNECT_MS), Duration::from_secs(3))?;
             stream.set_read_timeout(Some(Duration::from_millis(LOOK_MS)))?;
             stream.set_write_timeout(Some(Duration::from_secs(1)))?;
-            let mut stock = Rootstock::new(stream);
+            let mut stock = ServerConnection::new(stream);
             let hello = format!("CONNECT {} stile {}\r\n", self.service, self.id);
             stock.stream.write_all(hello.as_bytes())?;
             let limit = now.plus(HANDSHAKE_MS).min(until.plus(CONNECT_MS));
@@ -244,10 +244,10 @@
                 self.heard(Tick::now());
                 Ok(stock)
             }
-            Ok(Err(ErrorKind::ConnLimit | ErrorKind::Throttled)) => Err(NoRoom::Full),
+            Ok(Err(ErrorKind::ConnLimit | ErrorKind::Throttled)) => Err(AcquireError::Full),
             Ok(Err(_)) | Err(_) => {
                 self.failed(Tick::now());
-                Err(NoRoom::Down)
+                Err(AcquireError::Down)
             }
         }
     }
@@ -258,7 +258,7 @@
     }
 
     /// Takes a connection back that is at rest.
-    pub(crate) fn give_back(&self, stock: Rootstock) {
+    pub(crate) fn give_back(&self, stock: ServerConnection) {
         let mut inner = lock(&self.inner);
         if inner.gone || inner.admission.over() || !stock.settled() {
             inner.admission.shrink();
@@ -272,14 +272,14 @@
         }
     }
     /// A borrowed connection was lost; dropping it rolls back what it had open.
-    pub(crate) fn lose(&self, stock: Rootstock) {
+    pub(crate) fn lose(&self, stock: ServerConnection) {
         drop(stock);
         self.close_one();
     }
 }
 
 /// The idle connection that needs the least work before the session's next statement.
-fn best_fit(idle: &[Rootstock], graft: &Graft, session: u64) -> Option<usize> {
+fn best_fit(idle: &[ServerConnection], graft: &SessionReroute, session: u64) -> Option<usize> {
     let (values, _) = graft.replay();
     // Later ones were used last, and are the likeliest to live.
     idle.iter()
--- a/src/pooler/replica_reads.rs
+++ b/src/pooler/replica_reads.rs
@@ -7,7 +7,7 @@
 /// Positions seen at the primary: a pair (s, p) says that p covers every commit acknowledged
 /// before s.
 #[derive(Clone, Debug, Default)]
-pub struct Floors {
+pub struct ReadWatermarks {
     kept: VecDeque<(Tick, Position)>,
     newest: Option<(Tick, Position)>,
 }
@@ -16,7 +16,7 @@
 
 const FLOOR_STEP_MS: u64 = 60;
 
-impl Floors {
+impl ReadWatermarks {
     pub fn learn(&mut self, sent: Tick, position: Position) {
         if self.newest.is_some_and(|(s, p)| s > sent || p > position) {
             return;
@@ -67,7 +67,7 @@
 /// How good a replica is to read from; the least is the best. Where a connection has to be opened,
 /// each stile has an order of its own: all of them spread over all replicas, and each keeps few.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Standby {
+pub(crate) struct ReplicaRank {
     pub(crate) load: usize,
     /// A connection would have to be opened.
     pub(crate) fresh: bool,
--- a/src/pooler/reroute.rs
+++ b/src/pooler/reroute.rs
@@ -7,7 +7,7 @@
 
 /// A prepared statement, whatever its name.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Shape {
+pub struct PreparedStatement {
     pub verb: Verb,
     pub text: String,
 }
@@ -22,7 +22,7 @@
 
 /// A statement that a database has to run.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Task {
+pub struct StatementPlan {
     pub kind: Kind,
     /// Outside any transaction of the client's.
     pub alone: bool,
@@ -31,23 +31,23 @@
     /// Only reads can follow in this transaction.
     pub read_only: bool,
     /// For EXECUTE: the shape behind the client's name.
-    pub shape: Option<Shape>,
+    pub shape: Option<PreparedStatement>,
 }
 
 /// What to do with a statement of the client.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum StatementDecision {
     /// Answered here with success; no database is asked.
     Settled,
     /// Answered here with success; what a database has open is rolled back.
     RolledBack,
     Refused(ErrorKind),
-    Run(Task),
+    Run(StatementPlan),
 }
 
 /// What the loss of a connection means for the statement that was on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum LossOutcome {
     /// Nothing can have been kept and nothing was shown: run again elsewhere, silently.
     Rerun,
     /// The client is told; its session goes on.
@@ -64,21 +64,21 @@
 /// The state of one session that a reroute has to keep: whether it may leave its connection, and
 /// what the next connection needs first. Both are derived from the statements and answers seen.
 #[derive(Clone, Debug)]
-pub struct Graft {
+pub struct SessionReroute {
     phase: Phase,
     values: BTreeMap<String, String>,
-    names: BTreeMap<String, Shape>,
+    names: BTreeMap<String, PreparedStatement>,
     /// Grows whenever what has to be replayed changes.
     version: u64,
 }
 
-impl Default for Graft {
+impl Default for SessionReroute {
     fn default() -> Self {
         Self { phase: Phase::Idle, values: BTreeMap::new(), names: BTreeMap::new(), version: 0 }
     }
 }
 
-impl Graft {
+impl SessionReroute {
     pub fn state(&self) -> State {
         match self.phase {
             Phase::Idle => State::Idle,
@@ -94,7 +94,7 @@
     }
     /// What every connection must hold before the next statement: the source's SET statements,
     /// with the prepared names beside them.
-    pub fn replay(&self) -> (&BTreeMap<String, String>, impl Iterator<Item = &Shape>) {
+    pub fn replay(&self) -> (&BTreeMap<String, String>, impl Iterator<Item = &PreparedStatement>) {
         (&self.values, self.names.values())
     }
     pub fn version(&self) -> u64 {
@@ -113,62 +113,64 @@
     }
 
     /// Decides on a statement of the client.
-    pub fn hear(&mut self, statement: &Statement<'_>, now: Tick) -> Verdict {
+    pub fn hear(&mut self, statement: &Statement<'_>, now: Tick) -> StatementDecision {
         let verdict = self.judge(statement, now);
         // An error inside a transaction fails it.
-        if matches!(verdict, Verdict::Refused(_)) && matches!(self.phase, Phase::Open { .. }) {
+        if matches!(verdict, StatementDecision::Refused(_))
+            && matches!(self.phase, Phase::Open { .. })
+        {
             self.phase = Phase::Failed;
         }
         verdict
     }
 
-    fn judge(&mut self, statement: &Statement<'_>, now: Tick) -> Verdict {
+    fn judge(&mut self, statement: &Statement<'_>, now: Tick) -> StatementDecision {
         if self.phase == Phase::Failed {
             return match statement {
                 Statement::Abort => {
                     self.phase = Phase::Idle;
-                    Verdict::RolledBack
+                    StatementDecision::RolledBack
                 }
                 // Ending it rolls back, and a commit that was none must not look like one.
                 Statement::Commit => {
                     self.phase = Phase::Idle;
-                    Verdict::Refused(ErrorKind::RolledBack)
+                    StatementDecision::Refused(ErrorKind::RolledBack)
                 }
-                _ => Verdict::Refused(ErrorKind::Malformed),
+                _ => StatementDecision::Refused(ErrorKind::Malformed),
             };
         }
         match *statement {
             Statement::Begin { read_only } => {
                 if self.phase != Phase::Idle {
-                    return Verdict::Refused(ErrorKind::Malformed);
+                    return StatementDecision::Refused(ErrorKind::Malformed);
                 }
                 self.phase = Phase::Open { read_only, began: now, shown: false, wrote: false };
-                Verdict::Settled
+                StatementDecision::Settled
             }
             Statement::Commit if self.phase == Phase::Idle => {
-                Verdict::Refused(ErrorKind::Malformed)
+                StatementDecision::Refused(ErrorKind::Malformed)
             }
             Statement::Commit => self.run(Kind::Commit, None),
             Statement::Abort => {
                 self.phase = Phase::Idle;
-                Verdict::RolledBack
+                StatementDecision::RolledBack
             }
             Statement::Fetch => self.run(Kind::Read, None),
             Statement::Store => self.run(Kind::Write, None),
             Statement::Configure { name, value } => {
                 self.values.insert(name.to_owned(), value.to_owned());
                 self.version += 1;
-                Verdict::Settled
+                StatementDecision::Settled
             }
             Statement::Prepare { name, verb, shape } => {
-                let shape = Shape { verb, text: shape.to_owned() };
+                let shape = PreparedStatement { verb, text: shape.to_owned() };
                 self.names.insert(name.to_owned(), shape);
                 self.version += 1;
-                Verdict::Settled
+                StatementDecision::Settled
             }
             Statement::Deallocate { name } => match self.names.remove(name) {
-                Some(_) => Verdict::Settled,
-                None => Verdict::Refused(ErrorKind::NotFound),
+                Some(_) => StatementDecision::Settled,
+                None => StatementDecision::Refused(ErrorKind::NotFound),
             },
             Statement::Execute { name, .. } => match self.names.get(name).cloned() {
                 Some(shape) => {
@@ -178,48 +180,54 @@
                     };
                     self.run(kind, Some(shape))
                 }
-                None => Verdict::Refused(ErrorKind::NotFound),
+                None => StatementDecision::Refused(ErrorKind::NotFound),
             },
         }
     }
 
-    fn run(&mut self, kind: Kind, shape: Option<Shape>) -> Verdict {
+    fn run(&mut self, kind: Kind, shape: Option<PreparedStatement>) -> StatementDecision {
         let task = match &mut self.phase {
             Phase::Open { read_only, shown, wrote, .. } => {
                 if kind == Kind::Write {
                     // From here on the end of the transaction matters, sent or not.
                     *wrote = true;
                 }
-                Task { kind, alone: false, first: !*shown, read_only: *read_only, shape }
+                StatementPlan { kind, alone: false, first: !*shown, read_only: *read_only, shape }
             }
-            _ => Task { kind, alone: true, first: true, read_only: kind == Kind::Read, shape },
+            _ => StatementPlan {
+                kind,
+                alone: true,
+                first: true,
+                read_only: kind == Kind::Read,
+                shape,
+            },
         };
-        Verdict::Run(task)
+        StatementDecision::Run(task)
     }
 
     /// The connection is gone, or its answer can't be used. `sent` says whether the statement may
     /// have reached a database.
-    pub fn lost(&mut self, task: &Task, sent: bool) -> Fate {
+    pub fn lost(&mut self, task: &StatementPlan, sent: bool) -> LossOutcome {
         if task.alone {
             return match task.kind {
                 // A write that may have run may also have been kept.
-                Kind::Write if sent => Fate::Tell(ErrorKind::Unknown),
-                _ => Fate::Rerun,
+                Kind::Write if sent => LossOutcome::Tell(ErrorKind::Unknown),
+                _ => LossOutcome::Rerun,
             };
         }
         let wrote = matches!(self.phase, Phase::Open { wrote: true, .. });
         match task.kind {
             // Nothing was shown, and without a commit nothing is kept: not even a write.
-            Kind::Read | Kind::Write if task.first => Fate::Rerun,
-            Kind::Commit if task.first && !wrote => Fate::Rerun,
+            Kind::Read | Kind::Write if task.first => LossOutcome::Rerun,
+            Kind::Commit if task.first && !wrote => LossOutcome::Rerun,
             Kind::Commit if wrote && sent => {
                 self.phase = Phase::Idle;
-                Fate::Tell(ErrorKind::Unknown)
+                LossOutcome::Tell(ErrorKind::Unknown)
             }
             // The client has seen rows or answers that another connection need not repeat.
             _ => {
                 self.phase = Phase::Idle;
-                Fate::Tell(ErrorKind::RolledBack)
+                LossOutcome::Tell(ErrorKind::RolledBack)
             }
         }
     }
@@ -241,6 +249,6 @@
     }
 }
 
-pub(crate) fn shape_id(hasher: &std::hash::RandomState, shape: &Shape) -> u64 {
+pub(crate) fn shape_id(hasher: &std::hash::RandomState, shape: &PreparedStatement) -> u64 {
     hasher.hash_one(shape)
 }
--- a/src/pooler/server.rs
+++ b/src/pooler/server.rs
@@ -5,20 +5,23 @@
 use crate::base::sync::lock;
 use crate::base::time::Tick;
 use crate::base::worker_pool::must_start;
-use crate::config::directory::Listed;
-use crate::config::route_table::Lanes;
+use crate::config::directory::DirectoryEntry;
+use crate::config::route_table::RouteTable;
 use crate::config::settings::{Settings, Watched};
 use crate::net::http;
-use crate::net::idle_connections::Parked;
-use crate::net::leader_connection::{Follower, Link};
-use crate::net::rpc::pooler_messages::{Doubt, Fresh, Grant, Saw, Standing, ToSteward, ToStile};
+use crate::net::idle_connections::IdleConnections;
+use crate::net::leader_connection::{LeaderConnection, LeaderSubscriber};
+use crate::net::rpc::pooler_messages::{
+    LeaseGrant, ObservedPosition, PositionBound, PrimaryStatus, SuspicionReason, ToController,
+    ToPooler,
+};
 use crate::net::sockets::{keep_alive, listen, tune};
-use crate::net::statement_protocol::Inbox;
+use crate::net::statement_protocol::ReadBuffer;
 use crate::pooler::client_session::{Next, Session};
 use crate::pooler::leases::{SHARE_KEPT_MS, Seen, ServiceView, View};
 use crate::pooler::pool::{Held, Pool};
-use crate::pooler::replica_reads::{ASK_MS, FLOOR_AHEAD_MS, READ_LATELY_MS, Standby, after};
-use crate::pooler::server_connection::Rootstock;
+use crate::pooler::replica_reads::{ASK_MS, FLOOR_AHEAD_MS, READ_LATELY_MS, ReplicaRank, after};
+use crate::pooler::server_connection::ServerConnection;
 use log::info;
 use std::collections::{BTreeSet, HashMap, VecDeque};
 use std::hash::BuildHasher;
@@ -28,13 +31,13 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::Duration;
 
-pub(crate) struct Stile {
+pub(crate) struct Pooler {
     node: NodeName,
     zone: String,
     life: u64,
     view: Mutex<View>,
     changed: Condvar,
-    link: Link,
+    link: LeaderConnection,
     sent: Mutex<VecDeque<(u64, Tick)>>,
     /// The last answer to a renewal on this connection, and when it was in hand.
     heard: Mutex<Option<(u64, Tick)>>,
@@ -48,10 +51,10 @@
     close_from: AtomicU64,
     pub(crate) sessions: Mutex<HashMap<u64, Arc<Seen>>>,
     next_session: AtomicU64,
-    bench: Mutex<Bench>,
+    bench: Mutex<SessionWorkers>,
     wanted: Condvar,
     /// Sessions whose clients say nothing, and what wakes when one does.
-    parked: Parked<Session>,
+    parked: IdleConnections<Session>,
     doubted: Mutex<HashMap<InstanceId, Tick>>,
     pub(crate) hasher: std::hash::RandomState,
     max_sessions: usize,
@@ -60,14 +63,14 @@
 
 /// Threads between two sessions, and sessions that one of them is about to take.
 #[derive(Default)]
-struct Bench {
+struct SessionWorkers {
     resting: usize,
     waiting: VecDeque<Session>,
 }
 
 /// A connection in a session's hands.
-pub(crate) struct Bound {
-    pub(crate) stock: Rootstock,
+pub(crate) struct CheckedOutConnection {
+    pub(crate) stock: ServerConnection,
     pub(crate) pool: Arc<Pool>,
     /// The term under which the primary is used; none at a replica.
     pub(crate) term: Option<DbTerm>,
@@ -75,8 +78,8 @@
 
 pub(crate) const RENEW_MS: u64 = 450;
 
-impl Stile {
-    pub(crate) fn config(&self) -> Option<Arc<Lanes>> {
+impl Pooler {
+    pub(crate) fn config(&self) -> Option<Arc<RouteTable>> {
         lock(&self.view).config.clone()
     }
     /// The primary's pool and term, if a lease on it is held now.
@@ -140,7 +143,7 @@
             Held::Led { primary, .. } => Some(primary),
             Held::None => None,
         };
-        let mut found: Vec<(Standby, Arc<Pool>)> = seen
+        let mut found: Vec<(ReplicaRank, Arc<Pool>)> = seen
             .pools
             .iter()
             .filter(|p| Some(&p.id) != primary && !p.is_down(now) && !p.lags(now))
@@ -148,17 +151,18 @@
                 let (load, idle, closed) = p.load();
                 let far = if p.zone == self.zone { 0 } else { 3 };
                 let tie = if idle { rand::random() } else { self.hasher.hash_one(&p.id) };
-                (!closed).then(|| (Standby { load: load + far, fresh: !idle, tie }, Arc::clone(p)))
+                (!closed)
+                    .then(|| (ReplicaRank { load: load + far, fresh: !idle, tie }, Arc::clone(p)))
             })
             .collect();
         found.sort_by_key(|(standby, _)| *standby);
         found.into_iter().map(|(_, pool)| pool).collect()
     }
 
-    fn tell(&self, message: ToSteward) {
+    fn tell(&self, message: ToController) {
         self.link.tell(message);
     }
-    pub(crate) fn doubt(&self, pool: &Pool, why: Doubt, now: Tick) {
+    pub(crate) fn doubt(&self, pool: &Pool, why: SuspicionReason, now: Tick) {
         {
             let mut doubted = lock(&self.doubted);
             if doubted.get(&pool.id).is_some_and(|t| now.since(*t) < 250) {
@@ -167,7 +171,7 @@
             doubted.insert(pool.id.clone(), now);
         }
         let (service, instance) = (pool.service.clone(), pool.id.clone());
-        self.tell(ToSteward::Suspect { service, instance, why });
+        self.tell(ToController::Suspect { service, instance, why });
     }
     fn renew_when_due(&self) {
         let last = lock(&self.sent).back().map(|(_, t)| *t);
@@ -195,7 +199,7 @@
             if let Some((term, sent, position)) = seen.news.take()
                 && let Some(after) = heard.and_then(|(_, at)| after(at, sent))
             {
-                saw.push(Saw { service: name.clone(), term, position, after });
+                saw.push(ObservedPosition { service: name.clone(), term, position, after });
             }
             let lately = seen.read.filter(|(at, _)| now.since(*at) < READ_LATELY_MS);
             match lately {
@@ -216,9 +220,9 @@
                 sent.pop_front();
             }
         }
-        Link::tell_under(
+        LeaderConnection::tell_under(
             &mut link,
-            ToSteward::Renew { seq, heard, shares, wants, saw, asks, busy: Vec::new() },
+            ToController::RenewLeases { seq, heard, shares, wants, saw, asks, busy: Vec::new() },
         );
     }
     /// The leader takes a term back: nothing is sent or passed on under it from here on.
@@ -235,28 +239,28 @@
             seen.highest
         };
         info!(target: "lease", "{service}: term {term} was taken back");
-        Link::tell_under(&mut link, ToSteward::Revoked { service, term, highest });
+        LeaderConnection::tell_under(&mut link, ToController::RevokeAck { service, term, highest });
         drop(link);
         self.changed.notify_all();
     }
 
     // -- what the leader says --------------------------------------------------------------------
 
-    fn heard_of(&self, message: ToStile) {
+    fn heard_of(&self, message: ToPooler) {
         match message {
-            ToStile::Elsewhere(_) | ToStile::Welcome { .. } => {}
-            ToStile::Configured(config) => self.configured(*config),
-            ToStile::Changed(changed) => {
+            ToPooler::NotLeader(_) | ToPooler::Welcome { .. } => {}
+            ToPooler::RouteTable(config) => self.configured(*config),
+            ToPooler::RouteTableDelta(changed) => {
                 let config = self.config();
                 if config.as_ref().is_some_and(|c| c.revision >= changed.revision) {
                     return;
                 }
                 match config.and_then(|c| c.with(&changed)) {
                     Some(config) => self.configured(config),
-                    None => self.tell(ToSteward::Whole),
+                    None => self.tell(ToController::RequestFullTable),
                 }
             }
-            ToStile::Directory(listed) => {
+            ToPooler::Directory(listed) => {
                 let mut view = lock(&self.view);
                 let gone: Vec<InstanceId> = view
                     .pools
@@ -272,22 +276,22 @@
                 }
                 view.listed = true;
             }
-            ToStile::Moved { listed, gone } => {
+            ToPooler::DirectoryDelta { listed, gone } => {
                 let mut view = lock(&self.view);
                 gone.iter().for_each(|id| Self::remove(&mut view, id));
                 let now = Tick::now();
                 listed.into_iter().for_each(|one| Self::upsert(&mut view, one, now));
             }
-            ToStile::Granted { seq, lease_ms, whole, grants, fresh, .. } => {
+            ToPooler::LeaseGrants { seq, lease_ms, whole, grants, fresh, .. } => {
                 self.granted(seq, lease_ms, whole, grants, fresh);
             }
-            ToStile::Revoke { service, term } => self.revoke(service, term),
-            ToStile::Renew => self.renew(),
+            ToPooler::Revoke { service, term } => self.revoke(service, term),
+            ToPooler::RenewNow => self.renew(),
         }
     }
 
     /// A stile never goes back to an older version.
-    fn configured(&self, config: Lanes) {
+    fn configured(&self, config: RouteTable) {
         let mut view = lock(&self.view);
         if view.config.as_ref().is_some_and(|c| c.revision >= config.revision) {
             return;
@@ -300,7 +304,7 @@
     }
     /// One that leaves, and was not known to, does so since `since`: what a whole directory tells may
     /// have been so for long.
-    fn upsert(view: &mut View, listed: Listed, since: Tick) {
+    fn upsert(view: &mut View, listed: DirectoryEntry, since: Tick) {
         let fits = |p: &Arc<Pool>| p.address == listed.address && p.zone == listed.zone;
         let pool = match view.pools.get(&listed.id).filter(|p| fits(p)) {
             Some(pool) => Arc::clone(pool),
@@ -327,7 +331,14 @@
         }
     }
 
-    fn granted(&self, seq: u64, lease_ms: u64, whole: bool, grants: Vec<Grant>, fresh: Vec<Fresh>) {
+    fn granted(
+        &self,
+        seq: u64,
+        lease_ms: u64,
+        whole: bool,
+        grants: Vec<LeaseGrant>,
+        fresh: Vec<PositionBound>,
+    ) {
         *lock(&self.heard) = Some((seq, Tick::now()));
         let asked = {
             let mut sent = lock(&self.sent);
@@ -348,7 +359,7 @@
             }
         }
         let mut changed = whole || !fresh.is_empty();
-        for Fresh { service, position, age } in fresh {
+        for PositionBound { service, position, age } in fresh {
             if let Some(seen) = view.services.get_mut(&service)
                 && let Some(sent) = asked.0.checked_sub(age)
             {
@@ -360,7 +371,7 @@
             let seen = view.services.entry(grant.service.clone()).or_default();
             let led = matches!(seen.held, Held::Led { .. });
             match grant.standing {
-                Standing::Led { term, primary } => {
+                PrimaryStatus::Active { term, primary } => {
                     if seen.revoked.is_none_or(|(last, upto)| term > last || seq > upto) {
                         if !matches!(&seen.held, Held::Led { term: t, .. } if *t == term) {
                             info!(target: "lease", "{}: {primary} leads term {term}", grant.service);
@@ -369,11 +380,11 @@
                         seen.unled_since = None;
                     }
                 }
-                Standing::Sealed(position) => {
+                PrimaryStatus::Sealed(position) => {
                     seen.held = Held::None;
                     seen.floors.learn(asked, position);
                 }
-                Standing::Unled => seen.held = Held::None,
+                PrimaryStatus::Absent => seen.held = Held::None,
             }
             if led && matches!(seen.held, Held::None) {
                 seen.unled_since = Some(Tick::now());
@@ -477,10 +488,10 @@
 /// Descriptors kept for connections to databases, the link and files.
 const SPARE_FILES: u64 = 400;
 
-impl Follower for Stile {
-    fn hello(&self) -> ToSteward {
+impl LeaderSubscriber for Pooler {
+    fn hello(&self) -> ToController {
         let revision = self.config().map_or(Revision(0), |c| c.revision);
-        ToSteward::Hello {
+        ToController::Hello {
             node: self.node.clone(),
             life: self.life,
             revision,
@@ -497,12 +508,12 @@
     fn begin(&self) {
         self.renew();
     }
-    fn hear(&self, message: ToStile) {
+    fn hear(&self, message: ToPooler) {
         self.heard_of(message);
     }
 }
 
-impl Stile {
+impl Pooler {
     /// What may change while the program runs.
     fn heed(&self, settings: &Settings) {
         self.link.seek(settings.seed_peers());
@@ -561,7 +572,7 @@
         });
         lock(&self.sessions).insert(id, Arc::clone(&seen));
         let stile = Arc::clone(self);
-        self.hand(Session { id, stile, seen, inbox: Inbox::default(), scion: None });
+        self.hand(Session { id, stile, seen, inbox: ReadBuffer::default(), scion: None });
     }
 
     /// Has a thread serve the session: one that rests, or a new one. Where the machine has none
@@ -660,13 +671,13 @@
     let frontend = needed(settings.listeners.frontend, "frontend")?;
     let readiness = needed(settings.listeners.readiness, "readiness")?;
     let signals = Signals::install().map_err(|e| Fatal::Call(e.to_string()))?;
-    let stile = Arc::new(Stile {
+    let stile = Arc::new(Pooler {
         node: settings.node(),
         zone: settings.zone.clone(),
         life: rand::random(),
         view: Mutex::default(),
         changed: Condvar::new(),
-        link: Link::new("stile", settings.seed_peers()),
+        link: LeaderConnection::new("stile", settings.seed_peers()),
         sent: Mutex::default(),
         heard: Mutex::default(),
         seq: AtomicU64::new(0),
@@ -678,7 +689,7 @@
         next_session: AtomicU64::new(1),
         bench: Mutex::default(),
         wanted: Condvar::new(),
-        parked: Parked::new("session").map_err(|e| Fatal::Call(e.to_string()))?,
+        parked: IdleConnections::new("session").map_err(|e| Fatal::Call(e.to_string()))?,
         doubted: Mutex::default(),
         hasher: std::hash::RandomState::new(),
         drain_ms: AtomicU64::new(settings.timing_bounds.drain_ms),
@@ -726,7 +737,7 @@
 
 /// The loop that renews leases, tends sessions and ends the program in order.
 fn tend(
-    stile: &Arc<Stile>,
+    stile: &Arc<Pooler>,
     signals: &Signals,
     mut watched: Watched,
     mut settings: Settings,
@@ -763,7 +774,7 @@
             seen.send_off(late);
         }
         if sessions.is_empty() || waited + 300 > grace {
-            stile.tell(ToSteward::Bye);
+            stile.tell(ToController::Goodbye);
             info!(target: "stile", "stopped with {} sessions open", sessions.len());
             return Ok(());
         }
--- a/src/pooler/server_connection.rs
+++ b/src/pooler/server_connection.rs
@@ -1,7 +1,7 @@
 //! One connection to a database.
 use crate::net::idle_connections::has_news;
-use crate::net::statement_protocol::{self, Inbox, Outcome, Reply, State};
-use crate::pooler::reroute::{Graft, Shape, shape_id};
+use crate::net::statement_protocol::{self, Outcome, ReadBuffer, Reply, State};
+use crate::pooler::reroute::{PreparedStatement, SessionReroute, shape_id};
 use log::warn;
 use std::collections::{BTreeMap, HashSet};
 use std::io::{self, Write};
@@ -28,9 +28,9 @@
 const MAX_PREPARED: usize = 256;
 
 /// A connection to a database, and what the database holds for it.
-pub struct Rootstock {
+pub struct ServerConnection {
     pub(crate) stream: TcpStream,
-    pub(crate) inbox: Inbox,
+    pub(crate) inbox: ReadBuffer,
     /// Answers that the database owes. They carry no id: only by their count is one known to be the
     /// next statement's.
     owed: u32,
@@ -54,11 +54,11 @@
     Late,
 }
 
-impl Rootstock {
+impl ServerConnection {
     pub(crate) fn new(stream: TcpStream) -> Self {
         Self {
             stream,
-            inbox: Inbox::default(),
+            inbox: ReadBuffer::default(),
             owed: 0,
             values: BTreeMap::new(),
             prepared: HashSet::new(),
@@ -129,8 +129,8 @@
 
 /// Brings a connection to the state of the session: the difference is sent, in one write.
 pub(crate) fn lay_on(
-    stock: &mut Rootstock,
-    graft: &Graft,
+    stock: &mut ServerConnection,
+    graft: &SessionReroute,
     session: u64,
     hasher: &std::hash::RandomState,
     mut look: impl FnMut() -> Option<Loss>,
@@ -150,7 +150,7 @@
         let _ = write!(lines, "QUERY - {text}\r\n");
     };
     let foreign = stock.values.keys().any(|k| !values.contains_key(k));
-    let wanted: Vec<(u64, &Shape)> = shapes.map(|s| (shape_id(hasher, s), s)).collect();
+    let wanted: Vec<(u64, &PreparedStatement)> = shapes.map(|s| (shape_id(hasher, s), s)).collect();
     let missing = wanted.iter().filter(|(id, _)| !stock.prepared.contains(id)).count();
     if !stock.open && (foreign || stock.inside || stock.prepared.len() + missing > MAX_PREPARED) {
         say(format_args!("DISCARD"));
--- a/src/raft/node.rs
+++ b/src/raft/node.rs
@@ -1,7 +1,9 @@
 //! The consensus core: one member of the Raft group, moved on by messages and a passed-in time.
-use crate::base::ids::{Epoch, Index, MemberId};
+use crate::base::ids::{LogIndex, MemberId, Term};
 use crate::base::time::Tick;
-use crate::net::rpc::raft_messages::{Body, Entry, Joined, Member, Raft, RaftKind, Snapshot};
+use crate::net::rpc::raft_messages::{
+    EntryPayload, JoinResponse, LogEntry, Member, RaftMessage, RaftMessageKind, Snapshot,
+};
 use crate::net::rpc::{FIRST_LAYOUT, PARTS_LAYOUT, pack, unpack};
 use crate::state_machine::STATE_LAYOUT;
 use serde_bytes::ByteBuf;
@@ -77,30 +79,31 @@
 const KEEP_BYTES: usize = 4 << 20;
 
 #[derive(Clone, Debug, PartialEq)]
-enum Rank {
-    Follower,
+enum RaftRole {
+    LeaderSubscriber,
     Candidate { trial: bool, handover: bool, votes: BTreeSet<MemberId> },
-    Leader { opened: Index, since: Tick },
+    Leader { opened: LogIndex, since: Tick },
 }
 
 /// The answer to a leader of an epoch that has passed. It tells of no time: the asker may lead
 /// this epoch by now, and may have been started anew since, with another clock.
-const OUTDATED: RaftKind = RaftKind::Appended { upto: Index(0), ok: false, sent: 0 };
+const OUTDATED: RaftMessageKind =
+    RaftMessageKind::AppendResponse { upto: LogIndex(0), ok: false, sent: 0 };
 
 #[derive(Clone, Debug)]
 struct Progress {
-    next: Index,
-    matched: Index,
+    next: LogIndex,
+    matched: LogIndex,
     /// Entries from here up to `next` are under way.
-    flying: Index,
+    flying: LogIndex,
     /// Too large for one message, so on its way in parts; nothing else but heartbeats goes meanwhile.
-    transfer: Option<Transfer>,
+    transfer: Option<ChunkedSend>,
     /// When the newest message that this member answered was sent.
     acked: Tick,
     /// Since when this leader has cared for it.
     since: Tick,
     /// What it is to reach in this round of catching up, and when the round began.
-    round: (Index, Tick),
+    round: (LogIndex, Tick),
     /// Its last round was short: it keeps up with what comes.
     keeps_up: bool,
 }
@@ -108,17 +111,17 @@
 /// A question about what is current, at the time it came: Raft's ReadIndex.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReadIndex {
-    epoch: Epoch,
+    epoch: Term,
     /// All that any leader had acknowledged when it came is at or below this.
-    pub upto: Index,
+    pub upto: LogIndex,
     pub asked: Tick,
 }
 
 impl Progress {
-    fn new(next: Index, last: Index, now: Tick) -> Self {
+    fn new(next: LogIndex, last: LogIndex, now: Tick) -> Self {
         Self {
             next,
-            matched: Index(0),
+            matched: LogIndex(0),
             flying: next,
             transfer: None,
             acked: Tick(0),
@@ -128,7 +131,7 @@
         }
     }
     /// Goes on from here; whatever was under way has arrived or is lost.
-    fn go_on(&mut self, next: Index) {
+    fn go_on(&mut self, next: LogIndex) {
         (self.next, self.flying) = (next, next);
     }
 }
@@ -136,14 +139,14 @@
 /// A message on its way to a member in parts, one after the other. It stays as it is, whatever
 /// happens to the log meanwhile.
 #[derive(Clone, Debug)]
-struct Transfer {
+struct ChunkedSend {
     id: u64,
     /// The message, encoded; shared where several members get the same snapshot.
     bytes: Arc<[u8]>,
     /// The snapshot's last entry, if it is one.
-    snapshot: Option<Index>,
+    snapshot: Option<LogIndex>,
     /// The first entry after it.
-    then: Index,
+    then: LogIndex,
     /// Answered up to here; the part from here on, so large, was sent then.
     offset: usize,
     part: usize,
@@ -152,9 +155,9 @@
 
 /// A message that arrives in parts, bounded by `TRANSFER_BYTES`.
 #[derive(Clone)]
-struct Arriving {
+struct ChunkedReceive {
     leader: MemberId,
-    epoch: Epoch,
+    epoch: Term,
     transfer: u64,
     size: usize,
     upto: usize,
@@ -162,24 +165,24 @@
 }
 
 /// Whether this program can read what a leader's message holds.
-pub type Vet = fn(&RaftKind) -> Result<(), String>;
+pub type MessageValidator = fn(&RaftMessageKind) -> Result<(), String>;
 
 /// What differs from the disk.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Dirty {
+pub struct UnsavedChanges {
     pub hard: bool,
-    pub log_from: Option<Index>,
+    pub log_from: Option<LogIndex>,
     pub snapshot: bool,
 }
 
-impl Dirty {
+impl UnsavedChanges {
     pub fn all() -> Self {
-        Self { hard: true, log_from: Some(Index(0)), snapshot: true }
+        Self { hard: true, log_from: Some(LogIndex(0)), snapshot: true }
     }
-    fn mark_log(&mut self, from: Index) {
+    fn mark_log(&mut self, from: LogIndex) {
         self.log_from = Some(self.log_from.map_or(from, |old| old.min(from)));
     }
-    pub(crate) fn add(&mut self, other: Dirty) {
+    pub(crate) fn add(&mut self, other: UnsavedChanges) {
         self.hard |= other.hard;
         self.snapshot |= other.snapshot;
         if let Some(from) = other.log_from {
@@ -190,28 +193,28 @@
 
 /// What a steward keeps on disk.
 #[derive(Clone, Debug, Default)]
-pub struct Kept {
+pub struct PersistentState {
     pub me: MemberId,
-    pub epoch: Epoch,
+    pub epoch: Term,
     pub voted: Option<MemberId>,
     /// The last epoch that this steward led.
-    pub led: Option<Epoch>,
-    pub log: Vec<Entry>,
+    pub led: Option<Term>,
+    pub log: Vec<LogEntry>,
     pub snapshot: Snapshot,
 }
 
 /// The list of members, if that is what an entry holds.
-pub(crate) fn listed(entry: &Entry) -> Option<&Vec<Member>> {
+pub(crate) fn listed(entry: &LogEntry) -> Option<&Vec<Member>> {
     match &entry.body {
-        Body::Members(members) => Some(members),
+        EntryPayload::Membership(members) => Some(members),
         _ => None,
     }
 }
 
 /// About how many bytes an entry takes.
-fn size(entry: &Entry) -> usize {
+fn size(entry: &LogEntry) -> usize {
     match &entry.body {
-        Body::Change(bytes) => 32 + bytes.len(),
+        EntryPayload::Command(bytes) => 32 + bytes.len(),
         _ => 512,
     }
 }
@@ -219,11 +222,11 @@
 /// The set of stewards, seen from one of them: Raft with trial votes, a quorum check, hand-over
 /// and one change of members at a time.
 #[derive(Clone)]
-pub struct Hedge {
-    pub kept: Kept,
-    pub commit: Index,
+pub struct RaftNode {
+    pub kept: PersistentState,
+    pub commit: LogIndex,
     pub leader: Option<MemberId>,
-    role: Rank,
+    role: RaftRole,
     heard: Option<Tick>,
     deadline: Tick,
     next_beat: Tick,
@@ -237,7 +240,7 @@
     returning: bool,
     peers: BTreeMap<MemberId, Progress>,
     /// What those held that this leader has removed.
-    removed: BTreeMap<MemberId, Index>,
+    removed: BTreeMap<MemberId, LogIndex>,
     /// The newest list of members in the log, committed or not.
     members: Vec<Member>,
     /// Since when another was asked to take over; nothing is granted from then on.
@@ -249,28 +252,28 @@
     /// The disk is in trouble: this steward does not lead.
     pub(crate) ailing: bool,
     /// Everything up to here is on this steward's disk.
-    durable: Index,
+    durable: LogIndex,
     /// An acknowledgement that waits for the disk: to whom, up to where, and the message's time.
-    owed: Option<(MemberId, Index, u64)>,
-    pub dirty: Dirty,
-    pub out: Vec<(MemberId, Raft)>,
+    owed: Option<(MemberId, LogIndex, u64)>,
+    pub dirty: UnsavedChanges,
+    pub out: Vec<(MemberId, RaftMessage)>,
     spread: fn() -> u64,
     /// The newest time that was passed in.
     clock: Tick,
     /// Transfers begun by this one, and the one under way to it.
     transfers: u64,
-    arriving: Option<Arriving>,
+    arriving: Option<ChunkedReceive>,
     /// The layouts that other members read, as their newest frames say.
     layouts: BTreeMap<MemberId, u8>,
     /// Looks at what a leader sends before any of it is taken.
-    pub vet: Vet,
+    pub vet: MessageValidator,
     /// The leader has something that this program can't read: it was neither taken nor acknowledged,
     /// and there is no going on.
     pub refused: Option<String>,
 }
 
-impl Hedge {
-    pub fn new(kept: Kept, restarted: bool, now: Tick, spread: fn() -> u64) -> Self {
+impl RaftNode {
+    pub fn new(kept: PersistentState, restarted: bool, now: Tick, spread: fn() -> u64) -> Self {
         let commit = kept.snapshot.last.1;
         let returning = restarted && kept.led == Some(kept.epoch);
         let quiet = restarted && !returning;
@@ -278,7 +281,7 @@
             kept,
             commit,
             leader: None,
-            role: Rank::Follower,
+            role: RaftRole::LeaderSubscriber,
             heard: None,
             deadline: now,
             next_beat: now,
@@ -293,9 +296,9 @@
             asked: false,
             relisted: now,
             ailing: false,
-            durable: Index(0),
+            durable: LogIndex(0),
             owed: None,
-            dirty: Dirty::default(),
+            dirty: UnsavedChanges::default(),
             out: Vec::new(),
             spread,
             clock: now,
@@ -318,17 +321,17 @@
         hedge
     }
 
-    pub fn last(&self) -> (Epoch, Index) {
+    pub fn last(&self) -> (Term, LogIndex) {
         self.kept.log.last().map_or(self.kept.snapshot.last, |e| (e.epoch, e.index))
     }
-    fn epoch_at(&self, index: Index) -> Option<Epoch> {
+    fn epoch_at(&self, index: LogIndex) -> Option<Term> {
         let base = self.kept.snapshot.last;
         if index == base.1 {
             return Some(base.0);
         }
         self.position(index).map(|at| self.kept.log[at].epoch)
     }
-    fn position(&self, index: Index) -> Option<usize> {
+    fn position(&self, index: LogIndex) -> Option<usize> {
         let at = index.0.checked_sub(self.kept.snapshot.last.1.0 + 1)? as usize;
         (at < self.kept.log.len()).then_some(at)
     }
@@ -349,7 +352,7 @@
         self.voters().contains(&self.kept.me)
     }
     pub fn is_leader(&self) -> bool {
-        matches!(self.role, Rank::Leader { .. })
+        matches!(self.role, RaftRole::Leader { .. })
     }
     fn quorum(&self) -> usize {
         self.voters().len() / 2 + 1
@@ -369,7 +372,7 @@
     /// True while this steward may act as the only leader: a quorum is with it, its first entry
     /// is committed, and it has not asked another to take over.
     pub fn granting(&self, now: Tick) -> bool {
-        let Rank::Leader { opened, .. } = self.role else {
+        let RaftRole::Leader { opened, .. } = self.role else {
             return false;
         };
         self.leaving.is_none() && self.commit >= opened && self.fresh(now, QUORUM_FRESH_MS)
@@ -392,7 +395,7 @@
     /// Takes in a question about what is current; `None` if this steward can't know. A round of
     /// heartbeats is begun for it: see `tick`.
     pub fn read_index(&mut self, now: Tick) -> Option<ReadIndex> {
-        let Rank::Leader { opened, .. } = self.role else {
+        let RaftRole::Leader { opened, .. } = self.role else {
             return None;
         };
         if self.commit < opened {
@@ -421,14 +424,14 @@
         Some(if free { next } else { next.max(self.round.plus(ROUND_MS)) })
     }
 
-    fn say(&mut self, to: MemberId, kind: RaftKind) {
-        let message = Raft { from: self.kept.me, epoch: self.kept.epoch, kind };
+    fn say(&mut self, to: MemberId, kind: RaftMessageKind) {
+        let message = RaftMessage { from: self.kept.me, epoch: self.kept.epoch, kind };
         self.out.push((to, message));
     }
     fn others(&self) -> Vec<MemberId> {
         self.members().iter().map(|m| m.id).filter(|id| *id != self.kept.me).collect()
     }
-    fn set_epoch(&mut self, epoch: Epoch) {
+    fn set_epoch(&mut self, epoch: Term) {
         if epoch > self.kept.epoch {
             self.kept.epoch = epoch;
             self.kept.voted = None;
@@ -439,7 +442,7 @@
         }
     }
     fn follow(&mut self, leader: Option<MemberId>, now: Tick) {
-        self.role = Rank::Follower;
+        self.role = RaftRole::LeaderSubscriber;
         self.leader = leader;
         self.peers.clear();
         self.removed.clear();
@@ -450,7 +453,7 @@
     pub fn tick(&mut self, now: Tick) {
         self.clock = now;
         match &self.role {
-            Rank::Leader { since, .. } => {
+            RaftRole::Leader { since, .. } => {
                 let patience = ELECTION_MIN_MS + ELECTION_SPREAD_MS;
                 let deserted = now.since(*since) > patience && !self.fresh(now, patience);
                 // Whoever was asked to take over may do so no more: it would be in this epoch.
@@ -487,28 +490,28 @@
     }
 
     fn campaign(&mut self, trial: bool, handover: bool, now: Tick) {
-        let epoch = Epoch(self.kept.epoch.0 + 1);
+        let epoch = Term(self.kept.epoch.0 + 1);
         if !trial {
             self.set_epoch(epoch);
             self.kept.voted = Some(self.kept.me);
             self.dirty.hard = true;
         }
         let votes = BTreeSet::from([self.kept.me]);
-        self.role = Rank::Candidate { trial, handover, votes };
+        self.role = RaftRole::Candidate { trial, handover, votes };
         self.rest(now);
         let last = self.last();
         // True only for one that does not lead any more, since a leader never asks.
         let led = self.kept.led.is_some_and(|l| l.0 + 1 == epoch.0);
         for id in self.voters() {
             if id != self.kept.me {
-                let kind = RaftKind::AskVote { trial, handover, led, last };
-                self.out.push((id, Raft { from: self.kept.me, epoch, kind }));
+                let kind = RaftMessageKind::RequestVote { trial, handover, led, last };
+                self.out.push((id, RaftMessage { from: self.kept.me, epoch, kind }));
             }
         }
         self.count_votes(now);
     }
     fn count_votes(&mut self, now: Tick) {
-        let Rank::Candidate { trial, handover, votes } = &self.role else {
+        let RaftRole::Candidate { trial, handover, votes } = &self.role else {
             return;
         };
         let (trial, handover) = (*trial, *handover);
@@ -519,8 +522,8 @@
             return self.campaign(false, handover, now);
         }
         let (_, last) = self.last();
-        let opened = Index(last.0 + 1);
-        self.role = Rank::Leader { opened, since: now };
+        let opened = LogIndex(last.0 + 1);
+        self.role = RaftRole::Leader { opened, since: now };
         self.leader = Some(self.kept.me);
         self.kept.led = Some(self.kept.epoch);
         self.dirty.hard = true;
@@ -528,23 +531,23 @@
         self.relisted = now;
         self.peers =
             self.others().into_iter().map(|id| (id, Progress::new(opened, opened, now))).collect();
-        self.push(Body::Opened, now);
+        self.push(EntryPayload::NoOp, now);
     }
 
     /// Appends to the log if this steward leads; tells where.
-    pub fn propose(&mut self, body: Body, now: Tick) -> Option<Index> {
+    pub fn propose(&mut self, body: EntryPayload, now: Tick) -> Option<LogIndex> {
         if !self.is_leader() || self.leaving.is_some() {
             return None;
         }
         Some(self.push(body, now))
     }
-    fn push(&mut self, body: Body, now: Tick) -> Index {
-        let index = Index(self.last().1.0 + 1);
-        if let Body::Members(members) = &body {
+    fn push(&mut self, body: EntryPayload, now: Tick) -> LogIndex {
+        let index = LogIndex(self.last().1.0 + 1);
+        if let EntryPayload::Membership(members) = &body {
             self.members = members.clone();
             self.relisted = now;
         }
-        self.kept.log.push(Entry { epoch: self.kept.epoch, index, body });
+        self.kept.log.push(LogEntry { epoch: self.kept.epoch, index, body });
         self.dirty.mark_log(index);
         let others = self.others();
         let gone = self.peers.iter().filter(|(id, _)| !others.contains(id));
@@ -554,7 +557,7 @@
             // A new member starts from the beginning: without a list it can't say what it lacks.
             // One that is taken in again goes on where it was.
             let held = self.removed.remove(&id).unwrap_or_default();
-            let next = Index(held.0 + 1);
+            let next = LogIndex(held.0 + 1);
             self.peers.entry(id).or_insert_with(|| Progress::new(next, index, now));
             self.append_to(id, false, now);
         }
@@ -572,7 +575,7 @@
             && progress.transfer.take().is_some()
         {
             // It went back to the program before, which can't read parts.
-            progress.go_on(Index(progress.matched.0 + 1));
+            progress.go_on(LogIndex(progress.matched.0 + 1));
         }
     }
 
@@ -594,11 +597,12 @@
         if progress.transfer.as_ref().is_some_and(|t| t.then <= base.1) {
             // The log has been folded over what comes after it: a newer snapshot is needed anyway.
             progress.transfer = None;
-            progress.next = Index(1);
+            progress.next = LogIndex(1);
         }
         // The beginning of all logs is agreed on by everybody.
-        let previous = (Epoch(0), Index(0));
-        let only_heartbeat = RaftKind::Append { previous, entries: Vec::new(), commit, sent };
+        let previous = (Term(0), LogIndex(0));
+        let only_heartbeat =
+            RaftMessageKind::AppendEntries { previous, entries: Vec::new(), commit, sent };
         if progress.transfer.is_some() {
             if heartbeat {
                 self.say(id, only_heartbeat);
@@ -620,41 +624,42 @@
                 }
                 Some(_) => {}
             }
-            progress.go_on(Index(base.1.0 + 1));
+            progress.go_on(LogIndex(base.1.0 + 1));
             let snapshot = self.kept.snapshot.clone();
-            let kind = RaftKind::Snapshot { snapshot, sent };
+            let kind = RaftMessageKind::InstallSnapshot { snapshot, sent };
             return match parts {
                 true => self.transfer_to(id, &kind, Some(base.1), now),
                 false => self.say(id, kind),
             };
         }
         let (next, flying) = (progress.next, progress.flying);
-        let before = Index(next.0 - 1);
+        let before = LogIndex(next.0 - 1);
         let Some(epoch) = self.epoch_at(before) else {
             return;
         };
-        let at = |index: Index| (index.0.saturating_sub(base.1.0 + 1)) as usize;
+        let at = |index: LogIndex| (index.0.saturating_sub(base.1.0 + 1)) as usize;
         let under_way = self.kept.log.get(at(flying)..at(next)).unwrap_or_default();
         let taken: usize = under_way.iter().map(size).sum();
         let mut room = FLIGHT_BYTES.saturating_sub(taken);
         // One goes by itself, however large it is.
         let mut first = under_way.is_empty();
-        let fits = |e: &&Entry| {
+        let fits = |e: &&LogEntry| {
             let goes = std::mem::take(&mut first) || size(e) <= room;
             room = room.saturating_sub(size(e));
             goes
         };
         let waiting = self.kept.log.iter().skip(at(next)).take(BATCH);
-        let entries: Vec<Entry> = waiting.take_while(fits).cloned().collect();
+        let entries: Vec<LogEntry> = waiting.take_while(fits).cloned().collect();
         if entries.is_empty() && !heartbeat {
             return;
         }
-        let next = Index(next.0 + entries.len() as u64);
+        let next = LogIndex(next.0 + entries.len() as u64);
         let large = entries.iter().map(size).sum::<usize>() > FLIGHT_BYTES;
         if large && layout.is_none() {
             return self.say(id, only_heartbeat);
         }
-        let kind = RaftKind::Append { previous: (epoch, before), entries, commit, sent };
+        let kind =
+            RaftMessageKind::AppendEntries { previous: (epoch, before), entries, commit, sent };
         if let Some(progress) = self.peers.get_mut(&id) {
             progress.next = next;
         }
@@ -663,7 +668,13 @@
             false => self.say(id, kind),
         }
     }
-    fn transfer_to(&mut self, id: MemberId, kind: &RaftKind, snapshot: Option<Index>, now: Tick) {
+    fn transfer_to(
+        &mut self,
+        id: MemberId,
+        kind: &RaftMessageKind,
+        snapshot: Option<LogIndex>,
+        now: Tick,
+    ) {
         let mut others = self.peers.values().filter_map(|p| p.transfer.as_ref());
         let same = others.find(|t| snapshot.is_some() && t.snapshot == snapshot);
         let bytes = same.map_or_else(|| pack(kind).into(), |t| Arc::clone(&t.bytes));
@@ -672,7 +683,8 @@
         if let Some(progress) = self.peers.get_mut(&id) {
             let then = progress.next;
             let (offset, part) = (0, FLIGHT_BYTES);
-            let begun = Transfer { id: transfer, bytes, snapshot, then, offset, part, sent: now };
+            let begun =
+                ChunkedSend { id: transfer, bytes, snapshot, then, offset, part, sent: now };
             progress.transfer = Some(begun);
         }
         self.send_part(id, now);
@@ -684,7 +696,7 @@
         transfer.sent = now;
         let (from, size) = (transfer.offset, transfer.bytes.len());
         let part = &transfer.bytes[from..size.min(from + transfer.part)];
-        let kind = RaftKind::Part {
+        let kind = RaftMessageKind::Chunk {
             transfer: transfer.id,
             size: size as u64,
             offset: from as u64,
@@ -726,13 +738,14 @@
         (transfer, size, offset): (u64, u64, u64),
         bytes: &[u8],
         sent: u64,
-    ) -> Option<RaftKind> {
+    ) -> Option<RaftMessageKind> {
         let epoch = self.kept.epoch;
-        let same = |a: &Arriving| (a.leader, a.epoch, a.transfer) == (from, epoch, transfer);
+        let same = |a: &ChunkedReceive| (a.leader, a.epoch, a.transfer) == (from, epoch, transfer);
         if !self.arriving.as_ref().is_some_and(same) {
             let size = usize::try_from(size).ok().filter(|s| *s <= TRANSFER_BYTES)?;
             let bytes = Vec::new();
-            self.arriving = Some(Arriving { leader: from, epoch, transfer, size, upto: 0, bytes });
+            self.arriving =
+                Some(ChunkedReceive { leader: from, epoch, transfer, size, upto: 0, bytes });
         }
         let arriving = self.arriving.as_mut()?;
         let fits = arriving.upto as u64 == offset && arriving.upto + bytes.len() <= arriving.size;
@@ -744,9 +757,12 @@
         // Known to be taken from here on, but not kept any longer.
         let whole =
             (fits && arriving.upto == arriving.size).then(|| std::mem::take(&mut arriving.bytes));
-        self.say(from, RaftKind::PartTaken { transfer, upto, sent });
-        match unpack::<RaftKind>(&whole?) {
-            Ok(kind @ (RaftKind::Append { .. } | RaftKind::Snapshot { .. })) => Some(kind),
+        self.say(from, RaftMessageKind::ChunkResponse { transfer, upto, sent });
+        match unpack::<RaftMessageKind>(&whole?) {
+            Ok(
+                kind @ (RaftMessageKind::AppendEntries { .. }
+                | RaftMessageKind::InstallSnapshot { .. }),
+            ) => Some(kind),
             Ok(_) => None,
             Err(e) => {
                 self.refused = Some(format!("the leader's message can't be read: {e}"));
@@ -755,29 +771,29 @@
         }
     }
 
-    pub fn step(&mut self, message: Raft, now: Tick) {
-        let Raft { from, epoch, kind } = message;
+    pub fn step(&mut self, message: RaftMessage, now: Tick) {
+        let RaftMessage { from, epoch, kind } = message;
         match kind {
             // One that was removed, or was never taken in, can't be elected by those who know it, nor
             // do its answers say anything.
-            RaftKind::AskVote { .. }
-            | RaftKind::Vote { .. }
-            | RaftKind::Appended { .. }
-            | RaftKind::PartTaken { .. }
+            RaftMessageKind::RequestVote { .. }
+            | RaftMessageKind::VoteResponse { .. }
+            | RaftMessageKind::AppendResponse { .. }
+            | RaftMessageKind::ChunkResponse { .. }
                 if !self.members.is_empty() && !self.members.iter().any(|m| m.id == from) => {}
-            RaftKind::AskVote { trial, handover, led, last } => {
+            RaftMessageKind::RequestVote { trial, handover, led, last } => {
                 // One that led the newest epoch known here leads no more: there is nobody left
                 // that a vote could harm. Leaders before it lost their quorum when it won.
                 let free = handover || (led && epoch > self.kept.epoch);
                 self.asked_vote(from, epoch, trial, free, last, now)
             }
-            RaftKind::Vote { trial, granted } => {
+            RaftMessageKind::VoteResponse { trial, granted } => {
                 if !granted && epoch > self.kept.epoch {
                     self.set_epoch(epoch);
                     return self.follow(None, now);
                 }
                 let asked_for = self.kept.epoch.0 + u64::from(trial);
-                if let Rank::Candidate { trial: mine, votes, .. } = &mut self.role
+                if let RaftRole::Candidate { trial: mine, votes, .. } = &mut self.role
                     && *mine == trial
                     && granted
                     && epoch.0 == asked_for
@@ -786,34 +802,34 @@
                     self.count_votes(now);
                 }
             }
-            RaftKind::Append { previous, entries, commit, sent } => {
+            RaftMessageKind::AppendEntries { previous, entries, commit, sent } => {
                 if !self.led_by(from, epoch, now) {
                     return self.say(from, OUTDATED);
                 }
                 let heartbeat = entries.is_empty();
-                let kind = RaftKind::Append { previous, entries, commit, sent };
+                let kind = RaftMessageKind::AppendEntries { previous, entries, commit, sent };
                 if self.refuses(&kind) {
                     return;
                 }
-                let RaftKind::Append { entries, .. } = kind else { return };
+                let RaftMessageKind::AppendEntries { entries, .. } = kind else { return };
                 let (ok, upto) = self.take_entries(previous, entries);
                 if ok {
                     self.commit = self.commit.max(commit.min(upto));
                     self.acknowledge(from, upto, sent, heartbeat);
                 } else {
-                    self.say(from, RaftKind::Appended { upto, ok, sent });
+                    self.say(from, RaftMessageKind::AppendResponse { upto, ok, sent });
                 }
             }
-            RaftKind::Snapshot { snapshot, sent } => {
+            RaftMessageKind::InstallSnapshot { snapshot, sent } => {
                 if !self.led_by(from, epoch, now) {
                     return self.say(from, OUTDATED);
                 }
                 let upto = snapshot.last.1;
-                let kind = RaftKind::Snapshot { snapshot, sent };
+                let kind = RaftMessageKind::InstallSnapshot { snapshot, sent };
                 if self.refuses(&kind) {
                     return;
                 }
-                let RaftKind::Snapshot { snapshot, .. } = kind else { return };
+                let RaftMessageKind::InstallSnapshot { snapshot, .. } = kind else { return };
                 if upto > self.commit {
                     if self.epoch_at(upto) == Some(snapshot.last.0) {
                         self.kept.log.retain(|e| e.index > upto);
@@ -822,14 +838,14 @@
                     }
                     self.kept.snapshot = snapshot;
                     self.commit = upto;
-                    self.durable = Index(0);
+                    self.durable = LogIndex(0);
                     self.recall_members();
                     self.dirty.snapshot = true;
-                    self.dirty.mark_log(Index(0));
+                    self.dirty.mark_log(LogIndex(0));
                 }
                 self.acknowledge(from, upto, sent, false);
             }
-            RaftKind::Appended { upto, ok, sent } => {
+            RaftMessageKind::AppendResponse { upto, ok, sent } => {
                 if epoch > self.kept.epoch {
                     self.set_epoch(epoch);
                     return self.follow(None, now);
@@ -862,7 +878,7 @@
                     }
                 } else if ok {
                     progress.matched = progress.matched.max(upto);
-                    let after = Index(progress.matched.0 + 1);
+                    let after = LogIndex(progress.matched.0 + 1);
                     progress.next = progress.next.max(after);
                     progress.flying = progress.flying.max(after);
                     let (goal, began) = progress.round;
@@ -877,25 +893,25 @@
                     }
                     self.pass_on(now);
                 } else {
-                    progress.go_on(Index(progress.matched.max(upto).0 + 1));
+                    progress.go_on(LogIndex(progress.matched.max(upto).0 + 1));
                     self.append_to(from, true, now);
                 }
             }
-            RaftKind::Part { transfer, size, offset, bytes, sent } => {
+            RaftMessageKind::Chunk { transfer, size, offset, bytes, sent } => {
                 if !self.led_by(from, epoch, now) {
                     return self.say(from, OUTDATED);
                 }
                 let place = (transfer, size, offset);
                 if let Some(kind) = self.take_part(from, place, &bytes, sent) {
-                    self.step(Raft { from, epoch, kind }, now);
+                    self.step(RaftMessage { from, epoch, kind }, now);
                 }
             }
-            RaftKind::PartTaken { transfer, upto, sent } => {
+            RaftMessageKind::ChunkResponse { transfer, upto, sent } => {
                 if self.is_leader() && epoch == self.kept.epoch {
                     self.part_taken(from, transfer, upto, sent, now);
                 }
             }
-            RaftKind::TakeOver => {
+            RaftMessageKind::TimeoutNow => {
                 let mine = epoch == self.kept.epoch && self.leader == Some(from);
                 if mine && self.is_voter() && !self.ailing {
                     self.campaign(false, true, now);
@@ -906,7 +922,7 @@
 
     /// Whether a leader's message holds what this program can't read. Looked at before any of it is
     /// taken, so that the state on disk stays one that it can.
-    fn refuses(&mut self, kind: &RaftKind) -> bool {
+    fn refuses(&mut self, kind: &RaftMessageKind) -> bool {
         if let Err(why) = (self.vet)(kind) {
             self.refused = Some(why);
         }
@@ -915,7 +931,7 @@
 
     /// Only what is on disk is acknowledged. New entries wait for it; a heartbeat is answered at
     /// once with what there is, as a disk that stalls does not make this steward dead.
-    fn acknowledge(&mut self, leader: MemberId, upto: Index, sent: u64, heartbeat: bool) {
+    fn acknowledge(&mut self, leader: MemberId, upto: LogIndex, sent: u64, heartbeat: bool) {
         if upto > self.durable {
             self.owed = Some((leader, upto, sent));
             if !heartbeat {
@@ -923,10 +939,10 @@
             }
         }
         let upto = upto.min(self.durable);
-        self.say(leader, RaftKind::Appended { upto, ok: true, sent });
+        self.say(leader, RaftMessageKind::AppendResponse { upto, ok: true, sent });
     }
     /// The disk has everything up to this entry, if it is still the one in the log.
-    pub fn stored(&mut self, last: (Epoch, Index)) {
+    pub fn stored(&mut self, last: (Term, LogIndex)) {
         if self.epoch_at(last.1) == Some(last.0) {
             self.durable = self.durable.max(last.1);
         }
@@ -938,7 +954,7 @@
                 self.owed = None;
             }
             let upto = upto.min(self.durable);
-            self.say(leader, RaftKind::Appended { upto, ok: true, sent });
+            self.say(leader, RaftMessageKind::AppendResponse { upto, ok: true, sent });
         }
     }
     /// While the disk is in trouble, another should lead.
@@ -950,7 +966,7 @@
     }
 
     /// Accepts the sender as leader of its epoch, unless that epoch has passed.
-    fn led_by(&mut self, from: MemberId, epoch: Epoch, now: Tick) -> bool {
+    fn led_by(&mut self, from: MemberId, epoch: Term, now: Tick) -> bool {
         if epoch < self.kept.epoch {
             return false;
         }
@@ -963,10 +979,10 @@
     fn asked_vote(
         &mut self,
         from: MemberId,
-        epoch: Epoch,
+        epoch: Term,
         trial: bool,
         free: bool,
-        last: (Epoch, Index),
+        last: (Term, LogIndex),
         now: Tick,
     ) {
         let followed = self.heard.is_some_and(|t| now.since(t) < ELECTION_MIN_MS)
@@ -975,15 +991,15 @@
             return;
         }
         if epoch < self.kept.epoch || (trial && epoch <= self.kept.epoch) {
-            return self.say(from, RaftKind::Vote { trial, granted: false });
+            return self.say(from, RaftMessageKind::VoteResponse { trial, granted: false });
         }
         let current = last >= self.last();
         if trial {
             if current {
-                let kind = RaftKind::Vote { trial, granted: true };
-                self.out.push((from, Raft { from: self.kept.me, epoch, kind }));
+                let kind = RaftMessageKind::VoteResponse { trial, granted: true };
+                self.out.push((from, RaftMessage { from: self.kept.me, epoch, kind }));
             } else {
-                self.say(from, RaftKind::Vote { trial, granted: false });
+                self.say(from, RaftMessageKind::VoteResponse { trial, granted: false });
             }
             return;
         }
@@ -998,17 +1014,21 @@
             self.dirty.hard = true;
             self.rest(now);
         }
-        self.say(from, RaftKind::Vote { trial, granted });
+        self.say(from, RaftMessageKind::VoteResponse { trial, granted });
     }
 
-    fn take_entries(&mut self, previous: (Epoch, Index), entries: Vec<Entry>) -> (bool, Index) {
+    fn take_entries(
+        &mut self,
+        previous: (Term, LogIndex),
+        entries: Vec<LogEntry>,
+    ) -> (bool, LogIndex) {
         let base = self.kept.snapshot.last.1;
         let agreed = previous.1 < base || self.epoch_at(previous.1) == Some(previous.0);
         if !agreed {
-            let hint = Index(previous.1.0.saturating_sub(1)).min(self.last().1).max(self.commit);
+            let hint = LogIndex(previous.1.0.saturating_sub(1)).min(self.last().1).max(self.commit);
             return (false, hint);
         }
-        let upto = Index(previous.1.0 + entries.len() as u64);
+        let upto = LogIndex(previous.1.0 + entries.len() as u64);
         let mut relisted = false;
         for entry in entries {
             if entry.index <= base {
@@ -1020,7 +1040,7 @@
                     let keep = (entry.index.0 - base.0 - 1) as usize;
                     relisted = true;
                     self.kept.log.truncate(keep);
-                    self.durable = self.durable.min(Index(entry.index.0 - 1));
+                    self.durable = self.durable.min(LogIndex(entry.index.0 - 1));
                 }
                 None => {}
             }
@@ -1039,14 +1059,14 @@
         if !self.is_leader() {
             return;
         }
-        let mut reached: Vec<Index> = self
+        let mut reached: Vec<LogIndex> = self
             .voters()
             .iter()
             .map(|id| {
                 if *id == self.kept.me {
                     self.durable
                 } else {
-                    self.peers.get(id).map_or(Index(0), |p| p.matched)
+                    self.peers.get(id).map_or(LogIndex(0), |p| p.matched)
                 }
             })
             .collect();
@@ -1061,7 +1081,7 @@
     }
 
     /// Committed entries after `applied`.
-    pub fn committed(&self, applied: Index) -> Vec<Entry> {
+    pub fn committed(&self, applied: LogIndex) -> Vec<LogEntry> {
         self.kept
             .log
             .iter()
@@ -1071,7 +1091,7 @@
     }
 
     /// Folds everything up to `applied` into a snapshot when the log has grown long.
-    pub fn compact(&mut self, applied: Index, state: impl FnOnce() -> Vec<u8>) {
+    pub fn compact(&mut self, applied: LogIndex, state: impl FnOnce() -> Vec<u8>) {
         let Some(at) = self.position(applied) else {
             return;
         };
@@ -1094,11 +1114,11 @@
         self.kept.snapshot = Snapshot { last, members, state: ByteBuf::from(state()) };
         self.kept.log.drain(..=at);
         self.dirty.snapshot = true;
-        self.dirty.mark_log(Index(0));
+        self.dirty.mark_log(LogIndex(0));
     }
 
     /// Whether a member that is there would have to get a snapshot if the log began after this entry.
-    fn awaited(&self, applied: Index) -> bool {
+    fn awaited(&self, applied: LogIndex) -> bool {
         let lacks = |p: &Progress| p.transfer.is_some() || p.next <= applied;
         let there = |p: &Progress| self.clock.since(p.acked) < PRESENT_MS;
         self.peers.values().any(|p| there(p) && lacks(p))
@@ -1131,7 +1151,7 @@
             .map(|(id, _)| *id);
         if let Some(id) = best {
             self.asked = true;
-            self.say(id, RaftKind::TakeOver);
+            self.say(id, RaftMessageKind::TimeoutNow);
         }
     }
 
@@ -1220,20 +1240,20 @@
         self.is_leader() && (voters > 2 * tolerated || waited)
     }
     /// How a process that asks to join, or whether it still belongs, stands with this steward.
-    pub fn standing(&self, member: &Member, was: bool, now: Tick) -> Joined {
+    pub fn standing(&self, member: &Member, was: bool, now: Tick) -> JoinResponse {
         if !self.granting(now) {
             let leader = self.leader.filter(|l| *l != self.kept.me);
             let at = |l| self.members.iter().find(|m| m.id == l).map(|m| m.peer);
-            return Joined::Elsewhere(leader.and_then(at));
+            return JoinResponse::NotLeader(leader.and_then(at));
         }
         match (self.members.iter().any(|m| m.id == member.id), was) {
             // One that can't vote is kept in no list; it only asks who leads.
-            _ if !member.can_vote => Joined::Listed,
-            (true, _) => Joined::Listed,
+            _ if !member.can_vote => JoinResponse::Current,
+            (true, _) => JoinResponse::Current,
             // One that is being taken in or out stands neither way yet.
-            (false, true) if !self.members_pending() => Joined::Removed,
-            (false, true) => Joined::Elsewhere(None),
-            (false, false) => Joined::Noted,
+            (false, true) if !self.members_pending() => JoinResponse::Removed,
+            (false, true) => JoinResponse::NotLeader(None),
+            (false, false) => JoinResponse::Accepted,
         }
     }
 }
--- a/src/raft/persister.rs
+++ b/src/raft/persister.rs
@@ -1,9 +1,9 @@
 //! Holds back what must not leave before a write has reached the disk.
-use crate::base::ids::{Epoch, Index, MemberId};
+use crate::base::ids::{LogIndex, MemberId, Term};
 use crate::base::time::Tick;
-use crate::net::rpc::raft_messages::{Raft, RaftKind};
-use crate::raft::node::{Dirty, Hedge};
-use crate::raft::storage::Sheaf;
+use crate::net::rpc::raft_messages::{RaftMessage, RaftMessageKind};
+use crate::raft::node::{RaftNode, UnsavedChanges};
+use crate::raft::storage::WriteBatch;
 use std::collections::VecDeque;
 
 /// A write takes this long only when the disk is in trouble.
@@ -14,25 +14,25 @@
 /// Between the hedge and the disk: one write at a time, whatever comes meanwhile goes into the
 /// next one, and messages wait that would promise what is not on disk yet.
 #[derive(Default)]
-pub struct Desk {
+pub struct LogPersister {
     started: u64,
     under_way: Option<UnderWay>,
     /// The last write failed; the next try comes then.
     retry: Option<Tick>,
     /// Messages, each behind the write it stands on.
-    held: VecDeque<(u64, MemberId, Raft)>,
+    held: VecDeque<(u64, MemberId, RaftMessage)>,
 }
 
 struct UnderWay {
-    dirty: Dirty,
-    last: (Epoch, Index),
+    dirty: UnsavedChanges,
+    last: (Term, LogIndex),
     since: Tick,
 }
 
-impl Desk {
+impl LogPersister {
     /// The messages that may leave now. An epoch or a vote that is not on disk holds all of them
     /// back but trial votes, which promise nothing; what entries they tell of is the hedge's care.
-    pub fn leaving(&mut self, hedge: &mut Hedge) -> Vec<(MemberId, Raft)> {
+    pub fn leaving(&mut self, hedge: &mut RaftNode) -> Vec<(MemberId, RaftMessage)> {
         let behind = if hedge.dirty.hard {
             Some(self.started + 1)
         } else {
@@ -42,7 +42,8 @@
         for (to, message) in hedge.out.drain(..) {
             let trial = matches!(
                 message.kind,
-                RaftKind::AskVote { trial: true, .. } | RaftKind::Vote { trial: true, .. }
+                RaftMessageKind::RequestVote { trial: true, .. }
+                    | RaftMessageKind::VoteResponse { trial: true, .. }
             );
             match behind {
                 Some(number) if !trial => self.held.push_back((number, to, message)),
@@ -52,19 +53,24 @@
         free
     }
     /// The next write, if there is one to be started now.
-    pub fn start(&mut self, hedge: &mut Hedge, now: Tick) -> Option<Sheaf> {
+    pub fn start(&mut self, hedge: &mut RaftNode, now: Tick) -> Option<WriteBatch> {
         let waits = self.under_way.is_some() || self.retry.is_some_and(|t| now < t);
-        if waits || hedge.dirty == Dirty::default() {
+        if waits || hedge.dirty == UnsavedChanges::default() {
             return None;
         }
         let dirty = std::mem::take(&mut hedge.dirty);
-        let sheaf = Sheaf::of(&hedge.kept, &dirty);
+        let sheaf = WriteBatch::of(&hedge.kept, &dirty);
         self.started += 1;
         self.under_way = Some(UnderWay { dirty, last: hedge.last(), since: now });
         Some(sheaf)
     }
     /// The write under way has ended; gives the messages that waited for it.
-    pub fn ended(&mut self, hedge: &mut Hedge, well: bool, now: Tick) -> Vec<(MemberId, Raft)> {
+    pub fn ended(
+        &mut self,
+        hedge: &mut RaftNode,
+        well: bool,
+        now: Tick,
+    ) -> Vec<(MemberId, RaftMessage)> {
         let Some(UnderWay { dirty, last, .. }) = self.under_way.take() else {
             return Vec::new();
         };
--- a/src/raft/storage.rs
+++ b/src/raft/storage.rs
@@ -1,9 +1,9 @@
 //! The SQLite file that holds a member's term, vote, snapshot and log, and the identity file beside it.
 use crate::base::errors::Fatal;
-use crate::base::ids::{Epoch, Index, MemberId};
-use crate::net::rpc::raft_messages::{Entry, Snapshot};
+use crate::base::ids::{LogIndex, MemberId, Term};
+use crate::net::rpc::raft_messages::{LogEntry, Snapshot};
 use crate::net::rpc::{pack, unpack};
-use crate::raft::node::{Dirty, Kept, listed};
+use crate::raft::node::{PersistentState, UnsavedChanges, listed};
 use rusqlite::{Connection, OptionalExtension, params};
 use std::collections::BTreeSet;
 use std::io::Write;
@@ -68,14 +68,14 @@
 }
 
 /// The SQLite file that holds vote, log and snapshot.
-pub struct Granary {
+pub struct RaftStorage {
     db: Connection,
     /// Where it lies, and the members it may hold the state of.
     folder: Option<PathBuf>,
     marked: BTreeSet<MemberId>,
 }
 
-impl Granary {
+impl RaftStorage {
     /// For a steward without a disk, which votes on nothing: all is forgotten when it ends.
     pub fn none() -> Result<Self, Fatal> {
         let db = Connection::open_in_memory().map_err(disk)?;
@@ -84,7 +84,7 @@
     }
 
     /// Opens or makes the file; gives what it holds, `None` if it was new.
-    pub fn open(folder: &Path) -> Result<(Self, Option<Kept>), Fatal> {
+    pub fn open(folder: &Path) -> Result<(Self, Option<PersistentState>), Fatal> {
         std::fs::create_dir_all(folder).map_err(|e| Fatal::Disk(e.to_string()))?;
         let db = Connection::open(folder.join("hedge.sqlite")).map_err(disk)?;
         // Exclusive before WAL: the index of the log then lives on the heap.
@@ -147,13 +147,16 @@
     }
 
     /// Opens the file and makes sure that there is a first state in it, durable with its names.
-    pub fn found(folder: &Path, first: impl FnOnce() -> Kept) -> Result<(Self, Kept, bool), Fatal> {
+    pub fn found(
+        folder: &Path,
+        first: impl FnOnce() -> PersistentState,
+    ) -> Result<(Self, PersistentState, bool), Fatal> {
         let (mut granary, kept) = Self::open(folder)?;
         if let Some(kept) = kept {
             return Ok((granary, kept, true));
         }
         let kept = first();
-        granary.save(&Sheaf::of(&kept, &Dirty::all())).map_err(disk)?;
+        granary.save(&WriteBatch::of(&kept, &UnsavedChanges::all())).map_err(disk)?;
         granary.marked.insert(kept.me);
         mark(folder, &granary.marked).map_err(|e| Fatal::Disk(e.to_string()))?;
         Ok((granary, kept, false))
@@ -163,11 +166,11 @@
     ///
     /// # Errors
     /// `Fatal::State` if that can't be read, `Fatal::Disk` if the file can't.
-    pub fn kept(&self) -> Result<Option<Kept>, Fatal> {
+    pub fn kept(&self) -> Result<Option<PersistentState>, Fatal> {
         Self::load(&self.db)
     }
 
-    fn load(db: &Connection) -> Result<Option<Kept>, Fatal> {
+    fn load(db: &Connection) -> Result<Option<PersistentState>, Fatal> {
         let broken = |e: std::io::Error| Fatal::State(format!("damaged, left as it is: {e}"));
         let hard = db
             .query_row("SELECT me, epoch, voted FROM hard", [], |r| {
@@ -190,10 +193,10 @@
             Some(body) => unpack(&body).map_err(broken)?,
             None => Snapshot::default(),
         };
-        let mut log: Vec<Entry> = Vec::new();
+        let mut log: Vec<LogEntry> = Vec::new();
         let mut rows = db.prepare("SELECT body FROM log ORDER BY place").map_err(disk)?;
         for body in rows.query_map([], |r| r.get::<_, Vec<u8>>(0)).map_err(disk)? {
-            let entry: Entry = unpack(&body.map_err(disk)?).map_err(broken)?;
+            let entry: LogEntry = unpack(&body.map_err(disk)?).map_err(broken)?;
             let expected = log.last().map_or(snapshot.last.1.0, |e| e.index.0) + 1;
             if entry.index.0 != expected {
                 return Err(Fatal::State(format!(
@@ -210,18 +213,18 @@
                 return Err(Fatal::State("left as it is: a list of members that can't be".into()));
             }
         }
-        Ok(Some(Kept {
+        Ok(Some(PersistentState {
             me: MemberId(me as u64),
-            epoch: Epoch(epoch as u64),
+            epoch: Term(epoch as u64),
             voted: voted.map(|v| MemberId(v as u64)),
-            led: led.map(|e| Epoch(e as u64)),
+            led: led.map(|e| Term(e as u64)),
             log,
             snapshot,
         }))
     }
 
     /// Writes what changed in one transaction; when this returns it is durable.
-    pub fn save(&mut self, sheaf: &Sheaf) -> rusqlite::Result<()> {
+    pub fn save(&mut self, sheaf: &WriteBatch) -> rusqlite::Result<()> {
         // A removed member begins anew: the folder is marked as its before the state is.
         if let (Some(folder), Some((me, ..))) = (&self.folder, &sheaf.hard)
             && !self.marked.is_empty()
@@ -255,20 +258,20 @@
 }
 
 /// Entries as the table of the log holds them.
-type Rows = Vec<(Index, Vec<u8>)>;
+type Rows = Vec<(LogIndex, Vec<u8>)>;
 
 /// What one transaction brings to the disk, as bytes.
 #[derive(Debug)]
-pub struct Sheaf {
-    hard: Option<(MemberId, Epoch, Option<MemberId>, Option<Epoch>)>,
+pub struct WriteBatch {
+    hard: Option<(MemberId, Term, Option<MemberId>, Option<Term>)>,
     snapshot: Option<Vec<u8>>,
     /// From this place on the log is replaced.
-    log: Option<(Index, Rows)>,
+    log: Option<(LogIndex, Rows)>,
 }
 
-impl Sheaf {
-    pub fn of(kept: &Kept, dirty: &Dirty) -> Self {
-        let entries = |from: Index| {
+impl WriteBatch {
+    pub fn of(kept: &PersistentState, dirty: &UnsavedChanges) -> Self {
+        let entries = |from: LogIndex| {
             let after = kept.log.iter().filter(move |e| e.index >= from);
             (from, after.map(|e| (e.index, pack(e))).collect::<Rows>())
         };
--- a/src/simulation/actors.rs
+++ b/src/simulation/actors.rs
@@ -1,14 +1,14 @@
 //! The operators, databases and nodes round the controllers.
-use crate::base::ids::{DbTerm, Index, InstanceId, MemberId, Position, Revision, ServiceName};
+use crate::base::ids::{DbTerm, InstanceId, LogIndex, MemberId, Position, Revision, ServiceName};
 use crate::base::time::Tick;
 use crate::config::directory::{Lifecycle, Role};
-use crate::config::route_table::Lanes;
+use crate::config::route_table::RouteTable;
 use crate::config::settings::Settings;
-use crate::controller::controller::{Effects, Input, Steward};
-use crate::failover::{Ask, Attempt};
+use crate::controller::controller::{Controller, Effects, Input};
+use crate::failover::{Attempt, DatabaseRequest};
 use crate::net::http::{Request, Response};
-use crate::net::rpc::raft_messages::{Member, Raft};
-use crate::raft::storage::{Granary, Sheaf};
+use crate::net::rpc::raft_messages::{Member, RaftMessage};
+use crate::raft::storage::{RaftStorage, WriteBatch};
 use crate::simulation::world::Write;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -18,21 +18,21 @@
 /// What a steward wants done, until the world does it.
 #[derive(Default)]
 pub(crate) struct Queue {
-    pub(crate) raft: Vec<(SocketAddr, MemberId, Raft)>,
-    pub(crate) sheaf: Option<Sheaf>,
+    pub(crate) raft: Vec<(SocketAddr, MemberId, RaftMessage)>,
+    pub(crate) sheaf: Option<WriteBatch>,
     pub(crate) standing: Vec<(SocketAddr, Member, bool)>,
-    pub(crate) asks: Vec<(ServiceName, InstanceId, Ask, Attempt)>,
+    pub(crate) asks: Vec<(ServiceName, InstanceId, DatabaseRequest, Attempt)>,
     pub(crate) posts: Vec<(ServiceName, InstanceId, Attempt)>,
     pub(crate) frames: VecDeque<(u64, Arc<[u8]>)>,
     pub(crate) open: BTreeSet<u64>,
 }
 
 impl Effects for Queue {
-    fn send_raft(&mut self, to: MemberId, address: SocketAddr, message: Raft, _: Tick) {
+    fn send_raft(&mut self, to: MemberId, address: SocketAddr, message: RaftMessage, _: Tick) {
         self.raft.push((address, to, message));
     }
     fn keep_links(&mut self, _: &[Member]) {}
-    fn write(&mut self, sheaf: Sheaf) -> bool {
+    fn write(&mut self, sheaf: WriteBatch) -> bool {
         self.sheaf = Some(sheaf);
         true
     }
@@ -44,7 +44,7 @@
         service: &ServiceName,
         id: &InstanceId,
         _: SocketAddr,
-        ask: Ask,
+        ask: DatabaseRequest,
         attempt: Attempt,
     ) -> bool {
         self.asks.push((service.clone(), id.clone(), ask, attempt));
@@ -79,8 +79,8 @@
 
 pub(crate) struct Machine {
     pub(crate) settings: Settings,
-    pub(crate) disk: Granary,
-    pub(crate) steward: Option<Steward<Queue>>,
+    pub(crate) disk: RaftStorage,
+    pub(crate) steward: Option<Controller<Queue>>,
     /// Grows with each start, so that what was meant for an older process is known.
     pub(crate) life: u64,
     /// Its steady clock is ahead of the world's by this.
@@ -92,15 +92,15 @@
     /// Since when its steady clock stands still.
     pub(crate) suspended: Option<u64>,
     pub(crate) backlog: Vec<Input>,
-    pub(crate) writing: Option<Sheaf>,
+    pub(crate) writing: Option<WriteBatch>,
     /// The disk takes nothing until then; with `full` it says so.
     pub(crate) disk_ill: Option<(u64, bool)>,
     /// Counts as lost until then.
     pub(crate) lost: u64,
     pub(crate) gone: bool,
     pub(crate) me: MemberId,
-    pub(crate) checked: Index,
-    pub(crate) applied: Index,
+    pub(crate) checked: LogIndex,
+    pub(crate) applied: LogIndex,
 }
 
 impl Machine {
@@ -115,7 +115,7 @@
 /// Who speaks: stewards by number, then everybody else.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum End {
-    Steward(usize),
+    Controller(usize),
     Operator(usize),
     Node(usize),
     Database(usize),
@@ -125,7 +125,7 @@
     /// On which side of a cut one that is no steward stands.
     pub(crate) fn side(self, salt: u64) -> bool {
         let (kind, number) = match self {
-            End::Steward(n) => (0, n),
+            End::Controller(n) => (0, n),
             End::Operator(n) => (1, n),
             End::Node(n) => (2, n),
             End::Database(n) => (3, n),
@@ -225,7 +225,7 @@
     pub(crate) renewed: u64,
     pub(crate) seq: u64,
     pub(crate) sent: BTreeMap<u64, u64>,
-    pub(crate) config: Option<Lanes>,
+    pub(crate) config: Option<RouteTable>,
     pub(crate) leases: BTreeMap<ServiceName, Lease>,
     pub(crate) revoked: BTreeMap<ServiceName, (DbTerm, u64)>,
     pub(crate) highest: BTreeMap<ServiceName, Position>,
--- a/src/simulation/world.rs
+++ b/src/simulation/world.rs
@@ -1,22 +1,22 @@
 //! The network, the disks and the clocks that the controllers run on.
 use crate::base::ids::{
-    DbTerm, Epoch, Index, InstanceId, MemberId, NodeName, Position, Revision, ServiceName,
+    DbTerm, InstanceId, LogIndex, MemberId, NodeName, Position, Revision, ServiceName, Term,
 };
 use crate::base::time::Tick;
 use crate::config::configuration::Configuration;
 use crate::config::directory::Lifecycle;
-use crate::config::route_table::Lanes;
+use crate::config::route_table::RouteTable;
 use crate::config::settings::Settings;
-use crate::controller::controller::{Input, Steward};
+use crate::controller::controller::{Controller, Input};
 use crate::controller::process::first_state;
-use crate::failover::{Ask, Attempt, Posted, Told};
+use crate::failover::{Attempt, DatabaseRequest, DatabaseResponse, PromotionResponse};
 use crate::leases::lease_table::LEASE_MS;
 use crate::net::http::{Request, Response};
-use crate::net::rpc::pooler_messages::{Standing, ToSteward, ToStile};
-use crate::net::rpc::raft_messages::{Entry, Member, Raft};
+use crate::net::rpc::pooler_messages::{PrimaryStatus, ToController, ToPooler};
+use crate::net::rpc::raft_messages::{LogEntry, Member, RaftMessage};
 use crate::net::rpc::{Frame, LAYOUT, pack, receive};
-use crate::net::statement_protocol::Described;
-use crate::raft::storage::{Granary, Sheaf};
+use crate::net::statement_protocol::ServerDescription;
+use crate::raft::storage::{RaftStorage, WriteBatch};
 use crate::simulation::actors::{
     Caller, Database, End, Far, Forced, Lease, Machine, Node, Operator, Order, Passed, Queue,
 };
@@ -40,17 +40,17 @@
 
 enum Event {
     Wake(usize, u64, u64),
-    Raft(usize, SocketAddr, MemberId, Raft),
+    RaftMessage(usize, SocketAddr, MemberId, RaftMessage),
     Input(usize, u64, Input),
     Written(usize, u64),
     /// A frame for the far end of a connection on a peer port.
     Frame(u64, Frame),
     /// A call reaches a steward.
-    Call(usize, u64, Request),
+    AdminCall(usize, u64, Request),
     Answer(usize, u64, Option<Response>),
     Act(usize),
     Node(usize, u64),
-    Ask(usize, u64, ServiceName, InstanceId, Ask, Attempt),
+    DatabaseRequest(usize, u64, ServiceName, InstanceId, DatabaseRequest, Attempt),
     Post(usize, u64, ServiceName, InstanceId, Attempt),
     Promote(ServiceName, usize),
     Write(usize, usize, u64, DbTerm),
@@ -90,10 +90,10 @@
     healed: bool,
     // The history.
     forced: Vec<Forced>,
-    leaders: BTreeMap<Epoch, MemberId>,
-    entries: BTreeMap<Index, Entry>,
+    leaders: BTreeMap<Term, MemberId>,
+    entries: BTreeMap<LogIndex, LogEntry>,
     /// A hash of the state at each entry.
-    states: BTreeMap<Index, u64>,
+    states: BTreeMap<LogIndex, u64>,
     /// What a later read may not go behind: when it was known, and how far in `forced`.
     floors: Vec<(u64, usize)>,
     /// Commits that nodes passed on to clients.
@@ -245,7 +245,7 @@
     fn reaches(&self, from: End, to: End) -> bool {
         self.cuts.iter().all(|cut| {
             let within = |end: End| match end {
-                End::Steward(n) => n == cut.steward,
+                End::Controller(n) => n == cut.steward,
                 other => other.side(cut.salt),
             };
             let (from, to) = (within(from), within(to));
@@ -292,7 +292,7 @@
             self.schedule.tolerated,
             JOIN_SYNC_MS / 1_000,
         );
-        let (settings, disk) = match (Settings::parse(&text), Granary::none()) {
+        let (settings, disk) = match (Settings::parse(&text), RaftStorage::none()) {
             (Ok(settings), Ok(disk)) => (settings, disk),
             (settings, disk) => {
                 // Neither depends on the schedule; a model that can't be set up plays nothing.
@@ -316,8 +316,8 @@
             lost: 0,
             gone: false,
             me: MemberId(0),
-            checked: Index(0),
-            applied: Index(0),
+            checked: LogIndex(0),
+            applied: LogIndex(0),
         });
         number
     }
@@ -342,7 +342,9 @@
             Ok(Some(kept)) => Ok((kept, true)),
             Ok(None) => {
                 let first = first_state(&machine.settings, place(number, ADMIN), draw);
-                let saved = machine.disk.save(&Sheaf::of(&first, &crate::raft::node::Dirty::all()));
+                let saved = machine
+                    .disk
+                    .save(&WriteBatch::of(&first, &crate::raft::node::UnsavedChanges::all()));
                 saved.map(|()| (first, false)).map_err(|e| e.to_string())
             }
             Err(e) => Err(e.to_string()),
@@ -352,7 +354,7 @@
             machine.me = kept.me;
             (machine.checked, machine.applied) = (kept.snapshot.last.1, kept.snapshot.last.1);
             let settings = machine.settings.clone();
-            Steward::new(settings, kept, again, draw, Queue::default(), tick)
+            Controller::new(settings, kept, again, draw, Queue::default(), tick)
                 .map_err(|e| e.to_string())
         });
         match started {
@@ -379,7 +381,7 @@
             self.fail(format!("the model's disk: {e}"));
         }
         let machine = &mut self.machines[number];
-        if wipe && let Ok(empty) = Granary::none() {
+        if wipe && let Ok(empty) = RaftStorage::none() {
             machine.disk = empty;
         }
         machine.wake_up(self.now);
@@ -436,9 +438,9 @@
         self.look(number);
         for (at, to, message) in wants.raft {
             if let Some(time) =
-                self.arrival(End::Steward(number), End::Steward(machine_at(at)), held)
+                self.arrival(End::Controller(number), End::Controller(machine_at(at)), held)
             {
-                self.at(time, Event::Raft(number, at, to, message));
+                self.at(time, Event::RaftMessage(number, at, to, message));
             }
         }
         if let Some(sheaf) = wants.sheaf {
@@ -452,10 +454,10 @@
             let Some((_, far)) = self.conns.get(&conn) else { continue };
             let to = match far {
                 Far::Node(node, _) => End::Node(*node),
-                Far::Join { asker, .. } => End::Steward(*asker),
+                Far::Join { asker, .. } => End::Controller(*asker),
             };
             if let (Some(time), Ok(frame)) =
-                (self.arrival(End::Steward(number), to, held), receive(&mut &frame[..]))
+                (self.arrival(End::Controller(number), to, held), receive(&mut &frame[..]))
             {
                 self.at(time, Event::Frame(conn, frame));
             } else if matches!(to, End::Node(_)) {
@@ -464,7 +466,10 @@
             }
         }
         for (service, id, ask, attempt) in wants.asks {
-            self.soon(held + 1 + upto(5), Event::Ask(number, life, service, id, ask, attempt));
+            self.soon(
+                held + 1 + upto(5),
+                Event::DatabaseRequest(number, life, service, id, ask, attempt),
+            );
         }
         for (service, target, attempt) in wants.posts {
             self.soon(held + 1 + upto(20), Event::Post(number, life, service, target, attempt));
@@ -474,11 +479,11 @@
 
     fn ask_to_join(&mut self, from: usize, at: SocketAddr, member: Member, was: bool, held: u64) {
         let (to, me, life) = (machine_at(at), member.id, self.machines[from].life);
-        let arrives = self.arrival(End::Steward(from), End::Steward(to), held);
+        let arrives = self.arrival(End::Controller(from), End::Controller(to), held);
         let up = self.machines.get(to).is_some_and(|m| m.steward.is_some());
         let (Some(time), true) = (arrives, up) else {
             let after = held + if up { 1_000 } else { 3 };
-            return self.soon(after, Event::Input(from, life, Input::Standing(me, at, None)));
+            return self.soon(after, Event::Input(from, life, Input::JoinResponse(me, at, None)));
         };
         self.numbered += 1;
         let conn = self.numbered;
@@ -497,7 +502,7 @@
         let (hedge, almanac) = (steward.hedge(), steward.almanac());
         if hedge.kept.me != machine.me {
             machine.me = hedge.kept.me;
-            (machine.checked, machine.applied) = (Index(0), Index(0));
+            (machine.checked, machine.applied) = (LogIndex(0), LogIndex(0));
         }
         let mut wrong = None;
         if hedge.is_leader() {
@@ -563,9 +568,9 @@
         let (attempt, next) = (caller.attempt, caller.next);
         let to = if running.contains(&next) { next } else { running[next % running.len()] };
         self.caller(who).next = to;
-        match self.arrival(from, End::Steward(to), 0) {
+        match self.arrival(from, End::Controller(to), 0) {
             Some(time) if self.machines[to].steward.is_some() => {
-                self.at(time, Event::Call(who, attempt, request));
+                self.at(time, Event::AdminCall(who, attempt, request));
             }
             Some(time) => return self.at(time, Event::Answer(who, attempt, None)),
             None => {}
@@ -600,7 +605,7 @@
             caller.answer = None;
             let to = self.end_of(who);
             let lost = !self.healed && chance(3);
-            if let Some(time) = self.arrival(End::Steward(number), to, held)
+            if let Some(time) = self.arrival(End::Controller(number), to, held)
                 && !lost
             {
                 self.at(time, Event::Answer(who, attempt, Some(response)));
@@ -969,47 +974,53 @@
         (from, life): (usize, u64),
         service: ServiceName,
         id: InstanceId,
-        ask: Ask,
+        ask: DatabaseRequest,
         attempt: Attempt,
     ) {
         let number = self.databases.iter().position(|d| d.id == id);
         let reached = number.filter(|n| {
-            let (here, there) = (End::Steward(from), End::Database(*n));
+            let (here, there) = (End::Controller(from), End::Database(*n));
             self.reaches(here, there) && self.reaches(there, here) && !self.lost()
         });
         let (told, after) = match reached {
-            None => (Told::Silent, 1_000),
-            Some(n) if !self.databases[n].up => (Told::Lost, 2),
+            None => (DatabaseResponse::Silent, 1_000),
+            Some(n) if !self.databases[n].up => (DatabaseResponse::Lost, 2),
             Some(n) => {
                 let database = &mut self.databases[n];
                 let good = match ask {
-                    Ask::Describe => true,
-                    Ask::Pause(term) if !database.primary && term > database.term => {
+                    DatabaseRequest::Describe => true,
+                    DatabaseRequest::Pause(term) if !database.primary && term > database.term => {
                         database.paused = true;
                         true
                     }
-                    Ask::Pause(_) => false,
-                    Ask::Continue => {
+                    DatabaseRequest::Pause(_) => false,
+                    DatabaseRequest::Continue => {
                         database.paused = false;
                         true
                     }
-                    Ask::StepDown(term) => {
+                    DatabaseRequest::StepDown(term) => {
                         if database.primary && database.term < term {
                             (database.primary, database.term) = (false, term);
                         }
                         true
                     }
                 };
-                let row = Described {
+                let row = ServerDescription {
                     primary: database.primary,
                     term: database.term,
                     received: database.position(),
                 };
                 let late = if !self.healed && chance(3) { upto(1_200) } else { upto(5) };
-                (if good { Told::Row(row) } else { Told::Alive }, 1 + late)
+                (
+                    if good { DatabaseResponse::Description(row) } else { DatabaseResponse::Alive },
+                    1 + late,
+                )
             }
         };
-        self.soon(after, Event::Input(from, life, Input::Told(service, id, ask, attempt, told)));
+        self.soon(
+            after,
+            Event::Input(from, life, Input::DatabaseResponse(service, id, ask, attempt, told)),
+        );
     }
     fn post(
         &mut self,
@@ -1021,16 +1032,19 @@
         let number = self.databases.iter().position(|d| d.id == target);
         let running = number.filter(|n| self.databases[*n].up);
         let (mut posted, mut after) = match running {
-            Some(_) => (Posted::Accepted, 20),
-            None => (Posted::Refused, 20),
+            Some(_) => (PromotionResponse::Accepted, 20),
+            None => (PromotionResponse::Refused, 20),
         };
         if let Some(n) = running {
             self.soon(100 + upto(300), Event::Promote(service.clone(), n));
         }
         if !self.healed && chance(10) {
-            (posted, after) = (Posted::Unclear, 1_000);
+            (posted, after) = (PromotionResponse::Unclear, 1_000);
         }
-        self.soon(after, Event::Input(from, life, Input::Posted(service, target, attempt, posted)));
+        self.soon(
+            after,
+            Event::Input(from, life, Input::PromotionResponse(service, target, attempt, posted)),
+        );
     }
     fn promote(&mut self, service: &ServiceName, target: usize) {
         let newest = self.of_service(service).into_iter().map(|d| self.databases[d].term).max();
@@ -1069,12 +1083,12 @@
 
     // -- nodes -------------------------------------------------------------------------------------
 
-    fn tell(&mut self, node: usize, message: ToSteward) {
+    fn tell(&mut self, node: usize, message: ToController) {
         let Some((conn, at)) = self.nodes[node].conn else { return };
         let life = self.machines[at].life;
-        match self.arrival(End::Node(node), End::Steward(at), 0) {
+        match self.arrival(End::Node(node), End::Controller(at), 0) {
             Some(time) => {
-                self.at(time, Event::Input(at, life, Input::Frame(conn, Frame::Stile(message))));
+                self.at(time, Event::Input(at, life, Input::Frame(conn, Frame::Pooler(message))));
             }
             // Lost on its way: the connection does not get over it.
             None => self.close(conn),
@@ -1111,7 +1125,7 @@
                 let revision = node.config.as_ref().map_or(Revision(0), |c| c.revision);
                 let name = NodeName(format!("node{number}"));
                 let zone = "z".to_owned();
-                self.tell(number, ToSteward::Hello { node: name, life, revision, zone });
+                self.tell(number, ToController::Hello { node: name, life, revision, zone });
             }
         }
         for service in SERVICES.map(ServiceName::from) {
@@ -1138,18 +1152,18 @@
         }
         let (shares, wants, saw, asks) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
         let renewal =
-            ToSteward::Renew { seq, heard: 0, shares, wants, saw, asks, busy: Vec::new() };
+            ToController::RenewLeases { seq, heard: 0, shares, wants, saw, asks, busy: Vec::new() };
         self.tell(number, renewal);
     }
     fn node_heard(&mut self, number: usize, conn: u64, frame: Frame) {
         let now = self.now;
         let node = &mut self.nodes[number];
         node.heard = now;
-        let Frame::Steward(message) = frame else {
+        let Frame::Controller(message) = frame else {
             return self.fail("a node was sent what is not for it".into());
         };
         match message {
-            ToStile::Welcome { stewards } => {
+            ToPooler::Welcome { stewards } => {
                 if !stewards.is_empty() {
                     node.known = stewards;
                 }
@@ -1157,19 +1171,19 @@
                     self.renew(number);
                 }
             }
-            ToStile::Elsewhere(leader) => {
+            ToPooler::NotLeader(leader) => {
                 node.hint = leader;
                 self.close(conn);
             }
-            ToStile::Configured(lanes) => self.configured(number, *lanes),
-            ToStile::Changed(changed) => {
+            ToPooler::RouteTable(lanes) => self.configured(number, *lanes),
+            ToPooler::RouteTableDelta(changed) => {
                 match node.config.as_ref().and_then(|c| c.with(&changed)) {
                     Some(lanes) => self.configured(number, lanes),
-                    None => self.tell(number, ToSteward::Whole),
+                    None => self.tell(number, ToController::RequestFullTable),
                 }
             }
-            ToStile::Directory(_) | ToStile::Moved { .. } => {}
-            ToStile::Granted { seq, whole, grants, .. } => {
+            ToPooler::Directory(_) | ToPooler::DirectoryDelta { .. } => {}
+            ToPooler::LeaseGrants { seq, whole, grants, .. } => {
                 let Some(asked) = node.sent.get(&seq).copied() else { return };
                 node.sent.retain(|s, _| *s >= seq);
                 if whole {
@@ -1177,7 +1191,7 @@
                 }
                 for grant in grants {
                     match grant.standing {
-                        Standing::Led { term, primary } => {
+                        PrimaryStatus::Active { term, primary } => {
                             let last = node.revoked.get(&grant.service);
                             if last.is_none_or(|(last, upto)| term > *last || seq > *upto) {
                                 let lease = Lease { term, primary, asked };
@@ -1190,18 +1204,18 @@
                 node.leases.values_mut().for_each(|l| l.asked = l.asked.max(asked));
                 self.one_lease();
             }
-            ToStile::Revoke { service, term } => {
+            ToPooler::Revoke { service, term } => {
                 node.revoked.insert(service.clone(), (term, node.seq));
                 if node.leases.get(&service).is_some_and(|l| l.term <= term) {
                     node.leases.remove(&service);
                 }
                 let highest = node.highest.get(&service).copied();
-                self.tell(number, ToSteward::Revoked { service, term, highest });
+                self.tell(number, ToController::RevokeAck { service, term, highest });
             }
-            ToStile::Renew => self.renew(number),
+            ToPooler::RenewNow => self.renew(number),
         }
     }
-    fn configured(&mut self, number: usize, lanes: Lanes) {
+    fn configured(&mut self, number: usize, lanes: RouteTable) {
         if !self.forced.iter().any(|f| f.revision == lanes.revision) {
             return self.fail(format!("a node has {}, never in force", lanes.revision));
         }
@@ -1491,15 +1505,15 @@
                     self.step(number, None);
                 }
             }
-            Event::Raft(from, at, to, message) => {
+            Event::RaftMessage(from, at, to, message) => {
                 let number = machine_at(at);
                 let message = Box::new(message);
-                if self.reaches(End::Steward(from), End::Steward(number)) {
+                if self.reaches(End::Controller(from), End::Controller(number)) {
                     // Only what reaches a process that is there counts as said.
                     let machine = &mut self.machines[number];
                     let now = Tick(self.now + machine.ahead);
                     if let Some(steward) = &mut machine.steward {
-                        steward.take(Input::Reads(message.from, LAYOUT), now);
+                        steward.take(Input::PeerLayout(message.from, LAYOUT), now);
                     }
                     let frame = Frame::Raft { to, message };
                     self.step(number, Some(Input::Frame(0, frame)));
@@ -1545,16 +1559,16 @@
                     };
                     self.close(conn);
                     if self.machines[asker].life == life {
-                        self.step(asker, Some(Input::Standing(me, at, answer)));
+                        self.step(asker, Some(Input::JoinResponse(me, at, answer)));
                     }
                 }
                 None => {}
             },
-            Event::Call(who, attempt, request) => self.reach_steward(who, attempt, request),
+            Event::AdminCall(who, attempt, request) => self.reach_steward(who, attempt, request),
             Event::Answer(who, attempt, response) => self.answered(who, attempt, response),
             Event::Act(who) => self.act(who),
             Event::Node(number, life) => self.node_turn(number, life),
-            Event::Ask(from, life, service, id, ask, attempt) => {
+            Event::DatabaseRequest(from, life, service, id, ask, attempt) => {
                 self.asked((from, life), service, id, ask, attempt);
             }
             Event::Post(from, life, service, target, attempt) => {
--- a/src/state_machine/mod.rs
+++ b/src/state_machine/mod.rs
@@ -1,11 +1,11 @@
 //! The replicated state machine: configuration, directory, primaries, and the commands that change them.
 use crate::base::errors::Fatal;
-use crate::base::ids::{DbTerm, Index, InstanceId, Revision, ServiceName};
+use crate::base::ids::{DbTerm, InstanceId, LogIndex, Revision, ServiceName};
 use crate::config::configuration::Configuration;
 use crate::config::directory::Instance;
-use crate::net::rpc::raft_messages::{Body, Entry, RaftKind, Snapshot};
+use crate::net::rpc::raft_messages::{EntryPayload, LogEntry, RaftMessageKind, Snapshot};
 use crate::net::rpc::{pack, unpack};
-use crate::raft::node::Kept;
+use crate::raft::node::PersistentState;
 use serde::{Deserialize, Serialize};
 use serde_bytes::{ByteArray, ByteBuf};
 use sha2::{Digest as _, Sha256};
@@ -13,19 +13,19 @@
 
 /// Everything the stewards agree on.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Almanac {
+pub struct StateMachine {
     /// The newest configuration, byte for byte as it was sent.
     pub body: ByteBuf,
     pub revision: Revision,
     /// The digest of each configuration ever taken, so that a resend is known again.
     taken: BTreeMap<Revision, Digest>,
-    pub instances: BTreeMap<InstanceId, Record>,
+    pub instances: BTreeMap<InstanceId, InstanceRecord>,
     /// The same by service; made anew when a state is read.
     #[serde(skip)]
     pub(crate) by_service: BTreeMap<ServiceName, BTreeSet<InstanceId>>,
     /// Databases that left, with their last sequence: a late beat must not bring them back.
     gone: VecDeque<(InstanceId, u64)>,
-    pub leads: BTreeMap<ServiceName, Lead>,
+    pub leads: BTreeMap<ServiceName, PrimaryRecord>,
     /// The same as `gone` by id; made anew when a state is read.
     #[serde(skip)]
     gone_by_id: BTreeMap<InstanceId, u64>,
@@ -36,13 +36,13 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Record {
+pub struct InstanceRecord {
     pub instance: Instance,
     pub sequence: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Lead {
+pub struct PrimaryRecord {
     pub term: DbTerm,
     pub primary: InstanceId,
     /// Decided but perhaps not yet done; nothing else may be decided before it is settled.
@@ -50,101 +50,80 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Change {
-    Configure {
-        base: Revision,
-        revision: Revision,
-        body: ByteBuf,
-    },
-    Beat {
-        id: InstanceId,
-        instance: Instance,
-        sequence: u64,
-    },
+pub enum Command {
+    #[serde(rename = "Configure")]
+    PutConfiguration { base: Revision, revision: Revision, body: ByteBuf },
+    #[serde(rename = "Beat")]
+    Heartbeat { id: InstanceId, instance: Instance, sequence: u64 },
     /// Beats up to `sequence` must not bring it back.
-    Gone {
-        id: InstanceId,
-        sequence: u64,
-    },
-    Led {
-        service: ServiceName,
-        term: DbTerm,
-        primary: InstanceId,
-    },
-    Intend {
-        service: ServiceName,
-        term: DbTerm,
-        target: InstanceId,
-    },
-    Abandon {
-        service: ServiceName,
-        target: InstanceId,
-    },
+    #[serde(rename = "Gone")]
+    RemoveInstance { id: InstanceId, sequence: u64 },
+    #[serde(rename = "Led")]
+    SetPrimary { service: ServiceName, term: DbTerm, primary: InstanceId },
+    #[serde(rename = "Intend")]
+    BeginFailover { service: ServiceName, term: DbTerm, target: InstanceId },
+    #[serde(rename = "Abandon")]
+    AbandonFailover { service: ServiceName, target: InstanceId },
     /// Enough listed replicas have all that was acknowledged before these left.
-    Covered {
-        service: ServiceName,
-        departed: BTreeMap<InstanceId, u64>,
-    },
+    #[serde(rename = "Covered")]
+    ForgetDeparted { service: ServiceName, departed: BTreeMap<InstanceId, u64> },
     /// The primary of this term crashed and came back with its log under another id.
-    Returned {
-        service: ServiceName,
-        term: DbTerm,
-        primary: InstanceId,
-    },
+    #[serde(rename = "Returned")]
+    PrimaryReturned { service: ServiceName, term: DbTerm, primary: InstanceId },
 }
 
 /// What became of a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Effect {
-    Done,
-    Nothing,
+pub enum CommandOutcome {
+    Applied,
+    NoChange,
     /// Another version is current.
-    Outdated,
+    StaleBase,
     /// Its revision is not above the current one.
-    NotAbove,
+    RevisionNotAbove,
     /// So old that it is no longer known whether it was taken.
-    Forgotten,
+    HistoryExpired,
 }
 
 /// What an entry's change says, if this program can read all of it.
-pub(crate) fn read_change(index: Index, bytes: &[u8]) -> Result<Change, String> {
+pub(crate) fn read_change(index: LogIndex, bytes: &[u8]) -> Result<Command, String> {
     let unreadable = |e: String| format!("entry {index} can't be read: {e}");
-    let change = unpack::<Change>(bytes).map_err(|e| unreadable(e.to_string()))?;
-    if let Change::Configure { body, .. } = &change {
+    let change = unpack::<Command>(bytes).map_err(|e| unreadable(e.to_string()))?;
+    if let Command::PutConfiguration { body, .. } = &change {
         Configuration::read(body).map_err(unreadable)?;
     }
     Ok(change)
 }
 
 /// The state that a snapshot holds; the empty one at the beginning of all logs.
-pub(crate) fn read_state(snapshot: &Snapshot) -> Result<Almanac, String> {
-    if snapshot.state.is_empty() && snapshot.last.1 == Index(0) {
-        return Ok(Almanac::default());
+pub(crate) fn read_state(snapshot: &Snapshot) -> Result<StateMachine, String> {
+    if snapshot.state.is_empty() && snapshot.last.1 == LogIndex(0) {
+        return Ok(StateMachine::default());
     }
     let unreadable = |e| format!("the snapshot at entry {} can't be read: {e}", snapshot.last.1);
-    let almanac = Almanac::read(&snapshot.state).map_err(|e| unreadable(e.to_string()))?;
+    let almanac = StateMachine::read(&snapshot.state).map_err(|e| unreadable(e.to_string()))?;
     almanac.configuration().map_err(unreadable)?;
     Ok(almanac)
 }
 
-fn read_entries(entries: &[Entry]) -> Result<(), String> {
+fn read_entries(entries: &[LogEntry]) -> Result<(), String> {
     entries.iter().try_for_each(|entry| match &entry.body {
-        Body::Change(bytes) => read_change(entry.index, bytes).map(drop),
+        EntryPayload::Command(bytes) => read_change(entry.index, bytes).map(drop),
         _ => Ok(()),
     })
 }
 
 /// The steward's `Vet`: what it could not apply is not taken.
-pub fn readable(kind: &RaftKind) -> Result<(), String> {
+pub fn readable(kind: &RaftMessageKind) -> Result<(), String> {
     match kind {
-        RaftKind::Append { entries, .. } => read_entries(entries),
-        RaftKind::Snapshot { snapshot, .. } => read_state(snapshot).map(drop),
+        RaftMessageKind::AppendEntries { entries, .. } => read_entries(entries),
+        RaftMessageKind::InstallSnapshot { snapshot, .. } => read_state(snapshot).map(drop),
         _ => Ok(()),
     }
 }
 
 /// The state of what is on disk, if this program can read all of it.
-pub fn read_kept(kept: &Kept) -> Result<Almanac, Fatal> {
+pub fn read_kept(kept: &PersistentState) -> Result<StateMachine, Fatal> {
     let left = |why| Fatal::State(format!("left as it is: {why}"));
     read_entries(&kept.log).map_err(left)?;
     read_state(&kept.snapshot).map_err(left)
@@ -188,7 +167,7 @@
 /// know. Stands in front of it.
 pub(crate) const STATE_LAYOUT: u8 = 2;
 
-impl Almanac {
+impl StateMachine {
     /// The state that a snapshot holds.
     pub fn read(bytes: &[u8]) -> std::io::Result<Self> {
         let mut almanac: Self = unpack(bytes.strip_prefix(&[STATE_LAYOUT]).unwrap_or(bytes))?;
@@ -221,7 +200,7 @@
         let unreadable = |e| format!("configuration {} can't be read: {e}", self.revision);
         Configuration::read(&self.body).map(Some).map_err(unreadable)
     }
-    fn unlist(&mut self, id: &InstanceId) -> Option<Record> {
+    fn unlist(&mut self, id: &InstanceId) -> Option<InstanceRecord> {
         let record = self.instances.remove(id)?;
         let service = &record.instance.target_service;
         if let Some(ids) = self.by_service.get_mut(service) {
@@ -244,21 +223,21 @@
         }
     }
     /// What `Configure` would come to now.
-    pub fn judge(&self, base: Revision, revision: Revision, body: &[u8]) -> Effect {
+    pub fn judge(&self, base: Revision, revision: Revision, body: &[u8]) -> CommandOutcome {
         // What was taken is acknowledged for ever, also with newer ones in force.
         if self.taken.get(&revision).is_some_and(|d| d.is_of(body)) {
-            Effect::Nothing
+            CommandOutcome::NoChange
         } else if base != self.revision {
             let oldest = self.taken.first_key_value().filter(|_| self.taken.len() >= TAKEN_KEPT);
             // Of those below the oldest that is kept any may have been taken.
             match oldest.is_some_and(|(oldest, _)| revision < *oldest) {
-                true => Effect::Forgotten,
-                false => Effect::Outdated,
+                true => CommandOutcome::HistoryExpired,
+                false => CommandOutcome::StaleBase,
             }
         } else if revision <= self.revision {
-            Effect::NotAbove
+            CommandOutcome::RevisionNotAbove
         } else {
-            Effect::Done
+            CommandOutcome::Applied
         }
     }
     /// Whether a beat tells anything that must be kept.
@@ -271,11 +250,11 @@
             None => true,
         }
     }
-    pub fn apply(&mut self, change: &Change) -> Effect {
+    pub fn apply(&mut self, change: &Command) -> CommandOutcome {
         match change {
-            Change::Configure { base, revision, body } => {
+            Command::PutConfiguration { base, revision, body } => {
                 let effect = self.judge(*base, *revision, body);
-                if effect == Effect::Done {
+                if effect == CommandOutcome::Applied {
                     self.taken.insert(*revision, Digest::of(body));
                     while self.taken.len() > TAKEN_KEPT {
                         self.taken.pop_first();
@@ -285,9 +264,9 @@
                 }
                 return effect;
             }
-            Change::Beat { id, instance, sequence } => {
+            Command::Heartbeat { id, instance, sequence } => {
                 if !self.news(id, instance, *sequence) {
-                    return Effect::Nothing;
+                    return CommandOutcome::NoChange;
                 }
                 self.unlist(id);
                 let service = instance.target_service.clone();
@@ -296,12 +275,12 @@
                     departed.remove(id);
                 }
                 self.by_service.entry(service).or_default().insert(id.clone());
-                let record = Record { instance: instance.clone(), sequence: *sequence };
+                let record = InstanceRecord { instance: instance.clone(), sequence: *sequence };
                 self.instances.insert(id.clone(), record);
             }
-            Change::Gone { id, sequence } => {
+            Command::RemoveInstance { id, sequence } => {
                 let Some(record) = self.unlist(id) else {
-                    return Effect::Nothing;
+                    return CommandOutcome::NoChange;
                 };
                 let last = record.sequence.max(*sequence);
                 self.remember_gone(id, last);
@@ -315,26 +294,26 @@
                     }
                 }
             }
-            Change::Led { service, term, primary } => {
+            Command::SetPrimary { service, term, primary } => {
                 if self.leads.get(service).is_some_and(|l| l.term >= *term) {
-                    return Effect::Nothing;
+                    return CommandOutcome::NoChange;
                 }
-                let lead = Lead { term: *term, primary: primary.clone(), intent: None };
+                let lead = PrimaryRecord { term: *term, primary: primary.clone(), intent: None };
                 self.leads.insert(service.clone(), lead);
             }
-            Change::Intend { service, term, target } => match self.leads.get_mut(service) {
+            Command::BeginFailover { service, term, target } => match self.leads.get_mut(service) {
                 Some(lead) if lead.term == *term && lead.intent.is_none() => {
                     lead.intent = Some(target.clone());
                 }
-                _ => return Effect::Nothing,
+                _ => return CommandOutcome::NoChange,
             },
-            Change::Abandon { service, target } => match self.leads.get_mut(service) {
+            Command::AbandonFailover { service, target } => match self.leads.get_mut(service) {
                 Some(lead) if lead.intent.as_ref() == Some(target) => lead.intent = None,
-                _ => return Effect::Nothing,
+                _ => return CommandOutcome::NoChange,
             },
-            Change::Covered { service, departed } => {
+            Command::ForgetDeparted { service, departed } => {
                 let Some(left) = self.departed.get_mut(service) else {
-                    return Effect::Nothing;
+                    return CommandOutcome::NoChange;
                 };
                 // One that was back in between has left with more.
                 left.retain(|id, last| departed.get(id) != Some(last));
@@ -342,20 +321,22 @@
                     self.departed.remove(service);
                 }
             }
-            Change::Returned { service, term, primary } => match self.leads.get_mut(service) {
-                Some(lead) if lead.term == *term && lead.intent.is_none() => {
-                    // The old id is no other copy, and is never used again.
-                    let old = std::mem::replace(&mut lead.primary, primary.clone());
-                    self.unlist(&old);
-                    self.remember_gone(&old, u64::MAX);
-                    if let Some(departed) = self.departed.get_mut(service) {
-                        departed.remove(&old);
+            Command::PrimaryReturned { service, term, primary } => {
+                match self.leads.get_mut(service) {
+                    Some(lead) if lead.term == *term && lead.intent.is_none() => {
+                        // The old id is no other copy, and is never used again.
+                        let old = std::mem::replace(&mut lead.primary, primary.clone());
+                        self.unlist(&old);
+                        self.remember_gone(&old, u64::MAX);
+                        if let Some(departed) = self.departed.get_mut(service) {
+                            departed.remove(&old);
+                        }
                     }
+                    _ => return CommandOutcome::NoChange,
                 }
-                _ => return Effect::Nothing,
-            },
+            }
         }
-        Effect::Done
+        CommandOutcome::Applied
     }
     /// Those of a service that left with a log that may be missing; the primary's is known to be.
     pub fn departed(&self, service: &ServiceName) -> BTreeMap<InstanceId, u64> {
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -7,19 +7,22 @@
 use serde_bytes::ByteBuf;
 use sha2::{Digest as _, Sha256};
 use silvertack::base::ids::{
-    DbTerm, Epoch, Index, MemberId, NodeName, Position, Revision, ServiceName,
+    DbTerm, LogIndex, MemberId, NodeName, Position, Revision, ServiceName, Term,
 };
 use silvertack::config::configuration::{Configuration, SessionLimits};
-use silvertack::config::directory::{Instance, Lifecycle, Listed, Role};
-use silvertack::config::route_table::{Lanes, Run};
+use silvertack::config::directory::{DirectoryEntry, Instance, Lifecycle, Role};
+use silvertack::config::route_table::{DeltaRun, RouteTable};
 use silvertack::net::rpc::pooler_messages::{
-    Doubt, Fresh, Grant, Plot, Saw, Standing, ToSteward, ToStile,
+    LeaseGrant, ObservedPosition, PositionBound, PrimaryStatus, SubsetRange, SuspicionReason,
+    ToController, ToPooler,
+};
+use silvertack::net::rpc::raft_messages::{
+    EntryPayload, JoinResponse, LogEntry, Member, RaftMessage, RaftMessageKind, Snapshot,
 };
-use silvertack::net::rpc::raft_messages::{Body, Entry, Joined, Member, Raft, RaftKind, Snapshot};
 use silvertack::net::rpc::{Frame, encode, pack, receive_with_layout, unpack};
-use silvertack::raft::node::Kept;
-use silvertack::raft::storage::Granary;
-use silvertack::state_machine::{Almanac, Change, Effect, read_kept};
+use silvertack::raft::node::PersistentState;
+use silvertack::raft::storage::RaftStorage;
+use silvertack::state_machine::{Command, CommandOutcome, StateMachine, read_kept};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write as _;
 use std::net::SocketAddr;
@@ -44,8 +47,8 @@
 fn members() -> Vec<Member> {
     vec![member(5, true, true), member(6, false, true), member(7, false, false)]
 }
-fn entry(epoch: u64, index: u64, body: Body) -> Entry {
-    Entry { epoch: Epoch(epoch), index: Index(index), body }
+fn entry(epoch: u64, index: u64, body: EntryPayload) -> LogEntry {
+    LogEntry { epoch: Term(epoch), index: LogIndex(index), body }
 }
 fn bytes(of: &[u8]) -> ByteBuf {
     ByteBuf::from(of.to_vec())
@@ -91,11 +94,11 @@
 }
 const TYPES: [&str; 6] =
     ["primary", "bounded", "read_your_writes", "idempotent", "non_idempotent", "download"];
-fn lanes(revision: u64, routes: &[&str]) -> Lanes {
-    Lanes::of(&Configuration::read(&order(revision, routes)).expect("valid"))
+fn lanes(revision: u64, routes: &[&str]) -> RouteTable {
+    RouteTable::of(&Configuration::read(&order(revision, routes)).expect("valid"))
 }
-fn listed(id: &str, draining: bool) -> Listed {
-    Listed {
+fn listed(id: &str, draining: bool) -> DirectoryEntry {
+    DirectoryEntry {
         id: id.into(),
         service: "s".into(),
         address: at("10.0.1.1:5432"),
@@ -107,77 +110,84 @@
 fn position(term: u64, number: u64) -> Position {
     Position { term: DbTerm(term), number }
 }
-fn grant(service: &str, standing: Standing, share: u32) -> Grant {
-    Grant { service: service.into(), standing, share }
+fn grant(service: &str, standing: PrimaryStatus, share: u32) -> LeaseGrant {
+    LeaseGrant { service: service.into(), standing, share }
 }
 
 /// Every variant of what is said on the peer port, with other values in each field.
 fn frames() -> Vec<Frame> {
     let (s, t) = (ServiceName::from("s"), ServiceName::from("t"));
-    let ask = |trial, handover, led| RaftKind::AskVote {
+    let ask = |trial, handover, led| RaftMessageKind::RequestVote {
         trial,
         handover,
         led,
-        last: (Epoch(41), Index(42)),
+        last: (Term(41), LogIndex(42)),
     };
     let entries = vec![
-        entry(43, 44, Body::Opened),
-        entry(45, 46, Body::Members(members())),
-        entry(47, 48, Body::Change(bytes(&[1, 2, 200]))),
+        entry(43, 44, EntryPayload::NoOp),
+        entry(45, 46, EntryPayload::Membership(members())),
+        entry(47, 48, EntryPayload::Command(bytes(&[1, 2, 200]))),
     ];
     let kinds = [
         ask(true, false, false),
         ask(false, true, false),
         ask(false, false, true),
-        RaftKind::Vote { trial: true, granted: false },
-        RaftKind::Vote { trial: false, granted: true },
-        RaftKind::Append {
-            previous: (Epoch(51), Index(52)),
+        RaftMessageKind::VoteResponse { trial: true, granted: false },
+        RaftMessageKind::VoteResponse { trial: false, granted: true },
+        RaftMessageKind::AppendEntries {
+            previous: (Term(51), LogIndex(52)),
             entries,
-            commit: Index(53),
+            commit: LogIndex(53),
             sent: 1 << 40,
         },
-        RaftKind::Appended { upto: Index(54), ok: true, sent: 55 },
-        RaftKind::Appended { upto: Index(56), ok: false, sent: 57 },
-        RaftKind::Snapshot {
+        RaftMessageKind::AppendResponse { upto: LogIndex(54), ok: true, sent: 55 },
+        RaftMessageKind::AppendResponse { upto: LogIndex(56), ok: false, sent: 57 },
+        RaftMessageKind::InstallSnapshot {
             snapshot: Snapshot {
-                last: (Epoch(61), Index(62)),
+                last: (Term(61), LogIndex(62)),
                 members: members(),
                 state: bytes(&[3, 0, 255]),
             },
             sent: 63,
         },
-        RaftKind::TakeOver,
-        RaftKind::Part { transfer: 71, size: 72, offset: 73, bytes: bytes(&[9, 8]), sent: 74 },
-        RaftKind::PartTaken { transfer: 75, upto: 76, sent: 77 },
+        RaftMessageKind::TimeoutNow,
+        RaftMessageKind::Chunk {
+            transfer: 71,
+            size: 72,
+            offset: 73,
+            bytes: bytes(&[9, 8]),
+            sent: 74,
+        },
+        RaftMessageKind::ChunkResponse { transfer: 75, upto: 76, sent: 77 },
     ];
     let raft = |kind| Frame::Raft {
         to: MemberId(11),
-        message: Box::new(Raft { from: MemberId(12), epoch: Epoch(13), kind }),
+        message: Box::new(RaftMessage { from: MemberId(12), epoch: Term(13), kind }),
     };
     let joined = [
-        Joined::Elsewhere(None),
-        Joined::Elsewhere(Some(at("10.0.0.8:81"))),
-        Joined::Noted,
-        Joined::Listed,
-        Joined::Removed,
-        Joined::Found,
+        JoinResponse::NotLeader(None),
+        JoinResponse::NotLeader(Some(at("10.0.0.8:81"))),
+        JoinResponse::Accepted,
+        JoinResponse::Current,
+        JoinResponse::Removed,
+        JoinResponse::FoundCluster,
     ];
-    let suspect = |why| ToSteward::Suspect { service: "s".into(), instance: "i1".into(), why };
-    let revoked = |highest| ToSteward::Revoked { service: "s".into(), term: DbTerm(82), highest };
+    let suspect = |why| ToController::Suspect { service: "s".into(), instance: "i1".into(), why };
+    let revoked =
+        |highest| ToController::RevokeAck { service: "s".into(), term: DbTerm(82), highest };
     let to_steward = [
-        ToSteward::Hello {
+        ToController::Hello {
             node: "node9".into(),
             life: u64::MAX,
             revision: Revision(83),
             zone: "z2".into(),
         },
-        ToSteward::Renew {
+        ToController::RenewLeases {
             seq: 84,
             heard: 85,
             shares: vec![(s.clone(), 86), (t.clone(), 87)],
             wants: vec![(s.clone(), 88)],
-            saw: vec![Saw {
+            saw: vec![ObservedPosition {
                 service: t.clone(),
                 term: DbTerm(89),
                 position: position(90, 91),
@@ -186,48 +196,51 @@
             asks: vec![t.clone(), s.clone()],
             busy: vec![(t.clone(), 93)],
         },
-        suspect(Doubt::Broken),
-        suspect(Doubt::Silent),
+        suspect(SuspicionReason::ConnectionsBroken),
+        suspect(SuspicionReason::NoResponse),
         revoked(None),
         revoked(Some(position(94, 95))),
-        ToSteward::Whole,
-        ToSteward::Bye,
+        ToController::RequestFullTable,
+        ToController::Goodbye,
     ];
-    let granted = |whole| ToStile::Granted {
+    let granted = |whole| ToPooler::LeaseGrants {
         seq: 101,
         lease_ms: 102,
         whole,
         grants: vec![
-            grant("s", Standing::Led { term: DbTerm(103), primary: "i1".into() }, 104),
-            grant("t", Standing::Sealed(position(105, 106)), 107),
-            grant("u", Standing::Unled, 108),
+            grant("s", PrimaryStatus::Active { term: DbTerm(103), primary: "i1".into() }, 104),
+            grant("t", PrimaryStatus::Sealed(position(105, 106)), 107),
+            grant("u", PrimaryStatus::Absent, 108),
         ],
-        fresh: vec![Fresh { service: t.clone(), position: position(109, 110), age: 111 }],
-        plots: vec![Plot { service: s.clone(), from: 112, upto: 113 }],
+        fresh: vec![PositionBound { service: t.clone(), position: position(109, 110), age: 111 }],
+        plots: vec![SubsetRange { service: s.clone(), from: 112, upto: 113 }],
     };
     let (old, new) = (lanes(121, &TYPES[..3]), lanes(122, &TYPES));
     let mut changed = new.since(&old);
-    changed.services = vec![Run::Same { from: 1, count: 1 }, Run::New(vec!["v".into()])];
+    changed.services = vec![DeltaRun::Same { from: 1, count: 1 }, DeltaRun::New(vec!["v".into()])];
     changed.limits = limits(130);
     let to_stile = [
-        ToStile::Elsewhere(None),
-        ToStile::Elsewhere(Some(at("[fd00::9]:82"))),
-        ToStile::Welcome { stewards: vec![at("10.0.0.5:83"), at("10.0.0.6:84")] },
-        ToStile::Configured(Box::new(new)),
-        ToStile::Changed(Box::new(changed)),
-        ToStile::Directory(vec![listed("i1", false), listed("i2", true)]),
-        ToStile::Moved { listed: vec![listed("i3", true)], gone: vec!["i4".into(), "i5".into()] },
+        ToPooler::NotLeader(None),
+        ToPooler::NotLeader(Some(at("[fd00::9]:82"))),
+        ToPooler::Welcome { stewards: vec![at("10.0.0.5:83"), at("10.0.0.6:84")] },
+        ToPooler::RouteTable(Box::new(new)),
+        ToPooler::RouteTableDelta(Box::new(changed)),
+        ToPooler::Directory(vec![listed("i1", false), listed("i2", true)]),
+        ToPooler::DirectoryDelta {
+            listed: vec![listed("i3", true)],
+            gone: vec!["i4".into(), "i5".into()],
+        },
         granted(true),
         granted(false),
-        ToStile::Revoke { service: s, term: DbTerm(141) },
-        ToStile::Renew,
+        ToPooler::Revoke { service: s, term: DbTerm(141) },
+        ToPooler::RenewNow,
     ];
     let join = |was| Frame::Join { member: member(9, true, false), was };
     (kinds.into_iter().map(raft))
         .chain([join(false), join(true)])
         .chain(joined.map(Frame::Joined))
-        .chain(to_steward.map(Frame::Stile))
-        .chain(to_stile.map(Frame::Steward))
+        .chain(to_steward.map(Frame::Pooler))
+        .chain(to_stile.map(Frame::Controller))
         .collect()
 }
 
@@ -239,112 +252,131 @@
         }
         (Frame::Join { member, was }, Frame::Join { member: m, was: w }) => member == m && was == w,
         (Frame::Joined(a), Frame::Joined(b)) => a == b,
-        (Frame::Stile(a), Frame::Stile(b)) => said(a, b),
-        (Frame::Steward(a), Frame::Steward(b)) => told(a, b),
+        (Frame::Pooler(a), Frame::Pooler(b)) => said(a, b),
+        (Frame::Controller(a), Frame::Controller(b)) => told(a, b),
         (
             Frame::Raft { .. }
             | Frame::Join { .. }
             | Frame::Joined(_)
-            | Frame::Stile(_)
-            | Frame::Steward(_),
+            | Frame::Pooler(_)
+            | Frame::Controller(_),
             _,
         ) => false,
     }
 }
 /// As `==` has it; only so that each field is named.
-fn same_kind(a: &RaftKind, b: &RaftKind) -> bool {
+fn same_kind(a: &RaftMessageKind, b: &RaftMessageKind) -> bool {
     let again = match a.clone() {
-        RaftKind::AskVote { trial, handover, led, last } => {
-            RaftKind::AskVote { trial, handover, led, last }
+        RaftMessageKind::RequestVote { trial, handover, led, last } => {
+            RaftMessageKind::RequestVote { trial, handover, led, last }
+        }
+        RaftMessageKind::VoteResponse { trial, granted } => {
+            RaftMessageKind::VoteResponse { trial, granted }
+        }
+        RaftMessageKind::AppendEntries { previous, entries, commit, sent } => {
+            RaftMessageKind::AppendEntries { previous, entries, commit, sent }
         }
-        RaftKind::Vote { trial, granted } => RaftKind::Vote { trial, granted },
-        RaftKind::Append { previous, entries, commit, sent } => {
-            RaftKind::Append { previous, entries, commit, sent }
+        RaftMessageKind::AppendResponse { upto, ok, sent } => {
+            RaftMessageKind::AppendResponse { upto, ok, sent }
         }
-        RaftKind::Appended { upto, ok, sent } => RaftKind::Appended { upto, ok, sent },
-        RaftKind::Snapshot { snapshot: Snapshot { last, members, state }, sent } => {
-            RaftKind::Snapshot { snapshot: Snapshot { last, members, state }, sent }
+        RaftMessageKind::InstallSnapshot { snapshot: Snapshot { last, members, state }, sent } => {
+            RaftMessageKind::InstallSnapshot { snapshot: Snapshot { last, members, state }, sent }
         }
-        RaftKind::TakeOver => RaftKind::TakeOver,
-        RaftKind::Part { transfer, size, offset, bytes, sent } => {
-            RaftKind::Part { transfer, size, offset, bytes, sent }
+        RaftMessageKind::TimeoutNow => RaftMessageKind::TimeoutNow,
+        RaftMessageKind::Chunk { transfer, size, offset, bytes, sent } => {
+            RaftMessageKind::Chunk { transfer, size, offset, bytes, sent }
         }
-        RaftKind::PartTaken { transfer, upto, sent } => {
-            RaftKind::PartTaken { transfer, upto, sent }
+        RaftMessageKind::ChunkResponse { transfer, upto, sent } => {
+            RaftMessageKind::ChunkResponse { transfer, upto, sent }
         }
     };
     again == *b
 }
-fn said(a: &ToSteward, b: &ToSteward) -> bool {
-    use ToSteward::*;
+fn said(a: &ToController, b: &ToController) -> bool {
+    use ToController::*;
     match (a, b) {
         (
             Hello { node, life, revision, zone },
             Hello { node: n, life: l, revision: r, zone: z },
         ) => (node, life, revision, zone) == (n, l, r, z),
         (
-            Renew { seq, heard, shares, wants, saw, asks, busy },
-            Renew { seq: q, heard: h, shares: s, wants: w, saw: v, asks: k, busy: y },
+            RenewLeases { seq, heard, shares, wants, saw, asks, busy },
+            RenewLeases { seq: q, heard: h, shares: s, wants: w, saw: v, asks: k, busy: y },
         ) => (seq, heard, shares, wants, saw, asks, busy) == (q, h, s, w, v, k, y),
         (Suspect { service, instance, why }, Suspect { service: s, instance: i, why: w }) => {
             (service, instance, why) == (s, i, w)
         }
-        (Revoked { service, term, highest }, Revoked { service: s, term: t, highest: h }) => {
+        (RevokeAck { service, term, highest }, RevokeAck { service: s, term: t, highest: h }) => {
             (service, term, highest) == (s, t, h)
         }
-        (Whole, Whole) | (Bye, Bye) => true,
-        (Hello { .. } | Renew { .. } | Suspect { .. } | Revoked { .. } | Whole | Bye, _) => false,
+        (RequestFullTable, RequestFullTable) | (Goodbye, Goodbye) => true,
+        (
+            Hello { .. }
+            | RenewLeases { .. }
+            | Suspect { .. }
+            | RevokeAck { .. }
+            | RequestFullTable
+            | Goodbye,
+            _,
+        ) => false,
     }
 }
-fn told(a: &ToStile, b: &ToStile) -> bool {
-    use ToStile::*;
+fn told(a: &ToPooler, b: &ToPooler) -> bool {
+    use ToPooler::*;
     match (a, b) {
-        (Elsewhere(a), Elsewhere(b)) => a == b,
+        (NotLeader(a), NotLeader(b)) => a == b,
         (Welcome { stewards: a }, Welcome { stewards: b }) => a == b,
-        (Configured(a), Configured(b)) => a == b,
-        (Changed(a), Changed(b)) => a == b,
+        (RouteTable(a), RouteTable(b)) => a == b,
+        (RouteTableDelta(a), RouteTableDelta(b)) => a == b,
         (Directory(a), Directory(b)) => a == b,
-        (Moved { listed, gone }, Moved { listed: l, gone: g }) => (listed, gone) == (l, g),
+        (DirectoryDelta { listed, gone }, DirectoryDelta { listed: l, gone: g }) => {
+            (listed, gone) == (l, g)
+        }
         (
-            Granted { seq, lease_ms, whole, grants, fresh, plots },
-            Granted { seq: s, lease_ms: l, whole: w, grants: g, fresh: f, plots: p },
+            LeaseGrants { seq, lease_ms, whole, grants, fresh, plots },
+            LeaseGrants { seq: s, lease_ms: l, whole: w, grants: g, fresh: f, plots: p },
         ) => (seq, lease_ms, whole, grants, fresh, plots) == (s, l, w, g, f, p),
         (Revoke { service, term }, Revoke { service: s, term: t }) => (service, term) == (s, t),
-        (Renew, Renew) => true,
+        (RenewNow, RenewNow) => true,
         (
-            Elsewhere(_)
+            NotLeader(_)
             | Welcome { .. }
-            | Configured(_)
-            | Changed(_)
+            | RouteTable(_)
+            | RouteTableDelta(_)
             | Directory(_)
-            | Moved { .. }
-            | Granted { .. }
+            | DirectoryDelta { .. }
+            | LeaseGrants { .. }
             | Revoke { .. }
-            | Renew,
+            | RenewNow,
             _,
         ) => false,
     }
 }
 /// The names of what is only inside; no `_`, for the same reason.
-fn inner(doubt: Doubt, standing: &Standing, body: &Body, run: &Run<u8>) -> [&'static str; 4] {
+fn inner(
+    doubt: SuspicionReason,
+    standing: &PrimaryStatus,
+    body: &EntryPayload,
+    run: &DeltaRun<u8>,
+) -> [&'static str; 4] {
     [
         match doubt {
-            Doubt::Broken => "Broken",
-            Doubt::Silent => "Silent",
+            SuspicionReason::ConnectionsBroken => "Broken",
+            SuspicionReason::NoResponse => "Silent",
         },
         match standing {
-            Standing::Led { term: _, primary: _ } => "Led",
-            Standing::Sealed(_) => "Sealed",
-            Standing::Unled => "Unled",
+            PrimaryStatus::Active { term: _, primary: _ } => "Led",
+            PrimaryStatus::Sealed(_) => "Sealed",
+            PrimaryStatus::Absent => "Unled",
         },
         match body {
-            Body::Opened => "Opened",
-            Body::Members(_) => "Members",
-            Body::Change(_) => "Change",
+            EntryPayload::NoOp => "Opened",
+            EntryPayload::Membership(_) => "Members",
+            EntryPayload::Command(_) => "Change",
         },
         match run {
-            Run::Same { from: _, count: _ } => "Same",
-            Run::New(_) => "New",
+            DeltaRun::Same { from: _, count: _ } => "Same",
+            DeltaRun::New(_) => "New",
         },
     ]
 }
@@ -496,8 +528,13 @@
         }
         assert_names(found, FRAME_NAMES);
     }
-    let led = Standing::Led { term: DbTerm(1), primary: "i".into() };
-    let first = inner(Doubt::Broken, &led, &Body::Opened, &Run::Same { from: 0, count: 0 });
+    let led = PrimaryStatus::Active { term: DbTerm(1), primary: "i".into() };
+    let first = inner(
+        SuspicionReason::ConnectionsBroken,
+        &led,
+        &EntryPayload::NoOp,
+        &DeltaRun::Same { from: 0, count: 0 },
+    );
     assert_eq!(first, ["Broken", "Led", "Opened", "Same"]);
 }
 
@@ -550,36 +587,36 @@
         database_role,
     }
 }
-fn beat(id: &str, instance: Instance, sequence: u64) -> Change {
-    Change::Beat { id: id.into(), instance, sequence }
+fn beat(id: &str, instance: Instance, sequence: u64) -> Command {
+    Command::Heartbeat { id: id.into(), instance, sequence }
 }
 /// One of each variant; all of them do something behind `state()`.
-fn changes() -> Vec<Change> {
+fn changes() -> Vec<Command> {
     let service = || ServiceName::from("s");
     let body = ByteBuf::from(order(162, &TYPES));
     let departed = BTreeMap::from([("d3".into(), 204), ("d4".into(), 205)]);
     vec![
-        Change::Configure { base: Revision(161), revision: Revision(162), body },
+        Command::PutConfiguration { base: Revision(161), revision: Revision(162), body },
         beat("d5", instance(201, Lifecycle::Draining, Role::Primary), 206),
-        Change::Gone { id: "d2".into(), sequence: 207 },
-        Change::Led { service: service(), term: DbTerm(208), primary: "d1".into() },
-        Change::Intend { service: service(), term: DbTerm(208), target: "d5".into() },
-        Change::Abandon { service: service(), target: "d5".into() },
-        Change::Covered { service: service(), departed },
-        Change::Returned { service: service(), term: DbTerm(208), primary: "d5".into() },
+        Command::RemoveInstance { id: "d2".into(), sequence: 207 },
+        Command::SetPrimary { service: service(), term: DbTerm(208), primary: "d1".into() },
+        Command::BeginFailover { service: service(), term: DbTerm(208), target: "d5".into() },
+        Command::AbandonFailover { service: service(), target: "d5".into() },
+        Command::ForgetDeparted { service: service(), departed },
+        Command::PrimaryReturned { service: service(), term: DbTerm(208), primary: "d5".into() },
     ]
 }
 /// The name of a change in the log. No `_` and no `..`: what is new has to be here.
-fn name(change: &Change) -> &'static str {
+fn name(change: &Command) -> &'static str {
     match change {
-        Change::Configure { base: _, revision: _, body: _ } => "Configure",
-        Change::Beat { id: _, instance: _, sequence: _ } => "Beat",
-        Change::Gone { id: _, sequence: _ } => "Gone",
-        Change::Led { service: _, term: _, primary: _ } => "Led",
-        Change::Intend { service: _, term: _, target: _ } => "Intend",
-        Change::Abandon { service: _, target: _ } => "Abandon",
-        Change::Covered { service: _, departed: _ } => "Covered",
-        Change::Returned { service: _, term: _, primary: _ } => "Returned",
+        Command::PutConfiguration { base: _, revision: _, body: _ } => "Configure",
+        Command::Heartbeat { id: _, instance: _, sequence: _ } => "Beat",
+        Command::RemoveInstance { id: _, sequence: _ } => "Gone",
+        Command::SetPrimary { service: _, term: _, primary: _ } => "Led",
+        Command::BeginFailover { service: _, term: _, target: _ } => "Intend",
+        Command::AbandonFailover { service: _, target: _ } => "Abandon",
+        Command::ForgetDeparted { service: _, departed: _ } => "Covered",
+        Command::PrimaryReturned { service: _, term: _, primary: _ } => "Returned",
     }
 }
 /// Its digest is of the older kind, which no program makes any more: it comes from a state of the
@@ -589,41 +626,42 @@
     let step = |h: u64, b: &u8| (h ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3);
     body.iter().fold(0xcbf2_9ce4_8422_2325, step)
 }
-fn state() -> Almanac {
+fn state() -> StateMachine {
     let taken = BTreeMap::from([(160, (OLD_BODY.len(), fnv(OLD_BODY)))]);
     let empty = BTreeMap::<String, ()>::new();
     let first = (bytes(OLD_BODY), 160, taken, &empty, Vec::<()>::new(), &empty);
-    let mut almanac = Almanac::read(&pack(&first)).expect("of the first layout");
+    let mut almanac = StateMachine::read(&pack(&first)).expect("of the first layout");
     let body = ByteBuf::from(order(161, &TYPES[..2]));
     for change in [
-        Change::Configure { base: Revision(160), revision: Revision(161), body },
+        Command::PutConfiguration { base: Revision(160), revision: Revision(161), body },
         beat("d1", instance(211, Lifecycle::Available, Role::Primary), 212),
         beat("d2", instance(213, Lifecycle::Draining, Role::Replica), 214),
         beat("d3", instance(215, Lifecycle::Available, Role::Replica), 203),
         beat("d4", instance(216, Lifecycle::Available, Role::Replica), 202),
-        Change::Led { service: "s".into(), term: DbTerm(200), primary: "d1".into() },
-        Change::Intend { service: "s".into(), term: DbTerm(200), target: "d2".into() },
-        Change::Led { service: "t".into(), term: DbTerm(199), primary: "e1".into() },
-        Change::Gone { id: "d3".into(), sequence: 204 },
-        Change::Gone { id: "d4".into(), sequence: 205 },
+        Command::SetPrimary { service: "s".into(), term: DbTerm(200), primary: "d1".into() },
+        Command::BeginFailover { service: "s".into(), term: DbTerm(200), target: "d2".into() },
+        Command::SetPrimary { service: "t".into(), term: DbTerm(199), primary: "e1".into() },
+        Command::RemoveInstance { id: "d3".into(), sequence: 204 },
+        Command::RemoveInstance { id: "d4".into(), sequence: 205 },
     ] {
-        assert_eq!(almanac.apply(&change), Effect::Done, "{change:?}");
+        assert_eq!(almanac.apply(&change), CommandOutcome::Applied, "{change:?}");
     }
     almanac
 }
-fn kept() -> Kept {
-    let mut bodies = vec![Body::Opened, Body::Members(members())];
-    bodies.extend(changes().iter().map(|change| Body::Change(ByteBuf::from(pack(change)))));
+fn kept() -> PersistentState {
+    let mut bodies = vec![EntryPayload::NoOp, EntryPayload::Membership(members())];
+    bodies
+        .extend(changes().iter().map(|change| EntryPayload::Command(ByteBuf::from(pack(change)))));
     let numbered = (233..).zip(bodies).map(|(index, body)| entry(232, index, body));
     let log = numbered.collect();
-    Kept {
+    PersistentState {
         me: MemberId(5),
-        epoch: Epoch(234),
+        epoch: Term(234),
         voted: Some(MemberId(6)),
-        led: Some(Epoch(230)),
+        led: Some(Term(230)),
         log,
         snapshot: Snapshot {
-            last: (Epoch(231), Index(232)),
+            last: (Term(231), LogIndex(232)),
             members: members(),
             state: ByteBuf::from(state().write()),
         },
@@ -656,7 +694,7 @@
 #[test]
 fn a_state_folder_is_read_and_written_as_ever() {
     let old = folder_of_then("then");
-    let (granary, read) = Granary::open(&old).expect("opened");
+    let (granary, read) = RaftStorage::open(&old).expect("opened");
     drop(granary);
     let (read, made) = (read.expect("a state"), kept());
     assert_eq!((read.me, read.epoch), (made.me, made.epoch));
@@ -664,7 +702,7 @@
     assert_eq!(read.log, made.log);
     assert_eq!(read.snapshot, made.snapshot);
 
-    let mut almanac = Almanac::read(&read.snapshot.state).expect("a state");
+    let mut almanac = StateMachine::read(&read.snapshot.state).expect("a state");
     assert_eq!(almanac, state());
     assert_eq!(read_kept(&read).expect("readable"), almanac);
     assert_eq!(almanac.write(), *read.snapshot.state);
@@ -680,10 +718,10 @@
     // Both kinds of digests know their own body and no other, and who left stays away.
     let now = order(161, &TYPES[..2]);
     for (revision, body, effect) in [
-        (160, OLD_BODY, Effect::Nothing),
-        (160, &now, Effect::Outdated),
-        (161, &now, Effect::Nothing),
-        (161, OLD_BODY, Effect::Outdated),
+        (160, OLD_BODY, CommandOutcome::NoChange),
+        (160, &now, CommandOutcome::StaleBase),
+        (161, &now, CommandOutcome::NoChange),
+        (161, OLD_BODY, CommandOutcome::StaleBase),
     ] {
         assert_eq!(almanac.judge(Revision(3), Revision(revision), body), effect, "{revision}");
     }
@@ -692,12 +730,12 @@
     }
 
     // Written again from the values.
-    let mut again = Kept { log: Vec::new(), ..read.clone() };
+    let mut again = PersistentState { log: Vec::new(), ..read.clone() };
     for (entry, made) in read.log.iter().zip(&made.log) {
         let mut entry = entry.clone();
-        if let Body::Change(bytes) = &mut entry.body {
-            let change = unpack::<Change>(bytes).expect("a change");
-            assert_eq!(almanac.apply(&change), Effect::Done, "{change:?}");
+        if let EntryPayload::Command(bytes) = &mut entry.body {
+            let change = unpack::<Command>(bytes).expect("a change");
+            assert_eq!(almanac.apply(&change), CommandOutcome::Applied, "{change:?}");
             *bytes = ByteBuf::from(pack(&change));
         }
         assert_eq!(entry, *made);
@@ -707,7 +745,7 @@
     let new = folder("now");
     for kept in [again, made] {
         let _ = std::fs::remove_dir_all(&new);
-        let (granary, _, restarted) = Granary::found(&new, || kept).expect("founded");
+        let (granary, _, restarted) = RaftStorage::found(&new, || kept).expect("founded");
         drop(granary);
         assert!(!restarted);
         assert_eq!(dump(&new), STATE);
@@ -722,15 +760,15 @@
 #[test]
 fn the_names_in_a_state_are_these() {
     let old = folder_of_then("names");
-    let kept = Granary::open(&old).expect("opened").1.expect("a state");
+    let kept = RaftStorage::open(&old).expect("opened").1.expect("a state");
     let _ = std::fs::remove_dir_all(&old);
     let mut found = BTreeSet::new();
     let mut names = Vec::new();
     for entry in &kept.log {
         found.extend(Names::of(&pack(entry)));
-        if let Body::Change(bytes) = &entry.body {
+        if let EntryPayload::Command(bytes) = &entry.body {
             found.extend(Names::of(bytes).into_iter().map(|name| format!("Change {name}")));
-            names.push(name(&unpack::<Change>(bytes).expect("a change")));
+            names.push(name(&unpack::<Command>(bytes).expect("a change")));
         }
     }
     let listed = ["Configure", "Beat", "Gone", "Led", "Intend", "Abandon", "Covered", "Returned"];
