--- a/tests/copies.rs
+++ b/tests/copies.rs
@@ -1,12 +1,15 @@
 //! Databases under losses in a row: whose answer counts, and who may hold the only copy.
-use silvertack::base::ids::{DbTerm, Epoch, InstanceId, Position, ServiceName};
+use silvertack::base::ids::{DbTerm, InstanceId, Position, ServiceName, Term};
 use silvertack::base::time::Tick;
 use silvertack::config::directory::{Instance, Lifecycle, Role};
-use silvertack::failover::{Ask, Attempt, Deed, Facts, Posted, Stage, Succession, Told};
+use silvertack::failover::{
+    Attempt, DatabaseRequest, DatabaseResponse, Failover, FailoverAction, FailoverState,
+    PromotionResponse, ServiceSnapshot,
+};
 use silvertack::net::rpc::pack;
-use silvertack::net::rpc::pooler_messages::Doubt;
-use silvertack::net::statement_protocol::Described;
-use silvertack::state_machine::{Almanac, Change, Effect, Lead};
+use silvertack::net::rpc::pooler_messages::SuspicionReason;
+use silvertack::net::statement_protocol::ServerDescription;
+use silvertack::state_machine::{Command, CommandOutcome, PrimaryRecord, StateMachine};
 use std::collections::{BTreeMap, BTreeSet};
 
 fn at(number: u64) -> Position {
@@ -24,11 +27,11 @@
     }
 }
 /// A service with primary `a` in term 1 and replicas `b` and `c`.
-fn facts() -> Facts {
-    Facts {
+fn facts() -> ServiceSnapshot {
+    ServiceSnapshot {
         service: "s".into(),
-        epoch: Epoch(3),
-        lead: Some(Lead { term: DbTerm(1), primary: "a".into(), intent: None }),
+        epoch: Term(3),
+        lead: Some(PrimaryRecord { term: DbTerm(1), primary: "a".into(), intent: None }),
         databases: vec![
             ("a".into(), database(Role::Primary)),
             ("b".into(), database(Role::Replica)),
@@ -41,35 +44,42 @@
         given_back: None,
     }
 }
-fn row(primary: bool, received: Position) -> Told {
-    Told::Row(Described { primary, term: DbTerm(1), received })
+fn row(primary: bool, received: Position) -> DatabaseResponse {
+    DatabaseResponse::Description(ServerDescription { primary, term: DbTerm(1), received })
 }
-fn ask(id: &str, ask: Ask) -> Deed {
-    Deed::Ask(id.into(), ask)
+fn ask(id: &str, ask: DatabaseRequest) -> FailoverAction {
+    FailoverAction::DatabaseRequest(id.into(), ask)
 }
-const PAUSE: Ask = Ask::Pause(DbTerm(2));
+const PAUSE: DatabaseRequest = DatabaseRequest::Pause(DbTerm(2));
 
 /// The primary is doubted and refuses; gives what is asked of the replicas.
-fn lost(s: &mut Succession, facts: &Facts, now: Tick) -> Vec<Deed> {
-    s.suspect(facts, &"n1".into(), &"a".into(), Doubt::Broken, now);
-    let deeds = s.told(facts, s.attempt, &"a".into(), Ask::Describe, &Told::Lost, now);
-    assert_eq!(deeds[0], Deed::Revoke(DbTerm(1)));
+fn lost(s: &mut Failover, facts: &ServiceSnapshot, now: Tick) -> Vec<FailoverAction> {
+    s.suspect(facts, &"n1".into(), &"a".into(), SuspicionReason::ConnectionsBroken, now);
+    let deeds = s.told(
+        facts,
+        s.attempt,
+        &"a".into(),
+        DatabaseRequest::Describe,
+        &DatabaseResponse::Lost,
+        now,
+    );
+    assert_eq!(deeds[0], FailoverAction::Revoke(DbTerm(1)));
     deeds[1..].to_vec()
 }
 fn tell(
-    s: &mut Succession,
-    facts: &Facts,
+    s: &mut Failover,
+    facts: &ServiceSnapshot,
     id: &str,
-    ask: Ask,
+    ask: DatabaseRequest,
     number: u64,
     now: Tick,
-) -> Vec<Deed> {
+) -> Vec<FailoverAction> {
     s.told(facts, s.attempt, &id.into(), ask, &row(false, at(number)), now)
 }
-fn begun(facts: &Facts, now: Tick) -> Succession {
-    let (mut s, _) = Succession::begin(facts, now);
+fn begun(facts: &ServiceSnapshot, now: Tick) -> Failover {
+    let (mut s, _) = Failover::begin(facts, now);
     for id in ["b", "c"] {
-        tell(&mut s, facts, id, Ask::Continue, 7, now);
+        tell(&mut s, facts, id, DatabaseRequest::Continue, 7, now);
     }
     s
 }
@@ -82,11 +92,11 @@
     let first = s.attempt;
     tell(&mut s, &facts, "b", PAUSE, 7, now);
     // The alarm was false: both go on, and receive what is committed from here on.
-    s.told(&facts, first, &"a".into(), Ask::Describe, &row(true, at(7)), now);
-    assert_eq!(s.stage, Stage::Steady);
+    s.told(&facts, first, &"a".into(), DatabaseRequest::Describe, &row(true, at(7)), now);
+    assert_eq!(s.stage, FailoverState::Steady);
     let later = now.plus(2_000);
     for id in ["b", "c"] {
-        s.told(&facts, first, &id.into(), Ask::Continue, &row(false, at(7)), later);
+        s.told(&facts, first, &id.into(), DatabaseRequest::Continue, &row(false, at(7)), later);
     }
     assert_eq!(lost(&mut s, &facts, later), [ask("b", PAUSE), ask("c", PAUSE)]);
     tell(&mut s, &facts, "b", PAUSE, 9, later);
@@ -97,40 +107,55 @@
     let target = InstanceId::from("c");
     assert_eq!(
         chosen,
-        [Deed::Propose(Change::Intend { service: "s".into(), term: DbTerm(1), target })]
+        [FailoverAction::Propose(Command::BeginFailover {
+            service: "s".into(),
+            term: DbTerm(1),
+            target
+        })]
     );
 }
 
 #[test]
 fn an_order_that_is_under_way_is_overtaken_by_no_other() {
     let (facts, now) = (facts(), Tick(50_000));
-    let (mut s, _) = Succession::begin(&facts, now);
-    tell(&mut s, &facts, "b", Ask::Continue, 7, now);
+    let (mut s, _) = Failover::begin(&facts, now);
+    tell(&mut s, &facts, "b", DatabaseRequest::Continue, 7, now);
     // `c` may still be let go by what is on its way: paused now, it would go on unseen.
     assert_eq!(lost(&mut s, &facts, now.plus(10)), [ask("b", PAUSE)]);
     assert!(!s.tick(&facts, now.plus(500)).contains(&ask("c", PAUSE)));
     for (told, after, asked) in [
         (Some(row(false, at(7))), 600, vec![ask("c", PAUSE)]),
-        (Some(Told::Lost), 600, vec![ask("c", PAUSE)]),
-        (Some(Told::Silent), 600, vec![]),
+        (Some(DatabaseResponse::Lost), 600, vec![ask("c", PAUSE)]),
+        (Some(DatabaseResponse::Silent), 600, vec![]),
         (None, 3_100, vec![ask("b", PAUSE), ask("c", PAUSE)]),
     ] {
         let (mut s, now) = (s.clone(), now.plus(after));
         let mut deeds = match &told {
-            Some(told) => s.told(&facts, s.attempt, &"c".into(), Ask::Continue, told, now),
+            Some(told) => {
+                s.told(&facts, s.attempt, &"c".into(), DatabaseRequest::Continue, told, now)
+            }
             None => s.tick(&facts, now),
         };
-        deeds.retain(|deed| matches!(deed, Deed::Ask(_, Ask::Pause(_))));
+        deeds.retain(|deed| {
+            matches!(deed, FailoverAction::DatabaseRequest(_, DatabaseRequest::Pause(_)))
+        });
         assert_eq!(deeds, asked, "{told:?}");
     }
     // The other way round: `c` is not taken for let go while its pause may still come.
-    tell(&mut s, &facts, "c", Ask::Continue, 7, now.plus(600));
-    s.told(&facts, s.attempt, &"a".into(), Ask::Describe, &row(true, at(7)), now.plus(610));
-    tell(&mut s, &facts, "c", Ask::Continue, 7, now.plus(620));
-    assert!(s.tick(&facts, now.plus(1_700)).contains(&ask("c", Ask::Continue)));
+    tell(&mut s, &facts, "c", DatabaseRequest::Continue, 7, now.plus(600));
+    s.told(
+        &facts,
+        s.attempt,
+        &"a".into(),
+        DatabaseRequest::Describe,
+        &row(true, at(7)),
+        now.plus(610),
+    );
+    tell(&mut s, &facts, "c", DatabaseRequest::Continue, 7, now.plus(620));
+    assert!(s.tick(&facts, now.plus(1_700)).contains(&ask("c", DatabaseRequest::Continue)));
     tell(&mut s, &facts, "c", PAUSE, 7, now.plus(1_710));
-    tell(&mut s, &facts, "c", Ask::Continue, 7, now.plus(1_720));
-    assert!(!s.tick(&facts, now.plus(2_800)).contains(&ask("c", Ask::Continue)));
+    tell(&mut s, &facts, "c", DatabaseRequest::Continue, 7, now.plus(1_720));
+    assert!(!s.tick(&facts, now.plus(2_800)).contains(&ask("c", DatabaseRequest::Continue)));
 }
 
 #[test]
@@ -140,38 +165,40 @@
     lost(&mut s, &facts, now);
     tell(&mut s, &facts, "b", PAUSE, 7, now);
     tell(&mut s, &facts, "c", PAUSE, 9, now);
-    let intend = |facts: &mut Facts, target: Option<&str>| {
+    let intend = |facts: &mut ServiceSnapshot, target: Option<&str>| {
         let intent = target.map(InstanceId::from);
-        facts.lead = Some(Lead { term: DbTerm(1), primary: "a".into(), intent });
+        facts.lead = Some(PrimaryRecord { term: DbTerm(1), primary: "a".into(), intent });
     };
     intend(&mut facts, Some("c"));
-    assert_eq!(s.tick(&facts, now), [Deed::Post("c".into())]);
+    assert_eq!(s.tick(&facts, now), [FailoverAction::Post("c".into())]);
     let first = s.attempt;
     // Its outcome was never heard here, so it may have taken effect; it is made again.
     let again = now.plus(3_100);
-    assert!(s.tick(&facts, again).contains(&Deed::Post("c".into())));
+    assert!(s.tick(&facts, again).contains(&FailoverAction::Post("c".into())));
     assert!(s.attempt.fence() > first.fence());
     // The refusal of the first call comes late: the second is under way, and settles nothing yet.
     for (attempt, after) in [(first, 10), (s.attempt, 20), (first, 5_000)] {
-        let deeds = s.posted(&facts, attempt, &"c".into(), Posted::Refused, again.plus(after));
+        let deeds =
+            s.posted(&facts, attempt, &"c".into(), PromotionResponse::Refused, again.plus(after));
         assert_eq!(deeds, [], "{attempt:?}");
     }
-    let deeds = s.posted(&facts, s.attempt, &"c".into(), Posted::Refused, again.plus(5_000));
-    assert!(matches!(deeds[..], [Deed::Propose(Change::Abandon { .. })]));
+    let deeds =
+        s.posted(&facts, s.attempt, &"c".into(), PromotionResponse::Refused, again.plus(5_000));
+    assert!(matches!(deeds[..], [FailoverAction::Propose(Command::AbandonFailover { .. })]));
     let before = s.attempt;
     intend(&mut facts, None);
     s.tick(&facts, again.plus(5_010));
     // Another leader's are above all of these.
-    let next = Attempt { epoch: Epoch(4), number: 0 };
+    let next = Attempt { epoch: Term(4), number: 0 };
     assert!(before.fence() < s.attempt.fence() && s.attempt.fence() < next.fence());
 }
 
-fn intend(target: &str) -> Deed {
+fn intend(target: &str) -> FailoverAction {
     let (service, target) = ("s".into(), target.into());
-    Deed::Propose(Change::Intend { service, term: DbTerm(1), target })
+    FailoverAction::Propose(Command::BeginFailover { service, term: DbTerm(1), target })
 }
 /// `c` has left.
-fn without_c(facts: &Facts) -> Facts {
+fn without_c(facts: &ServiceSnapshot) -> ServiceSnapshot {
     let mut facts = facts.clone();
     facts.databases.retain(|(id, _)| *id != "c".into());
     facts.beating.remove(&"c".into());
@@ -194,8 +221,8 @@
         (Some(8), Some(Some(at(7))), 1, true),
     ];
     for (paused, given_back, sync_replicas, may) in table {
-        let listed = Facts { sync_replicas, ..facts() };
-        let left = Facts { given_back, ..without_c(&listed) };
+        let listed = ServiceSnapshot { sync_replicas, ..facts() };
+        let left = ServiceSnapshot { given_back, ..without_c(&listed) };
         let mut s = begun(&listed, now);
         let fence = |asked: &[&str]| asked.iter().map(|id| ask(id, PAUSE)).collect::<Vec<_>>();
         match paused {
@@ -218,7 +245,7 @@
 fn what_one_that_left_had_is_looked_for_with_few_questions() {
     let (facts, now) = (without_c(&facts()), Tick(50_000));
     let mut s = begun(&facts, now);
-    let describe = |id| ask(id, Ask::Describe);
+    let describe = |id| ask(id, DatabaseRequest::Describe);
     // It receives, and is waited for, until it has ended.
     for after in (100..2_100).step_by(100) {
         assert_eq!(s.tick(&facts, now.plus(after)), [], "after {after}");
@@ -226,20 +253,20 @@
     let now = now.plus(2_100);
     assert_eq!(s.tick(&facts, now), [describe("a")]);
     // `b` has not said it since the primary did.
-    assert_eq!(tell(&mut s, &facts, "b", Ask::Describe, 9, now), []);
+    assert_eq!(tell(&mut s, &facts, "b", DatabaseRequest::Describe, 9, now), []);
     let before = Attempt { number: s.attempt.number - 1, ..s.attempt };
     let primary = row(true, at(9));
-    assert_eq!(s.told(&facts, before, &"a".into(), Ask::Describe, &primary, now), []);
+    assert_eq!(s.told(&facts, before, &"a".into(), DatabaseRequest::Describe, &primary, now), []);
     assert_eq!(
-        s.told(&facts, s.attempt, &"a".into(), Ask::Describe, &primary, now),
+        s.told(&facts, s.attempt, &"a".into(), DatabaseRequest::Describe, &primary, now),
         [describe("b")]
     );
-    assert_eq!(tell(&mut s, &facts, "b", Ask::Describe, 8, now), []);
+    assert_eq!(tell(&mut s, &facts, "b", DatabaseRequest::Describe, 8, now), []);
     assert_eq!(s.tick(&facts, now.plus(300)), []);
     assert_eq!(s.tick(&facts, now.plus(500)), [describe("b")]);
-    let deeds = tell(&mut s.clone(), &facts, "b", Ask::Describe, 9, now.plus(510));
-    let covered = Change::Covered { service: "s".into(), departed: facts.departed.clone() };
-    assert_eq!(deeds, [Deed::Propose(covered)]);
+    let deeds = tell(&mut s.clone(), &facts, "b", DatabaseRequest::Describe, 9, now.plus(510));
+    let covered = Command::ForgetDeparted { service: "s".into(), departed: facts.departed.clone() };
+    assert_eq!(deeds, [FailoverAction::Propose(covered)]);
     // A replica that never gets there is asked ever more rarely.
     let mut asked = 0;
     for after in (600..60_000).step_by(100) {
@@ -250,7 +277,7 @@
                     &facts,
                     s.attempt,
                     &"a".into(),
-                    Ask::Describe,
+                    DatabaseRequest::Describe,
                     &primary,
                     now.plus(after),
                 );
@@ -269,21 +296,24 @@
     let left = without_c(&all);
     let mut s = begun(&left, now);
     assert_eq!(s.tick(&left, now.plus(100)), [], "with `c` gone");
-    let covered = Facts { departed: BTreeMap::new(), ..left };
-    assert_eq!(s.tick(&covered, now.plus(200)), [ask("b", Ask::Describe)]);
+    let covered = ServiceSnapshot { departed: BTreeMap::new(), ..left };
+    assert_eq!(s.tick(&covered, now.plus(200)), [ask("b", DatabaseRequest::Describe)]);
     // One that left in the meantime, and one that came.
-    assert_eq!(tell(&mut s.clone(), &without_c(&all), "b", Ask::Describe, 9, now.plus(210)), []);
+    assert_eq!(
+        tell(&mut s.clone(), &without_c(&all), "b", DatabaseRequest::Describe, 9, now.plus(210)),
+        []
+    );
     assert_eq!(s.tick(&all, now.plus(220)), [ask("c", PAUSE)]);
     tell(&mut s, &all, "c", PAUSE, 9, now.plus(230));
-    assert_eq!(tell(&mut s, &all, "b", Ask::Describe, 9, now.plus(240)), [intend("b")]);
+    assert_eq!(tell(&mut s, &all, "b", DatabaseRequest::Describe, 9, now.plus(240)), [intend("b")]);
     all.databases.push(("d".into(), database(Role::Replica)));
     assert_eq!(s.tick(&all, now.plus(250)), [ask("d", PAUSE)]);
-    let lead = all.lead.take().map(|lead| Lead { intent: Some("b".into()), ..lead });
+    let lead = all.lead.take().map(|lead| PrimaryRecord { intent: Some("b".into()), ..lead });
     all.lead = lead;
-    assert_eq!(s.tick(&all, now.plus(260)), [Deed::Post("b".into())]);
+    assert_eq!(s.tick(&all, now.plus(260)), [FailoverAction::Post("b".into())]);
     all.databases.push(("e".into(), database(Role::Replica)));
     assert_eq!(s.tick(&all, now.plus(270)), [ask("e", PAUSE)]);
-    let (_, deeds) = Succession::begin(&all, now.plus(280));
+    let (_, deeds) = Failover::begin(&all, now.plus(280));
     let paused = ["c", "d", "e"].map(|id| ask(id, PAUSE));
     assert_eq!(deeds[1..4], paused, "another leader can't know who was");
 }
@@ -291,14 +321,14 @@
 #[test]
 fn an_intent_that_comes_into_force_late_is_finished_by_whoever_leads() {
     let now = Tick(50_000);
-    let target = |facts: &Facts, id: &str| {
-        let lead = facts.lead.clone().map(|lead| Lead { intent: Some(id.into()), ..lead });
-        Facts { lead, ..facts.clone() }
+    let target = |facts: &ServiceSnapshot, id: &str| {
+        let lead = facts.lead.clone().map(|lead| PrimaryRecord { intent: Some(id.into()), ..lead });
+        ServiceSnapshot { lead, ..facts.clone() }
     };
     let facts = facts();
     let steady = begun(&facts, now);
     let mut doubting = steady.clone();
-    doubting.suspect(&facts, &"n1".into(), &"a".into(), Doubt::Broken, now);
+    doubting.suspect(&facts, &"n1".into(), &"a".into(), SuspicionReason::ConnectionsBroken, now);
     let mut fencing = steady.clone();
     lost(&mut fencing, &facts, now);
     let mut intending = fencing.clone();
@@ -310,45 +340,53 @@
     {
         let deeds = s.tick(&target(&facts, "b"), now.plus(100));
         let pause = (!paused).then(|| ask("c", PAUSE));
-        let expected = [Deed::Revoke(DbTerm(1))].into_iter().chain(pause);
-        let expected: Vec<_> = expected.chain([Deed::Post("b".into())]).collect();
+        let expected = [FailoverAction::Revoke(DbTerm(1))].into_iter().chain(pause);
+        let expected: Vec<_> = expected.chain([FailoverAction::Post("b".into())]).collect();
         assert_eq!(deeds, expected, "{paused}");
     }
     // Its call has taken effect already.
-    let newer = Told::Row(Described { primary: true, term: DbTerm(2), received: at(9) });
+    let newer = DatabaseResponse::Description(ServerDescription {
+        primary: true,
+        term: DbTerm(2),
+        received: at(9),
+    });
     let deeds = fencing.told(&facts, fencing.attempt, &"b".into(), PAUSE, &newer, now);
-    assert_eq!(deeds, [ask("a", Ask::StepDown(DbTerm(2)))]);
-    assert!(matches!(fencing.stage, Stage::Taking { .. }));
+    assert_eq!(deeds, [ask("a", DatabaseRequest::StepDown(DbTerm(2)))]);
+    assert!(matches!(fencing.stage, FailoverState::Taking { .. }));
 }
 
 /// The state with a lead, and how a database comes and goes.
-fn almanac() -> Almanac {
-    let mut almanac = Almanac::default();
-    almanac.apply(&Change::Led { service: "s".into(), term: DbTerm(1), primary: "a".into() });
+fn almanac() -> StateMachine {
+    let mut almanac = StateMachine::default();
+    almanac.apply(&Command::SetPrimary {
+        service: "s".into(),
+        term: DbTerm(1),
+        primary: "a".into(),
+    });
     almanac
 }
-fn comes(id: &str, sequence: u64) -> Change {
-    Change::Beat { id: id.into(), instance: database(Role::Replica), sequence }
+fn comes(id: &str, sequence: u64) -> Command {
+    Command::Heartbeat { id: id.into(), instance: database(Role::Replica), sequence }
 }
-fn goes(id: &str, sequence: u64) -> Change {
-    Change::Gone { id: id.into(), sequence }
+fn goes(id: &str, sequence: u64) -> Command {
+    Command::RemoveInstance { id: id.into(), sequence }
 }
 
 #[test]
 fn who_left_is_kept_until_others_have_what_it_had() {
     let s = ServiceName::from("s");
-    let departed = |almanac: &Almanac| almanac.departed(&s).into_iter().collect::<Vec<_>>();
+    let departed = |almanac: &StateMachine| almanac.departed(&s).into_iter().collect::<Vec<_>>();
     let covered = |pairs: &[(&str, u64)]| {
         let departed = pairs.iter().map(|(id, last)| (InstanceId::from(*id), *last)).collect();
-        Change::Covered { service: s.clone(), departed }
+        Command::ForgetDeparted { service: s.clone(), departed }
     };
     let mut almanac = almanac();
     for change in [comes("a", 1), comes("b", 3), comes("c", 4), goes("b", u64::MAX), goes("c", 0)] {
-        assert_eq!(almanac.apply(&change), Effect::Done);
+        assert_eq!(almanac.apply(&change), CommandOutcome::Applied);
     }
     assert_eq!(departed(&almanac), [("b".into(), u64::MAX), ("c".into(), 4)]);
     // Another leader has it from a snapshot.
-    almanac = Almanac::read(&pack(&almanac)).expect("as it was packed");
+    almanac = StateMachine::read(&pack(&almanac)).expect("as it was packed");
     // `c` comes back and leaves with more, while others were found to have what it had before.
     almanac.apply(&comes("c", 8));
     assert_eq!(departed(&almanac), [("b".into(), u64::MAX)]);
@@ -358,10 +396,17 @@
     // The primary's log is known to be missing; once another leads, it may be missed.
     almanac.apply(&goes("a", u64::MAX));
     assert_eq!(departed(&almanac), [("c".into(), 8)]);
-    almanac.apply(&Change::Led { service: s.clone(), term: DbTerm(2), primary: "d".into() });
+    almanac.apply(&Command::SetPrimary {
+        service: s.clone(),
+        term: DbTerm(2),
+        primary: "d".into(),
+    });
     assert_eq!(departed(&almanac), [("a".into(), u64::MAX), ("c".into(), 8)]);
     almanac.apply(&covered(&[("a", u64::MAX), ("c", 8)]));
-    assert_eq!((departed(&almanac), almanac.apply(&covered(&[]))), (vec![], Effect::Nothing));
+    assert_eq!(
+        (departed(&almanac), almanac.apply(&covered(&[]))),
+        (vec![], CommandOutcome::NoChange)
+    );
 }
 
 #[test]
@@ -372,28 +417,44 @@
     tell(&mut s, &facts, "b", PAUSE, 7, now);
     facts.databases.push(("d".into(), database(Role::Primary)));
     assert!(s.tick(&facts, now.plus(500)).contains(&ask("d", PAUSE)));
-    let answer = |term| Told::Row(Described { primary: true, term: DbTerm(term), received: at(9) });
+    let answer = |term| {
+        DatabaseResponse::Description(ServerDescription {
+            primary: true,
+            term: DbTerm(term),
+            received: at(9),
+        })
+    };
     // One of an older term has not stepped down yet, and is no copy that a pause holds.
     let older = s.clone().told(&facts, s.attempt, &"d".into(), PAUSE, &answer(0), now.plus(510));
-    assert_eq!(older, [ask("d", Ask::StepDown(DbTerm(1)))]);
+    assert_eq!(older, [ask("d", DatabaseRequest::StepDown(DbTerm(1)))]);
     let deeds = s.told(&facts, s.attempt, &"d".into(), PAUSE, &answer(1), now.plus(510));
     let (service, primary) = (ServiceName::from("s"), InstanceId::from("d"));
-    let returned = Change::Returned { service, term: DbTerm(1), primary };
-    assert_eq!(deeds, [Deed::Propose(returned.clone())]);
+    let returned = Command::PrimaryReturned { service, term: DbTerm(1), primary };
+    assert_eq!(deeds, [FailoverAction::Propose(returned.clone())]);
     let mut almanac = almanac();
     for change in [comes("a", 1), comes("d", 1)] {
         almanac.apply(&change);
     }
-    assert_eq!(almanac.apply(&returned), Effect::Done);
+    assert_eq!(almanac.apply(&returned), CommandOutcome::Applied);
     assert!(
         almanac.departed(&"s".into()).is_empty() && !almanac.instances.contains_key(&"a".into())
     );
-    assert_eq!(almanac.apply(&comes("a", 9)), Effect::Nothing);
+    assert_eq!(almanac.apply(&comes("a", 9)), CommandOutcome::NoChange);
     facts.lead = almanac.leads.get(&"s".into()).cloned();
     facts.databases.remove(0);
-    assert!(s.tick(&facts, now.plus(1_000)).contains(&ask("d", Ask::Describe)));
-    let deeds = s.told(&facts, s.attempt, &"d".into(), Ask::Describe, &answer(1), now.plus(1_010));
-    assert!(s.stage == Stage::Steady && deeds.contains(&ask("b", Ask::Continue)), "{deeds:?}");
+    assert!(s.tick(&facts, now.plus(1_000)).contains(&ask("d", DatabaseRequest::Describe)));
+    let deeds = s.told(
+        &facts,
+        s.attempt,
+        &"d".into(),
+        DatabaseRequest::Describe,
+        &answer(1),
+        now.plus(1_010),
+    );
+    assert!(
+        s.stage == FailoverState::Steady && deeds.contains(&ask("b", DatabaseRequest::Continue)),
+        "{deeds:?}"
+    );
 }
 
 #[test]
@@ -404,9 +465,13 @@
         almanac.apply(&goes(&format!("d{i}"), u64::MAX));
     }
     let bytes = pack(&almanac);
-    for mut almanac in [almanac, Almanac::read(&bytes).expect("as it was packed")] {
+    for mut almanac in [almanac, StateMachine::read(&bytes).expect("as it was packed")] {
         for i in 0..1_000 {
-            assert_eq!(almanac.apply(&comes(&format!("d{i}"), 6)), Effect::Nothing, "d{i}");
+            assert_eq!(
+                almanac.apply(&comes(&format!("d{i}"), 6)),
+                CommandOutcome::NoChange,
+                "d{i}"
+            );
         }
     }
     assert!(bytes.len() < 30_000, "{}", bytes.len());
@@ -415,14 +480,14 @@
 #[test]
 fn a_state_of_before_is_read() {
     // As it was laid out: body, revision, taken, instances, gone, leads.
-    let lead = Lead { term: DbTerm(1), primary: "a".into(), intent: None };
+    let lead = PrimaryRecord { term: DbTerm(1), primary: "a".into(), intent: None };
     let gone = [("x".to_owned(), 7_u64), ("y".to_owned(), 2), ("x".to_owned(), 9)];
     let (body, revision, taken) =
         (serde_bytes::ByteBuf::new(), 0, BTreeMap::<u64, (u64, u64)>::new());
     let instances = BTreeMap::<String, (Instance, u64)>::new();
     let leads = BTreeMap::from([("s", &lead)]);
     let bytes = pack(&(body, revision, taken, instances, gone, leads));
-    let almanac = Almanac::read(&bytes).expect("read");
+    let almanac = StateMachine::read(&bytes).expect("read");
     assert_eq!(almanac.leads[&"s".into()], lead);
     assert!(almanac.departed(&"s".into()).is_empty());
     for (id, sequence, news) in [("x", 9, false), ("x", 10, true), ("y", 2, false)] {
@@ -473,10 +538,10 @@
 }
 
 enum Due {
-    Order(InstanceId, Ask, Attempt),
-    Told(InstanceId, Ask, Attempt, Told),
+    Order(InstanceId, DatabaseRequest, Attempt),
+    DatabaseResponse(InstanceId, DatabaseRequest, Attempt, DatabaseResponse),
     Post(InstanceId, Attempt),
-    Posted(InstanceId, Attempt, Posted),
+    PromotionResponse(InstanceId, Attempt, PromotionResponse),
 }
 
 /// What the platform knows, databases with their logs, and a leader that sees only what it is told.
@@ -489,8 +554,8 @@
     sync: usize,
     /// Acknowledged, as (place, term).
     acknowledged: BTreeSet<(usize, u64)>,
-    almanac: Almanac,
-    succession: Succession,
+    almanac: StateMachine,
+    succession: Failover,
     epoch: u64,
     due: Vec<(Tick, Due)>,
     born: u64,
@@ -502,7 +567,7 @@
 
 impl Service {
     fn new(seed: u64, sync: usize, replicas: usize) -> Self {
-        let facts = Facts { lead: None, databases: Vec::new(), ..facts() };
+        let facts = ServiceSnapshot { lead: None, databases: Vec::new(), ..facts() };
         let mut this = Self {
             dice: Dice(seed),
             now: Tick(50_000),
@@ -511,8 +576,8 @@
             term: 1,
             sync,
             acknowledged: BTreeSet::new(),
-            almanac: Almanac::default(),
-            succession: Succession::begin(&facts, Tick(50_000)).0,
+            almanac: StateMachine::default(),
+            succession: Failover::begin(&facts, Tick(50_000)).0,
             epoch: 1,
             due: Vec::new(),
             born: 0,
@@ -525,7 +590,7 @@
             this.join();
         }
         let primary = this.primary.clone();
-        this.almanac.apply(&Change::Led { service: "s".into(), term: DbTerm(1), primary });
+        this.almanac.apply(&Command::SetPrimary { service: "s".into(), term: DbTerm(1), primary });
         this.lead_anew();
         this
     }
@@ -564,7 +629,7 @@
             instance.lifecycle_state = Lifecycle::Draining;
         }
         let sequence = node.sequence;
-        self.almanac.apply(&Change::Beat { id: id.clone(), instance, sequence });
+        self.almanac.apply(&Command::Heartbeat { id: id.clone(), instance, sequence });
         if leads {
             let now = self.now;
             self.step(|s, facts| s.beat(facts, id, Role::Primary, now));
@@ -572,13 +637,13 @@
     }
     fn gone(&mut self, id: &InstanceId, sequence: u64) {
         self.say(format!("{id} is gone"));
-        self.almanac.apply(&Change::Gone { id: id.clone(), sequence });
+        self.almanac.apply(&Command::RemoveInstance { id: id.clone(), sequence });
     }
-    fn facts(&self) -> Facts {
+    fn facts(&self) -> ServiceSnapshot {
         let there = |id: &&InstanceId| self.nodes[*id].alive && !self.nodes[*id].dark;
         let listed = self.almanac.instances.iter();
-        Facts {
-            epoch: Epoch(self.epoch),
+        ServiceSnapshot {
+            epoch: Term(self.epoch),
             lead: self.almanac.leads.get(&"s".into()).cloned(),
             databases: listed.map(|(id, r)| (id.clone(), r.instance.clone())).collect(),
             departed: self.almanac.departed(&"s".into()),
@@ -591,33 +656,35 @@
     fn lead_anew(&mut self) {
         self.epoch += 1;
         self.say("another steward leads".into());
-        let (succession, deeds) = Succession::begin(&self.facts(), self.now);
+        let (succession, deeds) = Failover::begin(&self.facts(), self.now);
         self.succession = succession;
         self.carry_out(deeds);
     }
-    fn step(&mut self, step: impl FnOnce(&mut Succession, &Facts) -> Vec<Deed>) {
+    fn step(&mut self, step: impl FnOnce(&mut Failover, &ServiceSnapshot) -> Vec<FailoverAction>) {
         let facts = self.facts();
         let deeds = step(&mut self.succession, &facts);
         self.carry_out(deeds);
     }
-    fn carry_out(&mut self, deeds: Vec<Deed>) {
+    fn carry_out(&mut self, deeds: Vec<FailoverAction>) {
         let attempt = self.succession.attempt;
         for deed in deeds {
             match deed {
-                Deed::Ask(id, ask) => {
+                FailoverAction::DatabaseRequest(id, ask) => {
                     self.asked += 1;
                     // Now and then one is held up on its way.
                     let held = if self.dice.once_in(10) { 900 } else { 30 };
                     let at = self.now.plus(1 + self.dice.below(held));
                     self.due.push((at, Due::Order(id, ask, attempt)));
                 }
-                Deed::Post(id) => self.due.push((self.now.plus(200), Due::Post(id, attempt))),
-                Deed::Propose(change) => {
+                FailoverAction::Post(id) => {
+                    self.due.push((self.now.plus(200), Due::Post(id, attempt)))
+                }
+                FailoverAction::Propose(change) => {
                     self.say(format!("{change:?}"));
-                    self.covered += usize::from(matches!(change, Change::Covered { .. }));
+                    self.covered += usize::from(matches!(change, Command::ForgetDeparted { .. }));
                     self.almanac.apply(&change);
                 }
-                Deed::Revoke(_) => {}
+                FailoverAction::Revoke(_) => {}
             }
         }
     }
@@ -628,35 +695,41 @@
                 let (leads, term) = (id == self.primary, DbTerm(self.term));
                 let node = self.nodes.get_mut(&id).expect("known");
                 let told = match node {
-                    Node { alive: false, .. } => Told::Lost,
-                    Node { dark: true, .. } => Told::Silent,
+                    Node { alive: false, .. } => DatabaseResponse::Lost,
+                    Node { dark: true, .. } => DatabaseResponse::Silent,
                     _ => {
                         node.paused = match ask {
-                            Ask::Pause(_) if !leads => true,
-                            Ask::Continue => false,
+                            DatabaseRequest::Pause(_) if !leads => true,
+                            DatabaseRequest::Continue => false,
                             _ => node.paused,
                         };
-                        Told::Row(Described { primary: leads, term, received: node.received() })
+                        DatabaseResponse::Description(ServerDescription {
+                            primary: leads,
+                            term,
+                            received: node.received(),
+                        })
                     }
                 };
-                let wait = if told == Told::Silent { 1_000 } else { 1 + self.dice.below(30) };
+                let wait =
+                    if told == DatabaseResponse::Silent { 1_000 } else { 1 + self.dice.below(30) };
                 let held = if self.dice.once_in(10) { 1_500 } else { 0 };
-                self.due.push((now.plus(wait + held), Due::Told(id, ask, attempt, told)));
+                self.due
+                    .push((now.plus(wait + held), Due::DatabaseResponse(id, ask, attempt, told)));
             }
-            Due::Told(id, ask, attempt, told) => {
+            Due::DatabaseResponse(id, ask, attempt, told) => {
                 self.step(|s, facts| s.told(facts, attempt, &id, ask, &told, now));
             }
             Due::Post(id, attempt) => {
                 let posted = match self.nodes[&id].alive {
-                    true => Posted::Accepted,
-                    false => Posted::Refused,
+                    true => PromotionResponse::Accepted,
+                    false => PromotionResponse::Refused,
                 };
-                if posted == Posted::Accepted && id != self.primary {
+                if posted == PromotionResponse::Accepted && id != self.primary {
                     self.promote(&id);
                 }
-                self.due.push((now.plus(20), Due::Posted(id, attempt, posted)));
+                self.due.push((now.plus(20), Due::PromotionResponse(id, attempt, posted)));
             }
-            Due::Posted(id, attempt, posted) => {
+            Due::PromotionResponse(id, attempt, posted) => {
                 self.step(|s, facts| s.posted(facts, attempt, &id, posted, now));
             }
         }
@@ -713,7 +786,15 @@
                 let lead = self.almanac.leads[&"s".into()].primary.clone();
                 let unheard = !self.nodes[&lead].alive || self.nodes[&lead].dark;
                 if unheard {
-                    self.step(|s, facts| s.suspect(facts, &"n".into(), &lead, Doubt::Broken, now));
+                    self.step(|s, facts| {
+                        s.suspect(
+                            facts,
+                            &"n".into(),
+                            &lead,
+                            SuspicionReason::ConnectionsBroken,
+                            now,
+                        )
+                    });
                 }
                 if self.nodes[&primary].alive && primary != lead {
                     self.beat(&primary);
@@ -788,23 +869,24 @@
 #[test]
 fn a_lead_and_its_intent_change_only_as_the_present_term_allows() {
     let service = || ServiceName::from("s");
-    let led = |term, primary: &str| Change::Led {
+    let led = |term, primary: &str| Command::SetPrimary {
         service: service(),
         term: DbTerm(term),
         primary: primary.into(),
     };
-    let intend = |term, target: &str| Change::Intend {
+    let intend = |term, target: &str| Command::BeginFailover {
         service: service(),
         term: DbTerm(term),
         target: target.into(),
     };
-    let abandon = |target: &str| Change::Abandon { service: service(), target: target.into() };
-    let returned = |term, primary: &str| Change::Returned {
+    let abandon =
+        |target: &str| Command::AbandonFailover { service: service(), target: target.into() };
+    let returned = |term, primary: &str| Command::PrimaryReturned {
         service: service(),
         term: DbTerm(term),
         primary: primary.into(),
     };
-    let lead = |term, primary: &str, intent: Option<&str>| Lead {
+    let lead = |term, primary: &str, intent: Option<&str>| PrimaryRecord {
         term: DbTerm(term),
         primary: primary.into(),
         intent: intent.map(InstanceId::from),
@@ -832,14 +914,15 @@
         (&bound, returned(2, "d"), None),
     ];
     for (before, change, after) in cases {
-        let mut almanac = Almanac::default();
+        let mut almanac = StateMachine::default();
         almanac.apply(&led(2, "a"));
         if let Some(target) = &before.intent {
-            assert_eq!(almanac.apply(&intend(2, &target.0)), Effect::Done);
+            assert_eq!(almanac.apply(&intend(2, &target.0)), CommandOutcome::Applied);
         }
         assert_eq!(almanac.leads[&service()], *before);
         let whole = almanac.clone();
-        let effect = if after.is_some() { Effect::Done } else { Effect::Nothing };
+        let effect =
+            if after.is_some() { CommandOutcome::Applied } else { CommandOutcome::NoChange };
         assert_eq!(almanac.apply(&change), effect, "{before:?} {change:?}");
         match after {
             Some(after) => assert_eq!(almanac.leads[&service()], after, "{change:?}"),
@@ -847,20 +930,24 @@
         }
     }
     for change in [intend(1, "b"), abandon("b"), returned(1, "d")] {
-        let mut almanac = Almanac::default();
-        assert_eq!(almanac.apply(&change), Effect::Nothing, "{change:?} without a lead");
-        assert_eq!(almanac, Almanac::default());
+        let mut almanac = StateMachine::default();
+        assert_eq!(almanac.apply(&change), CommandOutcome::NoChange, "{change:?} without a lead");
+        assert_eq!(almanac, StateMachine::default());
     }
 }
 
 #[test]
 fn who_counts_as_departed() {
     let service = ServiceName::from("s");
-    let led = || Change::Led { service: service.clone(), term: DbTerm(1), primary: "a".into() };
-    let returned =
-        || Change::Returned { service: service.clone(), term: DbTerm(1), primary: "d".into() };
+    let led =
+        || Command::SetPrimary { service: service.clone(), term: DbTerm(1), primary: "a".into() };
+    let returned = || Command::PrimaryReturned {
+        service: service.clone(),
+        term: DbTerm(1),
+        primary: "d".into(),
+    };
     // (what happens after `a` and `b` were listed, who counts)
-    let cases: [(&str, Vec<Change>, &[&str]); 6] = [
+    let cases: [(&str, Vec<Command>, &[&str]); 6] = [
         ("a replica of a led service", vec![led(), goes("b", 9)], &["b"]),
         ("before there is a lead", vec![goes("b", 9), led()], &[]),
         ("the primary", vec![led(), goes("a", 9)], &[]),
@@ -869,9 +956,9 @@
         ("a replica and that one", vec![led(), goes("a", 9), goes("b", 9), returned()], &["b"]),
     ];
     for (what, changes, counted) in cases {
-        let mut almanac = Almanac::default();
+        let mut almanac = StateMachine::default();
         for change in [comes("a", 1), comes("b", 1)].iter().chain(&changes) {
-            assert_eq!(almanac.apply(change), Effect::Done, "{what}: {change:?}");
+            assert_eq!(almanac.apply(change), CommandOutcome::Applied, "{what}: {change:?}");
         }
         let departed: Vec<InstanceId> = almanac.departed(&service).into_keys().collect();
         let counted: Vec<InstanceId> = counted.iter().map(|id| InstanceId::from(*id)).collect();
@@ -881,42 +968,47 @@
 
 #[test]
 fn one_that_left_twice_is_remembered_from_the_second_time() {
-    let mut almanac = Almanac::default();
+    let mut almanac = StateMachine::default();
     for change in [comes("b", 1), goes("b", 5), comes("b", 6), goes("b", 9)] {
-        assert_eq!(almanac.apply(&change), Effect::Done);
+        assert_eq!(almanac.apply(&change), CommandOutcome::Applied);
     }
     for n in 0..4_095 {
         let id = format!("i{n}");
         almanac.apply(&comes(&id, 1));
         almanac.apply(&goes(&id, 1));
     }
-    assert_eq!(almanac.apply(&comes("b", 8)), Effect::Nothing, "a late heartbeat");
-    assert_eq!(almanac.apply(&comes("b", 10)), Effect::Done);
+    assert_eq!(almanac.apply(&comes("b", 8)), CommandOutcome::NoChange, "a late heartbeat");
+    assert_eq!(almanac.apply(&comes("b", 10)), CommandOutcome::Applied);
 }
 
 /// `c` left. What it had is covered by as many others as a commit needs.
 #[test]
 fn a_departed_replica_is_covered_by_listed_replicas_that_reached_the_primary() {
     let now = Tick(50_000);
-    let describe = |id| ask(id, Ask::Describe);
+    let describe = |id| ask(id, DatabaseRequest::Describe);
     let begin = |sync_replicas: u32| {
-        let mut facts = Facts { sync_replicas, ..without_c(&facts()) };
+        let mut facts = ServiceSnapshot { sync_replicas, ..without_c(&facts()) };
         facts.databases.push(("d".into(), database(Role::Replica)));
         facts.beating.insert("d".into());
         let mut s = begun(&facts, now);
-        tell(&mut s, &facts, "d", Ask::Continue, 7, now);
+        tell(&mut s, &facts, "d", DatabaseRequest::Continue, 7, now);
         assert_eq!(s.tick(&facts, now), []);
         assert_eq!(s.tick(&facts, now.plus(2_100)), [describe("a")]);
         (s, facts)
     };
     let now = now.plus(2_110);
-    let primary =
-        |primary, term| Told::Row(Described { primary, term: DbTerm(term), received: at(9) });
+    let primary = |primary, term| {
+        DatabaseResponse::Description(ServerDescription {
+            primary,
+            term: DbTerm(term),
+            received: at(9),
+        })
+    };
     // (what `a` says of itself, whether its position is the mark)
     for (leads, term, mark) in [(true, 1, true), (false, 1, false), (true, 2, false)] {
         let (mut s, facts) = begin(1);
         let told = primary(leads, term);
-        let deeds = s.told(&facts, s.attempt, &"a".into(), Ask::Describe, &told, now);
+        let deeds = s.told(&facts, s.attempt, &"a".into(), DatabaseRequest::Describe, &told, now);
         let asked = if mark { vec![describe("b"), describe("d")] } else { Vec::new() };
         assert_eq!(deeds, asked, "{leads} {term}");
     }
@@ -939,18 +1031,18 @@
     for (sync_replicas, leaves, answers, covered) in cases {
         let (mut s, mut facts) = begin(sync_replicas);
         let told = primary(true, 1);
-        s.told(&facts, s.attempt, &"a".into(), Ask::Describe, &told, now);
+        s.told(&facts, s.attempt, &"a".into(), DatabaseRequest::Describe, &told, now);
         let mut deeds = Vec::new();
         for (id, number) in answers {
             assert_eq!(deeds, [], "{answers:?}");
-            deeds = tell(&mut s, &facts, id, Ask::Describe, *number, now);
+            deeds = tell(&mut s, &facts, id, DatabaseRequest::Describe, *number, now);
             if leaves {
                 facts.databases.retain(|(id, _)| *id != "b".into());
             }
         }
         let departed = BTreeMap::from([("c".into(), u64::MAX)]);
-        let change = Change::Covered { service: "s".into(), departed };
-        let expected = if covered { vec![Deed::Propose(change)] } else { Vec::new() };
+        let change = Command::ForgetDeparted { service: "s".into(), departed };
+        let expected = if covered { vec![FailoverAction::Propose(change)] } else { Vec::new() };
         assert_eq!(deeds, expected, "{sync_replicas} {leaves} {answers:?}");
     }
 }
@@ -959,7 +1051,7 @@
 fn a_replica_that_left_again_is_waited_for_anew() {
     let (mut facts, now) = (without_c(&facts()), Tick(50_000));
     let mut s = begun(&facts, now);
-    let describe = [ask("a", Ask::Describe)];
+    let describe = [ask("a", DatabaseRequest::Describe)];
     facts.departed.insert("c".into(), 5);
     assert_eq!(s.tick(&facts, now), []);
     facts.departed.insert("c".into(), 9);
@@ -976,32 +1068,32 @@
     let facts = facts();
     let steady = begun(&facts, now);
     let mut doubting = steady.clone();
-    doubting.suspect(&facts, &"n1".into(), &"a".into(), Doubt::Broken, now);
+    doubting.suspect(&facts, &"n1".into(), &"a".into(), SuspicionReason::ConnectionsBroken, now);
     let mut fencing = steady.clone();
     lost(&mut fencing, &facts, now);
     let mut chosen = fencing.clone();
     tell(&mut chosen, &facts, "b", PAUSE, 7, now);
     tell(&mut chosen, &facts, "c", PAUSE, 9, now);
-    let lead = Lead { term: DbTerm(1), primary: "a".into(), intent: Some("c".into()) };
-    let posting_facts = Facts { lead: Some(lead), ..facts.clone() };
+    let lead = PrimaryRecord { term: DbTerm(1), primary: "a".into(), intent: Some("c".into()) };
+    let posting_facts = ServiceSnapshot { lead: Some(lead), ..facts.clone() };
     let mut posting = chosen.clone();
-    assert_eq!(posting.tick(&posting_facts, now), [Deed::Post("c".into())]);
+    assert_eq!(posting.tick(&posting_facts, now), [FailoverAction::Post("c".into())]);
     let others = |own: Attempt| {
         [
             Attempt { number: own.number - 1, ..own },
             Attempt { number: own.number + 1, ..own },
-            Attempt { epoch: Epoch(own.epoch.0 - 1), ..own },
-            Attempt { epoch: Epoch(own.epoch.0 + 1), ..own },
+            Attempt { epoch: Term(own.epoch.0 - 1), ..own },
+            Attempt { epoch: Term(own.epoch.0 + 1), ..own },
         ]
     };
     // (stage, who, what was asked, the answer)
     let table = [
-        (&doubting, "a", Ask::Describe, Told::Lost),
-        (&doubting, "a", Ask::Describe, row(true, at(7))),
-        (&doubting, "a", Ask::Describe, Told::Reached),
-        (&fencing, "a", Ask::Describe, row(true, at(7))),
+        (&doubting, "a", DatabaseRequest::Describe, DatabaseResponse::Lost),
+        (&doubting, "a", DatabaseRequest::Describe, row(true, at(7))),
+        (&doubting, "a", DatabaseRequest::Describe, DatabaseResponse::Reached),
+        (&fencing, "a", DatabaseRequest::Describe, row(true, at(7))),
         (&fencing, "c", PAUSE, row(false, at(9))),
-        (&fencing, "c", Ask::Describe, row(false, at(9))),
+        (&fencing, "c", DatabaseRequest::Describe, row(false, at(9))),
     ];
     for (stage, who, what, told) in &table {
         for attempt in others(stage.attempt) {
@@ -1013,7 +1105,12 @@
         s.told(&facts, s.attempt, &(*who).into(), *what, told, now);
         assert_ne!(s.stage, stage.stage, "its own answer counts: {what:?} {told:?}");
     }
-    for outcome in [Posted::Refused, Posted::Accepted, Posted::Unclear, Posted::Busy] {
+    for outcome in [
+        PromotionResponse::Refused,
+        PromotionResponse::Accepted,
+        PromotionResponse::Unclear,
+        PromotionResponse::Busy,
+    ] {
         for attempt in others(posting.attempt) {
             let mut s = posting.clone();
             let deeds = s.posted(&posting_facts, attempt, &"c".into(), outcome, now);
@@ -1030,10 +1127,10 @@
     let (facts, now) = (facts(), Tick(50_000));
     // (the epoch of the answer that `c` goes on, whether it may be paused)
     for (epoch, ended) in [(2, false), (3, true), (4, false)] {
-        let (mut s, _) = Succession::begin(&facts, now);
-        tell(&mut s, &facts, "b", Ask::Continue, 7, now);
-        let attempt = Attempt { epoch: Epoch(epoch), ..s.attempt };
-        s.told(&facts, attempt, &"c".into(), Ask::Continue, &row(false, at(7)), now);
+        let (mut s, _) = Failover::begin(&facts, now);
+        tell(&mut s, &facts, "b", DatabaseRequest::Continue, 7, now);
+        let attempt = Attempt { epoch: Term(epoch), ..s.attempt };
+        s.told(&facts, attempt, &"c".into(), DatabaseRequest::Continue, &row(false, at(7)), now);
         let paused = lost(&mut s, &facts, now.plus(10));
         assert_eq!(paused.contains(&ask("c", PAUSE)), ended, "epoch {epoch}");
     }
@@ -1044,26 +1141,26 @@
     let (facts, now) = (facts(), Tick(50_000));
     // (whether the answer is to the order of the present attempt, whether `c` is asked again)
     for (present, again) in [(false, true), (true, false)] {
-        let (mut s, _) = Succession::begin(&facts, now);
+        let (mut s, _) = Failover::begin(&facts, now);
         let first = s.attempt;
-        tell(&mut s, &facts, "b", Ask::Continue, 7, now);
+        tell(&mut s, &facts, "b", DatabaseRequest::Continue, 7, now);
         let now = now.plus(3_100);
         assert_eq!(lost(&mut s, &facts, now), [ask("b", PAUSE), ask("c", PAUSE)]);
         for id in ["b", "c"] {
-            s.told(&facts, s.attempt, &id.into(), PAUSE, &Told::Alive, now);
+            s.told(&facts, s.attempt, &id.into(), PAUSE, &DatabaseResponse::Alive, now);
         }
-        s.told(&facts, s.attempt, &"a".into(), Ask::Describe, &row(true, at(7)), now);
-        tell(&mut s, &facts, "b", Ask::Continue, 7, now);
+        s.told(&facts, s.attempt, &"a".into(), DatabaseRequest::Describe, &row(true, at(7)), now);
+        tell(&mut s, &facts, "b", DatabaseRequest::Continue, 7, now);
         let attempt = if present { s.attempt } else { first };
-        s.told(&facts, attempt, &"c".into(), Ask::Continue, &row(false, at(7)), now);
-        let expected = if again { vec![ask("c", Ask::Continue)] } else { Vec::new() };
+        s.told(&facts, attempt, &"c".into(), DatabaseRequest::Continue, &row(false, at(7)), now);
+        let expected = if again { vec![ask("c", DatabaseRequest::Continue)] } else { Vec::new() };
         assert_eq!(s.tick(&facts, now.plus(1_100)), expected, "{present}");
     }
 }
 
 #[test]
 fn a_later_call_has_a_higher_fence() {
-    let attempt = |epoch, number| Attempt { epoch: Epoch(epoch), number };
+    let attempt = |epoch, number| Attempt { epoch: Term(epoch), number };
     // Each is above the one before, but for numbers beyond all that a leader can reach.
     let rising = [(1, 0), (1, 1), (1, 7), (1, (1 << 20) - 1), (2, 0), (2, 1), (9, 0)];
     for pair in rising.windows(2) {
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -143,7 +143,7 @@
         let head = String::from_utf8_lossy(&self.1[..size]).into_owned();
         self.1.drain(..size);
         let (mut body, mut data) =
-            (silvertack::gateway::http1::Body::new(told.framing), Vec::new());
+            (silvertack::gateway::http1::BodyDecoder::new(told.framing), Vec::new());
         let whole = loop {
             let used = body.take(&self.1, &mut data).expect("well formed");
             self.1.drain(..used);
--- a/tests/graft.rs
+++ b/tests/graft.rs
@@ -3,15 +3,17 @@
 use silvertack::base::ids::{DbTerm, Position};
 use silvertack::base::time::Tick;
 use silvertack::net::statement_protocol::{self, Line, State};
-use silvertack::pooler::admission::{Admission, Pace};
-use silvertack::pooler::leases::Share;
+use silvertack::pooler::admission::{Admission, LatencyEstimator};
+use silvertack::pooler::leases::ConnectionQuota;
 use silvertack::pooler::pool::has_left;
-use silvertack::pooler::replica_reads::Floors;
-use silvertack::pooler::reroute::{Fate, Graft, Kind, Task, Verdict};
+use silvertack::pooler::replica_reads::ReadWatermarks;
+use silvertack::pooler::reroute::{
+    Kind, LossOutcome, SessionReroute, StatementDecision, StatementPlan,
+};
 
 const NOW: Tick = Tick(10_000);
 
-fn hear(graft: &mut Graft, text: &str) -> Verdict {
+fn hear(graft: &mut SessionReroute, text: &str) -> StatementDecision {
     let line = format!("QUERY q1 {text}");
     match statement_protocol::parse(line.as_bytes()) {
         Ok(Line::Query { statement, .. }) => graft.hear(&statement, NOW),
@@ -20,10 +22,10 @@
 }
 
 /// Says each text; one that a database has to run is answered with success.
-fn after(texts: &[&str]) -> Graft {
-    let mut graft = Graft::default();
+fn after(texts: &[&str]) -> SessionReroute {
+    let mut graft = SessionReroute::default();
     for text in texts {
-        if let Verdict::Run(task) = hear(&mut graft, text) {
+        if let StatementDecision::Run(task) = hear(&mut graft, text) {
             let idle = task.alone || task.kind == Kind::Commit;
             graft.answered(if idle { State::Idle } else { State::Open });
         }
@@ -31,9 +33,9 @@
     graft
 }
 
-fn task(graft: &mut Graft, text: &str) -> Task {
+fn task(graft: &mut SessionReroute, text: &str) -> StatementPlan {
     match hear(graft, text) {
-        Verdict::Run(task) => task,
+        StatementDecision::Run(task) => task,
         other => panic!("{text}: {other:?}"),
     }
 }
@@ -41,9 +43,9 @@
 #[test]
 fn what_a_loss_means() {
     use ErrorKind::{RolledBack, Unknown};
-    use Fate::{Rerun, Tell};
+    use LossOutcome::{Rerun, Tell};
     // before, the statement that is lost, whether it was sent, its fate, the state afterwards
-    let table: &[(&[&str], &str, bool, Fate, State)] = &[
+    let table: &[(&[&str], &str, bool, LossOutcome, State)] = &[
         // Silent rerun: nothing can have been kept.
         (&[], "FETCH a", true, Rerun, State::Idle),
         (&[], "STORE a 1", false, Rerun, State::Idle),
@@ -84,10 +86,10 @@
 fn a_rerun_first_write_still_counts_at_the_commit() {
     let mut graft = after(&["BEGIN"]);
     let first = task(&mut graft, "STORE a 1");
-    assert_eq!(graft.lost(&first, true), Fate::Rerun);
+    assert_eq!(graft.lost(&first, true), LossOutcome::Rerun);
     graft.answered(State::Open);
     let commit = task(&mut graft, "COMMIT");
-    assert_eq!(graft.lost(&commit, true), Fate::Tell(ErrorKind::Unknown));
+    assert_eq!(graft.lost(&commit, true), LossOutcome::Tell(ErrorKind::Unknown));
 }
 
 #[test]
@@ -108,38 +110,38 @@
     let lost = task(&mut graft, "FETCH a");
     graft.answered(State::Open);
     let second = task(&mut graft, "FETCH b");
-    assert_eq!(graft.lost(&second, true), Fate::Tell(ErrorKind::RolledBack));
+    assert_eq!(graft.lost(&second, true), LossOutcome::Tell(ErrorKind::RolledBack));
     assert!(lost.first && !second.first);
     assert!(graft.reusable());
     let (values, names) = graft.replay();
     assert_eq!(values.get("tenant").map(String::as_str), Some("c"));
     assert_eq!(names.count(), 2);
-    assert_eq!(hear(&mut graft, "DEALLOCATE s"), Verdict::Settled);
+    assert_eq!(hear(&mut graft, "DEALLOCATE s"), StatementDecision::Settled);
     assert_eq!(graft.replay().1.count(), 1);
 }
 
 #[test]
 fn what_is_answered_here() {
     use ErrorKind::{Malformed, NotFound, RolledBack};
-    let table: &[(&[&str], &str, Verdict, State)] = &[
-        (&[], "BEGIN", Verdict::Settled, State::Open),
-        (&[], "COMMIT", Verdict::Refused(Malformed), State::Idle),
-        (&[], "ABORT", Verdict::RolledBack, State::Idle),
-        (&["BEGIN", "FETCH a"], "ABORT", Verdict::RolledBack, State::Idle),
-        (&["BEGIN"], "BEGIN", Verdict::Refused(Malformed), State::Failed),
-        (&["BEGIN", "BEGIN"], "FETCH a", Verdict::Refused(Malformed), State::Failed),
-        (&["BEGIN", "BEGIN"], "COMMIT", Verdict::Refused(RolledBack), State::Idle),
-        (&["BEGIN", "BEGIN"], "ABORT", Verdict::RolledBack, State::Idle),
-        (&[], "EXECUTE p a", Verdict::Refused(NotFound), State::Idle),
-        (&["BEGIN"], "EXECUTE p a", Verdict::Refused(NotFound), State::Failed),
+    let table: &[(&[&str], &str, StatementDecision, State)] = &[
+        (&[], "BEGIN", StatementDecision::Settled, State::Open),
+        (&[], "COMMIT", StatementDecision::Refused(Malformed), State::Idle),
+        (&[], "ABORT", StatementDecision::RolledBack, State::Idle),
+        (&["BEGIN", "FETCH a"], "ABORT", StatementDecision::RolledBack, State::Idle),
+        (&["BEGIN"], "BEGIN", StatementDecision::Refused(Malformed), State::Failed),
+        (&["BEGIN", "BEGIN"], "FETCH a", StatementDecision::Refused(Malformed), State::Failed),
+        (&["BEGIN", "BEGIN"], "COMMIT", StatementDecision::Refused(RolledBack), State::Idle),
+        (&["BEGIN", "BEGIN"], "ABORT", StatementDecision::RolledBack, State::Idle),
+        (&[], "EXECUTE p a", StatementDecision::Refused(NotFound), State::Idle),
+        (&["BEGIN"], "EXECUTE p a", StatementDecision::Refused(NotFound), State::Failed),
         (
             &["PREPARE p FETCH x", "DEALLOCATE p"],
             "EXECUTE p a",
-            Verdict::Refused(NotFound),
+            StatementDecision::Refused(NotFound),
             State::Idle,
         ),
-        (&[], "DEALLOCATE p", Verdict::Refused(NotFound), State::Idle),
-        (&["PREPARE p FETCH x"], "DEALLOCATE p", Verdict::Settled, State::Idle),
+        (&[], "DEALLOCATE p", StatementDecision::Refused(NotFound), State::Idle),
+        (&["PREPARE p FETCH x"], "DEALLOCATE p", StatementDecision::Settled, State::Idle),
     ];
     for (before, text, verdict, state) in table {
         let mut graft = after(before);
@@ -162,7 +164,7 @@
 #[test]
 fn floors_are_never_older_than_they_say() {
     let at = |number| Position { term: DbTerm(3), number };
-    let mut floors = Floors::default();
+    let mut floors = ReadWatermarks::default();
     for step in 0..40 {
         floors.learn(Tick(1_000 + step * 100), at(step));
     }
@@ -179,7 +181,7 @@
     for (began, stale, needed) in table {
         assert_eq!(floors.needed(Tick(began), stale), needed, "begun {began}, stale {stale}");
     }
-    let mut one = Floors::default();
+    let mut one = ReadWatermarks::default();
     one.learn(Tick(1_000), at(5));
     assert_eq!(one.needed(Tick(1_000), 0), None, "a commit of the same millisecond may be missing");
 }
@@ -206,7 +208,7 @@
 
 #[test]
 fn patience_follows_the_pace() {
-    let mut pace = Pace::default();
+    let mut pace = LatencyEstimator::default();
     assert_eq!(pace.patience(250), 250, "nothing is known yet");
     for took in [8, 9, 8, 10, 8, 9, 12, 8, 9, 8] {
         pace.learn(took);
@@ -221,7 +223,7 @@
 #[test]
 fn a_share_that_ran_out_is_laid_on_again_when_it_is_renewed() {
     let now = Tick(100_000);
-    let mut share = Share::default();
+    let mut share = ConnectionQuota::default();
     assert_eq!(share.news(|| 0), Some(0));
     share.size = 8;
     // (after how long, renewed for how long from then, what the pools are told)
--- a/tests/hedge.rs
+++ b/tests/hedge.rs
@@ -1,14 +1,16 @@
 //! Stewards in a box: time and the network are the test's.
 use serde_bytes::ByteBuf;
-use silvertack::base::ids::{Epoch, Index, MemberId, NodeName};
+use silvertack::base::ids::{LogIndex, MemberId, NodeName, Term};
 use silvertack::base::time::Tick;
 use silvertack::config::settings::Settings;
-use silvertack::controller::transport::Outbox;
+use silvertack::controller::transport::SendQueue;
 use silvertack::net::rpc::LAYOUT;
-use silvertack::net::rpc::raft_messages::{Body, Entry, Joined, Member, Raft, RaftKind, Snapshot};
-use silvertack::raft::node::{Dirty, ELECTION_MIN_MS, Hedge, Kept};
-use silvertack::raft::persister::Desk;
-use silvertack::raft::storage::{Granary, Sheaf};
+use silvertack::net::rpc::raft_messages::{
+    EntryPayload, JoinResponse, LogEntry, Member, RaftMessage, RaftMessageKind, Snapshot,
+};
+use silvertack::raft::node::{ELECTION_MIN_MS, PersistentState, RaftNode, UnsavedChanges};
+use silvertack::raft::persister::LogPersister;
+use silvertack::raft::storage::{RaftStorage, WriteBatch};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 fn member(id: u64, voter: bool) -> Member {
@@ -21,16 +23,16 @@
         can_vote: true,
     }
 }
-fn founder(id: u64, of: u64) -> Kept {
+fn founder(id: u64, of: u64) -> PersistentState {
     let members = (1..=of).map(|i| member(i, true)).collect();
-    Kept {
+    PersistentState {
         me: MemberId(id),
         snapshot: Snapshot { members, ..Snapshot::default() },
-        ..Kept::default()
+        ..PersistentState::default()
     }
 }
-fn change(n: u8) -> Body {
-    Body::Change(ByteBuf::from(vec![n]))
+fn change(n: u8) -> EntryPayload {
+    EntryPayload::Command(ByteBuf::from(vec![n]))
 }
 
 /// Different spreads, so that elections do not tie.
@@ -39,17 +41,17 @@
 /// Stewards, what is under way between them, and who can't be reached.
 struct Orchard {
     now: Tick,
-    hedges: BTreeMap<u64, Hedge>,
+    hedges: BTreeMap<u64, RaftNode>,
     /// What each has on disk; a message leaves only after it.
-    disks: BTreeMap<u64, Kept>,
-    wire: VecDeque<(MemberId, Raft)>,
+    disks: BTreeMap<u64, PersistentState>,
+    wire: VecDeque<(MemberId, RaftMessage)>,
     cut: BTreeSet<u64>,
 }
 impl Orchard {
     fn new(count: u64) -> Self {
         let now = Tick(1_000);
         let hedges = (1..=count)
-            .map(|i| (i, Hedge::new(founder(i, count), false, now, SPREADS[i as usize - 1])))
+            .map(|i| (i, RaftNode::new(founder(i, count), false, now, SPREADS[i as usize - 1])))
             .collect();
         let mut this = Self {
             now,
@@ -64,7 +66,7 @@
     fn settle(&mut self) {
         for _ in 0..10_000 {
             for (id, hedge) in &mut self.hedges {
-                if std::mem::take(&mut hedge.dirty) != Dirty::default()
+                if std::mem::take(&mut hedge.dirty) != UnsavedChanges::default()
                     || !self.disks.contains_key(id)
                 {
                     self.disks.insert(*id, hedge.kept.clone());
@@ -103,7 +105,7 @@
         assert_eq!(leaders.len(), 1, "one leader: {leaders:?}");
         leaders[0]
     }
-    fn propose(&mut self, id: u64, body: Body) -> Option<Index> {
+    fn propose(&mut self, id: u64, body: EntryPayload) -> Option<LogIndex> {
         let now = self.now;
         let index = self.hedges.get_mut(&id).and_then(|h| h.propose(body, now));
         self.settle();
@@ -111,14 +113,14 @@
     }
     fn restart(&mut self, id: u64) {
         let kept = self.disks[&id].clone();
-        self.hedges.insert(id, Hedge::new(kept, true, self.now, SPREADS[id as usize - 1]));
+        self.hedges.insert(id, RaftNode::new(kept, true, self.now, SPREADS[id as usize - 1]));
     }
     fn changes(&self, id: u64) -> Vec<u8> {
         self.hedges[&id]
-            .committed(Index(0))
+            .committed(LogIndex(0))
             .iter()
             .filter_map(|e| match &e.body {
-                Body::Change(bytes) => bytes.first().copied(),
+                EntryPayload::Command(bytes) => bytes.first().copied(),
                 _ => None,
             })
             .collect()
@@ -204,17 +206,17 @@
     let (voter, other) = if leader == 1 { (2, 3) } else { (1, if leader == 2 { 3 } else { 2 }) };
     stewards.restart(voter);
     let last = stewards.hedges[&other].last();
-    let ask = |epoch| Raft {
+    let ask = |epoch| RaftMessage {
         from: MemberId(other),
-        epoch: Epoch(epoch),
-        kind: RaftKind::AskVote { trial: false, handover: false, led: false, last },
+        epoch: Term(epoch),
+        kind: RaftMessageKind::RequestVote { trial: false, handover: false, led: false, last },
     };
     let now = stewards.now;
     let hedge = stewards.hedges.get_mut(&voter).expect("voter");
     hedge.step(ask(50), now);
     assert!(hedge.out.is_empty(), "silent at first");
     hedge.step(ask(50), now.plus(ELECTION_MIN_MS + 1));
-    assert!(matches!(hedge.out[0].1.kind, RaftKind::Vote { granted: true, .. }));
+    assert!(matches!(hedge.out[0].1.kind, RaftMessageKind::VoteResponse { granted: true, .. }));
 }
 
 #[test]
@@ -260,8 +262,8 @@
             stewards.disks.remove(&3);
         }
         if there {
-            let kept = Kept { me: joiner.id, ..Kept::default() };
-            let hedge = Hedge::new(kept, false, stewards.now, || 20);
+            let kept = PersistentState { me: joiner.id, ..PersistentState::default() };
+            let hedge = RaftNode::new(kept, false, stewards.now, || 20);
             stewards.hedges.insert(new, hedge);
         }
         let mut changes = 0;
@@ -272,7 +274,7 @@
                 changes += 1;
                 let voters = list.iter().filter(|m| m.voter && (m.id.0 != 3 || !lost)).count();
                 assert!(voters >= 2, "{what}: {list:?}");
-                stewards.propose(leader, Body::Members(list));
+                stewards.propose(leader, EntryPayload::Membership(list));
             }
             stewards.run(300);
         }
@@ -300,14 +302,14 @@
     stewards.hedges.remove(&others[0]);
     stewards.disks.remove(&others[0]);
     stewards.run(1_200);
-    let kept = Kept { me: joiner.id, ..Kept::default() };
-    stewards.hedges.insert(901, Hedge::new(kept, false, stewards.now, || 20));
+    let kept = PersistentState { me: joiner.id, ..PersistentState::default() };
+    stewards.hedges.insert(901, RaftNode::new(kept, false, stewards.now, || 20));
     let counts_from = stewards.now.plus(6_000);
     while stewards.now < counts_from {
         let (hedge, now) = (&stewards.hedges[&leader], stewards.now);
         let (tolerated, silent) = (settings.tolerated(), settings.given_up_ms());
         if let Some(list) = hedge.wanted_members([&joiner].into_iter(), tolerated, silent, now) {
-            stewards.propose(leader, Body::Members(list));
+            stewards.propose(leader, EntryPayload::Membership(list));
         }
         stewards.run(300);
     }
@@ -326,28 +328,31 @@
     let hedge = &stewards.hedges[&leader];
     let old = member(77, true);
     let listed = hedge.members()[0].clone();
-    assert_eq!(hedge.standing(&listed, true, now), Joined::Listed);
-    assert_eq!(hedge.standing(&old, true, now), Joined::Removed);
-    assert_eq!(hedge.standing(&old, false, now), Joined::Noted);
+    assert_eq!(hedge.standing(&listed, true, now), JoinResponse::Current);
+    assert_eq!(hedge.standing(&old, true, now), JoinResponse::Removed);
+    assert_eq!(hedge.standing(&old, false, now), JoinResponse::Accepted);
     // One without a disk is in no list; it only learns who leads.
     let diskless = Member { can_vote: false, ..old.clone() };
-    assert_eq!(hedge.standing(&diskless, false, now), Joined::Listed);
+    assert_eq!(hedge.standing(&diskless, false, now), JoinResponse::Current);
     let follower = (1..=4).find(|i| *i != leader).expect("another");
     let at = member(leader, true).peer;
-    assert_eq!(stewards.hedges[&follower].standing(&old, true, now), Joined::Elsewhere(Some(at)));
+    assert_eq!(
+        stewards.hedges[&follower].standing(&old, true, now),
+        JoinResponse::NotLeader(Some(at))
+    );
     // Cut off, it may have been the one that was replaced.
     let later = now.plus(ELECTION_MIN_MS);
-    assert_eq!(stewards.hedges[&leader].standing(&old, true, later), Joined::Elsewhere(None));
+    assert_eq!(stewards.hedges[&leader].standing(&old, true, later), JoinResponse::NotLeader(None));
     // And whoever is in no list is not voted for.
-    let ask = RaftKind::AskVote {
+    let ask = RaftMessageKind::RequestVote {
         trial: false,
         handover: true,
         led: true,
-        last: (Epoch(90), Index(900)),
+        last: (Term(90), LogIndex(900)),
     };
     let hedge = stewards.hedges.get_mut(&follower).expect("follower");
     let epoch = hedge.kept.epoch;
-    hedge.step(Raft { from: old.id, epoch: Epoch(91), kind: ask }, now.plus(5_000));
+    hedge.step(RaftMessage { from: old.id, epoch: Term(91), kind: ask }, now.plus(5_000));
     assert!(hedge.out.is_empty() && hedge.kept.epoch == epoch);
 }
 
@@ -376,22 +381,22 @@
 fn the_disk_gives_back_what_was_saved_and_refuses_what_it_can_not_read() {
     let folder = std::env::temp_dir().join(format!("silvertack-granary-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
-    let (mut granary, kept) = Granary::open(&folder).expect("a new file");
+    let (mut granary, kept) = RaftStorage::open(&folder).expect("a new file");
     assert!(kept.is_none());
     let entry =
-        |index, epoch, n| Entry { epoch: Epoch(epoch), index: Index(index), body: change(n) };
-    let mut kept = Kept { epoch: Epoch(3), voted: Some(MemberId(2)), ..founder(1, 3) };
+        |index, epoch, n| LogEntry { epoch: Term(epoch), index: LogIndex(index), body: change(n) };
+    let mut kept = PersistentState { epoch: Term(3), voted: Some(MemberId(2)), ..founder(1, 3) };
     kept.log = vec![entry(1, 1, 1), entry(2, 1, 2), entry(3, 1, 3)];
-    granary.save(&Sheaf::of(&kept, &Dirty::all())).expect("saved");
+    granary.save(&WriteBatch::of(&kept, &UnsavedChanges::all())).expect("saved");
     // A conflicting tail is replaced.
     kept.log.truncate(1);
     kept.log.push(entry(2, 3, 9));
-    let tail = Dirty { log_from: Some(Index(2)), ..Dirty::default() };
-    granary.save(&Sheaf::of(&kept, &tail)).expect("saved");
+    let tail = UnsavedChanges { log_from: Some(LogIndex(2)), ..UnsavedChanges::default() };
+    granary.save(&WriteBatch::of(&kept, &tail)).expect("saved");
     drop(granary);
-    let (granary, found) = Granary::open(&folder).expect("again");
+    let (granary, found) = RaftStorage::open(&folder).expect("again");
     let found = found.expect("kept");
-    assert_eq!((found.me, found.epoch, found.voted), (MemberId(1), Epoch(3), Some(MemberId(2))));
+    assert_eq!((found.me, found.epoch, found.voted), (MemberId(1), Term(3), Some(MemberId(2))));
     assert_eq!(found.log, kept.log);
     assert_eq!(found.snapshot, kept.snapshot);
     drop(granary);
@@ -400,35 +405,35 @@
     newer.execute_batch("PRAGMA user_version = 99").expect("set");
     drop(newer);
     let before = std::fs::read(&file).expect("bytes");
-    let refused = Granary::open(&folder).err().expect("a newer format is refused").to_string();
+    let refused = RaftStorage::open(&folder).err().expect("a newer format is refused").to_string();
     assert!(refused.contains("newer"), "{refused}");
     assert_eq!(std::fs::read(&file).expect("bytes"), before, "and left as it is");
     std::fs::write(&file, vec![7u8; 8192]).expect("damage");
-    assert!(Granary::open(&folder).is_err(), "a damaged file is refused");
+    assert!(RaftStorage::open(&folder).is_err(), "a damaged file is refused");
     assert_eq!(std::fs::read(&file).expect("bytes"), vec![7u8; 8192], "and left as it is");
     // A list of members that can't be is refused too.
     for wrong in [vec![member(1, true), member(1, true)], vec![member(1, false)]] {
         let _ = std::fs::remove_dir_all(&folder);
-        let (mut granary, _) = Granary::open(&folder).expect("a new file");
+        let (mut granary, _) = RaftStorage::open(&folder).expect("a new file");
         let snapshot = Snapshot { members: wrong, ..Snapshot::default() };
-        let kept = Kept { me: MemberId(1), snapshot, ..Kept::default() };
-        granary.save(&Sheaf::of(&kept, &Dirty::all())).expect("saved");
+        let kept = PersistentState { me: MemberId(1), snapshot, ..PersistentState::default() };
+        granary.save(&WriteBatch::of(&kept, &UnsavedChanges::all())).expect("saved");
         drop(granary);
-        let refused = Granary::open(&folder).err().expect("refused").to_string();
+        let refused = RaftStorage::open(&folder).err().expect("refused").to_string();
         assert!(refused.contains("can't be"), "{refused}");
     }
     // A member's state that is gone is not taken for a new disk; an empty folder is.
     let _ = std::fs::remove_dir_all(&folder);
-    let (granary, first, old) = Granary::found(&folder, || founder(1, 3)).expect("founded");
+    let (granary, first, old) = RaftStorage::found(&folder, || founder(1, 3)).expect("founded");
     assert!(!old && first.me == MemberId(1));
     drop(granary);
-    let (granary, again, old) = Granary::found(&folder, || founder(2, 3)).expect("again");
+    let (granary, again, old) = RaftStorage::found(&folder, || founder(2, 3)).expect("again");
     assert!(old && again.me == MemberId(1), "what is on disk wins");
     drop(granary);
     for name in ["hedge.sqlite", "hedge.sqlite-wal"] {
         let _ = std::fs::remove_file(folder.join(name));
     }
-    let refused = Granary::found(&folder, || founder(2, 3)).err().expect("refused").to_string();
+    let refused = RaftStorage::found(&folder, || founder(2, 3)).err().expect("refused").to_string();
     assert!(refused.contains("is gone"), "{refused}");
     let _ = std::fs::remove_dir_all(&folder);
 }
@@ -436,20 +441,20 @@
 #[test]
 fn nothing_leaves_that_stands_on_what_the_disk_has_not_taken() {
     let now = Tick(5_000);
-    let mut hedge = Hedge::new(founder(2, 3), false, now, || 10);
-    let mut desk = Desk::default();
-    let raft = |epoch, kind| Raft { from: MemberId(1), epoch: Epoch(epoch), kind };
-    let append = |entries, sent| RaftKind::Append {
-        previous: (Epoch(0), Index(0)),
+    let mut hedge = RaftNode::new(founder(2, 3), false, now, || 10);
+    let mut desk = LogPersister::default();
+    let raft = |epoch, kind| RaftMessage { from: MemberId(1), epoch: Term(epoch), kind };
+    let append = |entries, sent| RaftMessageKind::AppendEntries {
+        previous: (Term(0), LogIndex(0)),
         entries,
-        commit: Index(0),
+        commit: LogIndex(0),
         sent,
     };
-    let entry = Entry { epoch: Epoch(4), index: Index(1), body: change(1) };
-    let acked = |out: &[(MemberId, Raft)]| -> Vec<u64> {
+    let entry = LogEntry { epoch: Term(4), index: LogIndex(1), body: change(1) };
+    let acked = |out: &[(MemberId, RaftMessage)]| -> Vec<u64> {
         out.iter()
             .filter_map(|(_, m)| match m.kind {
-                RaftKind::Appended { upto, ok: true, .. } => Some(upto.0),
+                RaftMessageKind::AppendResponse { upto, ok: true, .. } => Some(upto.0),
                 _ => None,
             })
             .collect()
@@ -468,15 +473,20 @@
     assert_eq!(acked(&freed), [0], "a heartbeat's answer, as of when it came");
     assert_eq!(acked(&desk.leaving(&mut hedge)), [1], "and the entry once it is there");
     // From here on only entries wait: a heartbeat is answered while the disk stalls.
-    let second = Entry { epoch: Epoch(4), index: Index(2), body: change(2) };
-    let previous = (Epoch(4), Index(1));
-    let kind = RaftKind::Append { previous, entries: vec![second], commit: Index(0), sent: 3 };
+    let second = LogEntry { epoch: Term(4), index: LogIndex(2), body: change(2) };
+    let previous = (Term(4), LogIndex(1));
+    let kind = RaftMessageKind::AppendEntries {
+        previous,
+        entries: vec![second],
+        commit: LogIndex(0),
+        sent: 3,
+    };
     hedge.step(raft(4, kind), now.plus(500));
     assert!(desk.start(&mut hedge, now.plus(500)).is_some());
-    let kind = RaftKind::Append {
-        previous: (Epoch(4), Index(2)),
+    let kind = RaftMessageKind::AppendEntries {
+        previous: (Term(4), LogIndex(2)),
         entries: vec![],
-        commit: Index(0),
+        commit: LogIndex(0),
         sent: 4,
     };
     hedge.step(raft(4, kind), now.plus(900));
@@ -515,10 +525,10 @@
     let before = hedge.commit;
     let index = hedge.propose(change(1), now).expect("taken");
     let epoch = hedge.kept.epoch;
-    let kind = RaftKind::Appended { upto: index, ok: true, sent: now.0 };
-    hedge.step(Raft { from: MemberId(others[0]), epoch, kind: kind.clone() }, now);
+    let kind = RaftMessageKind::AppendResponse { upto: index, ok: true, sent: now.0 };
+    hedge.step(RaftMessage { from: MemberId(others[0]), epoch, kind: kind.clone() }, now);
     assert_eq!(hedge.commit, before, "one disk of three");
-    hedge.step(Raft { from: MemberId(others[1]), epoch, kind }, now);
+    hedge.step(RaftMessage { from: MemberId(others[1]), epoch, kind }, now);
     assert_eq!(hedge.commit, index, "two of three, though not its own");
 }
 
@@ -560,15 +570,15 @@
     {
         stewards.restart(voter);
         let hedge = stewards.hedges.get_mut(&voter).expect("voter");
-        let kind = RaftKind::AskVote { trial: true, handover: false, led, last };
-        hedge.step(Raft { from: MemberId(old), epoch: Epoch(asked), kind }, now);
+        let kind = RaftMessageKind::RequestVote { trial: true, handover: false, led, last };
+        hedge.step(RaftMessage { from: MemberId(old), epoch: Term(asked), kind }, now);
         assert_eq!(!hedge.out.is_empty(), answered, "{asked} {led}");
     }
 }
 
 #[test]
 fn what_waits_for_a_slow_peer_leaves_whole_and_a_revoke_goes_first() {
-    let mut out = Outbox::default();
+    let mut out = SendQueue::default();
     out.push(vec![1; 4].into());
     out.push(vec![2; 2].into());
     out.took(1);
@@ -592,14 +602,14 @@
     let base = std::env::temp_dir().join(format!("silvertack-torn-{}", std::process::id()));
     let (whole, torn) = (base.join("whole"), base.join("torn"));
     let _ = std::fs::remove_dir_all(&base);
-    let (mut granary, mut kept, _) = Granary::found(&whole, || founder(1, 3)).expect("founded");
+    let (mut granary, mut kept, _) = RaftStorage::found(&whole, || founder(1, 3)).expect("founded");
     let wal = whole.join("hedge.sqlite-wal");
     // What the file of the journal held after each write that was confirmed.
     let mut synced = vec![std::fs::metadata(&wal).map_or(0, |m| m.len())];
     for n in 1..=3u64 {
-        kept.log.push(Entry { epoch: Epoch(1), index: Index(n), body: change(n as u8) });
-        let dirty = Dirty { log_from: Some(Index(n)), ..Dirty::default() };
-        granary.save(&Sheaf::of(&kept, &dirty)).expect("saved");
+        kept.log.push(LogEntry { epoch: Term(1), index: LogIndex(n), body: change(n as u8) });
+        let dirty = UnsavedChanges { log_from: Some(LogIndex(n)), ..UnsavedChanges::default() };
+        granary.save(&WriteBatch::of(&kept, &dirty)).expect("saved");
         synced.push(std::fs::metadata(&wal).expect("journal").len());
     }
     let journal = std::fs::read(&wal).expect("journal");
@@ -621,55 +631,58 @@
         let from = bytes.len() - garbage;
         bytes[from..].fill(0x5a);
         std::fs::write(torn.join("hedge.sqlite-wal"), bytes).expect("torn");
-        let (_, found) = Granary::open(&torn).expect("recovered");
+        let (_, found) = RaftStorage::open(&torn).expect("recovered");
         assert_eq!(found.expect("kept").log.len(), entries, "{length} bytes, {garbage} garbage");
     }
     // With nothing of it left, it is not taken for a new disk.
     std::fs::write(torn.join("hedge.sqlite-wal"), b"").expect("gone");
     std::fs::write(torn.join("hedge.sqlite"), b"").expect("gone");
-    assert!(Granary::open(&torn).err().expect("refused").to_string().contains("is gone"));
+    assert!(RaftStorage::open(&torn).err().expect("refused").to_string().contains("is gone"));
     let _ = std::fs::remove_dir_all(&base);
 }
 
 /// Entries of these terms, from index 1 on.
-fn log_of(terms: &[u64]) -> Vec<Entry> {
-    let entry = |(term, index): (&u64, u64)| Entry {
-        epoch: Epoch(*term),
-        index: Index(index),
+fn log_of(terms: &[u64]) -> Vec<LogEntry> {
+    let entry = |(term, index): (&u64, u64)| LogEntry {
+        epoch: Term(*term),
+        index: LogIndex(index),
         body: change(index as u8),
     };
     terms.iter().zip(1..).map(entry).collect()
 }
 /// Member 1 of so many voters in this term, with entries of these terms on its disk.
-fn replica(voters: u64, term: u64, terms: &[u64]) -> Hedge {
-    let kept = Kept { epoch: Epoch(term), log: log_of(terms), ..founder(1, voters) };
-    Hedge::new(kept, false, Tick(1_000), || 0)
+fn replica(voters: u64, term: u64, terms: &[u64]) -> RaftNode {
+    let kept = PersistentState { epoch: Term(term), log: log_of(terms), ..founder(1, voters) };
+    RaftNode::new(kept, false, Tick(1_000), || 0)
 }
-fn raft(id: u64, term: u64, kind: RaftKind) -> Raft {
-    Raft { from: MemberId(id), epoch: Epoch(term), kind }
+fn raft(id: u64, term: u64, kind: RaftMessageKind) -> RaftMessage {
+    RaftMessage { from: MemberId(id), epoch: Term(term), kind }
 }
-fn store(hedge: &mut Hedge) {
-    hedge.dirty = Dirty::default();
+fn store(hedge: &mut RaftNode) {
+    hedge.dirty = UnsavedChanges::default();
     hedge.stored(hedge.last());
 }
 /// When member 1 was elected by `elected`.
 const ELECTED: Tick = Tick(2_000);
 /// Member 1 as the leader of this term; its first entry of that term follows those of the others.
-fn elected(voters: u64, term: u64, terms: &[u64]) -> Hedge {
+fn elected(voters: u64, term: u64, terms: &[u64]) -> RaftNode {
     let mut hedge = replica(voters, term - 1, terms);
     hedge.tick(ELECTED);
     for trial in [true, false] {
         for id in 2..=voters {
-            hedge.step(raft(id, term, RaftKind::Vote { trial, granted: true }), ELECTED);
+            hedge.step(
+                raft(id, term, RaftMessageKind::VoteResponse { trial, granted: true }),
+                ELECTED,
+            );
         }
     }
-    assert!(hedge.is_leader() && hedge.kept.epoch == Epoch(term));
+    assert!(hedge.is_leader() && hedge.kept.epoch == Term(term));
     store(&mut hedge);
     hedge.out.clear();
     hedge
 }
-fn appended(upto: u64) -> RaftKind {
-    RaftKind::Appended { upto: Index(upto), ok: true, sent: ELECTED.0 }
+fn appended(upto: u64) -> RaftMessageKind {
+    RaftMessageKind::AppendResponse { upto: LogIndex(upto), ok: true, sent: ELECTED.0 }
 }
 
 #[test]
@@ -687,16 +700,16 @@
         let mut leader = elected(voters, term, terms);
         for (id, (upto, commit)) in (2..).zip(acknowledged.iter().zip(commits)) {
             leader.step(raft(id, term, appended(*upto)), ELECTED);
-            assert_eq!(leader.commit, Index(*commit), "{what}: member {id} has {upto}");
+            assert_eq!(leader.commit, LogIndex(*commit), "{what}: member {id} has {upto}");
         }
     }
 }
 
 /// The answers to candidates that leave: of a pre-vote or not, granted or not, and their term.
-fn votes_of(hedge: &mut Hedge) -> Vec<(bool, bool, u64)> {
+fn votes_of(hedge: &mut RaftNode) -> Vec<(bool, bool, u64)> {
     let out = hedge.out.drain(..);
     out.filter_map(|(_, m)| match m.kind {
-        RaftKind::Vote { trial, granted } => Some((trial, granted, m.epoch.0)),
+        RaftMessageKind::VoteResponse { trial, granted } => Some((trial, granted, m.epoch.0)),
         _ => None,
     })
     .collect()
@@ -724,11 +737,11 @@
     for (what, voted, term, last, granted, after) in cases {
         let mut voter = replica(3, 5, log);
         voter.kept.voted = voted.map(MemberId);
-        let last = (Epoch(last.0), Index(last.1));
-        let ask = |trial| RaftKind::AskVote { trial, handover: false, led: false, last };
+        let last = (Term(last.0), LogIndex(last.1));
+        let ask = |trial| RaftMessageKind::RequestVote { trial, handover: false, led: false, last };
         voter.step(raft(2, term, ask(false)), ELECTED);
         assert_eq!(votes_of(&mut voter), [(false, granted, after)], "{what}");
-        assert_eq!(voter.kept.epoch, Epoch(after), "{what}");
+        assert_eq!(voter.kept.epoch, Term(after), "{what}");
         if granted {
             assert_eq!(voter.kept.voted, Some(MemberId(2)), "{what}");
             let new = voted != Some(2) || after > 5;
@@ -743,7 +756,7 @@
         voter.step(raft(2, 5, ask(true)), ELECTED);
         assert_eq!(votes_of(&mut voter), [(true, false, 5)], "{what}: pre-vote of this term");
         voter.step(raft(2, 6, ask(true)), ELECTED);
-        let current = last >= (Epoch(3), Index(3));
+        let current = last >= (Term(3), LogIndex(3));
         let at = if current { 6 } else { 5 };
         assert_eq!(votes_of(&mut voter), [(true, current, at)], "{what}: pre-vote");
         assert_eq!((voter.kept.epoch.0, voter.kept.voted), (5, voted.map(MemberId)), "{what}");
@@ -753,10 +766,10 @@
 
 #[test]
 fn whoever_has_a_leader_helps_no_candidate() {
-    let heartbeat = RaftKind::Append {
-        previous: (Epoch(0), Index(0)),
+    let heartbeat = RaftMessageKind::AppendEntries {
+        previous: (Term(0), LogIndex(0)),
         entries: Vec::new(),
-        commit: Index(0),
+        commit: LogIndex(0),
         sent: 1,
     };
     // (milliseconds since the follower heard its leader, the leader itself asked for the election,
@@ -774,13 +787,13 @@
             follower.step(raft(2, 5, heartbeat.clone()), ELECTED);
             store(&mut follower);
             follower.out.clear();
-            let last = (Epoch(5), Index(9));
-            let ask = RaftKind::AskVote { trial, handover, led: false, last };
+            let last = (Term(5), LogIndex(9));
+            let ask = RaftMessageKind::RequestVote { trial, handover, led: false, last };
             follower.step(raft(3, 6, ask.clone()), ELECTED.plus(since));
             let expected = if answers { vec![(trial, true, 6)] } else { vec![] };
             assert_eq!(votes_of(&mut follower), expected, "{what}");
             let moved = answers && !trial;
-            assert_eq!(follower.kept.epoch, Epoch(if moved { 6 } else { 5 }), "{what}");
+            assert_eq!(follower.kept.epoch, Term(if moved { 6 } else { 5 }), "{what}");
             // A leader answers so too, by when a quorum last answered it.
             let mut leader = elected(3, 5, &[1]);
             leader.step(raft(2, 5, appended(2)), ELECTED);
@@ -793,8 +806,8 @@
     let mut follower = replica(3, 5, &[1]);
     follower.step(raft(2, 5, heartbeat), ELECTED);
     follower.out.clear();
-    let last = (Epoch(4), Index(9));
-    let ask = RaftKind::AskVote { trial: false, handover: false, led: false, last };
+    let last = (Term(4), LogIndex(9));
+    let ask = RaftMessageKind::RequestVote { trial: false, handover: false, led: false, last };
     follower.step(raft(3, 5, ask), ELECTED.plus(60_000));
     assert_eq!(votes_of(&mut follower), [(false, false, 5)]);
     assert_eq!((follower.leader, follower.kept.voted), (Some(MemberId(2)), None));
@@ -815,32 +828,42 @@
     for (what, trial, granted, term, leads) in cases {
         let mut candidate = replica(3, 5, &[1]);
         candidate.tick(ELECTED);
-        assert_eq!(candidate.kept.epoch, Epoch(5), "a pre-vote moves no term");
+        assert_eq!(candidate.kept.epoch, Term(5), "a pre-vote moves no term");
         // Nothing but a granted pre-vote for the next term moves it.
         for (trial, granted, term) in [(true, true, 5), (true, false, 5), (false, true, 6)] {
-            candidate.step(raft(2, term, RaftKind::Vote { trial, granted }), ELECTED);
-            assert_eq!(candidate.kept.epoch, Epoch(5), "{trial} {granted} {term}");
+            candidate
+                .step(raft(2, term, RaftMessageKind::VoteResponse { trial, granted }), ELECTED);
+            assert_eq!(candidate.kept.epoch, Term(5), "{trial} {granted} {term}");
         }
-        candidate.step(raft(2, 6, RaftKind::Vote { trial: true, granted: true }), ELECTED);
-        assert_eq!((candidate.kept.epoch, candidate.kept.voted), (Epoch(6), Some(MemberId(1))));
+        candidate.step(
+            raft(2, 6, RaftMessageKind::VoteResponse { trial: true, granted: true }),
+            ELECTED,
+        );
+        assert_eq!((candidate.kept.epoch, candidate.kept.voted), (Term(6), Some(MemberId(1))));
         assert!(candidate.dirty.hard && !candidate.is_leader(), "{what}: its own vote is kept");
-        candidate.step(raft(3, term, RaftKind::Vote { trial, granted }), ELECTED);
+        candidate.step(raft(3, term, RaftMessageKind::VoteResponse { trial, granted }), ELECTED);
         assert_eq!(candidate.is_leader(), leads, "{what}");
     }
     // One that hears of a later term in a refusal goes there as a follower, with its vote unspent.
     for leads in [false, true] {
         let mut hedge = if leads { elected(3, 6, &[1]) } else { replica(3, 5, &[1]) };
         hedge.tick(ELECTED);
-        hedge.step(raft(3, 9, RaftKind::Vote { trial: false, granted: false }), ELECTED);
+        hedge.step(
+            raft(3, 9, RaftMessageKind::VoteResponse { trial: false, granted: false }),
+            ELECTED,
+        );
         assert!(!hedge.is_leader());
-        assert_eq!((hedge.kept.epoch, hedge.kept.voted), (Epoch(9), None), "leads: {leads}");
-        hedge.step(raft(2, 6, RaftKind::Vote { trial: true, granted: true }), ELECTED);
-        assert_eq!(hedge.kept.epoch, Epoch(9), "it is no candidate any more");
+        assert_eq!((hedge.kept.epoch, hedge.kept.voted), (Term(9), None), "leads: {leads}");
+        hedge.step(
+            raft(2, 6, RaftMessageKind::VoteResponse { trial: true, granted: true }),
+            ELECTED,
+        );
+        assert_eq!(hedge.kept.epoch, Term(9), "it is no candidate any more");
     }
 }
 
 /// The terms of the entries that a member holds in its log.
-fn terms_of(hedge: &Hedge) -> Vec<u64> {
+fn terms_of(hedge: &RaftNode) -> Vec<u64> {
     hedge.kept.log.iter().map(|e| e.epoch.0).collect()
 }
 
@@ -880,22 +903,24 @@
     for (what, (term, previous, terms, commit), log, committed, answer) in cases {
         let mut follower = replica(3, 4, &[1, 1, 2, 2]);
         let append = |previous: (u64, u64), terms: &[u64], commit| {
-            let (previous, commit) = ((Epoch(previous.0), Index(previous.1)), Index(commit));
-            let place =
-                |entry: Entry| Entry { index: Index(previous.1.0 + entry.index.0), ..entry };
+            let (previous, commit) = ((Term(previous.0), LogIndex(previous.1)), LogIndex(commit));
+            let place = |entry: LogEntry| LogEntry {
+                index: LogIndex(previous.1.0 + entry.index.0),
+                ..entry
+            };
             let entries = log_of(terms).into_iter().map(place).collect();
-            RaftKind::Append { previous, entries, commit, sent: 7 }
+            RaftMessageKind::AppendEntries { previous, entries, commit, sent: 7 }
         };
         follower.step(raft(3, 4, append((1, 1), &[], 1)), ELECTED);
         follower.out.clear();
         follower.step(raft(2, term, append(previous, terms, commit)), ELECTED);
         store(&mut follower);
         assert_eq!(terms_of(&follower), log, "{what}");
-        assert_eq!(follower.commit, Index(committed), "{what}");
+        assert_eq!(follower.commit, LogIndex(committed), "{what}");
         let last = follower.out.pop().map(|(to, m)| (to, m.epoch, m.kind));
         let sent = if term < 4 { 0 } else { 7 };
-        let kind = RaftKind::Appended { upto: Index(answer.1), ok: answer.0, sent };
-        assert_eq!(last, Some((MemberId(2), Epoch(4), kind)), "{what}");
+        let kind = RaftMessageKind::AppendResponse { upto: LogIndex(answer.1), ok: answer.0, sent };
+        assert_eq!(last, Some((MemberId(2), Term(4), kind)), "{what}");
         let leader = if term < 4 { 3 } else { 2 };
         assert_eq!(follower.leader, Some(MemberId(leader)), "{what}");
     }
@@ -903,20 +928,20 @@
 
 #[test]
 fn a_follower_acknowledges_what_its_disk_has_of_this_leaders_log() {
-    let entries = |from: u64, terms: &[u64]| -> Vec<Entry> {
-        let place = |e: Entry| Entry { index: Index(from + e.index.0 - 1), ..e };
+    let entries = |from: u64, terms: &[u64]| -> Vec<LogEntry> {
+        let place = |e: LogEntry| LogEntry { index: LogIndex(from + e.index.0 - 1), ..e };
         log_of(terms).into_iter().map(place).collect()
     };
-    let append = |previous: (u64, u64), entries| RaftKind::Append {
-        previous: (Epoch(previous.0), Index(previous.1)),
+    let append = |previous: (u64, u64), entries| RaftMessageKind::AppendEntries {
+        previous: (Term(previous.0), LogIndex(previous.1)),
         entries,
-        commit: Index(0),
+        commit: LogIndex(0),
         sent: 7,
     };
-    let acknowledged = |hedge: &mut Hedge| -> Vec<(u64, u64)> {
+    let acknowledged = |hedge: &mut RaftNode| -> Vec<(u64, u64)> {
         let out = hedge.out.drain(..);
         out.filter_map(|(to, m)| match m.kind {
-            RaftKind::Appended { upto, ok: true, .. } => Some((to.0, upto.0)),
+            RaftMessageKind::AppendResponse { upto, ok: true, .. } => Some((to.0, upto.0)),
             _ => None,
         })
         .collect()
@@ -929,18 +954,18 @@
     follower.step(raft(2, 4, append((1, 2), entries(3, &[4, 4]))), ELECTED);
     assert_eq!(acknowledged(&mut follower), []);
     // Nor when a write of the old suffix ends; and as soon as its own write does.
-    follower.stored((Epoch(2), Index(4)));
+    follower.stored((Term(2), LogIndex(4)));
     assert_eq!(acknowledged(&mut follower), [(2, 2)]);
-    follower.stored((Epoch(4), Index(3)));
+    follower.stored((Term(4), LogIndex(3)));
     assert_eq!(acknowledged(&mut follower), [(2, 3)]);
-    follower.stored((Epoch(4), Index(4)));
+    follower.stored((Term(4), LogIndex(4)));
     assert_eq!(acknowledged(&mut follower), [(2, 4)]);
     // What an earlier term's leader still waits for is not told to anyone in the next.
     follower.step(raft(2, 4, append((4, 4), entries(5, &[4]))), ELECTED);
     acknowledged(&mut follower);
     follower.step(raft(2, 5, append((4, 2), vec![])), ELECTED);
     acknowledged(&mut follower);
-    follower.stored((Epoch(4), Index(5)));
+    follower.stored((Term(4), LogIndex(5)));
     assert_eq!(acknowledged(&mut follower), [], "nothing is owed in the new term");
 }
 
@@ -957,19 +982,19 @@
     ];
     for (what, term, ok, upto, commit, leads) in cases {
         let mut leader = elected(3, 5, &[1]);
-        let answer = RaftKind::Appended { upto: Index(upto), ok, sent: ELECTED.0 };
+        let answer = RaftMessageKind::AppendResponse { upto: LogIndex(upto), ok, sent: ELECTED.0 };
         leader.step(raft(2, term, answer), ELECTED);
-        assert_eq!((leader.commit, leader.is_leader()), (Index(commit), leads), "{what}");
+        assert_eq!((leader.commit, leader.is_leader()), (LogIndex(commit), leads), "{what}");
         let fresh = leads && term == 5;
         assert_eq!(leader.granting(ELECTED.plus(10)), fresh && commit == 2, "{what}");
-        assert_eq!(leader.kept.epoch, Epoch(term.max(5)), "{what}");
+        assert_eq!(leader.kept.epoch, Term(term.max(5)), "{what}");
     }
     // What answers a part keeps a leader's quorum fresh in its own term only.
     for (term, fresh) in [(5, true), (4, false)] {
         let mut leader = elected(3, 5, &[]);
         leader.step(raft(2, 5, appended(1)), ELECTED);
         let later = ELECTED.plus(440);
-        let taken = RaftKind::PartTaken { transfer: 1, upto: 0, sent: later.0 };
+        let taken = RaftMessageKind::ChunkResponse { transfer: 1, upto: 0, sent: later.0 };
         leader.step(raft(2, term, taken), later);
         assert!(leader.granting(later));
         assert_eq!(leader.granting(ELECTED.plus(500)), fresh, "a part of term {term}");
@@ -978,13 +1003,14 @@
     let mut leader = elected(5, 5, &[1]);
     for (id, upto, commit) in [(2, 2, 0), (2, 1, 0), (3, 2, 2)] {
         leader.step(raft(id, 5, appended(upto)), ELECTED);
-        assert_eq!(leader.commit, Index(commit), "member {id} has {upto}");
+        assert_eq!(leader.commit, LogIndex(commit), "member {id} has {upto}");
     }
     // One from a time to come is of another life's clock, and makes no quorum fresh.
     let mut leader = elected(3, 5, &[1]);
-    let answer = RaftKind::Appended { upto: Index(2), ok: true, sent: ELECTED.0 + 5_000 };
+    let answer =
+        RaftMessageKind::AppendResponse { upto: LogIndex(2), ok: true, sent: ELECTED.0 + 5_000 };
     leader.step(raft(2, 5, answer), ELECTED);
-    assert_eq!(leader.commit, Index(2));
+    assert_eq!(leader.commit, LogIndex(2));
     assert!(!leader.granting(ELECTED.plus(4_900)));
 }
 
@@ -1005,24 +1031,27 @@
     ];
     for (what, term, last, log, commit, taken) in cases {
         let mut follower = replica(3, 4, &[1, 1, 2, 2]);
-        let (previous, committed) = ((Epoch(1), Index(2)), Index(2));
+        let (previous, committed) = ((Term(1), LogIndex(2)), LogIndex(2));
         let entries = Vec::new();
-        let heartbeat = RaftKind::Append { previous, entries, commit: committed, sent: 1 };
+        let heartbeat =
+            RaftMessageKind::AppendEntries { previous, entries, commit: committed, sent: 1 };
         follower.step(raft(2, 4, heartbeat), ELECTED);
         follower.out.clear();
         let members: Vec<Member> = (1..=4).map(|id| member(id, true)).collect();
         let state = ByteBuf::from(vec![42]);
-        let upto = Index(last.1);
-        let snapshot = Snapshot { last: (Epoch(last.0), upto), members, state };
-        follower.step(raft(2, term, RaftKind::Snapshot { snapshot, sent: 7 }), ELECTED);
+        let upto = LogIndex(last.1);
+        let snapshot = Snapshot { last: (Term(last.0), upto), members, state };
+        follower
+            .step(raft(2, term, RaftMessageKind::InstallSnapshot { snapshot, sent: 7 }), ELECTED);
         assert_eq!(follower.out.is_empty(), taken, "{what}: not acknowledged before it is on disk");
         assert_eq!(follower.dirty.snapshot, taken, "{what}");
         store(&mut follower);
         let (ok, sent) = if term == 4 { (true, 7) } else { (false, 0) };
-        let kind = RaftKind::Appended { upto: if ok { upto } else { Index(0) }, ok, sent };
+        let kind =
+            RaftMessageKind::AppendResponse { upto: if ok { upto } else { LogIndex(0) }, ok, sent };
         assert_eq!(follower.out.pop().map(|(_, m)| m.kind), Some(kind), "{what}");
         assert_eq!(terms_of(&follower), log, "{what}");
-        assert_eq!(follower.commit, Index(commit), "{what}");
+        assert_eq!(follower.commit, LogIndex(commit), "{what}");
         assert_eq!(follower.kept.snapshot.state.len(), usize::from(taken), "{what}");
         assert_eq!(follower.members().len(), if taken { 4 } else { 3 }, "{what}: members");
     }
@@ -1030,32 +1059,32 @@
 
 #[test]
 fn the_members_are_those_of_the_newest_list_that_is_still_in_the_log() {
-    let listed = |term, index, voters| Entry {
-        epoch: Epoch(term),
-        index: Index(index),
-        body: Body::Members((1..=voters).map(|id| member(id, true)).collect()),
+    let listed = |term, index, voters| LogEntry {
+        epoch: Term(term),
+        index: LogIndex(index),
+        body: EntryPayload::Membership((1..=voters).map(|id| member(id, true)).collect()),
     };
-    let append = |previous: (u64, u64), entries| RaftKind::Append {
-        previous: (Epoch(previous.0), Index(previous.1)),
+    let append = |previous: (u64, u64), entries| RaftMessageKind::AppendEntries {
+        previous: (Term(previous.0), LogIndex(previous.1)),
         entries,
-        commit: Index(0),
+        commit: LogIndex(0),
         sent: 1,
     };
     // A list counts from when it is in the log, and no more once another leader replaced it.
     let mut follower = replica(3, 4, &[1, 1]);
     follower.step(raft(2, 4, append((1, 2), vec![listed(4, 3, 4)])), ELECTED);
     assert_eq!(follower.members().len(), 4);
-    let other = Entry { epoch: Epoch(5), index: Index(3), body: Body::Opened };
+    let other = LogEntry { epoch: Term(5), index: LogIndex(3), body: EntryPayload::NoOp };
     follower.step(raft(3, 5, append((1, 2), vec![other])), ELECTED);
     assert_eq!((follower.members().len(), terms_of(&follower)), (3, vec![1, 1, 5]));
     // A snapshot holds the list as of its last entry, not one that came later.
     let mut leader = elected(1, 5, &[]);
-    leader.propose(Body::Change(ByteBuf::from(vec![0; 2 << 20])), ELECTED);
+    leader.propose(EntryPayload::Command(ByteBuf::from(vec![0; 2 << 20])), ELECTED);
     store(&mut leader);
     let commit = leader.commit;
-    leader.propose(Body::Members((1..=2).map(|id| member(id, true)).collect()), ELECTED);
+    leader.propose(EntryPayload::Membership((1..=2).map(|id| member(id, true)).collect()), ELECTED);
     leader.compact(commit, || vec![42]);
-    assert_eq!(leader.kept.snapshot.last, (Epoch(5), commit));
+    assert_eq!(leader.kept.snapshot.last, (Term(5), commit));
     assert_eq!((leader.kept.snapshot.members.len(), leader.members().len()), (1, 2));
 }
 
@@ -1073,16 +1102,23 @@
     for (what, votes, from, term, stands) in cases {
         let members: Vec<Member> = (1..=4).map(|id| member(id, id != 1 || votes)).collect();
         let snapshot = Snapshot { members, ..Snapshot::default() };
-        let kept = Kept { me: MemberId(1), epoch: Epoch(5), snapshot, ..Kept::default() };
-        let mut hedge = Hedge::new(kept, false, Tick(1_000), || 0);
-        let (previous, commit) = ((Epoch(0), Index(0)), Index(0));
-        let heartbeat = RaftKind::Append { previous, entries: Vec::new(), commit, sent: 1 };
+        let kept = PersistentState {
+            me: MemberId(1),
+            epoch: Term(5),
+            snapshot,
+            ..PersistentState::default()
+        };
+        let mut hedge = RaftNode::new(kept, false, Tick(1_000), || 0);
+        let (previous, commit) = ((Term(0), LogIndex(0)), LogIndex(0));
+        let heartbeat =
+            RaftMessageKind::AppendEntries { previous, entries: Vec::new(), commit, sent: 1 };
         hedge.step(raft(2, 5, heartbeat), ELECTED);
         hedge.out.clear();
-        hedge.step(raft(from, term, RaftKind::TakeOver), ELECTED);
-        let asked = hedge.out.iter().filter(|(_, m)| matches!(m.kind, RaftKind::AskVote { .. }));
+        hedge.step(raft(from, term, RaftMessageKind::TimeoutNow), ELECTED);
+        let asked =
+            hedge.out.iter().filter(|(_, m)| matches!(m.kind, RaftMessageKind::RequestVote { .. }));
         assert_eq!(asked.count(), if stands { 3 } else { 0 }, "{what}");
-        assert_eq!(hedge.kept.epoch, Epoch(if stands { 6 } else { 5 }), "{what}");
+        assert_eq!(hedge.kept.epoch, Term(if stands { 6 } else { 5 }), "{what}");
         // Nor does a learner when it has heard of no leader for long.
         hedge.out.clear();
         hedge.tick(ELECTED.plus(60_000));
@@ -1116,10 +1152,11 @@
 #[test]
 fn a_vote_leaves_only_once_it_is_on_disk_however_often_a_write_fails() {
     for failed in [0, 1, 3] {
-        let mut granary = Granary::none().expect("in memory");
-        let (mut voter, mut desk, mut now) = (replica(3, 5, &[1]), Desk::default(), ELECTED);
-        let last = (Epoch(1), Index(1));
-        let ask = RaftKind::AskVote { trial: false, handover: false, led: false, last };
+        let mut granary = RaftStorage::none().expect("in memory");
+        let (mut voter, mut desk, mut now) =
+            (replica(3, 5, &[1]), LogPersister::default(), ELECTED);
+        let last = (Term(1), LogIndex(1));
+        let ask = RaftMessageKind::RequestVote { trial: false, handover: false, led: false, last };
         voter.step(raft(2, 6, ask), now);
         assert!(desk.leaving(&mut voter).is_empty(), "{failed} writes fail");
         for _ in 0..failed {
@@ -1133,11 +1170,11 @@
         let sheaf = desk.start(&mut voter, now).expect("the vote is still to be written");
         assert!(desk.leaving(&mut voter).is_empty(), "{failed} writes fail");
         granary.save(&sheaf).expect("saved");
-        let left: Vec<RaftKind> =
+        let left: Vec<RaftMessageKind> =
             desk.ended(&mut voter, true, now).into_iter().map(|(_, m)| m.kind).collect();
-        assert_eq!(left, [RaftKind::Vote { trial: false, granted: true }]);
+        assert_eq!(left, [RaftMessageKind::VoteResponse { trial: false, granted: true }]);
         let on_disk = granary.kept().expect("read").expect("kept");
-        assert_eq!((on_disk.epoch, on_disk.voted), (Epoch(6), Some(MemberId(2))));
+        assert_eq!((on_disk.epoch, on_disk.voted), (Term(6), Some(MemberId(2))));
     }
 }
 
@@ -1145,14 +1182,18 @@
 fn a_candidate_says_that_it_led_only_of_the_term_before_the_one_it_asks_for() {
     // (the last term that it led, whether it tells voters that nobody leads the term before 6)
     for (led, says) in [(None, false), (Some(3), false), (Some(4), false), (Some(5), true)] {
-        let led = led.map(Epoch);
-        let kept = Kept { epoch: Epoch(5), led, log: log_of(&[1, 5]), ..founder(1, 3) };
-        let mut candidate = Hedge::new(kept, false, Tick(1_000), || 0);
+        let led = led.map(Term);
+        let kept = PersistentState { epoch: Term(5), led, log: log_of(&[1, 5]), ..founder(1, 3) };
+        let mut candidate = RaftNode::new(kept, false, Tick(1_000), || 0);
         candidate.tick(ELECTED);
-        candidate.step(raft(2, 6, RaftKind::Vote { trial: true, granted: true }), ELECTED);
-        let last = (Epoch(5), Index(2));
-        let ask = |trial| RaftKind::AskVote { trial, handover: false, led: says, last };
-        let asked: Vec<(u64, Raft)> = candidate.out.drain(..).map(|(to, m)| (to.0, m)).collect();
+        candidate.step(
+            raft(2, 6, RaftMessageKind::VoteResponse { trial: true, granted: true }),
+            ELECTED,
+        );
+        let last = (Term(5), LogIndex(2));
+        let ask = |trial| RaftMessageKind::RequestVote { trial, handover: false, led: says, last };
+        let asked: Vec<(u64, RaftMessage)> =
+            candidate.out.drain(..).map(|(to, m)| (to.0, m)).collect();
         let expected = [(2, true), (3, true), (2, false), (3, false)];
         assert_eq!(asked, expected.map(|(to, trial)| (to, raft(1, 6, ask(trial)))), "{led:?}");
     }
@@ -1174,11 +1215,11 @@
         leader.reads(MemberId(2), LAYOUT);
         leader.out.clear();
         let now = ELECTED.plus(10);
-        leader.propose(Body::Change(ByteBuf::from(vec![0; 100_000])), now);
-        let parts = |leader: &mut Hedge| -> Vec<(u64, u64, u64)> {
+        leader.propose(EntryPayload::Command(ByteBuf::from(vec![0; 100_000])), now);
+        let parts = |leader: &mut RaftNode| -> Vec<(u64, u64, u64)> {
             let out = leader.out.drain(..).filter(|(to, _)| *to == MemberId(2));
             out.filter_map(|(_, m)| match m.kind {
-                RaftKind::Part { transfer, offset, bytes, .. } => {
+                RaftMessageKind::Chunk { transfer, offset, bytes, .. } => {
                     Some((transfer, offset, bytes.len() as u64))
                 }
                 _ => None,
@@ -1188,7 +1229,7 @@
         let first = parts(&mut leader);
         let [(transfer, 0, size)] = first[..] else { panic!("{what}: {first:?}") };
         let sent = now.0 - before;
-        let taken = RaftKind::PartTaken { transfer: transfer + other, upto: size, sent };
+        let taken = RaftMessageKind::ChunkResponse { transfer: transfer + other, upto: size, sent };
         leader.step(raft(2, term, taken), now.plus(5));
         let next: Vec<(u64, u64)> = parts(&mut leader).iter().map(|p| (p.0, p.1)).collect();
         assert_eq!(next, if follows { vec![(transfer, size)] } else { vec![] }, "{what}");
@@ -1197,10 +1238,10 @@
 
 #[test]
 fn a_candidate_follows_a_leader_of_its_term_and_counts_no_votes_any_more() {
-    let append = RaftKind::Append {
-        previous: (Epoch(0), Index(0)),
+    let append = RaftMessageKind::AppendEntries {
+        previous: (Term(0), LogIndex(0)),
         entries: Vec::new(),
-        commit: Index(0),
+        commit: LogIndex(0),
         sent: 1,
     };
     // (it still asks for pre-votes, the leader's term, whether the vote after it counts, its term)
@@ -1211,14 +1252,14 @@
         let mut candidate = replica(3, 5, &[1]);
         candidate.tick(ELECTED);
         if !trial {
-            let granted = RaftKind::Vote { trial: true, granted: true };
+            let granted = RaftMessageKind::VoteResponse { trial: true, granted: true };
             candidate.step(raft(2, 6, granted), ELECTED);
         }
         candidate.step(raft(2, term, append.clone()), ELECTED);
         assert_eq!(candidate.leader, if counts { None } else { Some(MemberId(2)) }, "{what}");
-        candidate.step(raft(3, 6, RaftKind::Vote { trial, granted: true }), ELECTED);
+        candidate.step(raft(3, 6, RaftMessageKind::VoteResponse { trial, granted: true }), ELECTED);
         assert_eq!(candidate.is_leader(), counts && !trial, "{what}");
-        assert_eq!(candidate.kept.epoch, Epoch(after), "{what}");
+        assert_eq!(candidate.kept.epoch, Term(after), "{what}");
     }
 }
 
@@ -1237,7 +1278,7 @@
         let mut leader = elected(voters, 5, &[1]);
         for id in answer {
             let sent = ELECTED.0 + 900;
-            let kind = RaftKind::Appended { upto: Index(0), ok: true, sent };
+            let kind = RaftMessageKind::AppendResponse { upto: LogIndex(0), ok: true, sent };
             leader.step(raft(*id, 5, kind), ELECTED.plus(900));
         }
         for (after, leads) in [1_000, 1_010].into_iter().zip(leads) {
@@ -1245,31 +1286,31 @@
             assert_eq!(leader.is_leader(), leads, "{voters} voters, {answer:?}, {after} ms");
         }
         assert_eq!(leader.propose(change(9), ELECTED.plus(1_010)).is_some(), leads[1]);
-        assert_eq!(leader.kept.epoch, Epoch(5), "{voters} voters, {answer:?}");
+        assert_eq!(leader.kept.epoch, Term(5), "{voters} voters, {answer:?}");
     }
 }
 
 #[test]
 fn a_snapshot_has_the_term_of_the_last_entry_that_it_covers() {
     let mut log = log_of(&[1, 3, 3]);
-    log[0].body = Body::Change(ByteBuf::from(vec![0; 2 << 20]));
-    let kept = Kept { epoch: Epoch(4), log, ..founder(1, 3) };
-    let mut follower = Hedge::new(kept, false, Tick(1_000), || 0);
-    let append = |previous: (u64, u64)| RaftKind::Append {
-        previous: (Epoch(previous.0), Index(previous.1)),
+    log[0].body = EntryPayload::Command(ByteBuf::from(vec![0; 2 << 20]));
+    let kept = PersistentState { epoch: Term(4), log, ..founder(1, 3) };
+    let mut follower = RaftNode::new(kept, false, Tick(1_000), || 0);
+    let append = |previous: (u64, u64)| RaftMessageKind::AppendEntries {
+        previous: (Term(previous.0), LogIndex(previous.1)),
         entries: Vec::new(),
-        commit: Index(1),
+        commit: LogIndex(1),
         sent: 1,
     };
     follower.step(raft(2, 4, append((3, 3))), ELECTED);
     follower.compact(follower.commit, || vec![42]);
-    assert_eq!(follower.kept.snapshot.last, (Epoch(1), Index(1)));
-    assert_eq!((terms_of(&follower), follower.last()), (vec![3, 3], (Epoch(3), Index(3))));
+    assert_eq!(follower.kept.snapshot.last, (Term(1), LogIndex(1)));
+    assert_eq!((terms_of(&follower), follower.last()), (vec![3, 3], (Term(3), LogIndex(3))));
     // The entry that the snapshot ends with is agreed on by its term like any other.
     for (previous, agrees) in [((1, 1), true), ((3, 2), true), ((4, 1), false), ((1, 2), false)] {
         follower.out.clear();
         follower.step(raft(2, 4, append(previous)), ELECTED);
-        let ok = matches!(follower.out[0].1.kind, RaftKind::Appended { ok: true, .. });
+        let ok = matches!(follower.out[0].1.kind, RaftMessageKind::AppendResponse { ok: true, .. });
         assert_eq!(ok, agrees, "{previous:?}");
     }
 }
@@ -1288,40 +1329,41 @@
         ("over its end, with a conflict behind it", (1, 2), &[2, 2, 4], &[2, 4], 5),
     ];
     for (what, previous, terms, log, upto) in cases {
-        let behind = |from: u64, terms: &[u64]| -> Vec<Entry> {
-            let place = |e: Entry| Entry { index: Index(from + e.index.0), ..e };
+        let behind = |from: u64, terms: &[u64]| -> Vec<LogEntry> {
+            let place = |e: LogEntry| LogEntry { index: LogIndex(from + e.index.0), ..e };
             log_of(terms).into_iter().map(place).collect()
         };
-        let mut kept = Kept { epoch: Epoch(4), log: behind(3, &[2, 3]), ..founder(1, 3) };
-        kept.snapshot.last = (Epoch(2), Index(3));
-        let mut follower = Hedge::new(kept, false, Tick(1_000), || 0);
+        let mut kept = PersistentState { epoch: Term(4), log: behind(3, &[2, 3]), ..founder(1, 3) };
+        kept.snapshot.last = (Term(2), LogIndex(3));
+        let mut follower = RaftNode::new(kept, false, Tick(1_000), || 0);
         let entries = behind(previous.1, terms);
-        let previous = (Epoch(previous.0), Index(previous.1));
-        let append = RaftKind::Append { previous, entries, commit: Index(0), sent: 7 };
+        let previous = (Term(previous.0), LogIndex(previous.1));
+        let append =
+            RaftMessageKind::AppendEntries { previous, entries, commit: LogIndex(0), sent: 7 };
         follower.step(raft(2, 4, append), ELECTED);
         store(&mut follower);
         assert_eq!(terms_of(&follower), log, "{what}");
         let places = follower.kept.log.iter().map(|e| e.index.0);
         assert!(places.eq(4..4 + log.len() as u64), "{what}: {:?}", follower.kept.log);
-        let kind = RaftKind::Appended { upto: Index(upto), ok: true, sent: 7 };
+        let kind = RaftMessageKind::AppendResponse { upto: LogIndex(upto), ok: true, sent: 7 };
         assert_eq!(follower.out.pop().map(|(_, m)| m.kind), Some(kind), "{what}");
-        assert_eq!(follower.commit, Index(3), "{what}");
+        assert_eq!(follower.commit, LogIndex(3), "{what}");
     }
 }
 
 #[test]
 fn a_restarted_leader_that_hears_of_a_later_term_waits_as_long_as_any_other() {
-    let heartbeat = RaftKind::Append {
-        previous: (Epoch(0), Index(0)),
+    let heartbeat = RaftMessageKind::AppendEntries {
+        previous: (Term(0), LogIndex(0)),
         entries: Vec::new(),
-        commit: Index(0),
+        commit: LogIndex(0),
         sent: 1,
     };
     // (the last term that it led, the term whose leader it hears, whether it may ask sooner then)
     for (led, term, sooner) in [(5, None, true), (5, Some(6), false), (4, Some(5), false)] {
-        let led = Some(Epoch(led));
-        let kept = Kept { epoch: Epoch(5), led, log: log_of(&[5]), ..founder(1, 3) };
-        let mut hedge = Hedge::new(kept, true, ELECTED, || 0);
+        let led = Some(Term(led));
+        let kept = PersistentState { epoch: Term(5), led, log: log_of(&[5]), ..founder(1, 3) };
+        let mut hedge = RaftNode::new(kept, true, ELECTED, || 0);
         if let Some(term) = term {
             hedge.step(raft(2, term, heartbeat.clone()), ELECTED);
         }
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -1,23 +1,24 @@
 //! Leases, connection quotas and parts: each row is a rule by which no two poolers get the same.
 use silvertack::base::ids::{
-    DbTerm, Epoch, Index, InstanceId, MemberId, NodeName, Position, Revision, ServiceName,
+    DbTerm, InstanceId, LogIndex, MemberId, NodeName, Position, Revision, ServiceName, Term,
 };
 use silvertack::base::time::Tick;
 use silvertack::config::settings::Settings;
-use silvertack::controller::controller::{Effects, Input, Steward};
-use silvertack::failover::{Ask, Attempt, Posted, Told};
-use silvertack::leases::lease_table::{LEASE_MS, LeaseBook};
-use silvertack::leases::subset_assignments::Cadastre;
+use silvertack::controller::controller::{Controller, Effects, Input};
+use silvertack::failover::{Attempt, DatabaseRequest, DatabaseResponse, PromotionResponse};
+use silvertack::leases::lease_table::{LEASE_MS, LeaseTable};
+use silvertack::leases::subset_assignments::SubsetAssignments;
 use silvertack::net::http::Request;
 use silvertack::net::rpc::pooler_messages::{
-    Doubt, Fresh, Grant, Saw, Standing, ToSteward, ToStile,
+    LeaseGrant, ObservedPosition, PositionBound, PrimaryStatus, SuspicionReason, ToController,
+    ToPooler,
 };
-use silvertack::net::rpc::raft_messages::{Member, Raft, RaftKind, Snapshot};
+use silvertack::net::rpc::raft_messages::{Member, RaftMessage, RaftMessageKind, Snapshot};
 use silvertack::net::rpc::{Frame, receive};
-use silvertack::net::statement_protocol::Described;
-use silvertack::raft::node::{Dirty, Hedge, Kept};
-use silvertack::raft::storage::Sheaf;
-use silvertack::state_machine::{Almanac, Change, Effect, Lead};
+use silvertack::net::statement_protocol::ServerDescription;
+use silvertack::raft::node::{PersistentState, RaftNode, UnsavedChanges};
+use silvertack::raft::storage::WriteBatch;
+use silvertack::state_machine::{Command, CommandOutcome, PrimaryRecord, StateMachine};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::mpsc::sync_channel;
@@ -40,29 +41,29 @@
 fn node(number: u64) -> NodeName {
     NodeName(format!("n{number}"))
 }
-fn grant(standing: Standing, share: u32) -> Grant {
-    Grant { service: service(), standing, share }
+fn grant(standing: PrimaryStatus, share: u32) -> LeaseGrant {
+    LeaseGrant { service: service(), standing, share }
 }
-fn led(term: u64) -> Standing {
-    Standing::Led { term: DbTerm(term), primary: "a".into() }
+fn led(term: u64) -> PrimaryStatus {
+    PrimaryStatus::Active { term: DbTerm(term), primary: "a".into() }
 }
 /// A book that has long been led with, and so many poolers on connections 0, 1 and so on.
-fn book(poolers: u64) -> LeaseBook {
-    let mut book = LeaseBook::new(Tick(0));
+fn book(poolers: u64) -> LeaseTable {
+    let mut book = LeaseTable::new(Tick(0));
     for n in 0..poolers {
         book.seat(&node(n), 1, n, START);
     }
     book
 }
 /// A renewal is answered with this.
-fn granted(book: &mut LeaseBook, to: u64, standing: Standing, share: u32, now: Tick) {
+fn granted(book: &mut LeaseTable, to: u64, standing: PrimaryStatus, share: u32, now: Tick) {
     book.tell(&node(to), grant(standing, share));
     book.renewed(&node(to), now);
 }
 /// A pooler asks for its quota of `total` and is told it.
-fn quota(book: &mut LeaseBook, of: u64, total: u32, now: Tick) -> u32 {
+fn quota(book: &mut LeaseTable, of: u64, total: u32, now: Tick) -> u32 {
     let share = book.share(&node(of), &service(), total, now);
-    granted(book, of, Standing::Unled, share, now);
+    granted(book, of, PrimaryStatus::Absent, share, now);
     share
 }
 
@@ -92,8 +93,9 @@
     for (what, term, then, after, gone) in cases {
         let mut book = book(1);
         granted(&mut book, 0, led(term), 8, START);
-        let revoke = |book: &mut LeaseBook| granted(book, 0, Standing::Unled, 8, START.plus(5));
-        let give_back = |book: &mut LeaseBook, term| {
+        let revoke =
+            |book: &mut LeaseTable| granted(book, 0, PrimaryStatus::Absent, 8, START.plus(5));
+        let give_back = |book: &mut LeaseTable, term| {
             book.give_back(&node(0), &service(), DbTerm(term), Some(at(5)));
         };
         match then {
@@ -115,7 +117,7 @@
 
 #[test]
 fn a_new_leader_waits_for_leases_of_which_it_may_not_know() {
-    let book = LeaseBook::new(START);
+    let book = LeaseTable::new(START);
     for (after, gone) in [(0, false), (LEASE_ENDS_MS, false), (LEASE_ENDS_MS + 1, true)] {
         assert_eq!(book.gone(&service(), TERM, START.plus(after)), gone, "after {after}");
     }
@@ -152,7 +154,7 @@
                 book.seat(&node(0), 2, 1, now);
                 book.give_back(&node(0), &service(), TERM, None);
             }
-            _ => granted(&mut book, 0, Standing::Unled, 8, now),
+            _ => granted(&mut book, 0, PrimaryStatus::Absent, 8, now),
         }
         let told = book.given_back(&service(), TERM, seen, false, START.plus(30_000));
         assert_eq!(told, certain, "{what}, {seen:?}");
@@ -202,13 +204,13 @@
 
 #[test]
 fn what_is_told_again_to_a_pooler() {
-    let sealed = Standing::Sealed(at(9));
+    let sealed = PrimaryStatus::Sealed(at(9));
     // (what is told twice, whether there is a new connection in between, whether it is told again)
     let cases = [
         (led(2), false, false),
         (led(2), true, true),
-        (Standing::Unled, false, false),
-        (Standing::Unled, true, true),
+        (PrimaryStatus::Absent, false, false),
+        (PrimaryStatus::Absent, true, true),
         (sealed.clone(), false, true),
         (sealed, true, true),
     ];
@@ -252,7 +254,7 @@
         assert_eq!(book.share(&node(1), &service(), total, now), others, "{what}");
         if what == "lost and back" {
             // The other was given all meanwhile, and the first still has what it had.
-            granted(&mut book, 1, Standing::Unled, 9, now);
+            granted(&mut book, 1, PrimaryStatus::Absent, 9, now);
             book.seat(&node(0), 1, 2, now);
         }
         if let Some(own) = own {
@@ -290,7 +292,7 @@
 fn a_young_leader_gives_no_more_than_somebody_has_while_quotas_may_be_held() {
     // (ms after the election, what the only pooler it knows gets of 88)
     for (after, share) in [(0, 4), (1_000, 4), (QUOTA_HELD_MS - 1, 4), (QUOTA_HELD_MS, 88)] {
-        let mut book = LeaseBook::new(START);
+        let mut book = LeaseTable::new(START);
         book.seat(&node(0), 1, 0, START);
         assert_eq!(book.share(&node(0), &service(), 92, START.plus(after)), share, "{after}");
     }
@@ -299,7 +301,7 @@
 #[test]
 fn others_hear_of_a_quota_that_shrank_or_is_the_largest_so_far() {
     let mut book = book(2);
-    granted(&mut book, 0, Standing::Unled, 4, START);
+    granted(&mut book, 0, PrimaryStatus::Absent, 4, START);
     // (who, the connections it says it has, whether others may get more now)
     let cases =
         [(0, 9, true), (0, 9, false), (1, 9, false), (0, 4, true), (0, 2, false), (1, 10, true)];
@@ -331,7 +333,7 @@
 
 #[test]
 fn a_part_is_told_once_on_a_connection_and_again_on_the_next() {
-    let mut cadastre = Cadastre::new(START);
+    let mut cadastre = SubsetAssignments::new(START);
     cadastre.report(&node(0), "here", service(), 100);
     cadastre.divide(|_| true, START.plus(3_000));
     for (row, (all, told)) in [(false, 1), (false, 0), (true, 1)].into_iter().enumerate() {
@@ -343,24 +345,24 @@
 #[derive(Default)]
 struct Queue {
     writes: bool,
-    asks: Vec<(InstanceId, Ask, Attempt)>,
+    asks: Vec<(InstanceId, DatabaseRequest, Attempt)>,
     posts: Vec<(InstanceId, Attempt)>,
-    sent: Vec<(u64, ToStile)>,
-    raft: Vec<(MemberId, Raft)>,
+    sent: Vec<(u64, ToPooler)>,
+    raft: Vec<(MemberId, RaftMessage)>,
 }
 impl Queue {
     fn keep(&mut self, conn: u64, frame: &[u8]) {
-        if let Ok(Frame::Steward(message)) = receive(&mut &frame[..]) {
+        if let Ok(Frame::Controller(message)) = receive(&mut &frame[..]) {
             self.sent.push((conn, message));
         }
     }
 }
 impl Effects for Queue {
-    fn send_raft(&mut self, to: MemberId, _: SocketAddr, message: Raft, _: Tick) {
+    fn send_raft(&mut self, to: MemberId, _: SocketAddr, message: RaftMessage, _: Tick) {
         self.raft.push((to, message));
     }
     fn keep_links(&mut self, _: &[Member]) {}
-    fn write(&mut self, _: Sheaf) -> bool {
+    fn write(&mut self, _: WriteBatch) -> bool {
         self.writes = true;
         true
     }
@@ -370,7 +372,7 @@
         _: &ServiceName,
         id: &InstanceId,
         _: SocketAddr,
-        ask: Ask,
+        ask: DatabaseRequest,
         attempt: Attempt,
     ) -> bool {
         self.asks.push((id.clone(), ask, attempt));
@@ -409,18 +411,18 @@
 
 /// A leader, with followers that only answer it, or with none. The primary is `a` in term 1, its replicas are `b` and `c`.
 struct Leader {
-    steward: Steward<Queue>,
-    followers: Vec<Hedge>,
+    steward: Controller<Queue>,
+    followers: Vec<RaftNode>,
     /// The followers are out of reach.
     cut: bool,
     now: Tick,
 }
 impl Leader {
     /// With changes of the state from before it leads.
-    fn new(sync_replicas: u32, before: &[Change]) -> Self {
+    fn new(sync_replicas: u32, before: &[Command]) -> Self {
         Self::of(1, sync_replicas, before)
     }
-    fn of(voters: u64, sync_replicas: u32, before: &[Change]) -> Self {
+    fn of(voters: u64, sync_replicas: u32, before: &[Command]) -> Self {
         let instance = |role: &str| {
             let instance = serde_json::json!({
                 "target_service": "s", "address": "10.0.0.9:1", "zone": "z", "revision": "v1",
@@ -434,16 +436,20 @@
             "services": [{ "name": "s", "max_connections": 16, "sync_replicas": sync_replicas }],
         });
         let body = serde_bytes::ByteBuf::from(body.to_string());
-        let mut almanac = Almanac::default();
-        almanac.apply(&Change::Configure { base: Revision(0), revision: Revision(1), body });
+        let mut almanac = StateMachine::default();
+        almanac.apply(&Command::PutConfiguration {
+            base: Revision(0),
+            revision: Revision(1),
+            body,
+        });
         for (id, role) in [("a", "primary"), ("b", "replica"), ("c", "replica")] {
             let (id, instance) = (id.into(), instance(role));
-            almanac.apply(&Change::Beat { id, instance, sequence: 1 });
+            almanac.apply(&Command::Heartbeat { id, instance, sequence: 1 });
         }
         let primary = "a".into();
-        almanac.apply(&Change::Led { service: service(), term: DbTerm(1), primary });
+        almanac.apply(&Command::SetPrimary { service: service(), term: DbTerm(1), primary });
         for change in before {
-            assert_eq!(almanac.apply(change), Effect::Done, "{change:?}");
+            assert_eq!(almanac.apply(change), CommandOutcome::Applied, "{change:?}");
         }
         let member = |id| Member {
             id: MemberId(id),
@@ -454,19 +460,19 @@
             can_vote: true,
         };
         let snapshot = Snapshot {
-            last: (Epoch(1), Index(5)),
+            last: (Term(1), LogIndex(5)),
             members: (1..=voters).map(member).collect(),
             state: serde_bytes::ByteBuf::from(almanac.write()),
         };
-        let kept = |id| Kept {
+        let kept = |id| PersistentState {
             me: MemberId(id),
-            epoch: Epoch(1),
+            epoch: Term(1),
             snapshot: snapshot.clone(),
-            ..Kept::default()
+            ..PersistentState::default()
         };
-        let follower = |id| Hedge::new(kept(id), false, START, || 10);
+        let follower = |id| RaftNode::new(kept(id), false, START, || 10);
         let settings = Settings::parse(SETTINGS).expect("settings");
-        let steward = Steward::new(settings, kept(1), true, || 10, Queue::default(), START);
+        let steward = Controller::new(settings, kept(1), true, || 10, Queue::default(), START);
         let followers = (2..=voters).map(follower).collect();
         let steward = steward.expect("starts");
         let mut this = Self { steward, followers, cut: false, now: START };
@@ -494,7 +500,7 @@
                 let follower = self.followers.iter_mut().find(|f| f.kept.me == to);
                 let follower = follower.expect("a follower");
                 follower.step(message, self.now);
-                follower.dirty = Dirty::default();
+                follower.dirty = UnsavedChanges::default();
                 follower.stored(follower.last());
                 for (to, answer) in follower.out.drain(..) {
                     let message = Box::new(answer);
@@ -510,37 +516,43 @@
             self.turn();
         }
     }
-    fn hear(&mut self, conn: u64, message: ToSteward) {
-        self.steward.take(Input::Frame(conn, Frame::Stile(message)), self.now);
+    fn hear(&mut self, conn: u64, message: ToController) {
+        self.steward.take(Input::Frame(conn, Frame::Pooler(message)), self.now);
         self.turn();
     }
     fn hello(&mut self, conn: u64, name: &str) {
         let (node, zone, revision) = (name.into(), "z".into(), Revision(1));
-        self.hear(conn, ToSteward::Hello { node, life: 1, revision, zone });
+        self.hear(conn, ToController::Hello { node, life: 1, revision, zone });
     }
     fn close(&mut self, conn: u64) {
         self.steward.take(Input::Closed(conn), self.now);
         self.turn();
     }
     /// A renewal with what was seen; gives its answer's grant and watermark of the service.
-    fn renew_with(&mut self, conn: u64, seq: u64, heard: u64, saw: Vec<Saw>) -> Granted {
+    fn renew_with(
+        &mut self,
+        conn: u64,
+        seq: u64,
+        heard: u64,
+        saw: Vec<ObservedPosition>,
+    ) -> Granted {
         self.steward.effects.sent.clear();
         let (shares, wants, busy) = (Vec::new(), Vec::new(), Vec::new());
         let asks = vec![service()];
-        self.hear(conn, ToSteward::Renew { seq, heard, shares, wants, saw, asks, busy });
+        self.hear(conn, ToController::RenewLeases { seq, heard, shares, wants, saw, asks, busy });
         let answers = std::mem::take(&mut self.steward.effects.sent).into_iter();
         let mut granted = answers.filter_map(|(to, message)| match message {
-            ToStile::Granted { seq: of, grants, fresh, .. } if (to, of) == (conn, seq) => {
+            ToPooler::LeaseGrants { seq: of, grants, fresh, .. } if (to, of) == (conn, seq) => {
                 Some((grants.into_iter().next(), fresh.into_iter().next()))
             }
             _ => None,
         });
         granted.next_back()
     }
-    fn renew(&mut self, conn: u64) -> Option<Grant> {
+    fn renew(&mut self, conn: u64) -> Option<LeaseGrant> {
         self.renew_with(conn, 1, 0, Vec::new()).expect("answered").0
     }
-    fn standing(&mut self, conn: u64) -> Option<Standing> {
+    fn standing(&mut self, conn: u64) -> Option<PrimaryStatus> {
         self.renew(conn).map(|grant| grant.standing)
     }
     fn share(&mut self, conn: u64) -> Option<u32> {
@@ -549,51 +561,56 @@
     fn says(&mut self, conn: u64, share: u32) {
         let (shares, wants, saw) = (vec![(service(), share)], Vec::new(), Vec::new());
         let (seq, heard, asks, busy) = (1, 0, Vec::new(), Vec::new());
-        self.hear(conn, ToSteward::Renew { seq, heard, shares, wants, saw, asks, busy });
+        self.hear(conn, ToController::RenewLeases { seq, heard, shares, wants, saw, asks, busy });
     }
     /// A database answers the question of this kind that it was asked.
-    fn answer(&mut self, id: &str, kind: fn(&Ask) -> bool, told: Told) {
+    fn answer(&mut self, id: &str, kind: fn(&DatabaseRequest) -> bool, told: DatabaseResponse) {
         let asks = &mut self.steward.effects.asks;
         let place = asks.iter().position(|(of, ask, _)| *of == id.into() && kind(ask));
         let (id, ask, attempt) = asks.remove(place.unwrap_or_else(|| panic!("{id} is not asked")));
-        self.steward.take(Input::Told(service(), id, ask, attempt, told), self.now);
+        self.steward.take(Input::DatabaseResponse(service(), id, ask, attempt, told), self.now);
         self.turn();
     }
-    fn asked(&self, id: &str, kind: fn(&Ask) -> bool) -> bool {
+    fn asked(&self, id: &str, kind: fn(&DatabaseRequest) -> bool) -> bool {
         self.steward.effects.asks.iter().any(|(of, ask, _)| *of == id.into() && kind(ask))
     }
     /// The replicas go on after the earlier leader.
     fn settle(&mut self, replicas: &[&str]) {
         for id in replicas {
             // It was asked again and again while the leader waited.
-            while self.asked(id, |ask| *ask == Ask::Continue) {
-                self.answer(id, |ask| *ask == Ask::Continue, row(false, 1, 7));
+            while self.asked(id, |ask| *ask == DatabaseRequest::Continue) {
+                self.answer(id, |ask| *ask == DatabaseRequest::Continue, row(false, 1, 7));
             }
         }
     }
     /// The primary is doubted and refuses.
     fn lose_primary(&mut self, conn: u64) {
-        let (instance, why) = ("a".into(), Doubt::Broken);
-        self.hear(conn, ToSteward::Suspect { service: service(), instance, why });
-        self.answer("a", |ask| *ask == Ask::Describe, Told::Lost);
+        let (instance, why) = ("a".into(), SuspicionReason::ConnectionsBroken);
+        self.hear(conn, ToController::Suspect { service: service(), instance, why });
+        self.answer("a", |ask| *ask == DatabaseRequest::Describe, DatabaseResponse::Lost);
     }
-    fn lead(&self) -> &Lead {
+    fn lead(&self) -> &PrimaryRecord {
         &self.steward.almanac().leads[&service()]
     }
 }
-type Granted = Option<(Option<Grant>, Option<Fresh>)>;
+type Granted = Option<(Option<LeaseGrant>, Option<PositionBound>)>;
 
-fn row(primary: bool, term: u64, number: u64) -> Told {
-    Told::Row(Described { primary, term: DbTerm(term), received: at(number) })
+fn row(primary: bool, term: u64, number: u64) -> DatabaseResponse {
+    DatabaseResponse::Description(ServerDescription {
+        primary,
+        term: DbTerm(term),
+        received: at(number),
+    })
 }
-fn pauses(ask: &Ask) -> bool {
-    matches!(ask, Ask::Pause(_))
+fn pauses(ask: &DatabaseRequest) -> bool {
+    matches!(ask, DatabaseRequest::Pause(_))
 }
 
 /// From the loss of a primary to the next one's term, as the poolers are told.
 #[test]
 fn a_renewal_grants_no_lease_that_is_revoked_and_the_next_term_waits_for_the_old() {
-    let revoked = |highest| ToSteward::Revoked { service: service(), term: DbTerm(1), highest };
+    let revoked =
+        |highest| ToController::RevokeAck { service: service(), term: DbTerm(1), highest };
     // (what the pooler does, ms after its last lease at which the next term may begin)
     for (what, until) in
         [("nothing", LEASE_ENDS_MS), ("closes", LEASE_ENDS_MS), ("gives back", 0), ("goodbye", 0)]
@@ -605,33 +622,34 @@
         assert_eq!(leader.standing(1), Some(led(1)), "{what}");
         let leased = leader.now;
         leader.lose_primary(2);
-        assert_eq!(leader.standing(2), Some(Standing::Unled), "{what}: never leased");
+        assert_eq!(leader.standing(2), Some(PrimaryStatus::Absent), "{what}: never leased");
         match what {
             "closes" => leader.close(1),
             "gives back" => leader.hear(1, revoked(Some(at(8)))),
-            "goodbye" => leader.hear(1, ToSteward::Bye),
-            _ => assert_eq!(leader.standing(1), Some(Standing::Unled)),
+            "goodbye" => leader.hear(1, ToController::Goodbye),
+            _ => assert_eq!(leader.standing(1), Some(PrimaryStatus::Absent)),
         }
         leader.answer("b", pauses, row(false, 1, 7));
         leader.answer("c", pauses, row(false, 1, 9));
         assert_eq!(leader.lead().intent, Some("c".into()), "{what}");
         for _ in 0..2 {
-            assert_eq!(leader.standing(2), Some(Standing::Sealed(at(9))), "{what}: each time");
+            assert_eq!(leader.standing(2), Some(PrimaryStatus::Sealed(at(9))), "{what}: each time");
         }
         let (target, attempt) = leader.steward.effects.posts.pop().expect("promoted");
-        let posted = Input::Posted(service(), target, attempt, Posted::Accepted);
+        let posted =
+            Input::PromotionResponse(service(), target, attempt, PromotionResponse::Accepted);
         leader.steward.take(posted, leader.now);
         leader.run(600);
-        leader.answer("c", |ask| *ask == Ask::Describe, row(true, 2, 9));
+        leader.answer("c", |ask| *ask == DatabaseRequest::Describe, row(true, 2, 9));
         leader.run(100);
         while leader.now.since(leased) < until {
             assert_eq!(leader.lead().term, DbTerm(1), "{what}: {}", leader.now.since(leased));
-            assert_eq!(leader.standing(2), Some(Standing::Sealed(at(9))), "{what}");
+            assert_eq!(leader.standing(2), Some(PrimaryStatus::Sealed(at(9))), "{what}");
             leader.run(50);
         }
         leader.run(150);
         assert_eq!((&leader.lead().primary, leader.lead().term), (&"c".into(), TERM), "{what}");
-        let next = Standing::Led { term: TERM, primary: "c".into() };
+        let next = PrimaryStatus::Active { term: TERM, primary: "c".into() };
         assert_eq!(leader.standing(2), Some(next), "{what}");
     }
 }
@@ -659,13 +677,18 @@
         // What was seen since the election covers poolers that only the leader before knew.
         if what != "gives back 7, nothing seen" {
             leader.run(100);
-            let saw = Saw { service: service(), term: DbTerm(1), position: at(6), after: 50 };
+            let saw = ObservedPosition {
+                service: service(),
+                term: DbTerm(1),
+                position: at(6),
+                after: 50,
+            };
             leader.renew_with(1, 2, 1, vec![saw]).expect("answered");
         }
         leader.lose_primary(2);
         let word = |number| {
             let highest = Some(at(number));
-            ToSteward::Revoked { service: service(), term: DbTerm(1), highest }
+            ToController::RevokeAck { service: service(), term: DbTerm(1), highest }
         };
         match what {
             "closes" => leader.close(1),
@@ -674,7 +697,10 @@
             _ => assert_eq!(what, "nothing"),
         }
         // The other pooler never had a lease, and says that it passed on nothing.
-        leader.hear(2, ToSteward::Revoked { service: service(), term: DbTerm(1), highest: None });
+        leader.hear(
+            2,
+            ToController::RevokeAck { service: service(), term: DbTerm(1), highest: None },
+        );
         leader.answer("b", pauses, row(false, 1, 7));
         leader.run(ms);
         let target = may.then(|| "b".into());
@@ -684,7 +710,7 @@
 
 #[test]
 fn a_departed_replica_holds_up_a_planned_change_only_where_copies_are_counted_on() {
-    let gone = Change::Gone { id: "c".into(), sequence: u64::MAX };
+    let gone = Command::RemoveInstance { id: "c".into(), sequence: u64::MAX };
     // (synchronous replicas, whether `c` has departed, whether the change begins at once)
     for (sync_replicas, departed, begins) in [(1, true, false), (0, true, true), (1, false, true)] {
         let draining = || {
@@ -694,13 +720,14 @@
                 "database_role": "primary",
             });
             let instance = serde_json::from_value(instance).expect("instance");
-            Change::Beat { id: "a".into(), instance, sequence: 2 }
+            Command::Heartbeat { id: "a".into(), instance, sequence: 2 }
         };
         let before = if departed { vec![draining(), gone.clone()] } else { vec![draining()] };
         let mut leader = Leader::new(sync_replicas, &before);
         leader.settle(if departed { &["b"] } else { &["b", "c"] });
         leader.run(200);
-        let began = leader.asked("b", |ask| *ask == Ask::Describe) || leader.asked("c", pauses);
+        let began =
+            leader.asked("b", |ask| *ask == DatabaseRequest::Describe) || leader.asked("c", pauses);
         assert_eq!(began, begins, "{sync_replicas} {departed}");
     }
 }
@@ -725,7 +752,7 @@
         leader.run(1_000);
         leader.renew_with(1, 2, 1, Vec::new()).expect("answered");
         leader.run(500);
-        let saw = Saw { service: service(), term: DbTerm(1), position: at(7), after };
+        let saw = ObservedPosition { service: service(), term: DbTerm(1), position: at(7), after };
         leader.renew_with(1, 3, heard, vec![saw]).expect("answered");
         let (_, fresh) = leader.renew_with(2, 1, 0, Vec::new()).expect("answered");
         assert_eq!(fresh.map(|f| f.age), age, "{heard} {after}");
@@ -742,9 +769,10 @@
     assert_eq!(leader.standing(2), Some(led(1)));
     assert_eq!(leader.standing(2), None, "told already, and granted again");
     // A give-back or a goodbye that was under way would end what is granted on the newer one.
-    for late in
-        [ToSteward::Revoked { service: service(), term: DbTerm(1), highest: None }, ToSteward::Bye]
-    {
+    for late in [
+        ToController::RevokeAck { service: service(), term: DbTerm(1), highest: None },
+        ToController::Goodbye,
+    ] {
         leader.hear(1, late);
         assert_eq!(leader.standing(2), None, "it has what it was told");
     }
@@ -788,8 +816,8 @@
     assert!(leader.steward.hedge().is_leader(), "for a moment it leads all the same");
     assert_eq!(leader.renew_with(1, 2, 1, Vec::new()), None, "no lease is renewed");
     leader.steward.effects.asks.clear();
-    let (instance, why) = ("a".into(), Doubt::Broken);
-    leader.hear(1, ToSteward::Suspect { service: service(), instance, why });
+    let (instance, why) = ("a".into(), SuspicionReason::ConnectionsBroken);
+    leader.hear(1, ToController::Suspect { service: service(), instance, why });
     assert_eq!(leader.steward.effects.asks, [], "no database is asked");
     leader.steward.effects.sent.clear();
     leader.hello(2, "n2");
@@ -817,7 +845,7 @@
         leader.settle(&["b", "c"]);
         leader.now = leader.now.plus(1_600_000);
         leader.run(100);
-        assert!(!leader.asked("a", |ask| *ask == Ask::Describe), "not before its time");
+        assert!(!leader.asked("a", |ask| *ask == DatabaseRequest::Describe), "not before its time");
         if let Some(sequence) = sequence {
             let body = serde_json::json!({
                 "target_service": "s", "address": "10.0.0.9:1", "zone": "z", "revision": "v1",
@@ -832,17 +860,21 @@
         }
         leader.now = leader.now.plus(300_000);
         leader.run(100);
-        assert_eq!(leader.asked("a", |ask| *ask == Ask::Describe), doubted, "{sequence:?}");
+        assert_eq!(
+            leader.asked("a", |ask| *ask == DatabaseRequest::Describe),
+            doubted,
+            "{sequence:?}"
+        );
     }
 }
 
 #[test]
 fn a_message_counts_only_for_the_member_that_it_is_for() {
     let message = || {
-        let previous = (Epoch(0), Index(0));
-        let (entries, commit, sent) = (Vec::new(), Index(0), 0);
-        let kind = RaftKind::Append { previous, entries, commit, sent };
-        Box::new(Raft { from: MemberId(2), epoch: Epoch(99), kind })
+        let previous = (Term(0), LogIndex(0));
+        let (entries, commit, sent) = (Vec::new(), LogIndex(0), 0);
+        let kind = RaftMessageKind::AppendEntries { previous, entries, commit, sent };
+        Box::new(RaftMessage { from: MemberId(2), epoch: Term(99), kind })
     };
     for (to, heard) in [(1, true), (2, false), (9, false)] {
         let mut leader = Leader::of(3, 1, &[]);
@@ -861,10 +893,10 @@
     leader.steward.take(Input::Http(order, reply), leader.now);
     leader.turn();
     assert!(answer.try_recv().is_err(), "it waits for the quorum");
-    let previous = (Epoch(0), Index(0));
-    let (entries, commit, sent) = (Vec::new(), Index(0), 0);
-    let kind = RaftKind::Append { previous, entries, commit, sent };
-    let message = Box::new(Raft { from: MemberId(2), epoch: Epoch(99), kind });
+    let previous = (Term(0), LogIndex(0));
+    let (entries, commit, sent) = (Vec::new(), LogIndex(0), 0);
+    let kind = RaftMessageKind::AppendEntries { previous, entries, commit, sent };
+    let message = Box::new(RaftMessage { from: MemberId(2), epoch: Term(99), kind });
     leader.steward.take(Input::Frame(0, Frame::Raft { to: MemberId(1), message }), leader.now);
     leader.turn();
     assert_eq!(answer.try_recv().map(|a| a.status), Ok(503));
--- a/tests/link.rs
+++ b/tests/link.rs
@@ -1,9 +1,9 @@
 //! A node's link to the leader, against stewards that are played here.
 use silvertack::base::ids::{NodeName, Revision};
 use silvertack::base::time::Tick;
-use silvertack::net::leader_connection::{Follower, Link};
-use silvertack::net::leader_discovery::Search;
-use silvertack::net::rpc::pooler_messages::{ToSteward, ToStile};
+use silvertack::net::leader_connection::{LeaderConnection, LeaderSubscriber};
+use silvertack::net::leader_discovery::LeaderDiscovery;
+use silvertack::net::rpc::pooler_messages::{ToController, ToPooler};
 use silvertack::net::rpc::{Frame, receive, send};
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,14 +11,14 @@
 use std::time::{Duration, Instant};
 
 struct Node;
-impl Follower for Node {
-    fn hello(&self) -> ToSteward {
+impl LeaderSubscriber for Node {
+    fn hello(&self) -> ToController {
         let node = NodeName::from("n");
-        ToSteward::Hello { node, life: 1, revision: Revision(0), zone: "here".into() }
+        ToController::Hello { node, life: 1, revision: Revision(0), zone: "here".into() }
     }
     fn linked(&self) {}
     fn begin(&self) {}
-    fn hear(&self, _: ToStile) {}
+    fn hear(&self, _: ToPooler) {}
 }
 
 /// Takes in a node that says who it is, and tells it of these stewards.
@@ -26,8 +26,8 @@
     let (mut stream, _) = at.accept().expect("a node");
     stream.set_read_timeout(Some(Duration::from_secs(5))).expect("timeout");
     let hello = receive(&mut stream).expect("a frame");
-    assert!(matches!(hello, Frame::Stile(ToSteward::Hello { .. })));
-    send(&mut stream, &Frame::Steward(ToStile::Welcome { stewards })).expect("sent");
+    assert!(matches!(hello, Frame::Pooler(ToController::Hello { .. })));
+    send(&mut stream, &Frame::Controller(ToPooler::Welcome { stewards })).expect("sent");
     stream
 }
 
@@ -36,12 +36,12 @@
     let listeners: Vec<_> =
         (0..2).map(|_| TcpListener::bind("127.0.0.1:0").expect("a port")).collect();
     let at: Vec<_> = listeners.iter().map(|l| l.local_addr().expect("address")).collect();
-    let link = Arc::new(Link::new("test", vec![at[0]]));
+    let link = Arc::new(LeaderConnection::new("test", vec![at[0]]));
     std::thread::spawn(move || link.keep(&Node));
     // The second joined after the node was welcomed, and the first goes dark.
     let mut first = welcome(&listeners[0], vec![at[0]]);
-    let all = ToStile::Welcome { stewards: at.clone() };
-    send(&mut first, &Frame::Steward(all)).expect("sent");
+    let all = ToPooler::Welcome { stewards: at.clone() };
+    send(&mut first, &Frame::Controller(all)).expect("sent");
     std::thread::sleep(Duration::from_millis(100));
     drop(first);
     welcome(&listeners[1], at);
@@ -63,10 +63,10 @@
                 std::thread::sleep(after);
                 let answer = match says {
                     Says::Nothing => return std::thread::sleep(Duration::from_secs(60)),
-                    Says::Elsewhere => ToStile::Elsewhere(Some(leader)),
-                    Says::Welcome => ToStile::Welcome { stewards: Vec::new() },
+                    Says::Elsewhere => ToPooler::NotLeader(Some(leader)),
+                    Says::Welcome => ToPooler::Welcome { stewards: Vec::new() },
                 };
-                let _ = hello.and_then(|_| send(&mut stream, &Frame::Steward(answer)));
+                let _ = hello.and_then(|_| send(&mut stream, &Frame::Controller(answer)));
                 // Open for as long as the node wants it.
                 while receive(&mut stream).is_ok() {}
             });
@@ -104,7 +104,7 @@
             steward(says, after, at[leads], listener);
         }
         let dial = if after == none { at_once } else { crowded };
-        let link = Arc::new(Link::through("test", at, dial));
+        let link = Arc::new(LeaderConnection::through("test", at, dial));
         let keeping = Arc::clone(&link);
         let begun = Instant::now();
         std::thread::spawn(move || keeping.keep(&Node));
@@ -118,7 +118,7 @@
 #[test]
 fn tries_go_on_side_by_side() {
     let at = |n: u16| SocketAddr::from(([10, 0, 0, 1], n));
-    let mut search = Search::new(vec![at(0), at(1), at(2)]);
+    let mut search = LeaderDiscovery::new(vec![at(0), at(1), at(2)]);
     search.begin(None, Tick(1_000));
     // Now, what ended with which hint, and what is tried then.
     type Row = (u64, Option<(u16, Option<u16>)>, Option<u16>);
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -1,12 +1,14 @@
 //! Who belongs to the stewards: losses, returns and replacements in every order.
 #[path = "support/stewards.rs"]
 mod stewards;
-use silvertack::base::ids::{Epoch, Index, MemberId, Revision};
+use silvertack::base::ids::{LogIndex, MemberId, Revision, Term};
 use silvertack::base::time::Tick;
 use silvertack::net::rpc::pack;
-use silvertack::net::rpc::raft_messages::{Body, Member, Raft, RaftKind, Snapshot};
-use silvertack::raft::node::{Dirty, Hedge, Kept};
-use silvertack::state_machine::{Almanac, Change};
+use silvertack::net::rpc::raft_messages::{
+    EntryPayload, Member, RaftMessage, RaftMessageKind, Snapshot,
+};
+use silvertack::raft::node::{PersistentState, RaftNode, UnsavedChanges};
+use silvertack::state_machine::{Command, StateMachine};
 use std::collections::HashSet;
 use stewards::{Orchard, SYNC_MS, State, member};
 
@@ -139,19 +141,20 @@
 
 /// A leader and what it sends; the others are played here.
 struct Led {
-    hedge: Hedge,
+    hedge: RaftNode,
     now: Tick,
 }
 impl Led {
     fn new(voters: u64) -> Self {
         let members = (1..=voters).map(|i| member(i, i, true)).collect();
         let snapshot = Snapshot { members, ..Snapshot::default() };
-        let kept = Kept { me: MemberId(1), snapshot, ..Kept::default() };
-        let mut this = Self { hedge: Hedge::new(kept, false, Tick(1_000), || 0), now: Tick(2_000) };
+        let kept = PersistentState { me: MemberId(1), snapshot, ..PersistentState::default() };
+        let mut this =
+            Self { hedge: RaftNode::new(kept, false, Tick(1_000), || 0), now: Tick(2_000) };
         this.hedge.tick(this.now);
         for trial in [true, false] {
             for from in 2..=voters {
-                this.hear(from, RaftKind::Vote { trial, granted: true });
+                this.hear(from, RaftMessageKind::VoteResponse { trial, granted: true });
             }
         }
         assert!(this.hedge.is_leader());
@@ -159,21 +162,21 @@
         this
     }
     fn store(&mut self) {
-        self.hedge.dirty = Dirty::default();
+        self.hedge.dirty = UnsavedChanges::default();
         self.hedge.stored(self.hedge.last());
     }
-    fn hear(&mut self, from: u64, kind: RaftKind) {
-        let trial = matches!(kind, RaftKind::Vote { trial: true, .. });
-        let epoch = Epoch(self.hedge.kept.epoch.0 + u64::from(trial));
-        self.hedge.step(Raft { from: MemberId(from), epoch, kind }, self.now);
+    fn hear(&mut self, from: u64, kind: RaftMessageKind) {
+        let trial = matches!(kind, RaftMessageKind::VoteResponse { trial: true, .. });
+        let epoch = Term(self.hedge.kept.epoch.0 + u64::from(trial));
+        self.hedge.step(RaftMessage { from: MemberId(from), epoch, kind }, self.now);
     }
     /// One says that it holds everything up to here, in answer to what was sent just now.
     fn holds(&mut self, from: u64, upto: u64) {
         let sent = self.now.0;
-        self.hear(from, RaftKind::Appended { upto: Index(upto), ok: true, sent });
+        self.hear(from, RaftMessageKind::AppendResponse { upto: LogIndex(upto), ok: true, sent });
     }
     fn propose(&mut self) {
-        self.hedge.propose(Body::Opened, self.now);
+        self.hedge.propose(EntryPayload::NoOp, self.now);
         self.store();
     }
     fn wait(&mut self, ms: u64) {
@@ -183,7 +186,7 @@
     /// Who was asked to take over.
     fn asked(&mut self) -> Vec<u64> {
         let out = self.hedge.out.drain(..);
-        out.filter(|(_, m)| m.kind == RaftKind::TakeOver).map(|(to, _)| to.0).collect()
+        out.filter(|(_, m)| m.kind == RaftMessageKind::TimeoutNow).map(|(to, _)| to.0).collect()
     }
 }
 
@@ -238,11 +241,18 @@
                 && due <= led.now
             {
                 answers.pop_front();
-                led.hear(2, RaftKind::Appended { upto: Index(upto), ok: true, sent: sent.0 });
+                led.hear(
+                    2,
+                    RaftMessageKind::AppendResponse {
+                        upto: LogIndex(upto),
+                        ok: true,
+                        sent: sent.0,
+                    },
+                );
             }
             let wanted = led.hedge.wanted_members([&joiner].into_iter(), 0, 4_000, led.now);
             if let Some(list) = wanted {
-                led.hedge.propose(Body::Members(list), led.now);
+                led.hedge.propose(EntryPayload::Membership(list), led.now);
                 led.store();
             }
         }
@@ -271,7 +281,7 @@
         let mut led = Led::new(voters);
         let joins = (0..learners).map(|i| member(100 + i, 100 + i, false));
         let list: Vec<Member> = led.hedge.members().iter().cloned().chain(joins).collect();
-        led.hedge.propose(Body::Members(list), led.now);
+        led.hedge.propose(EntryPayload::Membership(list), led.now);
         for waited in [0, 4_900, 5_100, 59_900, 60_100, 600_000] {
             let now = led.now.plus(waited);
             let may = led.hedge.may_begin(bears, now);
@@ -279,23 +289,23 @@
         }
         // A restart waits anew; whoever does not lead never says so.
         let kept = led.hedge.kept.clone();
-        let again = Hedge::new(kept, true, led.now.plus(600_000), || 0);
+        let again = RaftNode::new(kept, true, led.now.plus(600_000), || 0);
         assert!(!again.may_begin(bears, led.now.plus(600_000)));
     }
 }
 
 #[test]
 fn that_something_was_taken_is_kept_in_the_state() {
-    let configure = Change::Configure {
+    let configure = Command::PutConfiguration {
         base: Revision(0),
         revision: Revision(1),
         body: serde_bytes::ByteBuf::from(b"{}".to_vec()),
     };
-    let mut almanac = Almanac::default();
+    let mut almanac = StateMachine::default();
     assert!(!almanac.begun());
     almanac.apply(&configure);
     assert!(almanac.begun());
-    let again = Almanac::read(&pack(&almanac)).expect("read");
+    let again = StateMachine::read(&pack(&almanac)).expect("read");
     assert!(again.begun(), "after a fold, and on a disk of before");
 }
 
@@ -353,7 +363,7 @@
         assert!(led.hedge.granting(led.now), "{what}");
         led.wait(500);
         let commit = led.hedge.commit;
-        led.hedge.propose(Body::Members(list(voters, learners)), led.now);
+        led.hedge.propose(EntryPayload::Membership(list(voters, learners)), led.now);
         led.store();
         assert_eq!(led.hedge.commit, commit, "{what}: its own disk alone");
         let last = led.hedge.last().1;
@@ -381,13 +391,13 @@
     for (voters, learners, grant, leads) in cases {
         for trial in [true, false] {
             let snapshot = Snapshot { members: list(voters, learners), ..Snapshot::default() };
-            let kept = Kept { me: MemberId(1), snapshot, ..Kept::default() };
-            let mut hedge = Hedge::new(kept, false, Tick(1_000), || 0);
+            let kept = PersistentState { me: MemberId(1), snapshot, ..PersistentState::default() };
+            let mut hedge = RaftNode::new(kept, false, Tick(1_000), || 0);
             let now = Tick(2_000);
             hedge.tick(now);
-            let vote = |hedge: &mut Hedge, id: u64, trial| {
-                let kind = RaftKind::Vote { trial, granted: true };
-                hedge.step(Raft { from: MemberId(id), epoch: Epoch(1), kind }, now);
+            let vote = |hedge: &mut RaftNode, id: u64, trial| {
+                let kind = RaftMessageKind::VoteResponse { trial, granted: true };
+                hedge.step(RaftMessage { from: MemberId(id), epoch: Term(1), kind }, now);
             };
             if !trial {
                 (2..=voters).for_each(|id| vote(&mut hedge, id, true));
@@ -409,7 +419,7 @@
         led.hedge.wanted_members(joining, 1, 4_000, led.now).map(|list| list.len())
     };
     assert_eq!(wanted(&led), Some(4));
-    led.hedge.propose(Body::Members(list(3, 1)), led.now);
+    led.hedge.propose(EntryPayload::Membership(list(3, 1)), led.now);
     led.store();
     assert_eq!(wanted(&led), None, "the change is on one disk of three");
     led.holds(4, led.hedge.last().1.0);
@@ -419,14 +429,14 @@
     // One that hands over adds nothing to its log any more.
     led.hedge.hand_over(led.now);
     let last = led.hedge.last();
-    assert_eq!(led.hedge.propose(Body::Members(list(3, 2)), led.now), None);
+    assert_eq!(led.hedge.propose(EntryPayload::Membership(list(3, 2)), led.now), None);
     assert_eq!(led.hedge.last(), last);
 }
 
 #[test]
 fn a_learner_is_not_asked_to_take_over() {
     let mut led = Led::new(3);
-    led.hedge.propose(Body::Members(list(3, 1)), led.now);
+    led.hedge.propose(EntryPayload::Membership(list(3, 1)), led.now);
     led.store();
     let last = led.hedge.last().1.0;
     led.holds(4, last);
--- a/tests/nodes.rs
+++ b/tests/nodes.rs
@@ -3,8 +3,8 @@
 
 use silvertack::base::ids::{NodeName, Revision};
 use silvertack::config::configuration::Configuration;
-use silvertack::config::route_table::Lanes;
-use silvertack::net::rpc::pooler_messages::{ToSteward, ToStile};
+use silvertack::config::route_table::RouteTable;
+use silvertack::net::rpc::pooler_messages::{ToController, ToPooler};
 use silvertack::net::rpc::{Frame, receive, send};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::path::{Path, PathBuf};
@@ -61,7 +61,7 @@
     answer.ok().and_then(|(_, body)| serde_json::from_str(&body).ok()).unwrap_or_default()
 }
 
-fn lanes(revision: u64, hosts: &[&str]) -> Lanes {
+fn lanes(revision: u64, hosts: &[&str]) -> RouteTable {
     let route = |host: &&str| {
         serde_json::json!({
             "name": host, "hostname": host, "path_prefix": "/", "route_type": "idempotent",
@@ -73,25 +73,28 @@
         "route_rules": hosts.iter().map(route).collect::<Vec<_>>(),
         "services": [{ "name": "s", "max_connections": 16 }], "limits": {},
     });
-    Lanes::of(&Configuration::read(config.to_string().as_bytes()).expect("configuration"))
+    RouteTable::of(&Configuration::read(config.to_string().as_bytes()).expect("configuration"))
 }
 /// A node says which version it has, and is taken in.
 fn welcome(at: &TcpListener) -> (TcpStream, Revision) {
     let (mut stream, _) = at.accept().expect("a node");
     stream.set_read_timeout(Some(Duration::from_secs(5))).expect("timeout");
-    let Ok(Frame::Stile(ToSteward::Hello { revision, .. })) = receive(&mut stream) else {
+    let Ok(Frame::Pooler(ToController::Hello { revision, .. })) = receive(&mut stream) else {
         panic!("no hello");
     };
-    tell(&mut stream, ToStile::Welcome { stewards: Vec::new() });
+    tell(&mut stream, ToPooler::Welcome { stewards: Vec::new() });
     (stream, revision)
 }
-fn tell(to: &mut TcpStream, message: ToStile) {
-    send(to, &Frame::Steward(message)).expect("sent");
+fn tell(to: &mut TcpStream, message: ToPooler) {
+    send(to, &Frame::Controller(message)).expect("sent");
 }
 /// The node asks for the whole, and has handled all that was told before.
 fn wait_for_whole(stream: &mut TcpStream) {
     let begun = Instant::now();
-    while !matches!(receive(stream).expect("a frame"), Frame::Stile(ToSteward::Whole)) {
+    while !matches!(
+        receive(stream).expect("a frame"),
+        Frame::Pooler(ToController::RequestFullTable)
+    ) {
         assert!(begun.elapsed() < Duration::from_secs(5), "took a change it has no base for");
     }
 }
@@ -117,12 +120,14 @@
         let (one, two, three) = (lanes(1, &["a"]), lanes(2, &["a", "b"]), lanes(3, &["b"]));
         let (four, five) = (lanes(4, &["c"]), lanes(5, &["b", "c"]));
         let has = || status(ready)["revision"].as_u64();
-        let whole = |lanes: &Lanes| ToStile::Configured(Box::new(lanes.clone()));
-        let changed = |from: &Lanes, to: &Lanes| ToStile::Changed(Box::new(to.since(from)));
+        let whole = |lanes: &RouteTable| ToPooler::RouteTable(Box::new(lanes.clone()));
+        let changed = |from: &RouteTable, to: &RouteTable| {
+            ToPooler::RouteTableDelta(Box::new(to.since(from)))
+        };
 
         let (mut link, had) = welcome(&leader);
         assert_eq!(had, Revision(0), "{role}");
-        tell(&mut link, ToStile::Directory(Vec::new()));
+        tell(&mut link, ToPooler::Directory(Vec::new()));
         tell(&mut link, whole(&three));
         // Older ones, and a change to a newer one from a version that it does not have.
         let stale = [whole(&two), changed(&one, &two), changed(&two, &four)];
@@ -133,7 +138,7 @@
         drop(link);
         let (mut link, had) = welcome(&leader);
         assert_eq!(had, Revision(3), "{role}");
-        tell(&mut link, ToStile::Directory(Vec::new()));
+        tell(&mut link, ToPooler::Directory(Vec::new()));
         tell(&mut link, whole(&one));
         stale.into_iter().for_each(|message| tell(&mut link, message));
         wait_for_whole(&mut link);
@@ -180,9 +185,13 @@
     let greet = |name: &str| {
         let mut stream = TcpStream::connect(at(leader, peer)).expect("the leader");
         let zone = "here".into();
-        let hello =
-            ToSteward::Hello { node: NodeName::from(name), life: 1, revision: Revision(0), zone };
-        send(&mut stream, &Frame::Stile(hello)).expect("sent");
+        let hello = ToController::Hello {
+            node: NodeName::from(name),
+            life: 1,
+            revision: Revision(0),
+            zone,
+        };
+        send(&mut stream, &Frame::Pooler(hello)).expect("sent");
         stream
     };
     let stays = greet("stays");
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -1,18 +1,20 @@
 //! Orders and reads: what a steward may answer, and when. Time and the network are the test's.
 use serde_bytes::ByteBuf;
-use silvertack::base::ids::{Epoch, Index, MemberId, NodeName, Revision};
+use silvertack::base::ids::{LogIndex, MemberId, NodeName, Revision, Term};
 use silvertack::base::time::Tick;
-use silvertack::controller::admin_api::{Call, Verdict};
-use silvertack::controller::linearizable_reads::{Proposed, Reads};
-use silvertack::net::rpc::raft_messages::{Body, Member, Raft, RaftKind, Snapshot};
+use silvertack::controller::admin_api::{AdminCall, CallDecision};
+use silvertack::controller::linearizable_reads::{LinearizableReads, PendingProposals};
+use silvertack::net::rpc::raft_messages::{
+    EntryPayload, Member, RaftMessage, RaftMessageKind, Snapshot,
+};
 use silvertack::net::rpc::{pack, unpack};
-use silvertack::raft::node::{Dirty, Hedge, Kept};
-use silvertack::state_machine::{Almanac, Change, Effect};
+use silvertack::raft::node::{PersistentState, RaftNode, UnsavedChanges};
+use silvertack::state_machine::{Command, CommandOutcome, StateMachine};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 const SPREADS: [fn() -> u64; 5] = [|| 10, || 130, || 250, || 370, || 70];
 
-fn founder(id: u64, of: u64) -> Kept {
+fn founder(id: u64, of: u64) -> PersistentState {
     let member = |i: u64| Member {
         id: MemberId(i),
         node: NodeName(format!("n{i}")),
@@ -23,63 +25,69 @@
     };
     let members = (1..=of).map(member).collect();
     let snapshot = Snapshot { members, ..Snapshot::default() };
-    Kept { me: MemberId(id), snapshot, ..Kept::default() }
+    PersistentState { me: MemberId(id), snapshot, ..PersistentState::default() }
 }
 fn body(revision: u64, of: char) -> ByteBuf {
     ByteBuf::from(format!("{{\"revision\":{revision},\"by\":\"{of}\"}}"))
 }
 /// The order of an operator: what it builds on, its number, whose it is.
-fn order(base: u64, revision: u64, of: char) -> Change {
+fn order(base: u64, revision: u64, of: char) -> Command {
     let (base, number) = (Revision(base), Revision(revision));
-    Change::Configure { base, revision: number, body: body(revision, of) }
+    Command::PutConfiguration { base, revision: number, body: body(revision, of) }
 }
-fn put(base: u64, revision: u64, of: char) -> Call {
-    Call::Change(order(base, revision, of))
+fn put(base: u64, revision: u64, of: char) -> AdminCall {
+    AdminCall::Command(order(base, revision, of))
 }
-fn status(verdict: Verdict) -> Option<u16> {
+fn status(verdict: CallDecision) -> Option<u16> {
     match verdict {
-        Verdict::Answer(response) => Some(response.status),
-        Verdict::Propose(_) => None,
+        CallDecision::Answer(response) => Some(response.status),
+        CallDecision::Propose(_) => None,
     }
 }
-fn gone(id: &str) -> Call {
-    Call::Change(Change::Gone { id: id.into(), sequence: u64::MAX })
+fn gone(id: &str) -> AdminCall {
+    AdminCall::Command(Command::RemoveInstance { id: id.into(), sequence: u64::MAX })
 }
-fn beat(id: &str) -> Change {
+fn beat(id: &str) -> Command {
     let instance = serde_json::json!({
         "target_service": "s", "address": "10.0.0.9:1", "zone": "z", "revision": "v1",
         "capacity": 7, "lifecycle_state": "available", "warmup_left_ms": 0,
         "database_role": "replica",
     });
     let instance = serde_json::from_value(instance).expect("instance");
-    Change::Beat { id: id.into(), instance, sequence: 1 }
+    Command::Heartbeat { id: id.into(), instance, sequence: 1 }
 }
 
 struct Node {
-    hedge: Hedge,
-    almanac: Almanac,
-    applied: Index,
-    reads: Reads<u32>,
-    proposed: Proposed<u32>,
+    hedge: RaftNode,
+    almanac: StateMachine,
+    applied: LogIndex,
+    reads: LinearizableReads<u32>,
+    proposed: PendingProposals<u32>,
 }
 impl Node {
-    fn new(kept: Kept, restarted: bool, now: Tick) -> Self {
+    fn new(kept: PersistentState, restarted: bool, now: Tick) -> Self {
         let spread = SPREADS[kept.me.0 as usize - 1];
         let state = &kept.snapshot.state;
         let almanac = match state.is_empty() {
-            true => Almanac::default(),
-            false => Almanac::read(state).expect("state"),
+            true => StateMachine::default(),
+            false => StateMachine::read(state).expect("state"),
         };
         let applied = kept.snapshot.last.1;
-        let hedge = Hedge::new(kept, restarted, now, spread);
-        let (reads, proposed) = (Reads::default(), Proposed::default());
+        let hedge = RaftNode::new(kept, restarted, now, spread);
+        let (reads, proposed) = (LinearizableReads::default(), PendingProposals::default());
         Self { hedge, almanac, applied, reads, proposed }
     }
-    fn carry(&mut self, from: u32, verdict: Verdict, now: Tick) -> Option<(u32, u16, Vec<u8>)> {
+    fn carry(
+        &mut self,
+        from: u32,
+        verdict: CallDecision,
+        now: Tick,
+    ) -> Option<(u32, u16, Vec<u8>)> {
         match verdict {
-            Verdict::Answer(response) => Some((from, response.status, response.body)),
-            Verdict::Propose(change) => {
-                let index = self.hedge.propose(Body::Change(ByteBuf::from(pack(&change))), now);
+            CallDecision::Answer(response) => Some((from, response.status, response.body)),
+            CallDecision::Propose(change) => {
+                let index =
+                    self.hedge.propose(EntryPayload::Command(ByteBuf::from(pack(&change))), now);
                 let Some(index) = index else { return Some((from, 503, Vec::new())) };
                 self.proposed.add(self.hedge.kept.epoch, index, from);
                 None
@@ -90,19 +98,19 @@
     fn turn(&mut self, now: Tick) -> Vec<(u32, u16, Vec<u8>)> {
         let mut answers = Vec::new();
         if self.hedge.kept.snapshot.last.1 > self.applied {
-            self.almanac = Almanac::read(&self.hedge.kept.snapshot.state).expect("state");
+            self.almanac = StateMachine::read(&self.hedge.kept.snapshot.state).expect("state");
             self.applied = self.hedge.kept.snapshot.last.1;
         }
         for entry in self.hedge.committed(self.applied) {
             self.applied = entry.index;
             let caller = self.proposed.take(&entry);
-            if let Body::Change(bytes) = &entry.body {
+            if let EntryPayload::Command(bytes) = &entry.body {
                 let effect = self.almanac.apply(&unpack(bytes).expect("change"));
                 let status = match effect {
-                    Effect::Done | Effect::Nothing => 200,
-                    Effect::Outdated => 412,
-                    Effect::NotAbove => 400,
-                    Effect::Forgotten => 503,
+                    CommandOutcome::Applied | CommandOutcome::NoChange => 200,
+                    CommandOutcome::StaleBase => 412,
+                    CommandOutcome::RevisionNotAbove => 400,
+                    CommandOutcome::HistoryExpired => 503,
                 };
                 answers.extend(caller.map(|from| (from, status, Vec::new())));
             }
@@ -124,9 +132,9 @@
 struct Site {
     now: Tick,
     nodes: BTreeMap<u64, Node>,
-    disks: BTreeMap<u64, Kept>,
+    disks: BTreeMap<u64, PersistentState>,
     /// To whom, from whom, and when it may arrive.
-    wire: VecDeque<(u64, u64, Tick, Raft)>,
+    wire: VecDeque<(u64, u64, Tick, RaftMessage)>,
     delay: u64,
     frozen: BTreeSet<u64>,
     cut: BTreeSet<u64>,
@@ -158,12 +166,12 @@
                 for (from, status, body) in node.turn(self.now) {
                     assert!(self.answers.insert(from, (status, body)).is_none(), "once");
                 }
-                if std::mem::take(&mut node.hedge.dirty) != Dirty::default() {
+                if std::mem::take(&mut node.hedge.dirty) != UnsavedChanges::default() {
                     self.disks.insert(*id, node.hedge.kept.clone());
                     node.hedge.stored(node.hedge.last());
                 }
                 for (to, message) in node.hedge.out.drain(..) {
-                    let append = matches!(message.kind, RaftKind::Append { .. });
+                    let append = matches!(message.kind, RaftMessageKind::AppendEntries { .. });
                     self.appends += usize::from(append);
                     let at = self.now.plus(self.delay);
                     self.wire.push_back((to.0, *id, at, message));
@@ -171,7 +179,8 @@
             }
             let (cut, frozen, now) = (&self.cut, &self.frozen, self.now);
             self.wire.retain(|(to, from, ..)| !cut.contains(to) && !cut.contains(from));
-            let due = |(to, _, at, _): &(u64, u64, Tick, Raft)| *at <= now && !frozen.contains(to);
+            let due =
+                |(to, _, at, _): &(u64, u64, Tick, RaftMessage)| *at <= now && !frozen.contains(to);
             let (arriving, later): (VecDeque<_>, VecDeque<_>) = self.wire.drain(..).partition(due);
             self.wire = later;
             // All that has come is taken in before a steward's next turn.
@@ -206,7 +215,7 @@
         leaders[0]
     }
     /// A call reaches a steward, whose clock was read at `at`; nothing else happens yet.
-    fn call_at(&mut self, to: u64, call: Call, at: Tick) -> u32 {
+    fn call_at(&mut self, to: u64, call: AdminCall, at: Tick) -> u32 {
         self.calls += 1;
         let (from, node) = (self.calls, self.nodes.get_mut(&to).expect("node"));
         let answer = match node.hedge.granting(at) {
@@ -221,7 +230,7 @@
         }
         from
     }
-    fn call(&mut self, to: u64, call: Call) -> u32 {
+    fn call(&mut self, to: u64, call: AdminCall) -> u32 {
         self.call_at(to, call, self.now)
     }
     /// The status that a call got, if it was answered.
@@ -229,7 +238,7 @@
         self.answers.get(&call).map_or(0, |(status, _)| *status)
     }
     /// Calls and waits for the answer.
-    fn ask(&mut self, to: u64, call: Call) -> (u16, Vec<u8>) {
+    fn ask(&mut self, to: u64, call: AdminCall) -> (u16, Vec<u8>) {
         let call = self.call(to, call);
         self.run(1_000);
         self.answers.get(&call).cloned().expect("answered within a second")
@@ -245,8 +254,8 @@
 #[test]
 fn a_leader_frozen_between_a_call_and_its_answer_says_nothing_of_what_is_current() {
     // (the call at the old leader, the answer at the new one)
-    let calls: [(&str, Call, u16); 5] = [
-        ("read", Call::ReadConfiguration, 200),
+    let calls: [(&str, AdminCall, u16); 5] = [
+        ("read", AdminCall::ReadConfiguration, 200),
         ("built on the newer version", put(5, 7, 'c'), 200),
         ("stale here, stale there", put(2, 7, 'c'), 412),
         ("not above", put(3, 3, 'x'), 412),
@@ -266,7 +275,7 @@
             let live = site.nodes.iter().find(|(id, n)| **id != old && n.hedge.granting(site.now));
             let new = *live.expect("another leads").0;
             assert_eq!(site.ask(new, put(3, 5, 'b')).0, 200);
-            assert_eq!(site.ask(new, Call::Change(beat("late"))).0, 200);
+            assert_eq!(site.ask(new, AdminCall::Command(beat("late"))).0, 200);
             site.frozen.clear();
             // Thawed, it goes on where it was, with the clock that it had read.
             let asked = early.unwrap_or_else(|| site.call_at(old, call.clone(), before));
@@ -301,11 +310,11 @@
     // One voter of two answers: enough. None: the caller is told so before it goes on.
     let others: Vec<u64> = (1..=3).filter(|id| *id != leader).collect();
     site.cut.insert(others[0]);
-    let asked = site.call(leader, Call::ReadConfiguration);
+    let asked = site.call(leader, AdminCall::ReadConfiguration);
     site.run(2);
     assert_eq!(site.status(asked), 200);
     site.cut.insert(others[1]);
-    for call in [Call::ReadConfiguration, put(2, 7, 'c'), put(3, 2, 'c'), put(0, 3, 'a')] {
+    for call in [AdminCall::ReadConfiguration, put(2, 7, 'c'), put(3, 2, 'c'), put(0, 3, 'a')] {
         let asked = site.call(leader, call.clone());
         // It goes on to ask: whoever answers again is heard.
         site.run(700);
@@ -327,10 +336,10 @@
     let old = site.lead();
     assert_eq!(site.ask(old, put(0, 3, 'a')).0, 200);
     // Asked to go, it may still answer what came before, as long as nobody else leads.
-    let asked = site.call(old, Call::ReadConfiguration);
+    let asked = site.call(old, AdminCall::ReadConfiguration);
     let now = site.now;
     site.nodes.get_mut(&old).expect("leader").hedge.hand_over(now);
-    let late = site.call(old, Call::ReadConfiguration);
+    let late = site.call(old, AdminCall::ReadConfiguration);
     assert_eq!(site.status(late), 503, "nothing new from then on");
     site.run(1_000);
     assert_eq!(site.status(asked), 503, "the other led before a quorum had answered");
@@ -345,7 +354,7 @@
     // One that is alone has nobody to ask.
     let mut site = Site::new(1);
     let leader = site.lead();
-    let asked = site.call(leader, Call::ReadConfiguration);
+    let asked = site.call(leader, AdminCall::ReadConfiguration);
     site.settle();
     assert_eq!(site.status(asked), 404);
     assert_eq!(site.ask(leader, put(0, 3, 'a')).0, 200);
@@ -365,7 +374,7 @@
         site.appends = 0;
         let mut asked = Vec::new();
         for _ in 0..1_000 {
-            asked.extend((0..calls).map(|_| site.call(leader, Call::ReadConfiguration)));
+            asked.extend((0..calls).map(|_| site.call(leader, AdminCall::ReadConfiguration)));
             site.run(1);
         }
         let appends = site.appends;
@@ -377,7 +386,7 @@
     // A single call is not kept waiting for the next heartbeat.
     let mut site = Site::new(3);
     let leader = site.lead();
-    let asked = site.call(leader, Call::ReadConfiguration);
+    let asked = site.call(leader, AdminCall::ReadConfiguration);
     site.run(1);
     assert_eq!(site.status(asked), 404);
 }
@@ -390,20 +399,24 @@
     let now = site.now;
     // The message of an epoch that has passed comes out of a socket at last.
     let hedge = &mut site.nodes.get_mut(&follower).expect("follower").hedge;
-    let late = RaftKind::Append {
-        previous: (Epoch(0), Index(0)),
+    let late = RaftMessageKind::AppendEntries {
+        previous: (Term(0), LogIndex(0)),
         entries: Vec::new(),
-        commit: Index(0),
+        commit: LogIndex(0),
         sent: now.0 + 600_000,
     };
-    hedge.step(Raft { from: MemberId(leader), epoch: Epoch(0), kind: late }, now);
+    hedge.step(RaftMessage { from: MemberId(leader), epoch: Term(0), kind: late }, now);
     let (_, answer) = hedge.out.pop().expect("it is told that it is late");
-    assert!(matches!(answer.kind, RaftKind::Appended { ok: false, sent: 0, .. }), "{answer:?}");
+    assert!(
+        matches!(answer.kind, RaftMessageKind::AppendResponse { ok: false, sent: 0, .. }),
+        "{answer:?}"
+    );
     // Nor does a leader believe such an answer, whoever gave it.
     let hedge = &mut site.nodes.get_mut(&leader).expect("leader").hedge;
-    let kind = RaftKind::Appended { upto: Index(0), ok: false, sent: now.0 + 600_000 };
+    let kind =
+        RaftMessageKind::AppendResponse { upto: LogIndex(0), ok: false, sent: now.0 + 600_000 };
     let epoch = hedge.kept.epoch;
-    hedge.step(Raft { from: MemberId(follower), epoch, kind }, now);
+    hedge.step(RaftMessage { from: MemberId(follower), epoch, kind }, now);
     site.cut.extend((1..=3).filter(|id| *id != leader));
     site.run(500);
     assert!(!site.nodes[&leader].hedge.granting(site.now), "cut off for half a second");
@@ -418,7 +431,7 @@
         let mut leader = site.lead();
         assert_eq!(site.ask(leader, put(0, 3, 'a')).0, 200);
         site.delay = 10;
-        site.call(leader, Call::Change(beat("one")));
+        site.call(leader, AdminCall::Command(beat("one")));
         let first = site.call(leader, put(3, 5, 'b'));
         match what {
             "nothing" => site.run(100),
@@ -446,7 +459,7 @@
             }
             _ => {
                 for n in 0..300 {
-                    site.call(leader, Call::Change(beat(&format!("i{n}"))));
+                    site.call(leader, AdminCall::Command(beat(&format!("i{n}"))));
                 }
                 site.run(1_000);
                 assert!(!site.disks[&leader].snapshot.state.is_empty(), "folded");
@@ -474,7 +487,7 @@
         let mut blank = body(7, 'd');
         blank.push(b' ');
         let (base, revision) = (Revision(5), Revision(7));
-        let blank = Call::Change(Change::Configure { base, revision, body: blank });
+        let blank = AdminCall::Command(Command::PutConfiguration { base, revision, body: blank });
         assert_eq!(site.ask(leader, blank).0, 412, "{what}");
         // The old leader's own place in the log has another's entry now: its caller never hears yes.
         site.frozen.clear();
@@ -510,12 +523,12 @@
 
 #[test]
 fn what_was_taken_is_never_refused_however_many_came_since() {
-    let mut almanac = Almanac::default();
+    let mut almanac = StateMachine::default();
     let many = 4_096;
     for n in 0..=many {
         // Every third number is left out.
         let (base, revision) = (if n == 0 { 0 } else { 3 * n }, 3 * n + 3);
-        assert_eq!(almanac.apply(&order(base, revision, 'a')), Effect::Done);
+        assert_eq!(almanac.apply(&order(base, revision, 'a')), CommandOutcome::Applied);
         if n == many - 1 {
             assert_eq!(status(put(0, 3, 'a').judge(&almanac)), Some(200));
         }
@@ -531,7 +544,7 @@
         ("not above", put(newest, 3, 'b'), Some(400)),
         ("the next", put(newest, newest + 3, 'a'), None),
     ];
-    let restored = Almanac::read(&pack(&almanac)).expect("as it was packed");
+    let restored = StateMachine::read(&pack(&almanac)).expect("as it was packed");
     for (what, call, expected) in cases {
         assert_eq!(status(call.clone().judge(&almanac)), expected, "{what}");
         assert_eq!(status(call.judge(&restored)), expected, "{what}, restored");
@@ -545,25 +558,25 @@
                a12a21809080";
     let byte = |at| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex");
     let bytes: Vec<u8> = (0..hex.len()).step_by(2).map(byte).collect();
-    let mut almanac = Almanac::read(&bytes).expect("the older layout");
-    let put = |base, revision, body: &str| Change::Configure {
+    let mut almanac = StateMachine::read(&bytes).expect("the older layout");
+    let put = |base, revision, body: &str| Command::PutConfiguration {
         base: Revision(base),
         revision: Revision(revision),
         body: ByteBuf::from(body),
     };
     // (base, revision, body, what comes of it)
     let cases = [
-        (0, 3, r#"{"revision":3}"#, Effect::Nothing),
-        (3, 7, r#"{"revision":7}"#, Effect::Nothing),
-        (3, 7, r#"{"revision":7} "#, Effect::Outdated),
-        (3, 7, r#"{"revision":8}"#, Effect::Outdated),
-        (7, 9, r#"{"revision":9}"#, Effect::Done),
-        (7, 9, r#"{"revision":9}"#, Effect::Nothing),
-        (3, 7, r#"{"revision":7}"#, Effect::Nothing),
+        (0, 3, r#"{"revision":3}"#, CommandOutcome::NoChange),
+        (3, 7, r#"{"revision":7}"#, CommandOutcome::NoChange),
+        (3, 7, r#"{"revision":7} "#, CommandOutcome::StaleBase),
+        (3, 7, r#"{"revision":8}"#, CommandOutcome::StaleBase),
+        (7, 9, r#"{"revision":9}"#, CommandOutcome::Applied),
+        (7, 9, r#"{"revision":9}"#, CommandOutcome::NoChange),
+        (3, 7, r#"{"revision":7}"#, CommandOutcome::NoChange),
     ];
     for (base, revision, body, effect) in cases {
         assert_eq!(almanac.apply(&put(base, revision, body)), effect, "{base} {revision} {body}");
-        almanac = Almanac::read(&pack(&almanac)).expect("both kinds side by side");
+        almanac = StateMachine::read(&pack(&almanac)).expect("both kinds side by side");
     }
 }
 
@@ -573,10 +586,13 @@
     let leader = site.lead();
     assert_eq!(site.ask(leader, put(0, 3, 'a')).0, 200);
     let (now, node) = (site.now, site.nodes.get_mut(&leader).expect("leader"));
-    let before = Almanac::default();
-    let mut reads = Reads::<u32>::default();
-    assert_eq!(reads.ask(&mut node.hedge, &node.almanac, Call::ReadConfiguration, 7, now), None);
-    let behind = Index(node.applied.0 - 1);
+    let before = StateMachine::default();
+    let mut reads = LinearizableReads::<u32>::default();
+    assert_eq!(
+        reads.ask(&mut node.hedge, &node.almanac, AdminCall::ReadConfiguration, 7, now),
+        None
+    );
+    let behind = LogIndex(node.applied.0 - 1);
     let early = reads.settled(&node.hedge, &before, behind, now);
     assert_eq!(early, [], "the last entry is not applied yet");
     let settled = reads.settled(&node.hedge, &node.almanac, node.applied, now);
@@ -590,8 +606,8 @@
     let leader = site.lead();
     let now = site.now;
     let node = site.nodes.get_mut(&leader).expect("leader");
-    let mut reads = Reads::<u32>::default();
-    let asked = reads.ask(&mut node.hedge, &node.almanac, Call::ReadConfiguration, 7, now);
+    let mut reads = LinearizableReads::<u32>::default();
+    let asked = reads.ask(&mut node.hedge, &node.almanac, AdminCall::ReadConfiguration, 7, now);
     assert_eq!(asked, None);
     assert_eq!(reads.settled(&node.hedge, &node.almanac, node.applied, now), [], "still open");
     site.restart(&[leader]);
--- a/tests/power.rs
+++ b/tests/power.rs
@@ -1,14 +1,14 @@
 //! After a loss of power each file that was made, renamed or removed without a sync of its folder is
 //! there or not, by itself. Tables of what may then lie in a steward's folder, of real SQLite files.
-use silvertack::base::ids::{Epoch, Index, MemberId, NodeName};
-use silvertack::net::rpc::raft_messages::{Body, Entry, Member, Snapshot};
-use silvertack::raft::node::{Dirty, Kept};
-use silvertack::raft::storage::{Granary, Sheaf};
+use silvertack::base::ids::{LogIndex, MemberId, NodeName, Term};
+use silvertack::net::rpc::raft_messages::{EntryPayload, LogEntry, Member, Snapshot};
+use silvertack::raft::node::{PersistentState, UnsavedChanges};
+use silvertack::raft::storage::{RaftStorage, WriteBatch};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-fn first() -> Kept {
+fn first() -> PersistentState {
     let member = Member {
         id: MemberId(1),
         node: NodeName("n1".into()),
@@ -18,7 +18,14 @@
         can_vote: true,
     };
     let snapshot = Snapshot { members: vec![member], ..Snapshot::default() };
-    Kept { me: MemberId(1), epoch: Epoch(1), voted: None, led: None, log: Vec::new(), snapshot }
+    PersistentState {
+        me: MemberId(1),
+        epoch: Term(1),
+        voted: None,
+        led: None,
+        log: Vec::new(),
+        snapshot,
+    }
 }
 fn folder(name: &str) -> PathBuf {
     static MADE: AtomicU64 = AtomicU64::new(0);
@@ -27,12 +34,16 @@
     std::fs::create_dir_all(&path).expect("folder");
     path
 }
-fn write(granary: &mut Granary, kept: &mut Kept, entries: u64, bytes: usize) {
+fn write(granary: &mut RaftStorage, kept: &mut PersistentState, entries: u64, bytes: usize) {
     for _ in 0..entries {
-        let index = Index(kept.log.len() as u64 + 1);
-        kept.log.push(Entry { epoch: Epoch(1), index, body: Body::Change(vec![0; bytes].into()) });
-        let dirty = Dirty { log_from: Some(index), ..Dirty::default() };
-        granary.save(&Sheaf::of(kept, &dirty)).expect("saved");
+        let index = LogIndex(kept.log.len() as u64 + 1);
+        kept.log.push(LogEntry {
+            epoch: Term(1),
+            index,
+            body: EntryPayload::Command(vec![0; bytes].into()),
+        });
+        let dirty = UnsavedChanges { log_from: Some(index), ..UnsavedChanges::default() };
+        granary.save(&WriteBatch::of(kept, &dirty)).expect("saved");
     }
 }
 
@@ -80,7 +91,7 @@
     drop(db);
     std::fs::write(folder.join(JOURNAL), [0; 28]).expect("a journal at rest");
     std::fs::hard_link(folder.join(JOURNAL), folder.join("kept")).expect("a second name");
-    drop(Granary::found(&folder, first).expect("founded"));
+    drop(RaftStorage::found(&folder, first).expect("founded"));
     assert!(!folder.join(JOURNAL).exists(), "its name is removed");
     let kept = read(&folder, "kept");
     assert!(kept.as_ref().is_some_and(|k| k.len() > 512), "it went through this journal");
@@ -94,14 +105,14 @@
     let now = |name: &str| read(&base, name);
     // (what had just happened, forms of the WAL, entries that must be there); the rest as it lies.
     let mut cases: Vec<(&str, File, Vec<File>, usize)> = Vec::new();
-    let (mut granary, mut kept, _) = Granary::found(&base, first).expect("founded");
+    let (mut granary, mut kept, _) = RaftStorage::found(&base, first).expect("founded");
     write(&mut granary, &mut kept, 3, 8);
     let three = now(WAL);
     cases.push(("saved", now(DATABASE), vec![three.clone()], 3));
     drop(granary);
     assert_eq!(now(WAL), None, "an orderly end removes it");
     cases.push(("closed", now(DATABASE), vec![three.clone(), None], 3));
-    let (mut granary, _) = Granary::open(&base).expect("again");
+    let (mut granary, _) = RaftStorage::open(&base).expect("again");
     let old = vec![three.clone(), None, now(WAL), Some(Vec::new())];
     cases.push(("opened, nothing saved", now(DATABASE), old, 3));
     // With the first transaction the folder is synced (see the test of the premise).
@@ -118,7 +129,7 @@
     cases.push(("saved past a checkpoint", now(DATABASE), vec![late.clone()], 205));
     drop(granary);
     cases.push(("closed past a checkpoint", now(DATABASE), vec![late.clone(), None], 205));
-    let (granary, _) = Granary::open(&base).expect("again");
+    let (granary, _) = RaftStorage::open(&base).expect("again");
     cases.push(("opened past a checkpoint", now(DATABASE), vec![late, None, now(WAL)], 205));
     drop(granary);
     let mark = now("member");
@@ -133,12 +144,13 @@
             let at = lay(&files);
             let why = format!("{what}: {:?}", shape(&files));
             // It is read, and what is saved on top of it is read too.
-            let (mut granary, found) = Granary::open(&at).unwrap_or_else(|e| panic!("{why}: {e}"));
+            let (mut granary, found) =
+                RaftStorage::open(&at).unwrap_or_else(|e| panic!("{why}: {e}"));
             let mut found = found.unwrap_or_else(|| panic!("{why}: nothing"));
             assert_eq!(found.log.len(), entries, "{why}");
             write(&mut granary, &mut found, 1, 8);
             drop(granary);
-            let (_, found) = Granary::open(&at).unwrap_or_else(|e| panic!("{why}, then: {e}"));
+            let (_, found) = RaftStorage::open(&at).unwrap_or_else(|e| panic!("{why}, then: {e}"));
             assert_eq!(found.map(|f| f.log.len()), Some(entries + 1), "{why}, then");
             let _ = std::fs::remove_dir_all(&at);
         }
@@ -150,10 +162,10 @@
 fn a_founding_that_was_not_over_is_begun_again_and_one_that_was_is_not() {
     let base = folder("founding");
     let journal = journal_of_the_founding();
-    let (granary, _) = Granary::open(&base).expect("made");
+    let (granary, _) = RaftStorage::open(&base).expect("made");
     let (empty, tables) = (read(&base, DATABASE), read(&base, WAL));
     drop(granary);
-    let (granary, ..) = Granary::found(&base, first).expect("founded");
+    let (granary, ..) = RaftStorage::found(&base, first).expect("founded");
     let (database, state, mark) = (read(&base, DATABASE), read(&base, WAL), read(&base, "member"));
     drop(granary);
     let (nothing, cut) = (None, Some(Vec::new()));
@@ -198,11 +210,12 @@
         for files in combinations(&forms) {
             let at = lay(&files);
             let why = format!("{what}: {:?}", shape(&files));
-            match (Granary::found(&at, first), founded) {
+            match (RaftStorage::found(&at, first), founded) {
                 (Ok((granary, kept, was)), Some(founded)) => {
                     assert_eq!((kept.me, !was), (MemberId(1), founded), "{why}");
                     drop(granary);
-                    let (_, found) = Granary::open(&at).unwrap_or_else(|e| panic!("{why}: {e}"));
+                    let (_, found) =
+                        RaftStorage::open(&at).unwrap_or_else(|e| panic!("{why}: {e}"));
                     assert_eq!(found.map(|f| f.me), Some(MemberId(1)), "{why}, then");
                 }
                 (Err(e), None) => assert!(e.to_string().contains("is gone"), "{why}: {e}"),
--- a/tests/repeats.rs
+++ b/tests/repeats.rs
@@ -594,13 +594,13 @@
 
 #[test]
 fn once_a_byte_has_left_a_request_may_have_run() {
-    use silvertack::gateway::attempts::Ended;
+    use silvertack::gateway::attempts::AttemptOutcome;
     use silvertack::gateway::forwarding::send_whole;
     let cases = [
-        (0, Err(Ended::NotSent)),
-        (1, Err(Ended::MayHaveRun)),
-        (9, Err(Ended::MayHaveRun)),
-        (10, Err(Ended::MayHaveRun)),
+        (0, Err(AttemptOutcome::NotSent)),
+        (1, Err(AttemptOutcome::MayHaveRun)),
+        (9, Err(AttemptOutcome::MayHaveRun)),
+        (10, Err(AttemptOutcome::MayHaveRun)),
         (11, Ok(())),
     ];
     for (takes, ended) in cases {
@@ -610,12 +610,12 @@
 
 #[test]
 fn an_answer_with_two_ids_is_nobodys() {
-    use silvertack::gateway::http1::{Garbled, read_answer};
+    use silvertack::gateway::http1::{ParseError, read_answer};
     let cases = [("a", true), ("b", false), ("", false)];
     for (second, same) in cases {
         let head = format!("HTTP/1.1 200 OK\r\nRequest-Id: a\r\nRequest-Id: {second}\r\n\r\n");
         let got = read_answer(head.as_bytes(), "GET").map(|found| found.is_some());
-        assert_eq!(got, if same { Ok(true) } else { Err(Garbled) }, "{second:?}");
+        assert_eq!(got, if same { Ok(true) } else { Err(ParseError) }, "{second:?}");
     }
 }
 
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,6 +1,6 @@
 //! Settings: what is refused and why, and what a changed file does.
 use silvertack::config::configuration::Configuration;
-use silvertack::config::route_table::{Changed, Lanes, Run};
+use silvertack::config::route_table::{DeltaRun, RouteTable, RouteTableDelta};
 use silvertack::config::settings::{Settings, Watched};
 use silvertack::net::rpc::{pack, unpack};
 
@@ -54,7 +54,7 @@
             "route_rules": routes.iter().map(|(h, t)| route(h, *t)).collect::<Vec<_>>(),
             "services": services.iter().map(|s| serde_json::json!({ "name": s, "max_connections": 9 })).collect::<Vec<_>>(),
         });
-        Lanes::of(&Configuration::read(body.to_string().as_bytes()).expect("valid"))
+        RouteTable::of(&Configuration::read(body.to_string().as_bytes()).expect("valid"))
     };
     let base = config(3, &[("a", 5), ("b", 5), ("c", 5), ("d", 5)], &["s", "t"]);
     // (what changed, the new version, how many routes have to be sent)
@@ -72,18 +72,21 @@
     for (what, new, sent) in cases {
         let changed = new.since(&base);
         let count: usize =
-            changed.lanes.iter().map(|r| if let Run::New(n) = r { n.len() } else { 0 }).sum();
+            changed.lanes.iter().map(|r| if let DeltaRun::New(n) = r { n.len() } else { 0 }).sum();
         assert_eq!(count, sent, "{what}");
         assert_eq!(base.with(&changed).as_ref(), Some(&new), "{what}");
         let (frame, whole) = (pack(&changed), pack(&new));
-        assert!(unpack::<Changed>(&frame).is_ok_and(|c| c == changed), "{what}: as a frame");
-        assert_eq!(unpack::<Lanes>(&whole).ok(), Some(new), "{what}");
+        assert!(
+            unpack::<RouteTableDelta>(&frame).is_ok_and(|c| c == changed),
+            "{what}: as a frame"
+        );
+        assert_eq!(unpack::<RouteTable>(&whole).ok(), Some(new), "{what}");
         assert_eq!(config(4, &[("a", 5)], &["s"]).with(&changed), None, "{what}: of another base");
     }
     // A place that the base does not have makes nothing of it, and no mix.
     let mut wrong = base.since(&base);
-    wrong.lanes = vec![Run::Same { from: 3, count: 2 }];
+    wrong.lanes = vec![DeltaRun::Same { from: 3, count: 2 }];
     assert_eq!(base.with(&wrong), None);
-    wrong.lanes = vec![Run::Same { from: 1, count: usize::MAX }];
+    wrong.lanes = vec![DeltaRun::Same { from: 1, count: usize::MAX }];
     assert_eq!(base.with(&wrong), None);
 }
