--- a/tests/state.rs
+++ b/tests/state.rs
@@ -4,23 +4,25 @@
 use serde_bytes::ByteBuf;
 use silvertack::base::errors::Fatal;
 use silvertack::base::ids::{
-    DbTerm, Epoch, Index, InstanceId, MemberId, NodeName, Revision, ServiceName,
+    DbTerm, InstanceId, LogIndex, MemberId, NodeName, Revision, ServiceName, Term,
 };
 use silvertack::base::time::Tick;
 use silvertack::config::directory::{Instance, Lifecycle, Role};
 use silvertack::controller::transport::left_out;
-use silvertack::net::rpc::raft_messages::{Body, Entry, Member, Raft, RaftKind, Snapshot};
+use silvertack::net::rpc::raft_messages::{
+    EntryPayload, LogEntry, Member, RaftMessage, RaftMessageKind, Snapshot,
+};
 use silvertack::net::rpc::{
     FIRST_LAYOUT, Frame, LAYOUT, encode, pack, receive, receive_with_layout, send, unpack,
 };
-use silvertack::raft::node::{Dirty, Hedge, Kept};
-use silvertack::raft::storage::{Granary, Sheaf};
-use silvertack::state_machine::{Almanac, Change, Effect, read_kept, readable};
+use silvertack::raft::node::{PersistentState, RaftNode, UnsavedChanges};
+use silvertack::raft::storage::{RaftStorage, WriteBatch};
+use silvertack::state_machine::{Command, CommandOutcome, StateMachine, read_kept, readable};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
-use std::process::{Child, Command};
+use std::process::{self, Child};
 use std::time::{Duration, Instant};
 use support::{free_port, http};
 
@@ -50,9 +52,9 @@
     path
 }
 /// What stands in that folder and in the frames.
-fn old_state() -> Almanac {
+fn old_state() -> StateMachine {
     let body = br#"{"revision":12,"route_rules":[{"name":"strict","hostname":"strict","path_prefix":"/","route_type":"primary","timeout_ms":2000,"target_latency_ms":250,"priority":1,"target_service":"s","max_attempts":2,"stale_ms":1500}],"services":[{"name":"s","health_check_path":"/health","max_connections":16,"sync_replicas":1}],"limits":{"txn_idle_ms":3000}}"#;
-    let beat = |id: &str, database_role, sequence| Change::Beat {
+    let beat = |id: &str, database_role, sequence| Command::Heartbeat {
         id: id.into(),
         instance: Instance {
             target_service: "s".into(),
@@ -66,9 +68,9 @@
         sequence,
     };
     let (service, term) = (ServiceName::from("s"), DbTerm(3));
-    let mut almanac = Almanac::default();
+    let mut almanac = StateMachine::default();
     for change in [
-        Change::Configure {
+        Command::PutConfiguration {
             base: Revision(0),
             revision: Revision(12),
             body: ByteBuf::from([&body[..], b"\n"].concat()),
@@ -76,9 +78,9 @@
         beat("a", Role::Primary, 4),
         beat("b", Role::Replica, 5),
         beat("c", Role::Replica, 6),
-        Change::Led { service: service.clone(), term, primary: "a".into() },
-        Change::Intend { service, term, target: "b".into() },
-        Change::Gone { id: "c".into(), sequence: 9 },
+        Command::SetPrimary { service: service.clone(), term, primary: "a".into() },
+        Command::BeginFailover { service, term, target: "b".into() },
+        Command::RemoveInstance { id: "c".into(), sequence: 9 },
     ] {
         almanac.apply(&change);
     }
@@ -88,19 +90,21 @@
 #[test]
 fn a_disk_of_the_previous_landing_is_read() {
     let folder = old_folder("old");
-    let (_, kept) = Granary::open(&folder).expect("opened");
+    let (_, kept) = RaftStorage::open(&folder).expect("opened");
     let kept = kept.expect("a state");
     let voted = Some(MemberId(1));
-    assert_eq!((kept.me, kept.epoch, kept.voted), (MemberId(1), Epoch(3), voted));
-    assert_eq!((kept.led, kept.snapshot.last), (Some(Epoch(3)), (Epoch(2), Index(8))));
+    assert_eq!((kept.me, kept.epoch, kept.voted), (MemberId(1), Term(3), voted));
+    assert_eq!((kept.led, kept.snapshot.last), (Some(Term(3)), (Term(2), LogIndex(8))));
     let members = [member(1, true), member(2, true), member(3, false)];
     assert_eq!(kept.snapshot.members, members);
     // The same but for what that program did not keep: another digest of the order, and who departed.
-    let (read, made) = (Almanac::read(&kept.snapshot.state).expect("a state"), old_state());
+    let (read, made) = (StateMachine::read(&kept.snapshot.state).expect("a state"), old_state());
     assert_eq!((&read.body, read.revision), (&made.body, made.revision));
     assert_eq!((&read.instances, &read.leads), (&made.instances, &made.leads));
     assert!(read.departed(&"s".into()).is_empty() && !made.departed(&"s".into()).is_empty());
-    for (body, effect) in [(&made.body[..], Effect::Nothing), (b"{}", Effect::Outdated)] {
+    for (body, effect) in
+        [(&made.body[..], CommandOutcome::NoChange), (b"{}", CommandOutcome::StaleBase)]
+    {
         assert_eq!(read.judge(Revision(3), Revision(12), body), effect, "an order sent again");
     }
     let late = &made.instances[&"b".into()].instance;
@@ -110,11 +114,11 @@
     // Going back is possible as long as nothing new is in it, and of the new layout it is read again.
     assert_eq!(read.write(), *kept.snapshot.state);
     assert_eq!(made.write()[0], 2);
-    assert_eq!(Almanac::read(&made.write()).expect("a state").write(), made.write());
+    assert_eq!(StateMachine::read(&made.write()).expect("a state").write(), made.write());
     assert_eq!(kept.log.iter().map(|e| e.index.0).collect::<Vec<_>>(), [9, 10, 11, 12]);
-    let Body::Change(bytes) = &kept.log[3].body else { panic!("a change") };
-    let led = Change::Led { service: "s".into(), term: DbTerm(4), primary: "b".into() };
-    assert_eq!(unpack::<Change>(bytes).expect("a change"), led);
+    let EntryPayload::Command(bytes) = &kept.log[3].body else { panic!("a change") };
+    let led = Command::SetPrimary { service: "s".into(), term: DbTerm(4), primary: "b".into() };
+    assert_eq!(unpack::<Command>(bytes).expect("a change"), led);
     let _ = std::fs::remove_dir_all(&folder);
 }
 
@@ -188,15 +192,15 @@
 struct Country {
     now: Tick,
     road: Road,
-    hedges: BTreeMap<u64, Hedge>,
+    hedges: BTreeMap<u64, RaftNode>,
     lines: BTreeMap<(u64, u64), Line>,
     down: BTreeSet<u64>,
-    sums: BTreeMap<u64, (Index, Sum)>,
+    sums: BTreeMap<u64, (LogIndex, Sum)>,
     /// What everybody must have come to at an entry.
-    truth: BTreeMap<Index, (u64, u64)>,
+    truth: BTreeMap<LogIndex, (u64, u64)>,
     /// Members that read the first layout only.
     old: BTreeSet<u64>,
-    led: BTreeSet<(u64, Epoch)>,
+    led: BTreeSet<(u64, Term)>,
     /// Milliseconds without a leader that may act.
     unled: u64,
     /// Entries and bytes of the longest and the largest log.
@@ -213,8 +217,8 @@
         let start = Tick(10_000);
         let hedge = |id: u64| {
             let snapshot = Snapshot { members: members.clone(), ..Snapshot::default() };
-            let kept = Kept { me: MemberId(id), snapshot, ..Kept::default() };
-            (id, Hedge::new(kept, false, start, spreads[id as usize - 1]))
+            let kept = PersistentState { me: MemberId(id), snapshot, ..PersistentState::default() };
+            (id, RaftNode::new(kept, false, start, spreads[id as usize - 1]))
         };
         let mut this = Self {
             now: start,
@@ -268,7 +272,7 @@
                 let (_, bytes) = line.flying.pop_front().expect("a frame");
                 let (frame, layout) = receive_with_layout(&mut &bytes[..]).expect("readable");
                 let Frame::Raft { message, .. } = frame else { panic!("of the stewards") };
-                if self.old.contains(to) && matches!(message.kind, RaftKind::Part { .. }) {
+                if self.old.contains(to) && matches!(message.kind, RaftMessageKind::Chunk { .. }) {
                     // Too large a frame for the landed program, which closes the connection.
                     *line = Line::default();
                     break;
@@ -310,15 +314,15 @@
         }
         for entry in hedge.committed(*applied) {
             *applied = entry.index;
-            if let Body::Change(bytes) = &entry.body {
+            if let EntryPayload::Command(bytes) = &entry.body {
                 sum.add(bytes);
             }
             let same = *self.truth.entry(entry.index).or_insert((sum.count, sum.digest));
             assert_eq!(same, (sum.count, sum.digest), "{id} at {}", entry.index);
         }
         hedge.compact(*applied, || sum.bytes());
-        let bytes = |e: &Entry| match &e.body {
-            Body::Change(bytes) => bytes.len(),
+        let bytes = |e: &LogEntry| match &e.body {
+            EntryPayload::Command(bytes) => bytes.len(),
             _ => 0,
         };
         let log = &hedge.kept.log;
@@ -344,9 +348,9 @@
             self.step();
         }
     }
-    fn propose(&mut self, bytes: Vec<u8>) -> Option<Index> {
+    fn propose(&mut self, bytes: Vec<u8>) -> Option<LogIndex> {
         let (id, now) = (self.leader()?, self.now);
-        let body = Body::Change(ByteBuf::from(bytes));
+        let body = EntryPayload::Command(ByteBuf::from(bytes));
         let index = self.hedges.get_mut(&id)?.propose(body, now);
         self.settle(id);
         index
@@ -356,9 +360,9 @@
         let mut kept = self.hedges[&id].kept.clone();
         self.sums.remove(&id);
         if empty {
-            kept = Kept { me: MemberId(id), ..Kept::default() };
+            kept = PersistentState { me: MemberId(id), ..PersistentState::default() };
         }
-        self.hedges.insert(id, Hedge::new(kept, !empty, self.now, || 200));
+        self.hedges.insert(id, RaftNode::new(kept, !empty, self.now, || 200));
         self.down.remove(&id);
     }
     /// So many changes, a large one now and then, each large one once the one before is committed.
@@ -460,13 +464,13 @@
     let mut country = Country::new(THIN);
     country.load(300, 50, 250_000);
     country.run(10_000);
-    let kept = Kept { me: MemberId(4), ..Kept::default() };
-    country.hedges.insert(4, Hedge::new(kept, false, country.now, || 70));
+    let kept = PersistentState { me: MemberId(4), ..PersistentState::default() };
+    country.hedges.insert(4, RaftNode::new(kept, false, country.now, || 70));
     let members = (1..=4).map(|id| member(id, id < 4)).collect();
     let (leader, now) = (country.leader().expect("a leader"), country.now);
     let hedge = country.hedges.get_mut(&leader).expect("there");
-    assert!(hedge.kept.snapshot.last.1 > Index(0), "it needs a snapshot");
-    hedge.propose(Body::Members(members), now).expect("taken");
+    assert!(hedge.kept.snapshot.last.1 > LogIndex(0), "it needs a snapshot");
+    hedge.propose(EntryPayload::Membership(members), now).expect("taken");
     country.catches_up(4, 5_000);
     assert_eq!((country.led.len(), country.unled), (1, 0), "{:?}", country.led);
     assert!(country.widest < 70_000, "{} bytes at once", country.widest);
@@ -537,20 +541,20 @@
 #[test]
 fn parts_that_do_not_belong_are_not_taken() {
     let snapshot = Snapshot {
-        last: (Epoch(4), Index(9)),
+        last: (Term(4), LogIndex(9)),
         members: vec![member(1, true), member(2, true)],
         state: ByteBuf::from(vec![5; 3_000]),
     };
-    let whole = pack(&RaftKind::Snapshot { snapshot, sent: 1 });
+    let whole = pack(&RaftMessageKind::InstallSnapshot { snapshot, sent: 1 });
     let size = whole.len() as u64;
     let part = |leader, epoch, transfer, size, offset: usize, upto: usize| {
         let bytes = ByteBuf::from(&whole[offset..upto]);
-        let kind = RaftKind::Part { transfer, size, offset: offset as u64, bytes, sent: 7 };
-        Raft { from: MemberId(leader), epoch: Epoch(epoch), kind }
+        let kind = RaftMessageKind::Chunk { transfer, size, offset: offset as u64, bytes, sent: 7 };
+        RaftMessage { from: MemberId(leader), epoch: Term(epoch), kind }
     };
     let end = whole.len();
     // (parts in their order, what is answered to each, whether the snapshot is taken)
-    type Case = (&'static str, Vec<Raft>, Vec<Option<u64>>, bool);
+    type Case = (&'static str, Vec<RaftMessage>, Vec<Option<u64>>, bool);
     let cases: Vec<Case> = vec![
         (
             "in order",
@@ -590,34 +594,34 @@
         ("more than it said", vec![part(1, 4, 1, 10, 0, 1_000)], vec![Some(0)], false),
     ];
     for (what, parts, answers, taken) in cases {
-        let kept = Kept { me: MemberId(2), ..Kept::default() };
-        let mut hedge = Hedge::new(kept, false, Tick(9_000), || 10);
+        let kept = PersistentState { me: MemberId(2), ..PersistentState::default() };
+        let mut hedge = RaftNode::new(kept, false, Tick(9_000), || 10);
         for (message, answer) in parts.into_iter().zip(answers) {
             hedge.step(message, Tick(9_010));
             let told = hedge.out.drain(..).find_map(|(_, m)| match m.kind {
-                RaftKind::PartTaken { upto, .. } => Some(upto),
+                RaftMessageKind::ChunkResponse { upto, .. } => Some(upto),
                 _ => None,
             });
             assert_eq!(told, answer, "{what}");
         }
-        assert_eq!(hedge.last().1 == Index(9), taken, "{what}");
+        assert_eq!(hedge.last().1 == LogIndex(9), taken, "{what}");
         assert!(hedge.refused.is_none(), "{what}");
     }
 }
 
 /// A change that a program of a later layout may write, and one whose configuration it may take.
 fn of_later() -> [Vec<u8>; 2] {
-    let change = Change::Abandon { service: "s".into(), target: "b".into() };
-    let configure = Change::Configure {
+    let change = Command::AbandonFailover { service: "s".into(), target: "b".into() };
+    let configure = Command::PutConfiguration {
         base: Revision(12),
         revision: Revision(13),
         body: ByteBuf::from(br#"{"revision":13,"new":{}"#.to_vec()),
     };
     [[&[2][..], &pack(&change)].concat(), pack(&configure)]
 }
-fn entry(index: u64, epoch: u64, bytes: Vec<u8>) -> Entry {
-    let body = Body::Change(ByteBuf::from(bytes));
-    Entry { epoch: Epoch(epoch), index: Index(index), body }
+fn entry(index: u64, epoch: u64, bytes: Vec<u8>) -> LogEntry {
+    let body = EntryPayload::Command(ByteBuf::from(bytes));
+    LogEntry { epoch: Term(epoch), index: LogIndex(index), body }
 }
 
 #[test]
@@ -634,12 +638,12 @@
             file.and_then(|f| f.set_len(to)).expect("cut");
         }
     };
-    let keep = |change: fn(&mut Kept)| {
+    let keep = |change: fn(&mut PersistentState)| {
         move |folder: &Path| {
-            let (mut granary, kept) = Granary::open(folder).expect("opened");
+            let (mut granary, kept) = RaftStorage::open(folder).expect("opened");
             let mut kept = kept.expect("a state");
             change(&mut kept);
-            granary.save(&Sheaf::of(&kept, &Dirty::all())).expect("saved");
+            granary.save(&WriteBatch::of(&kept, &UnsavedChanges::all())).expect("saved");
         }
     };
     // (what, what becomes of the folder, a part of what is said)
@@ -697,7 +701,8 @@
         spoil(&folder);
         let file = folder.join("hedge.sqlite");
         let before = std::fs::read(&file).expect("bytes");
-        let read = Granary::open(&folder).and_then(|(_, kept)| read_kept(&kept.expect("a state")));
+        let read =
+            RaftStorage::open(&folder).and_then(|(_, kept)| read_kept(&kept.expect("a state")));
         let refused = read.err().unwrap_or_else(|| panic!("{what}: read"));
         assert!(
             matches!(refused, Fatal::State(_)) && refused.exit_code() == 3,
@@ -715,22 +720,22 @@
     let marked = || std::fs::read_to_string(folder.join("member")).expect("mark");
     // The landed program did not keep the mark when a removed member began anew.
     std::fs::write(folder.join("member"), "77").expect("mark");
-    let (mut granary, kept) = Granary::open(&folder).expect("not relied on");
+    let (mut granary, kept) = RaftStorage::open(&folder).expect("not relied on");
     assert_eq!(marked(), "members 1\n");
-    let mut kept = Kept { me: MemberId(5), ..kept.expect("a state") };
-    granary.save(&Sheaf::of(&kept, &Dirty::all())).expect("saved");
+    let mut kept = PersistentState { me: MemberId(5), ..kept.expect("a state") };
+    granary.save(&WriteBatch::of(&kept, &UnsavedChanges::all())).expect("saved");
     drop(granary);
     assert_eq!(marked(), "members 1 5\n");
     // As if the machine had stopped between the mark and the state.
     std::fs::write(folder.join("member"), "members 1 5 6\n").expect("mark");
-    let (mut granary, found) = Granary::open(&folder).expect("again");
+    let (mut granary, found) = RaftStorage::open(&folder).expect("again");
     assert_eq!(found.expect("a state").me, MemberId(5));
     // Where the mark can't be written, neither is the state.
     std::fs::create_dir_all(folder.join("member.new")).expect("in the way");
     kept.me = MemberId(7);
-    assert!(granary.save(&Sheaf::of(&kept, &Dirty::all())).is_err());
+    assert!(granary.save(&WriteBatch::of(&kept, &UnsavedChanges::all())).is_err());
     drop(granary);
-    let (_, found) = Granary::open(&folder).expect("again");
+    let (_, found) = RaftStorage::open(&folder).expect("again");
     assert_eq!(found.expect("a state").me, MemberId(5));
     let _ = std::fs::remove_dir_all(&folder);
 }
@@ -738,17 +743,22 @@
 #[test]
 fn what_can_not_be_read_is_neither_taken_nor_acknowledged() {
     let [newer, unknown] = of_later();
-    let base = (Epoch(2), Index(8));
-    let append = |entries| RaftKind::Append { previous: base, entries, commit: Index(9), sent: 1 };
-    let snapshot = |state| RaftKind::Snapshot {
+    let base = (Term(2), LogIndex(8));
+    let append = |entries| RaftMessageKind::AppendEntries {
+        previous: base,
+        entries,
+        commit: LogIndex(9),
+        sent: 1,
+    };
+    let snapshot = |state| RaftMessageKind::InstallSnapshot {
         snapshot: Snapshot {
-            last: (Epoch(3), Index(20)),
+            last: (Term(3), LogIndex(20)),
             members: vec![member(1, true), member(2, true)],
             state: ByteBuf::from(state),
         },
         sent: 1,
     };
-    let good = Change::Abandon { service: "s".into(), target: "b".into() };
+    let good = Command::AbandonFailover { service: "s".into(), target: "b".into() };
     let mut other = old_state();
     other.body = ByteBuf::from(b"{}".to_vec());
     // (what, message, a part of what is said; nothing where it is taken)
@@ -771,14 +781,20 @@
         let members = vec![member(1, true), member(2, true)];
         let state = ByteBuf::from(pack(&old_state()));
         let before = Snapshot { last: base, members, state };
-        let kept =
-            Kept { me: MemberId(2), epoch: Epoch(3), snapshot: before.clone(), ..Kept::default() };
-        let mut hedge = Hedge::new(kept, true, Tick(9_000), || 10);
+        let kept = PersistentState {
+            me: MemberId(2),
+            epoch: Term(3),
+            snapshot: before.clone(),
+            ..PersistentState::default()
+        };
+        let mut hedge = RaftNode::new(kept, true, Tick(9_000), || 10);
         hedge.vet = readable;
-        hedge.step(Raft { from: MemberId(1), epoch: Epoch(3), kind }, Tick(9_500));
+        hedge.step(RaftMessage { from: MemberId(1), epoch: Term(3), kind }, Tick(9_500));
         hedge.stored(hedge.last());
-        let acked =
-            hedge.out.iter().any(|(_, m)| matches!(m.kind, RaftKind::Appended { ok: true, .. }));
+        let acked = hedge
+            .out
+            .iter()
+            .any(|(_, m)| matches!(m.kind, RaftMessageKind::AppendResponse { ok: true, .. }));
         let refused = hedge.refused.clone().unwrap_or_default();
         assert!(
             refused.contains(said) && refused.is_empty() == said.is_empty(),
@@ -786,19 +802,23 @@
         );
         let untouched = hedge.kept.log.is_empty() && hedge.kept.snapshot == before;
         assert_eq!((acked, untouched), (said.is_empty(), !said.is_empty()), "{what}");
-        assert!(untouched != (hedge.dirty != Dirty::default()), "{what}: {:?}", hedge.dirty);
+        assert!(
+            untouched != (hedge.dirty != UnsavedChanges::default()),
+            "{what}: {:?}",
+            hedge.dirty
+        );
     }
 }
 
 #[test]
 fn a_frame_of_another_layout_is_read_or_refused_by_name() {
-    let appended = RaftKind::Appended { upto: Index(3), ok: true, sent: 7 };
+    let appended = RaftMessageKind::AppendResponse { upto: LogIndex(3), ok: true, sent: 7 };
     let raft = |kind| Frame::Raft {
         to: MemberId(2),
-        message: Box::new(Raft { from: MemberId(1), epoch: Epoch(3), kind }),
+        message: Box::new(RaftMessage { from: MemberId(1), epoch: Term(3), kind }),
     };
     let whole = encode(&raft(appended)).to_vec();
-    let part = RaftKind::Part {
+    let part = RaftMessageKind::Chunk {
         transfer: 1,
         size: 9,
         offset: 0,
@@ -851,12 +871,12 @@
     hedge.reads(MemberId(if leader == 1 { 2 } else { 1 }), FIRST_LAYOUT);
     assert!(!hedge.all_read(LAYOUT));
     for kind in [
-        RaftKind::Appended { upto: Index(0), ok: false, sent: 1 },
-        RaftKind::Vote { trial: false, granted: false },
-        RaftKind::PartTaken { transfer: 1, upto: 1, sent: 1 },
+        RaftMessageKind::AppendResponse { upto: LogIndex(0), ok: false, sent: 1 },
+        RaftMessageKind::VoteResponse { trial: false, granted: false },
+        RaftMessageKind::ChunkResponse { transfer: 1, upto: 1, sent: 1 },
     ] {
-        hedge.step(Raft { from: MemberId(77), epoch: Epoch(90), kind }, now);
-        assert!(hedge.is_leader() && hedge.kept.epoch < Epoch(90));
+        hedge.step(RaftMessage { from: MemberId(77), epoch: Term(90), kind }, now);
+        assert!(hedge.is_leader() && hedge.kept.epoch < Term(90));
     }
 }
 
@@ -884,7 +904,7 @@
         );
         std::fs::write(folder.join("node.toml"), settings).expect("settings");
         let log = std::fs::File::create(folder.join("log")).expect("log");
-        let child = Command::new(env!("CARGO_BIN_EXE_silvertack"))
+        let child = process::Command::new(env!("CARGO_BIN_EXE_silvertack"))
             .args(["steward", "--settings"])
             .arg(folder.join("node.toml"))
             .stderr(log)
@@ -929,13 +949,14 @@
 #[test]
 fn a_steward_that_can_not_read_what_was_agreed_stops_and_says_why() {
     let newer = || of_later()[0].clone();
-    let found = |name: &str, voters: u64, log: Vec<Entry>| {
+    let found = |name: &str, voters: u64, log: Vec<LogEntry>| {
         let folder = folder(name);
         let members = (1..=voters).map(|id| member(id, true)).collect();
         let snapshot = Snapshot { members, ..Snapshot::default() };
-        let epoch = Epoch(3);
-        let kept = Kept { me: MemberId(1), epoch, log, snapshot, ..Kept::default() };
-        let (granary, ..) = Granary::found(&folder, || kept).expect("founded");
+        let epoch = Term(3);
+        let kept =
+            PersistentState { me: MemberId(1), epoch, log, snapshot, ..PersistentState::default() };
+        let (granary, ..) = RaftStorage::found(&folder, || kept).expect("founded");
         drop(granary);
         folder
     };
@@ -955,15 +976,15 @@
     eventually("a line", || steward.log().contains(said));
     assert!(steward.answers());
     let mut stream = TcpStream::connect(steward.peer).expect("connected");
-    let previous = (Epoch(0), Index(0));
+    let previous = (Term(0), LogIndex(0));
     let entries = vec![entry(1, 9, newer())];
-    let kind = RaftKind::Append { previous, entries, commit: Index(1), sent: 1 };
-    let message = Box::new(Raft { from: MemberId(2), epoch: Epoch(9), kind });
+    let kind = RaftMessageKind::AppendEntries { previous, entries, commit: LogIndex(1), sent: 1 };
+    let message = Box::new(RaftMessage { from: MemberId(2), epoch: Term(9), kind });
     send(&mut stream, &Frame::Raft { to: MemberId(1), message }).expect("sent");
     assert_eq!(steward.ended(), Some(3), "{}", steward.log());
     let said = "not taken from the leader: entry 1 can't be read: of layout 2";
     assert!(steward.log().contains(said), "{}", steward.log());
-    let (_, kept) = Granary::open(&steward.folder).expect("opened");
+    let (_, kept) = RaftStorage::open(&steward.folder).expect("opened");
     assert!(kept.expect("a state").log.is_empty());
 }
 
@@ -971,16 +992,19 @@
 fn a_late_beat_brings_nothing_back_though_hundreds_left_since() {
     let mut almanac = old_state();
     let instance = almanac.instances[&InstanceId::from("b")].instance.clone();
-    let beat = |n: u64| Change::Beat {
+    let beat = |n: u64| Command::Heartbeat {
         id: InstanceId(format!("d{n}")),
         instance: instance.clone(),
         sequence: 3,
     };
     for n in 0..2_000 {
         almanac.apply(&beat(n));
-        almanac.apply(&Change::Gone { id: InstanceId(format!("d{n}")), sequence: u64::MAX });
+        almanac.apply(&Command::RemoveInstance {
+            id: InstanceId(format!("d{n}")),
+            sequence: u64::MAX,
+        });
     }
-    let mut almanac = Almanac::read(&pack(&almanac)).expect("read");
+    let mut almanac = StateMachine::read(&pack(&almanac)).expect("read");
     for n in 0..2_000 {
         almanac.apply(&beat(n));
     }
@@ -1038,8 +1062,13 @@
     let start = |id: u64, members: Vec<Member>| {
         let folder = folder(&format!("list{id}"));
         let snapshot = Snapshot { members, ..Snapshot::default() };
-        let kept = Kept { me: MemberId(id), epoch: Epoch(1), snapshot, ..Kept::default() };
-        drop(Granary::found(&folder, || kept).expect("founded"));
+        let kept = PersistentState {
+            me: MemberId(id),
+            epoch: Term(1),
+            snapshot,
+            ..PersistentState::default()
+        };
+        drop(RaftStorage::found(&folder, || kept).expect("founded"));
         Process::start_at(&folder, id as u8, ports, &seeds)
     };
     let now = || vec![real(1), real(2), real(3)];
--- a/tests/succession.rs
+++ b/tests/succession.rs
@@ -1,15 +1,20 @@
 //! Who leads a service: each case is a story of events with the deeds that must follow.
-use silvertack::base::ids::{DbTerm, Epoch, InstanceId, NodeName, Position, Revision, ServiceName};
+use silvertack::base::ids::{DbTerm, InstanceId, NodeName, Position, Revision, ServiceName, Term};
 use silvertack::base::time::Tick;
 use silvertack::config::directory::{Instance, Lifecycle, Role};
-use silvertack::controller::pending_updates::Tidings;
-use silvertack::failover::{Ask, Deed, Facts, Posted, Stage, Succession, Told};
-use silvertack::leases::lease_table::{LEASE_MS, LeaseBook};
-use silvertack::leases::watermarks::Freshness;
+use silvertack::controller::pending_updates::PendingUpdates;
+use silvertack::failover::{
+    DatabaseRequest, DatabaseResponse, Failover, FailoverAction, FailoverState, PromotionResponse,
+    ServiceSnapshot,
+};
+use silvertack::leases::lease_table::{LEASE_MS, LeaseTable};
+use silvertack::leases::watermarks::ReplicationWatermarks;
 use silvertack::net::rpc::pack;
-use silvertack::net::rpc::pooler_messages::{Doubt, Grant, Saw, Standing};
-use silvertack::net::statement_protocol::Described;
-use silvertack::state_machine::{Almanac, Change, Effect, Lead};
+use silvertack::net::rpc::pooler_messages::{
+    LeaseGrant, ObservedPosition, PrimaryStatus, SuspicionReason,
+};
+use silvertack::net::statement_protocol::ServerDescription;
+use silvertack::state_machine::{Command, CommandOutcome, PrimaryRecord, StateMachine};
 use std::collections::{BTreeMap, BTreeSet};
 
 fn at(number: u64) -> Position {
@@ -27,12 +32,12 @@
     }
 }
 /// A service with primary `a` in term 1 and replicas `b` and `c`.
-fn facts() -> Facts {
+fn facts() -> ServiceSnapshot {
     let replica = database(Lifecycle::Available, Role::Replica, "v1");
-    Facts {
+    ServiceSnapshot {
         service: "s".into(),
-        epoch: Epoch(1),
-        lead: Some(Lead { term: DbTerm(1), primary: "a".into(), intent: None }),
+        epoch: Term(1),
+        lead: Some(PrimaryRecord { term: DbTerm(1), primary: "a".into(), intent: None }),
         databases: vec![
             ("a".into(), database(Lifecycle::Available, Role::Primary, "v1")),
             ("b".into(), replica.clone()),
@@ -45,54 +50,81 @@
         given_back: None,
     }
 }
-fn row(primary: bool, term: u64, received: Position) -> Told {
-    Told::Row(Described { primary, term: DbTerm(term), received })
+fn row(primary: bool, term: u64, received: Position) -> DatabaseResponse {
+    DatabaseResponse::Description(ServerDescription { primary, term: DbTerm(term), received })
 }
-fn ask(id: &str, ask: Ask) -> Deed {
-    Deed::Ask(id.into(), ask)
+fn ask(id: &str, ask: DatabaseRequest) -> FailoverAction {
+    FailoverAction::DatabaseRequest(id.into(), ask)
 }
-fn intend(target: &str) -> Deed {
-    Deed::Propose(Change::Intend { service: "s".into(), term: DbTerm(1), target: target.into() })
+fn intend(target: &str) -> FailoverAction {
+    FailoverAction::Propose(Command::BeginFailover {
+        service: "s".into(),
+        term: DbTerm(1),
+        target: target.into(),
+    })
 }
-fn led(target: &str, term: u64) -> Deed {
-    Deed::Propose(Change::Led { service: "s".into(), term: DbTerm(term), primary: target.into() })
+fn led(target: &str, term: u64) -> FailoverAction {
+    FailoverAction::Propose(Command::SetPrimary {
+        service: "s".into(),
+        term: DbTerm(term),
+        primary: target.into(),
+    })
 }
-const PAUSE: Ask = Ask::Pause(DbTerm(2));
+const PAUSE: DatabaseRequest = DatabaseRequest::Pause(DbTerm(2));
 
 /// A primary that is doubted and does not answer: both replicas are being paused.
-fn grant(service: &ServiceName, term: Option<u64>, share: u32) -> Grant {
-    let led = |term| Standing::Led { term: DbTerm(term), primary: "a".into() };
-    Grant { service: service.clone(), standing: term.map_or(Standing::Unled, led), share }
+fn grant(service: &ServiceName, term: Option<u64>, share: u32) -> LeaseGrant {
+    let led = |term| PrimaryStatus::Active { term: DbTerm(term), primary: "a".into() };
+    LeaseGrant {
+        service: service.clone(),
+        standing: term.map_or(PrimaryStatus::Absent, led),
+        share,
+    }
 }
 /// A renewal is answered with this.
-fn granted(book: &mut LeaseBook, node: &NodeName, grant: Grant, now: Tick) -> Option<Grant> {
+fn granted(
+    book: &mut LeaseTable,
+    node: &NodeName,
+    grant: LeaseGrant,
+    now: Tick,
+) -> Option<LeaseGrant> {
     let told = book.tell(node, grant);
     book.renewed(node, now);
     told
 }
 /// A new leader took it up, and the replicas answered that they go on.
-fn begun(facts: &Facts, now: Tick) -> Succession {
-    let (mut s, first) = Succession::begin(facts, now);
-    let replicas = facts.databases[1..].iter().map(|(id, _)| Deed::Ask(id.clone(), Ask::Continue));
+fn begun(facts: &ServiceSnapshot, now: Tick) -> Failover {
+    let (mut s, first) = Failover::begin(facts, now);
+    let replicas = facts.databases[1..]
+        .iter()
+        .map(|(id, _)| FailoverAction::DatabaseRequest(id.clone(), DatabaseRequest::Continue));
     assert_eq!(first, replicas.collect::<Vec<_>>(), "earlier pauses are let go");
     went_on(&mut s, facts, now);
     s
 }
-fn went_on(s: &mut Succession, facts: &Facts, now: Tick) {
+fn went_on(s: &mut Failover, facts: &ServiceSnapshot, now: Tick) {
     for (id, _) in &facts.databases[1..] {
-        s.told(facts, s.attempt, id, Ask::Continue, &row(false, 1, at(7)), now);
+        s.told(facts, s.attempt, id, DatabaseRequest::Continue, &row(false, 1, at(7)), now);
     }
 }
-fn fencing(facts: &Facts, now: Tick) -> Succession {
+fn fencing(facts: &ServiceSnapshot, now: Tick) -> Failover {
     let mut s = begun(facts, now);
-    let deeds = s.suspect(facts, &"n1".into(), &"a".into(), Doubt::Broken, now);
-    assert_eq!(deeds, [ask("a", Ask::Describe)], "it is asked itself first");
-    let deeds = s.told(facts, s.attempt, &"a".into(), Ask::Describe, &Told::Lost, now);
-    assert_eq!(deeds, [Deed::Revoke(DbTerm(1)), ask("b", PAUSE), ask("c", PAUSE)]);
+    let deeds =
+        s.suspect(facts, &"n1".into(), &"a".into(), SuspicionReason::ConnectionsBroken, now);
+    assert_eq!(deeds, [ask("a", DatabaseRequest::Describe)], "it is asked itself first");
+    let deeds = s.told(
+        facts,
+        s.attempt,
+        &"a".into(),
+        DatabaseRequest::Describe,
+        &DatabaseResponse::Lost,
+        now,
+    );
+    assert_eq!(deeds, [FailoverAction::Revoke(DbTerm(1)), ask("b", PAUSE), ask("c", PAUSE)]);
     s
 }
 /// As far as a call that may be under way.
-fn posting(facts: &mut Facts, now: Tick) -> Succession {
+fn posting(facts: &mut ServiceSnapshot, now: Tick) -> Failover {
     let mut s = fencing(facts, now);
     assert!(s.told(facts, s.attempt, &"b".into(), PAUSE, &row(false, 1, at(7)), now).is_empty());
     assert_eq!(
@@ -101,12 +133,13 @@
     );
     assert!(s.tick(facts, now).is_empty(), "not before it is committed");
     intended(facts, "c");
-    assert_eq!(s.tick(facts, now), [Deed::Post("c".into())]);
+    assert_eq!(s.tick(facts, now), [FailoverAction::Post("c".into())]);
     s
 }
 /// The intent is committed.
-fn intended(facts: &mut Facts, target: &str) {
-    facts.lead = facts.lead.take().map(|lead| Lead { intent: Some(target.into()), ..lead });
+fn intended(facts: &mut ServiceSnapshot, target: &str) {
+    facts.lead =
+        facts.lead.take().map(|lead| PrimaryRecord { intent: Some(target.into()), ..lead });
 }
 
 #[test]
@@ -114,43 +147,67 @@
     let (mut facts, now) = (facts(), Tick(50_000));
     let mut s = posting(&mut facts, now);
     assert_eq!(s.sealed, Some(at(9)), "reads may go on up to there");
-    assert!(s.posted(&facts, s.attempt, &"c".into(), Posted::Accepted, now).is_empty());
+    assert!(s.posted(&facts, s.attempt, &"c".into(), PromotionResponse::Accepted, now).is_empty());
     assert_eq!(
         s.beat(&facts, &"c".into(), Role::Primary, now.plus(300)),
-        [ask("c", Ask::Describe)]
+        [ask("c", DatabaseRequest::Describe)]
     );
-    let deeds =
-        s.told(&facts, s.attempt, &"c".into(), Ask::Describe, &row(true, 2, at(9)), now.plus(310));
-    assert_eq!(deeds, [ask("a", Ask::StepDown(DbTerm(2)))]);
+    let deeds = s.told(
+        &facts,
+        s.attempt,
+        &"c".into(),
+        DatabaseRequest::Describe,
+        &row(true, 2, at(9)),
+        now.plus(310),
+    );
+    assert_eq!(deeds, [ask("a", DatabaseRequest::StepDown(DbTerm(2)))]);
     assert!(s.tick(&facts, now.plus(400)).is_empty(), "old leases may still be used");
     facts.leases_gone = true;
     assert_eq!(s.tick(&facts, now.plus(500)), [led("c", 2)]);
     assert!(s.tick(&facts, now.plus(510)).is_empty(), "once is enough");
-    facts.lead = Some(Lead { term: DbTerm(2), primary: "c".into(), intent: None });
-    assert_eq!(s.tick(&facts, now.plus(520)), [ask("b", Ask::Continue)]);
-    assert!(s.stage == Stage::Steady && !s.revoking && s.sealed.is_none());
+    facts.lead = Some(PrimaryRecord { term: DbTerm(2), primary: "c".into(), intent: None });
+    assert_eq!(s.tick(&facts, now.plus(520)), [ask("b", DatabaseRequest::Continue)]);
+    assert!(s.stage == FailoverState::Steady && !s.revoking && s.sealed.is_none());
 }
 
 #[test]
 fn a_false_alarm_changes_nothing() {
     let (mut facts, now) = (facts(), Tick(50_000));
-    for told in [row(true, 1, at(9)), Told::Alive] {
-        let (mut s, _) = Succession::begin(&facts, now);
-        s.suspect(&facts, &"n1".into(), &"a".into(), Doubt::Silent, now);
-        assert!(s.told(&facts, s.attempt, &"a".into(), Ask::Describe, &told, now).is_empty());
-        assert_eq!(s.stage, Stage::Steady);
+    for told in [row(true, 1, at(9)), DatabaseResponse::Alive] {
+        let (mut s, _) = Failover::begin(&facts, now);
+        s.suspect(&facts, &"n1".into(), &"a".into(), SuspicionReason::NoResponse, now);
+        assert!(
+            s.told(&facts, s.attempt, &"a".into(), DatabaseRequest::Describe, &told, now)
+                .is_empty()
+        );
+        assert_eq!(s.stage, FailoverState::Steady);
     }
     // Also after the pause, as long as nothing was posted.
     let mut s = fencing(&facts, now);
-    let deeds = s.told(&facts, s.attempt, &"a".into(), Ask::Describe, &row(true, 1, at(9)), now);
-    assert_eq!(deeds, [ask("b", Ask::Continue), ask("c", Ask::Continue)]);
+    let deeds = s.told(
+        &facts,
+        s.attempt,
+        &"a".into(),
+        DatabaseRequest::Describe,
+        &row(true, 1, at(9)),
+        now,
+    );
+    assert_eq!(deeds, [ask("b", DatabaseRequest::Continue), ask("c", DatabaseRequest::Continue)]);
     assert!(!s.revoking);
     // Once posted it is too late for that.
     let mut s = posting(&mut facts, now);
     assert!(
-        s.told(&facts, s.attempt, &"a".into(), Ask::Describe, &row(true, 1, at(9)), now).is_empty()
+        s.told(
+            &facts,
+            s.attempt,
+            &"a".into(),
+            DatabaseRequest::Describe,
+            &row(true, 1, at(9)),
+            now
+        )
+        .is_empty()
     );
-    assert!(matches!(s.stage, Stage::Posting { .. }));
+    assert!(matches!(s.stage, FailoverState::Posting { .. }));
 }
 
 #[test]
@@ -158,14 +215,28 @@
     let (facts, now) = (facts(), Tick(50_000));
     let mut s = fencing(&facts, now);
     for id in ["b", "c"] {
-        s.told(&facts, s.attempt, &id.into(), PAUSE, &Told::Alive, now);
+        s.told(&facts, s.attempt, &id.into(), PAUSE, &DatabaseResponse::Alive, now);
     }
-    s.told(&facts, s.attempt, &"a".into(), Ask::Describe, &row(true, 1, at(9)), now);
-    s.told(&facts, s.attempt, &"b".into(), Ask::Continue, &row(false, 1, at(9)), now);
-    s.told(&facts, s.attempt, &"c".into(), Ask::Continue, &Told::Silent, now);
+    s.told(&facts, s.attempt, &"a".into(), DatabaseRequest::Describe, &row(true, 1, at(9)), now);
+    s.told(&facts, s.attempt, &"b".into(), DatabaseRequest::Continue, &row(false, 1, at(9)), now);
+    s.told(
+        &facts,
+        s.attempt,
+        &"c".into(),
+        DatabaseRequest::Continue,
+        &DatabaseResponse::Silent,
+        now,
+    );
     assert!(s.tick(&facts, now.plus(500)).is_empty());
-    assert_eq!(s.tick(&facts, now.plus(1_100)), [ask("c", Ask::Continue)]);
-    s.told(&facts, s.attempt, &"c".into(), Ask::Continue, &row(false, 1, at(9)), now.plus(1_110));
+    assert_eq!(s.tick(&facts, now.plus(1_100)), [ask("c", DatabaseRequest::Continue)]);
+    s.told(
+        &facts,
+        s.attempt,
+        &"c".into(),
+        DatabaseRequest::Continue,
+        &row(false, 1, at(9)),
+        now.plus(1_110),
+    );
     assert!(s.tick(&facts, now.plus(2_500)).is_empty());
 }
 
@@ -175,11 +246,24 @@
     for reached in [false, true] {
         let mut s = begun(&facts, now);
         for (who, after, deeds) in [("n1", 0, 1), ("n1", 5, 0), ("n2", 10, 0), ("n3", 15, 0)] {
-            let done = s.suspect(&facts, &who.into(), &"a".into(), Doubt::Silent, now.plus(after));
+            let done = s.suspect(
+                &facts,
+                &who.into(),
+                &"a".into(),
+                SuspicionReason::NoResponse,
+                now.plus(after),
+            );
             assert_eq!(done.len(), deeds, "{who}");
         }
         if reached {
-            s.told(&facts, s.attempt, &"a".into(), Ask::Describe, &Told::Reached, now.plus(16));
+            s.told(
+                &facts,
+                s.attempt,
+                &"a".into(),
+                DatabaseRequest::Describe,
+                &DatabaseResponse::Reached,
+                now.plus(16),
+            );
         }
         let deeds = s.tick(&facts, now.plus(40));
         if reached {
@@ -187,9 +271,16 @@
             assert_eq!(deeds, [ask("c", PAUSE)]);
             assert!(!s.revoking);
             let deeds = s.tick(&facts, now.plus(700));
-            assert_eq!(deeds, [ask("c", Ask::Continue)], "given up at the first obstacle");
+            assert_eq!(
+                deeds,
+                [ask("c", DatabaseRequest::Continue)],
+                "given up at the first obstacle"
+            );
         } else {
-            assert_eq!(deeds, [Deed::Revoke(DbTerm(1)), ask("b", PAUSE), ask("c", PAUSE)]);
+            assert_eq!(
+                deeds,
+                [FailoverAction::Revoke(DbTerm(1)), ask("b", PAUSE), ask("c", PAUSE)]
+            );
         }
     }
 }
@@ -197,12 +288,20 @@
 #[test]
 fn a_primary_seen_slow_twice_is_left_once() {
     let (facts, now) = (facts(), Tick(50_000));
-    let (mut s, _) = Succession::begin(&facts, now);
+    let (mut s, _) = Failover::begin(&facts, now);
     let nine = at(9);
     let mut look = |at: u64, took: u64| {
-        s.suspect(&facts, &"n1".into(), &"a".into(), Doubt::Silent, now.plus(at));
+        s.suspect(&facts, &"n1".into(), &"a".into(), SuspicionReason::NoResponse, now.plus(at));
         let answer = row(true, 1, nine);
-        s.told(&facts, s.attempt, &"a".into(), Ask::Describe, &answer, now.plus(at + took)).len()
+        s.told(
+            &facts,
+            s.attempt,
+            &"a".into(),
+            DatabaseRequest::Describe,
+            &answer,
+            now.plus(at + took),
+        )
+        .len()
     };
     // at, the answer took, deeds: quick, slow once, quick, slow once, slow again, slow once more
     let table = [(0, 20, 0), (500, 400, 0), (1_500, 20, 0), (4_000, 400, 0), (5_000, 400, 1)];
@@ -217,20 +316,44 @@
     // reports of so many stiles, each so many times, this far apart: whether it is left
     for (stiles, times, apart, left) in [(3, 2, 100, true), (2, 4, 100, false), (4, 2, 500, false)]
     {
-        let (mut s, _) = Succession::begin(&facts, now);
+        let (mut s, _) = Failover::begin(&facts, now);
         let mut at_ms = 0;
         for i in 0..stiles * times {
             let who = NodeName(format!("n{}", i % stiles));
             at_ms += apart;
-            s.suspect(&facts, &who, &"a".into(), Doubt::Broken, now.plus(at_ms));
+            s.suspect(
+                &facts,
+                &who,
+                &"a".into(),
+                SuspicionReason::ConnectionsBroken,
+                now.plus(at_ms),
+            );
         }
         let fine = row(true, 1, at(9));
-        s.told(&facts, s.attempt, &"a".into(), Ask::Describe, &fine, now.plus(at_ms + 5));
-        let doubted =
-            s.suspect(&facts, &"n0".into(), &"a".into(), Doubt::Broken, now.plus(at_ms + 400));
-        let deeds =
-            s.told(&facts, s.attempt, &"a".into(), Ask::Describe, &fine, now.plus(at_ms + 410));
-        let planned = matches!(s.stage, Stage::Fencing { target: Some(_), .. });
+        s.told(
+            &facts,
+            s.attempt,
+            &"a".into(),
+            DatabaseRequest::Describe,
+            &fine,
+            now.plus(at_ms + 5),
+        );
+        let doubted = s.suspect(
+            &facts,
+            &"n0".into(),
+            &"a".into(),
+            SuspicionReason::ConnectionsBroken,
+            now.plus(at_ms + 400),
+        );
+        let deeds = s.told(
+            &facts,
+            s.attempt,
+            &"a".into(),
+            DatabaseRequest::Describe,
+            &fine,
+            now.plus(at_ms + 410),
+        );
+        let planned = matches!(s.stage, FailoverState::Fencing { target: Some(_), .. });
         assert_eq!(planned, left, "{stiles} {times} {apart}: {doubted:?} {deeds:?}");
         assert!(!s.revoking);
     }
@@ -239,16 +362,20 @@
 #[test]
 fn one_question_without_an_answer_is_no_loss_and_a_refusal_is() {
     let (facts, now) = (facts(), Tick(50_000));
-    for (told, deeds) in [(Told::Silent, vec![ask("a", Ask::Describe)]), (Told::Lost, Vec::new())] {
-        let (mut s, _) = Succession::begin(&facts, now);
-        s.suspect(&facts, &"n1".into(), &"a".into(), Doubt::Broken, now);
-        let done = s.told(&facts, s.attempt, &"a".into(), Ask::Describe, &told, now.plus(300));
+    for (told, deeds) in [
+        (DatabaseResponse::Silent, vec![ask("a", DatabaseRequest::Describe)]),
+        (DatabaseResponse::Lost, Vec::new()),
+    ] {
+        let (mut s, _) = Failover::begin(&facts, now);
+        s.suspect(&facts, &"n1".into(), &"a".into(), SuspicionReason::ConnectionsBroken, now);
+        let done =
+            s.told(&facts, s.attempt, &"a".into(), DatabaseRequest::Describe, &told, now.plus(300));
         if deeds.is_empty() {
-            assert!(matches!(s.stage, Stage::Fencing { .. }));
+            assert!(matches!(s.stage, FailoverState::Fencing { .. }));
         } else {
             assert_eq!(done, deeds);
-            s.told(&facts, s.attempt, &"a".into(), Ask::Describe, &told, now.plus(600));
-            assert!(matches!(s.stage, Stage::Fencing { .. }), "twice is enough");
+            s.told(&facts, s.attempt, &"a".into(), DatabaseRequest::Describe, &told, now.plus(600));
+            assert!(matches!(s.stage, FailoverState::Fencing { .. }), "twice is enough");
         }
     }
 }
@@ -267,10 +394,10 @@
         (Some(Some(at(7))), 0, true),
     ];
     for (given_back, sync_replicas, may) in table {
-        let facts = Facts { sync_replicas, ..facts() };
+        let facts = ServiceSnapshot { sync_replicas, ..facts() };
         let mut s = fencing(&facts, now);
         let mut deeds = s.told(&facts, s.attempt, &"b".into(), PAUSE, &row(false, 1, at(7)), now);
-        let facts = Facts { given_back, ..facts };
+        let facts = ServiceSnapshot { given_back, ..facts };
         if deeds.is_empty() {
             assert!(s.tick(&facts, now.plus(20)).is_empty(), "the other may still answer");
             deeds = s.tick(&facts, now.plus(320));
@@ -306,33 +433,40 @@
     // A target that left is settled by the refusal, and the call is made again at once.
     let mut facts = facts();
     let mut s = posting(&mut facts, now);
-    s.posted(&facts, s.attempt, &"c".into(), Posted::Accepted, now);
+    s.posted(&facts, s.attempt, &"c".into(), PromotionResponse::Accepted, now);
     assert!(s.tick(&facts, now.plus(100)).is_empty());
     facts.databases.pop();
-    assert_eq!(s.tick(&facts, now.plus(110)), [Deed::Post("c".into())]);
-    let deeds = s.posted(&facts, s.attempt, &"c".into(), Posted::Refused, now.plus(120));
-    assert!(matches!(deeds.as_slice(), [Deed::Propose(Change::Abandon { .. })]), "{deeds:?}");
+    assert_eq!(s.tick(&facts, now.plus(110)), [FailoverAction::Post("c".into())]);
+    let deeds = s.posted(&facts, s.attempt, &"c".into(), PromotionResponse::Refused, now.plus(120));
+    assert!(
+        matches!(deeds.as_slice(), [FailoverAction::Propose(Command::AbandonFailover { .. })]),
+        "{deeds:?}"
+    );
 }
 
 #[test]
 fn a_second_promote_never_starts_while_a_first_may_take_effect() {
     let (mut facts, now) = (facts(), Tick(50_000));
-    let abandon = Deed::Propose(Change::Abandon { service: "s".into(), target: "c".into() });
+    let abandon = FailoverAction::Propose(Command::AbandonFailover {
+        service: "s".into(),
+        target: "c".into(),
+    });
     // what came of the calls, and whether the refusal after them settles it
-    let table: [(&[Posted], u64, bool); 5] = [
+    let table: [(&[PromotionResponse], u64, bool); 5] = [
         (&[], 10, true),
-        (&[Posted::Busy], 10, true),
-        (&[Posted::Accepted], 10, false),
-        (&[Posted::Unclear], 10, false),
-        (&[Posted::Unclear], 10_000, true),
+        (&[PromotionResponse::Busy], 10, true),
+        (&[PromotionResponse::Accepted], 10, false),
+        (&[PromotionResponse::Unclear], 10, false),
+        (&[PromotionResponse::Unclear], 10_000, true),
     ];
     for (before, later, settled) in table {
-        facts.lead = facts.lead.take().map(|lead| Lead { intent: None, ..lead });
+        facts.lead = facts.lead.take().map(|lead| PrimaryRecord { intent: None, ..lead });
         let mut s = posting(&mut facts, now);
         for posted in before {
             assert!(s.posted(&facts, s.attempt, &"c".into(), *posted, now).is_empty());
         }
-        let deeds = s.posted(&facts, s.attempt, &"c".into(), Posted::Refused, now.plus(later));
+        let deeds =
+            s.posted(&facts, s.attempt, &"c".into(), PromotionResponse::Refused, now.plus(later));
         assert_eq!(
             deeds.as_slice(),
             if settled { std::slice::from_ref(&abandon) } else { &[] },
@@ -340,26 +474,33 @@
         );
     }
     // An unclear call is made again, with the same target.
-    facts.lead = facts.lead.take().map(|lead| Lead { intent: None, ..lead });
+    facts.lead = facts.lead.take().map(|lead| PrimaryRecord { intent: None, ..lead });
     let mut s = posting(&mut facts, now);
-    s.posted(&facts, s.attempt, &"c".into(), Posted::Unclear, now);
+    s.posted(&facts, s.attempt, &"c".into(), PromotionResponse::Unclear, now);
     let deeds = s.tick(&facts, now.plus(400));
-    assert!(deeds.contains(&Deed::Post("c".into())), "{deeds:?}");
+    assert!(deeds.contains(&FailoverAction::Post("c".into())), "{deeds:?}");
     // Given up in the log, whenever that is noticed: fenced anew, and nothing is called meanwhile.
-    facts.lead = facts.lead.take().map(|lead| Lead { intent: None, ..lead });
+    facts.lead = facts.lead.take().map(|lead| PrimaryRecord { intent: None, ..lead });
     let deeds = s.tick(&facts, now.plus(3_000));
-    assert_eq!(deeds, [Deed::Revoke(DbTerm(1)), ask("b", PAUSE), ask("c", PAUSE)]);
+    assert_eq!(deeds, [FailoverAction::Revoke(DbTerm(1)), ask("b", PAUSE), ask("c", PAUSE)]);
 }
 
 #[test]
 fn a_new_leader_finishes_the_intent_it_finds() {
     let now = Tick(50_000);
     let mut facts = facts();
-    facts.lead = Some(Lead { term: DbTerm(1), primary: "a".into(), intent: Some("b".into()) });
-    let (mut s, deeds) = Succession::begin(&facts, now);
-    assert_eq!(deeds, [Deed::Revoke(DbTerm(1)), ask("c", PAUSE), Deed::Post("b".into())]);
+    facts.lead =
+        Some(PrimaryRecord { term: DbTerm(1), primary: "a".into(), intent: Some("b".into()) });
+    let (mut s, deeds) = Failover::begin(&facts, now);
+    assert_eq!(
+        deeds,
+        [FailoverAction::Revoke(DbTerm(1)), ask("c", PAUSE), FailoverAction::Post("b".into())]
+    );
     assert!(s.revoking, "nobody uses the old term meanwhile");
-    assert!(s.suspect(&facts, &"n1".into(), &"a".into(), Doubt::Broken, now).is_empty());
+    assert!(
+        s.suspect(&facts, &"n1".into(), &"a".into(), SuspicionReason::ConnectionsBroken, now)
+            .is_empty()
+    );
 }
 
 #[test]
@@ -375,44 +516,73 @@
     assert!(!s.revoking, "leases go on: every further commit is on the target");
     assert!(s.told(&facts, s.attempt, &"b".into(), PAUSE, &row(false, 1, at(7)), now).is_empty());
     let deeds = s.told(&facts, s.attempt, &"c".into(), PAUSE, &row(false, 1, at(9)), now);
-    assert_eq!(deeds, [ask("d", Ask::Describe)]);
+    assert_eq!(deeds, [ask("d", DatabaseRequest::Describe)]);
     assert!(
-        s.told(&facts, s.attempt, &"d".into(), Ask::Describe, &row(false, 1, at(8)), now)
-            .is_empty(),
+        s.told(
+            &facts,
+            s.attempt,
+            &"d".into(),
+            DatabaseRequest::Describe,
+            &row(false, 1, at(8)),
+            now
+        )
+        .is_empty(),
         "not there yet"
     );
-    assert_eq!(s.tick(&facts, now.plus(120)), [ask("d", Ask::Describe)]);
+    assert_eq!(s.tick(&facts, now.plus(120)), [ask("d", DatabaseRequest::Describe)]);
     let deeds = s.told(
         &facts,
         s.attempt,
         &"d".into(),
-        Ask::Describe,
+        DatabaseRequest::Describe,
         &row(false, 1, at(11)),
         now.plus(130),
     );
     assert_eq!(deeds, [intend("d")]);
     intended(&mut facts, "d");
     s.tick(&facts, now.plus(140));
-    let deeds =
-        s.told(&facts, s.attempt, &"d".into(), Ask::Describe, &row(true, 2, at(11)), now.plus(500));
-    assert_eq!(deeds, [Deed::Revoke(DbTerm(1)), ask("a", Ask::StepDown(DbTerm(2)))]);
+    let deeds = s.told(
+        &facts,
+        s.attempt,
+        &"d".into(),
+        DatabaseRequest::Describe,
+        &row(true, 2, at(11)),
+        now.plus(500),
+    );
+    assert_eq!(
+        deeds,
+        [FailoverAction::Revoke(DbTerm(1)), ask("a", DatabaseRequest::StepDown(DbTerm(2)))]
+    );
     // A target that never catches up: everything is let go.
-    facts.lead = facts.lead.take().map(|lead| Lead { intent: None, ..lead });
+    facts.lead = facts.lead.take().map(|lead| PrimaryRecord { intent: None, ..lead });
     let mut s = begun(&facts, now);
     s.tick(&facts, now);
-    assert_eq!(s.tick(&facts, now.plus(3_100)), [ask("b", Ask::Continue), ask("c", Ask::Continue)]);
+    assert_eq!(
+        s.tick(&facts, now.plus(3_100)),
+        [ask("b", DatabaseRequest::Continue), ask("c", DatabaseRequest::Continue)]
+    );
 }
 
 #[test]
 fn the_first_primary_is_believed_once_it_says_its_term() {
     let now = Tick(50_000);
-    let facts = Facts { lead: None, ..facts() };
-    let (mut s, deeds) = Succession::begin(&facts, now);
+    let facts = ServiceSnapshot { lead: None, ..facts() };
+    let (mut s, deeds) = Failover::begin(&facts, now);
     assert!(deeds.is_empty());
     assert!(s.beat(&facts, &"b".into(), Role::Replica, now).is_empty());
-    assert_eq!(s.beat(&facts, &"a".into(), Role::Primary, now), [ask("a", Ask::Describe)]);
     assert_eq!(
-        s.told(&facts, s.attempt, &"a".into(), Ask::Describe, &row(true, 4, at(2)), now),
+        s.beat(&facts, &"a".into(), Role::Primary, now),
+        [ask("a", DatabaseRequest::Describe)]
+    );
+    assert_eq!(
+        s.told(
+            &facts,
+            s.attempt,
+            &"a".into(),
+            DatabaseRequest::Describe,
+            &row(true, 4, at(2)),
+            now
+        ),
         [led("a", 4)]
     );
 }
@@ -420,10 +590,10 @@
 #[test]
 fn an_old_primary_that_returns_is_told_to_step_down() {
     let (facts, now) = (facts(), Tick(50_000));
-    let (mut s, _) = Succession::begin(&facts, now);
+    let (mut s, _) = Failover::begin(&facts, now);
     assert_eq!(
         s.beat(&facts, &"b".into(), Role::Primary, now),
-        [ask("b", Ask::StepDown(DbTerm(1)))]
+        [ask("b", DatabaseRequest::StepDown(DbTerm(1)))]
     );
     assert!(
         s.beat(&facts, &"b".into(), Role::Primary, now.plus(10)).is_empty(),
@@ -435,7 +605,7 @@
 fn leases_are_gone_only_when_no_stile_can_use_one() {
     let (n1, n2, s) = (NodeName::from("n1"), NodeName::from("n2"), ServiceName::from("s"));
     let start = Tick(100_000);
-    let mut book = LeaseBook::new(start);
+    let mut book = LeaseTable::new(start);
     assert!(
         !book.gone(&s, DbTerm(1), start.plus(LEASE_MS)),
         "another leader may have granted before"
@@ -478,7 +648,7 @@
         ("gave back", Some((elected.plus(end), at(2))), Some(Some(at(8)))),
     ];
     for (what, seen, certain) in cases {
-        let mut book = LeaseBook::new(elected);
+        let mut book = LeaseTable::new(elected);
         for (node, conn) in [("n1", 10), ("n2", 11)] {
             book.seat(&node.into(), 1, conn, now);
             granted(&mut book, &node.into(), grant(&s, Some(1), 8), now);
@@ -506,7 +676,7 @@
 fn a_term_granted_again_after_a_false_alarm_is_not_given_back_any_more() {
     let (node, s) = (NodeName::from("n1"), ServiceName::from("s"));
     let now = Tick(100_000);
-    let mut book = LeaseBook::new(Tick(0));
+    let mut book = LeaseTable::new(Tick(0));
     book.seat(&node, 1, 10, now);
     let told = grant(&s, Some(1), 8);
     assert_eq!(granted(&mut book, &node, told.clone(), now), Some(told.clone()));
@@ -523,7 +693,7 @@
 fn a_new_leader_does_not_give_all_to_the_first_who_comes() {
     let s = ServiceName::from("s");
     let now = Tick(100_000);
-    let mut book = LeaseBook::new(now);
+    let mut book = LeaseTable::new(now);
     // A stile that just started comes first, then those that hold eight each.
     book.seat(&"fresh".into(), 1, 0, now);
     assert_eq!(book.share(&"fresh".into(), &s, 92, now), 4);
@@ -539,7 +709,7 @@
 #[test]
 fn shares_never_add_up_to_more_than_the_total() {
     let s = ServiceName::from("s");
-    let mut book = LeaseBook::new(Tick(0));
+    let mut book = LeaseTable::new(Tick(0));
     let nodes: Vec<NodeName> = (0..12).map(|i| NodeName(format!("n{i}"))).collect();
     let mut now = Tick(100_000);
     let mut held: Vec<u32> = vec![0; nodes.len()];
@@ -573,29 +743,29 @@
     let id = InstanceId::from("a");
     let stays = database(Lifecycle::Available, Role::Replica, "v1");
     let leaves = database(Lifecycle::Draining, Role::Replica, "v1");
-    let beat = |instance: &Instance, sequence| Change::Beat {
+    let beat = |instance: &Instance, sequence| Command::Heartbeat {
         id: id.clone(),
         instance: instance.clone(),
         sequence,
     };
-    let mut almanac = Almanac::default();
+    let mut almanac = StateMachine::default();
     almanac.apply(&beat(&stays, 3));
     // Heard once and perhaps lost with its leader: a repeat must not pass as known.
     for _ in 0..3 {
         assert!(almanac.news(&id, &leaves, 5));
     }
-    assert_eq!(almanac.apply(&beat(&leaves, 5)), Effect::Done);
+    assert_eq!(almanac.apply(&beat(&leaves, 5)), CommandOutcome::Applied);
     // (what is told, its sequence, whether it is news)
     for (told, sequence, news) in [(&leaves, 5, false), (&leaves, 9, false), (&stays, 4, false)] {
         assert_eq!(almanac.news(&id, told, sequence), news, "{told:?} {sequence}");
     }
     assert_eq!(almanac.instances[&id].instance, leaves);
     // It said goodbye: a beat that was under way for long comes after all.
-    almanac.apply(&Change::Gone { id: id.clone(), sequence: u64::MAX });
-    assert_eq!(almanac.apply(&beat(&leaves, 40)), Effect::Nothing);
+    almanac.apply(&Command::RemoveInstance { id: id.clone(), sequence: u64::MAX });
+    assert_eq!(almanac.apply(&beat(&leaves, 40)), CommandOutcome::NoChange);
     // One that was only not heard of for long may come back with its next beat.
-    almanac.apply(&Change::Beat { id: "b".into(), instance: stays.clone(), sequence: 7 });
-    almanac.apply(&Change::Gone { id: "b".into(), sequence: 0 });
+    almanac.apply(&Command::Heartbeat { id: "b".into(), instance: stays.clone(), sequence: 7 });
+    almanac.apply(&Command::RemoveInstance { id: "b".into(), sequence: 0 });
     assert!(!almanac.news(&"b".into(), &stays, 7) && almanac.news(&"b".into(), &stays, 8));
 }
 
@@ -605,7 +775,7 @@
     let now = Tick(100_000);
     // (what happens to the lease on s after its renewal at +500)
     for (what, how) in [("told so", 0), ("a new connection", 1), ("given to another", 2)] {
-        let mut book = LeaseBook::new(Tick(0));
+        let mut book = LeaseTable::new(Tick(0));
         book.seat(&node, 1, 10, now);
         granted(&mut book, &node, grant(&s, Some(1), 8), now);
         granted(&mut book, &node, grant(&t, Some(1), 8), now.plus(500));
@@ -624,29 +794,29 @@
 #[test]
 fn a_taken_configuration_is_known_again_after_a_snapshot_and_only_one_of_two_wins() {
     let body = |n: u8| serde_bytes::ByteBuf::from(vec![n; 40]);
-    let put = |base, revision, n| Change::Configure {
+    let put = |base, revision, n| Command::PutConfiguration {
         base: Revision(base),
         revision: Revision(revision),
         body: body(n),
     };
-    let mut almanac = Almanac::default();
-    assert_eq!(almanac.apply(&put(0, 3, 1)), Effect::Done);
+    let mut almanac = StateMachine::default();
+    assert_eq!(almanac.apply(&put(0, 3, 1)), CommandOutcome::Applied);
     // Two built on the same version reach the log, one behind the other.
-    assert_eq!(almanac.apply(&put(3, 5, 2)), Effect::Done);
-    assert_eq!(almanac.apply(&put(3, 6, 9)), Effect::Outdated);
+    assert_eq!(almanac.apply(&put(3, 5, 2)), CommandOutcome::Applied);
+    assert_eq!(almanac.apply(&put(3, 6, 9)), CommandOutcome::StaleBase);
     assert_eq!((almanac.revision, &almanac.body), (Revision(5), &body(2)));
     // Another leader has it from a snapshot.
     let bytes = pack(&almanac);
-    let mut other = Almanac::read(&bytes).expect("as it was packed");
+    let mut other = StateMachine::read(&bytes).expect("as it was packed");
     assert_eq!(other, almanac);
     // (base, revision, body, what comes of it)
     let cases = [
-        (0, 3, 1, Effect::Nothing),
-        (3, 5, 2, Effect::Nothing),
-        (3, 5, 7, Effect::Outdated),
-        (3, 6, 9, Effect::Outdated),
-        (5, 5, 7, Effect::NotAbove),
-        (5, 4, 7, Effect::NotAbove),
+        (0, 3, 1, CommandOutcome::NoChange),
+        (3, 5, 2, CommandOutcome::NoChange),
+        (3, 5, 7, CommandOutcome::StaleBase),
+        (3, 6, 9, CommandOutcome::StaleBase),
+        (5, 5, 7, CommandOutcome::RevisionNotAbove),
+        (5, 4, 7, CommandOutcome::RevisionNotAbove),
     ];
     for (base, revision, n, effect) in cases {
         assert_eq!(other.judge(Revision(base), Revision(revision), &body(n)), effect);
@@ -658,7 +828,7 @@
 #[test]
 fn a_floor_from_another_stile_is_never_newer_than_it_was() {
     let s = ServiceName::from("s");
-    let lead = Lead { term: DbTerm(4), primary: "a".into(), intent: None };
+    let lead = PrimaryRecord { term: DbTerm(4), primary: "a".into(), intent: None };
     // On one true clock, in tenths of a millisecond; each process counts whole milliseconds from a
     // start of its own.
     let (leader, one, other) = (
@@ -677,8 +847,9 @@
     ];
     for (left, in_hand, sent, asked, answered) in cases {
         let told = silvertack::pooler::replica_reads::after(one(in_hand), one(sent)).map(|after| {
-            let mut known = Freshness::default();
-            let saw = Saw { service: s.clone(), term: DbTerm(4), position: at(7), after };
+            let mut known = ReplicationWatermarks::default();
+            let saw =
+                ObservedPosition { service: s.clone(), term: DbTerm(4), position: at(7), after };
             known.learn(Some(&lead), leader(left), &saw, leader(answered));
             known.tell(&s, leader(answered)).expect("told")
         });
@@ -697,7 +868,7 @@
 #[test]
 fn what_a_stile_saw_counts_only_if_it_can_be() {
     let (s, now) = (ServiceName::from("s"), Tick(50_000));
-    let lead = Lead { term: DbTerm(4), primary: "a".into(), intent: None };
+    let lead = PrimaryRecord { term: DbTerm(4), primary: "a".into(), intent: None };
     let position = |term, number| Position { term: DbTerm(term), number };
     let first = position(4, 7);
     let kept = Some((first, 301));
@@ -723,10 +894,11 @@
         ("of a service that nobody leads", None, 4, position(4, 9), 49_900, 50, kept),
     ];
     for (what, lead_now, term, position, answered, after, known) in cases {
-        let mut freshness = Freshness::default();
-        let before = Saw { service: s.clone(), term: DbTerm(4), position: first, after: 100 };
+        let mut freshness = ReplicationWatermarks::default();
+        let before =
+            ObservedPosition { service: s.clone(), term: DbTerm(4), position: first, after: 100 };
         freshness.learn(Some(&lead), Tick(49_600), &before, now);
-        let saw = Saw { service: s.clone(), term: DbTerm(term), position, after };
+        let saw = ObservedPosition { service: s.clone(), term: DbTerm(term), position, after };
         freshness.learn(lead_now, Tick(answered), &saw, now);
         let told = freshness.tell(&s, now).map(|f| (f.position, f.age));
         assert_eq!(told, known, "{what}");
@@ -736,9 +908,10 @@
 
 #[test]
 fn tidings_name_what_was_stirred_since_and_everything_when_all_was() {
-    let mut tidings = Tidings::default();
+    let mut tidings = PendingUpdates::default();
     let (a, b) = (ServiceName::from("a"), ServiceName::from("b"));
-    let since = |t: &Tidings, told| t.since(told).map(|names| names.cloned().collect::<Vec<_>>());
+    let since =
+        |t: &PendingUpdates, told| t.since(told).map(|names| names.cloned().collect::<Vec<_>>());
     assert_eq!(since(&tidings, 0), Some(vec![]));
     tidings.stir(&a);
     let first = tidings.newest();
@@ -757,7 +930,7 @@
 fn what_the_division_leaves_over_is_lent_and_comes_back() {
     let s = ServiceName::from("s");
     let node = |i: u64| NodeName(format!("n{i}"));
-    let mut book = LeaseBook::new(Tick(0));
+    let mut book = LeaseTable::new(Tick(0));
     let start = Tick(100_000);
     for i in 0..4 {
         book.seat(&node(i), 1, i, start);
@@ -792,7 +965,7 @@
 }
 
 /// The planned change: `a` is about to end, `b` is to take over, `c` is paused.
-fn planned(facts: &mut Facts, now: Tick) -> Succession {
+fn planned(facts: &mut ServiceSnapshot, now: Tick) -> Failover {
     facts.databases[0].1.lifecycle_state = Lifecycle::Draining;
     let mut s = begun(facts, now);
     assert_eq!(s.tick(facts, now), [ask("c", PAUSE)]);
@@ -819,16 +992,16 @@
         (0, Some(None), Some(7), 7, true),
     ];
     for (sync_replicas, given_back, paused, target, goes_on) in table {
-        let mut facts = Facts { sync_replicas, ..facts() };
+        let mut facts = ServiceSnapshot { sync_replicas, ..facts() };
         let mut s = planned(&mut facts, now);
         facts.given_back = given_back;
         if let Some(number) = paused {
             let answer = row(false, 1, at(number));
             let deeds = s.told(&facts, s.attempt, &"c".into(), PAUSE, &answer, now);
-            assert_eq!(deeds, [ask("b", Ask::Describe)], "the target is asked last");
+            assert_eq!(deeds, [ask("b", DatabaseRequest::Describe)], "the target is asked last");
         }
         let answer = row(false, 1, at(target));
-        let deeds = s.told(&facts, s.attempt, &"b".into(), Ask::Describe, &answer, now);
+        let deeds = s.told(&facts, s.attempt, &"b".into(), DatabaseRequest::Describe, &answer, now);
         let expected = if goes_on { vec![intend("b")] } else { Vec::new() };
         assert_eq!(deeds, expected, "{sync_replicas} {given_back:?} {paused:?} {target}");
     }
@@ -870,14 +1043,18 @@
     // With a replica that does not answer its pause the leases are taken back: the poolers' word
     // may do instead.
     assert_eq!(s.tick(&facts, now.plus(550)), []);
-    assert_eq!(s.tick(&facts, now.plus(650)), [Deed::Revoke(DbTerm(1))], "`c` does not answer");
+    assert_eq!(
+        s.tick(&facts, now.plus(650)),
+        [FailoverAction::Revoke(DbTerm(1))],
+        "`c` does not answer"
+    );
     assert!(s.revoking);
     assert_eq!(s.tick(&facts, now.plus(3_000)), []);
     let now = now.plus(3_010);
-    assert_eq!(s.tick(&facts, now), [ask("c", Ask::Continue)]);
-    assert!(s.stage == Stage::Steady && !s.revoking);
+    assert_eq!(s.tick(&facts, now), [ask("c", DatabaseRequest::Continue)]);
+    assert!(s.stage == FailoverState::Steady && !s.revoking);
     went_on(&mut s, &facts, now);
-    s.told(&facts, s.attempt, &"c".into(), PAUSE, &Told::Lost, now);
+    s.told(&facts, s.attempt, &"c".into(), PAUSE, &DatabaseResponse::Lost, now);
     for (after, again) in [(10, false), (1_000, false), (1_010, true)] {
         let expected = if again { vec![ask("c", PAUSE)] } else { Vec::new() };
         assert_eq!(s.tick(&facts, now.plus(after)), expected, "after {after}");
@@ -889,17 +1066,18 @@
     let now = Tick(50_000);
     // (what the primary says, whether it is given up)
     for (told, lost) in [
-        (Told::Lost, true),
+        (DatabaseResponse::Lost, true),
         (row(false, 1, at(9)), true),
         (row(true, 1, at(9)), false),
-        (Told::Alive, false),
+        (DatabaseResponse::Alive, false),
     ] {
         let mut facts = facts();
         let mut s = planned(&mut facts, now);
-        let asked = s.suspect(&facts, &"n1".into(), &"a".into(), Doubt::Broken, now);
-        assert_eq!(asked, [ask("a", Ask::Describe)]);
-        let deeds = s.told(&facts, s.attempt, &"a".into(), Ask::Describe, &told, now);
-        let fenced = [Deed::Revoke(DbTerm(1)), ask("b", PAUSE), ask("c", PAUSE)];
+        let asked =
+            s.suspect(&facts, &"n1".into(), &"a".into(), SuspicionReason::ConnectionsBroken, now);
+        assert_eq!(asked, [ask("a", DatabaseRequest::Describe)]);
+        let deeds = s.told(&facts, s.attempt, &"a".into(), DatabaseRequest::Describe, &told, now);
+        let fenced = [FailoverAction::Revoke(DbTerm(1)), ask("b", PAUSE), ask("c", PAUSE)];
         assert_eq!(deeds, if lost { &fenced[..] } else { &[] }, "{told:?}");
         assert_eq!(s.revoking, lost, "{told:?}");
     }
@@ -913,10 +1091,10 @@
         [(true, 1, true), (false, 1, false), (true, 2, false), (true, 0, false), (false, 2, false)]
     {
         let mut s = begun(&facts, now);
-        s.suspect(&facts, &"n1".into(), &"a".into(), Doubt::Broken, now);
+        s.suspect(&facts, &"n1".into(), &"a".into(), SuspicionReason::ConnectionsBroken, now);
         let told = row(leads, term, at(9));
-        s.told(&facts, s.attempt, &"a".into(), Ask::Describe, &told, now);
-        assert_eq!(s.stage == Stage::Steady, fine, "{leads} {term}");
+        s.told(&facts, s.attempt, &"a".into(), DatabaseRequest::Describe, &told, now);
+        assert_eq!(s.stage == FailoverState::Steady, fine, "{leads} {term}");
         assert_eq!(s.revoking, !fine, "{leads} {term}");
     }
 }
@@ -924,22 +1102,35 @@
 #[test]
 fn when_a_primary_is_doubted() {
     let now = Tick(50_000);
-    let doubt = [ask("a", Ask::Describe)];
+    let doubt = [ask("a", DatabaseRequest::Describe)];
     // (of whom a pooler reports, ms after the primary proved itself, whether it is doubted)
     for (of, after, doubted) in
         [("a", 299, false), ("a", 300, true), ("b", 300, false), ("x", 300, false)]
     {
         let facts = facts();
         let mut s = begun(&facts, now);
-        s.suspect(&facts, &"n1".into(), &"a".into(), Doubt::Broken, now);
-        s.told(&facts, s.attempt, &"a".into(), Ask::Describe, &row(true, 1, at(9)), now);
-        let deeds = s.suspect(&facts, &"n1".into(), &of.into(), Doubt::Broken, now.plus(after));
+        s.suspect(&facts, &"n1".into(), &"a".into(), SuspicionReason::ConnectionsBroken, now);
+        s.told(
+            &facts,
+            s.attempt,
+            &"a".into(),
+            DatabaseRequest::Describe,
+            &row(true, 1, at(9)),
+            now,
+        );
+        let deeds = s.suspect(
+            &facts,
+            &"n1".into(),
+            &of.into(),
+            SuspicionReason::ConnectionsBroken,
+            now.plus(after),
+        );
         assert_eq!(deeds, if doubted { &doubt[..] } else { &[] }, "{of} {after}");
     }
     // (whether it is listed, its heartbeats come, it is about to end, a replica has departed;
     // what is done)
-    let fence = [Deed::Revoke(DbTerm(1)), ask("b", PAUSE), ask("c", PAUSE)];
-    let table: [(bool, bool, bool, bool, &[Deed]); 6] = [
+    let fence = [FailoverAction::Revoke(DbTerm(1)), ask("b", PAUSE), ask("c", PAUSE)];
+    let table: [(bool, bool, bool, bool, &[FailoverAction]); 6] = [
         (true, true, false, false, &[]),
         (true, false, false, false, &doubt),
         (true, false, false, true, &doubt),
@@ -972,13 +1163,19 @@
     let mut s = begun(&facts, now);
     let mut left = |after: u64| {
         let now = now.plus(after);
-        s.suspect(&facts, &"n1".into(), &"a".into(), Doubt::Broken, now);
-        let deeds =
-            s.told(&facts, s.attempt, &"a".into(), Ask::Describe, &Told::Alive, now.plus(10));
+        s.suspect(&facts, &"n1".into(), &"a".into(), SuspicionReason::ConnectionsBroken, now);
+        let deeds = s.told(
+            &facts,
+            s.attempt,
+            &"a".into(),
+            DatabaseRequest::Describe,
+            &DatabaseResponse::Alive,
+            now.plus(10),
+        );
         if !deeds.is_empty() {
             let late = now.plus(10 + 700);
-            s.told(&facts, s.attempt, &"c".into(), PAUSE, &Told::Lost, now.plus(20));
-            assert_eq!(s.tick(&facts, late), [ask("c", Ask::Continue)], "given up");
+            s.told(&facts, s.attempt, &"c".into(), PAUSE, &DatabaseResponse::Lost, now.plus(20));
+            assert_eq!(s.tick(&facts, late), [ask("c", DatabaseRequest::Continue)], "given up");
             went_on(&mut s, &facts, late);
         }
         !deeds.is_empty()
@@ -1004,20 +1201,20 @@
         let mut facts = facts();
         let mut s = posting(&mut facts, now);
         let told = row(leads, term, at(9));
-        let deeds = s.told(&facts, s.attempt, &who.into(), Ask::Describe, &told, now);
-        let down = [ask("a", Ask::StepDown(DbTerm(term)))];
+        let deeds = s.told(&facts, s.attempt, &who.into(), DatabaseRequest::Describe, &told, now);
+        let down = [ask("a", DatabaseRequest::StepDown(DbTerm(term)))];
         assert_eq!(deeds, if done { &down[..] } else { &[] }, "{who} {leads} {term}");
-        assert_eq!(matches!(s.stage, Stage::Taking { .. }), done, "{who} {leads} {term}");
+        assert_eq!(matches!(s.stage, FailoverState::Taking { .. }), done, "{who} {leads} {term}");
     }
     // In a planned change leases are granted until the target leads, and none from then on.
     let mut facts = facts();
     let mut s = planned(&mut facts, now);
     s.told(&facts, s.attempt, &"c".into(), PAUSE, &row(false, 1, at(7)), now);
-    s.told(&facts, s.attempt, &"b".into(), Ask::Describe, &row(false, 1, at(7)), now);
+    s.told(&facts, s.attempt, &"b".into(), DatabaseRequest::Describe, &row(false, 1, at(7)), now);
     intended(&mut facts, "b");
-    assert_eq!(s.tick(&facts, now), [Deed::Post("b".into())]);
+    assert_eq!(s.tick(&facts, now), [FailoverAction::Post("b".into())]);
     assert!(!s.revoking);
-    s.told(&facts, s.attempt, &"b".into(), Ask::Describe, &row(true, 2, at(7)), now);
+    s.told(&facts, s.attempt, &"b".into(), DatabaseRequest::Describe, &row(true, 2, at(7)), now);
     assert!(s.revoking, "no lease on the old term is granted any more");
 }
 
@@ -1027,7 +1224,7 @@
     let mut s = posting(&mut facts, now);
     let first = s.attempt;
     for (after, again) in [(400, false), (2_000, false), (3_000, false), (3_010, true)] {
-        let posts = s.tick(&facts, now.plus(after)).contains(&Deed::Post("c".into()));
+        let posts = s.tick(&facts, now.plus(after)).contains(&FailoverAction::Post("c".into()));
         assert_eq!(posts, again, "after {after}");
         assert_eq!(s.attempt > first, again, "after {after}");
     }
@@ -1057,16 +1254,16 @@
 #[test]
 fn a_replica_founds_no_service() {
     let now = Tick(50_000);
-    let facts = Facts { lead: None, ..facts() };
+    let facts = ServiceSnapshot { lead: None, ..facts() };
     for (told, founds) in [
         (row(true, 4, at(2)), true),
         (row(false, 4, at(2)), false),
-        (Told::Alive, false),
-        (Told::Lost, false),
+        (DatabaseResponse::Alive, false),
+        (DatabaseResponse::Lost, false),
     ] {
-        let (mut s, _) = Succession::begin(&facts, now);
+        let (mut s, _) = Failover::begin(&facts, now);
         s.beat(&facts, &"a".into(), Role::Primary, now);
-        let deeds = s.told(&facts, s.attempt, &"a".into(), Ask::Describe, &told, now);
+        let deeds = s.told(&facts, s.attempt, &"a".into(), DatabaseRequest::Describe, &told, now);
         assert_eq!(deeds, if founds { vec![led("a", 4)] } else { Vec::new() }, "{told:?}");
     }
 }
@@ -1074,13 +1271,13 @@
 #[test]
 fn the_present_primary_is_told_neither_to_step_down_nor_to_go_on() {
     let (mut facts, now) = (facts(), Tick(50_000));
-    let (mut s, _) = Succession::begin(&facts, now);
+    let (mut s, _) = Failover::begin(&facts, now);
     assert_eq!(s.beat(&facts, &"a".into(), Role::Primary, now), []);
     // `c` did not say that it goes on, and leads since.
-    s.told(&facts, s.attempt, &"b".into(), Ask::Continue, &row(false, 1, at(7)), now);
-    facts.lead = Some(Lead { term: DbTerm(2), primary: "c".into(), intent: None });
+    s.told(&facts, s.attempt, &"b".into(), DatabaseRequest::Continue, &row(false, 1, at(7)), now);
+    facts.lead = Some(PrimaryRecord { term: DbTerm(2), primary: "c".into(), intent: None });
     assert_eq!(s.tick(&facts, now.plus(1_100)), []);
     assert_eq!(s.beat(&facts, &"c".into(), Role::Primary, now), []);
-    let down = [ask("a", Ask::StepDown(DbTerm(2)))];
+    let down = [ask("a", DatabaseRequest::StepDown(DbTerm(2)))];
     assert_eq!(s.beat(&facts, &"a".into(), Role::Primary, now), down);
 }
--- a/tests/support/gateway.rs
+++ b/tests/support/gateway.rs
@@ -1,6 +1,6 @@
 //! Stand-in databases of a gateway's service: they answer requests over HTTP, and misbehave as told.
 #![allow(dead_code)]
-use silvertack::gateway::http1::{Body, read_request};
+use silvertack::gateway::http1::{BodyDecoder, read_request};
 use std::collections::VecDeque;
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -136,7 +136,7 @@
             };
             let head = String::from_utf8_lossy(&bytes[..size]).into_owned();
             bytes.drain(..size);
-            let (mut body, mut data) = (Body::new(asked.framing), Vec::new());
+            let (mut body, mut data) = (BodyDecoder::new(asked.framing), Vec::new());
             loop {
                 let used = body.take(&bytes, &mut data).unwrap_or(0);
                 bytes.drain(..used);
--- a/tests/support/stewards.rs
+++ b/tests/support/stewards.rs
@@ -1,8 +1,10 @@
 //! Machines with a steward each, whose time and network are the test's; they are lost and come back.
-use silvertack::base::ids::{Index, MemberId, NodeName};
+use silvertack::base::ids::{LogIndex, MemberId, NodeName};
 use silvertack::base::time::Tick;
-use silvertack::net::rpc::raft_messages::{Body, Member, Raft, RaftKind, Snapshot};
-use silvertack::raft::node::{Dirty, Hedge, Kept};
+use silvertack::net::rpc::raft_messages::{
+    EntryPayload, Member, RaftMessage, RaftMessageKind, Snapshot,
+};
+use silvertack::raft::node::{PersistentState, RaftNode, UnsavedChanges};
 use std::collections::VecDeque;
 
 /// How long after its return or its start a machine still counts as lost (`join_sync_s`).
@@ -28,7 +30,7 @@
     pub place: u64,
     pub state: State,
     pub back: Tick,
-    pub hedge: Hedge,
+    pub hedge: RaftNode,
 }
 
 pub fn member(id: u64, place: u64, voter: bool) -> Member {
@@ -41,11 +43,11 @@
         can_vote: true,
     }
 }
-fn steward(id: u64, members: Vec<Member>, now: Tick) -> Hedge {
+fn steward(id: u64, members: Vec<Member>, now: Tick) -> RaftNode {
     const SPREADS: [fn() -> u64; 5] = [|| 10, || 130, || 250, || 370, || 70];
     let snapshot = Snapshot { members, ..Snapshot::default() };
-    let kept = Kept { me: MemberId(id), snapshot, ..Kept::default() };
-    Hedge::new(kept, false, now, SPREADS[id as usize % 5])
+    let kept = PersistentState { me: MemberId(id), snapshot, ..PersistentState::default() };
+    RaftNode::new(kept, false, now, SPREADS[id as usize % 5])
 }
 
 /// One machine for each place in the deployment: a replacement takes the place of a lost one.
@@ -55,7 +57,7 @@
     pub bears: usize,
     pub machines: Vec<Machine>,
     /// What was acknowledged, by place in the log.
-    pub acked: Vec<(Index, u8)>,
+    pub acked: Vec<(LogIndex, u8)>,
     /// Entries and folds that were sent to this member since it was named.
     pub sent_to: (u64, usize),
     next: u64,
@@ -109,11 +111,11 @@
 
     /// Delivers until all are at rest. Whatever goes out is on disk before.
     pub fn settle(&mut self) {
-        let mut wire: VecDeque<(MemberId, Raft)> = VecDeque::new();
+        let mut wire: VecDeque<(MemberId, RaftMessage)> = VecDeque::new();
         for _ in 0..10_000 {
             for machine in &mut self.machines {
                 let hedge = &mut machine.hedge;
-                if std::mem::take(&mut hedge.dirty) != Dirty::default() {
+                if std::mem::take(&mut hedge.dirty) != UnsavedChanges::default() {
                     hedge.stored(hedge.last());
                 }
                 let up = machine.state == State::Up;
@@ -126,8 +128,8 @@
             let now = self.now;
             if to.0 == self.sent_to.0 {
                 self.sent_to.1 += match &message.kind {
-                    RaftKind::Append { entries, .. } => entries.len(),
-                    RaftKind::Snapshot { .. } => 1_000,
+                    RaftMessageKind::AppendEntries { entries, .. } => entries.len(),
+                    RaftMessageKind::InstallSnapshot { .. } => 1_000,
                     _ => 0,
                 };
             }
@@ -156,7 +158,7 @@
             .collect();
         let hedge = &mut self.machines[leader].hedge;
         if let Some(list) = hedge.wanted_members(asks.iter(), self.bears, GIVEN_UP_MS, now) {
-            hedge.propose(Body::Members(list), now);
+            hedge.propose(EntryPayload::Membership(list), now);
         }
     }
     pub fn turn(&mut self) {
@@ -173,7 +175,7 @@
     pub fn order(&mut self) -> bool {
         let Some(leader) = self.leader() else { return false };
         let (number, now) = (self.acked.len() as u8, self.now);
-        let body = Body::Change(serde_bytes::ByteBuf::from(vec![number]));
+        let body = EntryPayload::Command(serde_bytes::ByteBuf::from(vec![number]));
         let index = self.machines[leader].hedge.propose(body, now);
         self.settle();
         let Some(index) = index.filter(|i| *i <= self.machines[leader].hedge.commit) else {
@@ -183,8 +185,8 @@
         true
     }
     /// What stands at this place of a steward's log.
-    pub fn holds(&self, at: usize, (index, number): (Index, u8)) -> bool {
-        let body = Body::Change(serde_bytes::ByteBuf::from(vec![number]));
+    pub fn holds(&self, at: usize, (index, number): (LogIndex, u8)) -> bool {
+        let body = EntryPayload::Command(serde_bytes::ByteBuf::from(vec![number]));
         self.machines[at].hedge.kept.log.iter().any(|e| e.index == index && e.body == body)
     }
 }
--- a/tests/wicket.rs
+++ b/tests/wicket.rs
@@ -3,13 +3,13 @@
 use silvertack::base::ids::{InstanceId, NodeName, ServiceName};
 use silvertack::base::time::Tick;
 use silvertack::config::configuration::Configuration;
-use silvertack::config::route_table::Lanes;
-use silvertack::gateway::attempts::{Ended, Next, Tries};
-use silvertack::gateway::http1::{Body, Framing, Garbled, read_answer, read_request};
+use silvertack::config::route_table::RouteTable;
+use silvertack::gateway::attempts::{AttemptOutcome, AttemptPolicy, Next};
+use silvertack::gateway::http1::{BodyDecoder, BodyFraming, ParseError, read_answer, read_request};
 use silvertack::gateway::load_balancing::{Candidate, Work, choose, homes};
-use silvertack::gateway::outlier_detection::Health;
+use silvertack::gateway::outlier_detection::OutlierDetector;
 use silvertack::gateway::retry_budget::RetryBudget;
-use silvertack::leases::subset_assignments::Cadastre;
+use silvertack::leases::subset_assignments::SubsetAssignments;
 
 fn head(lines: &str) -> Vec<u8> {
     format!("{}\r\n\r\n", lines.replace('\n', "\r\n")).into_bytes()
@@ -59,7 +59,7 @@
     assert_eq!(size, bytes.len());
     assert_eq!((asked.host.as_str(), asked.path()), ("h.example", "/a"));
     assert_eq!((asked.target.as_str(), asked.deadline_ms), ("/a?b=c", Some(40)));
-    assert!(asked.close && asked.expects && asked.framing == Framing::Chunked);
+    assert!(asked.close && asked.expects && asked.framing == BodyFraming::Chunked);
     let passed = "Host: H.Example:80\r\nRequest-Id: 7\r\nAccept: */*\r\n";
     assert_eq!(String::from_utf8_lossy(&asked.passed), passed);
 }
@@ -67,19 +67,19 @@
 #[test]
 fn answers_tell_how_long_they_are() {
     let cases = [
-        ("GET", "200 OK\nContent-Length: 5", Ok(Framing::Length(5))),
-        ("GET", "200 OK\nTransfer-Encoding: chunked", Ok(Framing::Chunked)),
-        ("GET", "200 OK", Ok(Framing::UntilClose)),
-        ("HEAD", "200 OK\nContent-Length: 5", Ok(Framing::Length(0))),
-        ("GET", "204 No Content", Ok(Framing::Length(0))),
-        ("GET", "200 OK\nContent-Length: 5\nTransfer-Encoding: chunked", Err(Garbled)),
-        ("GET", "200 OK\nContent-Length: x", Err(Garbled)),
+        ("GET", "200 OK\nContent-Length: 5", Ok(BodyFraming::Length(5))),
+        ("GET", "200 OK\nTransfer-Encoding: chunked", Ok(BodyFraming::Chunked)),
+        ("GET", "200 OK", Ok(BodyFraming::UntilClose)),
+        ("HEAD", "200 OK\nContent-Length: 5", Ok(BodyFraming::Length(0))),
+        ("GET", "204 No Content", Ok(BodyFraming::Length(0))),
+        ("GET", "200 OK\nContent-Length: 5\nTransfer-Encoding: chunked", Err(ParseError)),
+        ("GET", "200 OK\nContent-Length: x", Err(ParseError)),
     ];
     for (method, lines, framing) in cases {
         let got = read_answer(&head(&format!("HTTP/1.1 {lines}")), method);
         assert_eq!(got.map(|found| found.expect("whole").0.framing), framing, "{method} {lines}");
     }
-    assert_eq!(read_answer(b"\x00\x01 no answer\r\n\r\n", "GET"), Err(Garbled));
+    assert_eq!(read_answer(b"\x00\x01 no answer\r\n\r\n", "GET"), Err(ParseError));
     let told =
         head("HTTP/1.1 503 No\nNot-Executed: 1\nKeep-Alive: timeout=7, max=3\nConnection: close");
     let (told, _) = read_answer(&told, "GET").expect("readable").expect("whole");
@@ -94,15 +94,16 @@
 #[test]
 fn a_body_comes_out_the_same_however_it_is_cut() {
     let chunked = b"3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nTrailer: 1\r\n\r\nNEXT";
-    type Case<'a> = (Framing, &'a [u8], &'a [u8], &'a [u8]);
+    type Case<'a> = (BodyFraming, &'a [u8], &'a [u8], &'a [u8]);
     let cases: [Case<'_>; 3] = [
-        (Framing::Length(5), b"abcdeNEXT", b"abcde", b"NEXT"),
-        (Framing::Chunked, chunked, b"abcde", b"NEXT"),
-        (Framing::Length(0), b"NEXT", b"", b"NEXT"),
+        (BodyFraming::Length(5), b"abcdeNEXT", b"abcde", b"NEXT"),
+        (BodyFraming::Chunked, chunked, b"abcde", b"NEXT"),
+        (BodyFraming::Length(0), b"NEXT", b"", b"NEXT"),
     ];
     for (framing, bytes, data, rest) in cases {
         for step in 1..bytes.len() {
-            let (mut body, mut out, mut pending) = (Body::new(framing), Vec::new(), Vec::new());
+            let (mut body, mut out, mut pending) =
+                (BodyDecoder::new(framing), Vec::new(), Vec::new());
             let mut left = bytes;
             while !body.done() {
                 let (piece, more) = left.split_at(step.min(left.len()));
@@ -116,20 +117,23 @@
         }
     }
     for bad in ["x\r\n", "3\r\nabcd", "3\nabc", "1\r\na\r\n0\r\nT: 1\n\n"] {
-        let got = Body::new(Framing::Chunked).take(bad.as_bytes(), &mut Vec::new());
-        assert_eq!(got, Err(Garbled), "{bad:?}");
+        let got = BodyDecoder::new(BodyFraming::Chunked).take(bad.as_bytes(), &mut Vec::new());
+        assert_eq!(got, Err(ParseError), "{bad:?}");
     }
-    let mut open = Body::new(Framing::UntilClose);
+    let mut open = BodyDecoder::new(BodyFraming::UntilClose);
     assert!(!open.done() && open.closed(), "the end of the connection ends it");
-    assert!(!Body::new(Framing::Length(3)).closed(), "a length that was not reached does not");
+    assert!(
+        !BodyDecoder::new(BodyFraming::Length(3)).closed(),
+        "a length that was not reached does not"
+    );
 }
 
 #[test]
 fn what_cannot_be_repeated_is_never_sent_again_once_it_may_have_run() {
-    use Ended::*;
+    use AttemptOutcome::*;
     use Next::*;
     // Repeatable, sends so far in order, others under way, time, budget: what follows the last.
-    type Case<'a> = (bool, &'a [Ended], bool, bool, bool, Next);
+    type Case<'a> = (bool, &'a [AttemptOutcome], bool, bool, bool, Next);
     let cases: [Case<'_>; 17] = [
         (false, &[NotSent], false, true, false, Another),
         (false, &[NotRun], false, true, true, Another),
@@ -151,7 +155,7 @@
         (true, &[NotSent], false, false, true, Refuse(Refusal::Full)),
     ];
     for (repeatable, ends, others, time, budget, expected) in cases {
-        let mut tries = Tries::new(repeatable, 2);
+        let mut tries = AttemptPolicy::new(repeatable, 2);
         let mut last = Another;
         for ended in ends {
             if *ended != NotSent {
@@ -214,7 +218,7 @@
 
 #[test]
 fn a_database_that_fails_is_left_alone_longer_each_time() {
-    let (mut health, now) = (Health::default(), Tick(100_000));
+    let (mut health, now) = (OutlierDetector::default(), Tick(100_000));
     health.failed(now);
     assert!(!health.out(now), "one failed answer may be the request's own fault");
     health.failed(now);
@@ -226,10 +230,10 @@
     assert!(!health.out(now.plus(9_100)), "an answer makes it as good as new");
 }
 
-fn lanes(routes: serde_json::Value) -> Result<Lanes, String> {
+fn lanes(routes: serde_json::Value) -> Result<RouteTable, String> {
     let services = serde_json::json!([{ "name": "a", "max_connections": 4 }, { "name": "b", "max_connections": 4 }]);
     let body = serde_json::json!({ "revision": 1, "route_rules": routes, "services": services });
-    Configuration::read(body.to_string().as_bytes()).map(|c| Lanes::of(&c))
+    Configuration::read(body.to_string().as_bytes()).map(|c| RouteTable::of(&c))
 }
 fn route(host: &str, prefix: &str, more: serde_json::Value) -> serde_json::Value {
     let mut route = serde_json::json!({ "name": format!("{host}{prefix}"), "hostname": host,
@@ -293,7 +297,7 @@
 #[test]
 fn plots_follow_demand_and_cover_all_databases_once() {
     let start = Tick(100_000);
-    let mut cadastre = Cadastre::new(start);
+    let mut cadastre = SubsetAssignments::new(start);
     let items = ServiceName::from("items");
     let node = |n: usize| NodeName(format!("n{n}"));
     let busy = [300, 100, 0, 200];
@@ -303,7 +307,7 @@
     cadastre.report(&node(9), "elsewhere", items.clone(), 50);
     cadastre.divide(|_| true, start.plus(1_000));
     assert!(cadastre.due(&node(0), false).is_empty(), "not before all have had time to report");
-    let divide = |cadastre: &mut Cadastre, ms: u64| {
+    let divide = |cadastre: &mut SubsetAssignments, ms: u64| {
         cadastre.divide(|n| *n != node(8), start.plus(ms));
         let mut upto = 0;
         let mut parts = Vec::new();
