--- a/examples/rest.rs
+++ b/examples/rest.rs
@@ -1,4 +1,4 @@
-//! What resting clients cost a node: opens connections to a wicket or a stile in steps, has each ask
+//! What resting clients cost a node: opens connections to a gateway or a pooler in steps, has each ask
 //! one thing, and prints the node's memory and threads once all rest. `docs/CAPACITY.md` has figures.
 use clap::Parser;
 use serde_json::json;
--- a/examples/scale.rs
+++ b/examples/scale.rs
@@ -1,7 +1,7 @@
-//! A scale run on one machine: real stewards as processes, before them hollow nodes and hollow
+//! A scale run on one machine: real controllers as processes, before them hollow nodes and hollow
 //! databases, many to this process, that speak the real protocols and carry no traffic.
 //!
-//! Prints one line of JSON: what the leader and the other stewards used, what each node was sent, and
+//! Prints one line of JSON: what the leader and the other controllers used, what each node was sent, and
 //! how long a new configuration took to be in force everywhere. `docs/CAPACITY.md` has its figures.
 use clap::Parser;
 use serde_json::json;
@@ -21,7 +21,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Runs stewards with hollow nodes and databases, and tells what they cost.
+/// Runs controllers with hollow nodes and databases, and tells what they cost.
 #[derive(Clone, Parser)]
 struct Args {
     #[arg(long, default_value_t = 100)]
@@ -44,7 +44,7 @@
     #[arg(long, default_value_t = 20)]
     seconds: u64,
     #[arg(long, default_value_t = 3)]
-    stewards: u8,
+    controllers: u8,
     #[arg(long, default_value = "target/release/silvertack")]
     program: PathBuf,
 }
@@ -115,7 +115,12 @@
 impl LeaderSubscriber for Hollow {
     fn hello(&self) -> ToController {
         let revision = Revision(self.revision.load(Ordering::Relaxed));
-        ToController::Hello { node: self.node.clone(), life: 1, revision, zone: self.zone.clone() }
+        ToController::Hello {
+            node: self.node.clone(),
+            incarnation: 1,
+            revision,
+            zone: self.zone.clone(),
+        }
     }
     fn linked(&self) {}
     fn begin(&self) {
@@ -146,7 +151,7 @@
     }
 }
 
-/// A stand-in for all databases at once, as far as stewards ask them anything.
+/// A stand-in for all databases at once, as far as controllers ask them anything.
 fn describe(listener: TcpListener) {
     for stream in listener.incoming().flatten() {
         std::thread::spawn(move || -> std::io::Result<()> {
@@ -170,7 +175,13 @@
 }
 
 /// Beats of some databases, each on a kept connection of its own, once a second.
-fn beat(databases: Vec<usize>, all: usize, at: SocketAddr, leader: SocketAddr, stop: &AtomicBool) {
+fn heartbeat(
+    databases: Vec<usize>,
+    all: usize,
+    at: SocketAddr,
+    leader: SocketAddr,
+    stop: &AtomicBool,
+) {
     let mut kept: Vec<Option<TcpStream>> = databases.iter().map(|_| None).collect();
     for sequence in 1.. {
         let round = Instant::now();
@@ -239,9 +250,9 @@
 
 fn settings(folder: &Path, number: u8, args: &Args) -> std::io::Result<(PathBuf, SocketAddr)> {
     let ip = Ipv4Addr::new(127, 0, 9, number);
-    let seeds: Vec<String> = (1..=args.stewards).map(|n| format!("127.0.9.{n}:17400")).collect();
+    let seeds: Vec<String> = (1..=args.controllers).map(|n| format!("127.0.9.{n}:17400")).collect();
     let text = format!(
-        "node_name = \"steward-{number}\"\nip_address = \"{ip}\"\nzone = \"z{number}\"\nport_range = [17410, 17419]\n\
+        "node_name = \"controller-{number}\"\nip_address = \"{ip}\"\nzone = \"z{number}\"\nport_range = [17410, 17419]\n\
          seed_nodes = {seeds:?}\nbootstrap = true\nrollout = \"{}\"\ndata_path = \"{}\"\nheartbeat_ms = 1000\n\
          [listeners]\nadmin = \"{ip}:17400\"\n[limits]\nmemory_mb = 1024\nmax_open_files = 30000\n\
          [fault_tolerance]\nmachines = 1\n",
@@ -299,10 +310,10 @@
     let folder = std::env::temp_dir().join(format!("silvertack-scale-{}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
     let (mut processes, mut admins) = (Vec::new(), Vec::new());
-    for number in 1..=args.stewards {
+    for number in 1..=args.controllers {
         let (file, admin) = settings(&folder, number, &args)?;
         let mut command = Command::new(&args.program);
-        command.args(["--log", "warn", "steward", "--settings"]).arg(file).stderr(Stdio::null());
+        command.args(["--log", "warn", "controller", "--settings"]).arg(file).stderr(Stdio::null());
         processes.push(Process(command.spawn()?));
         admins.push(admin);
     }
@@ -321,7 +332,7 @@
     for beater in 0..beaters {
         let mine = (beater..args.databases).step_by(beaters).collect();
         let (stop, all) = (Arc::clone(&stop), args.databases);
-        std::thread::spawn(move || beat(mine, all, database, at, &stop));
+        std::thread::spawn(move || heartbeat(mine, all, database, at, &stop));
     }
     let counts = Arc::new(Counts::default());
     let peers: Vec<SocketAddr> = admins.iter().map(|a| SocketAddr::new(a.ip(), 17_410)).collect();
@@ -362,7 +373,7 @@
             }
         }
     });
-    // Elections, first shares and the first beats are over by then.
+    // Elections, first shares and the first heartbeats are over by then.
     std::thread::sleep(Duration::from_secs(6));
     let before: Vec<_> = processes.iter().map(|p| usage(p.0.id())).collect();
     let (bytes_in, bytes_out) =
@@ -392,7 +403,7 @@
     let line = json!({
         "kind": args.kind, "nodes": args.nodes, "databases": args.databases, "saw": args.saw,
         "routes": args.routes, "changes": args.changes, "seconds": round(seconds),
-        "leader_cores": round(core(led)), "other_stewards_cores": round(others.fold(0.0, f64::max)),
+        "leader_cores": round(core(led)), "other_controllers_cores": round(others.fold(0.0, f64::max)),
         "leader_peak_kib": after[led].1, "leader_threads": after[led].2,
         "node_bytes_in_s": round(per(counts.bytes_in.load(Ordering::Relaxed) - bytes_in)),
         "node_bytes_out_s": round(per(counts.bytes_out.load(Ordering::Relaxed) - bytes_out)),
--- a/examples/standin.rs
+++ b/examples/standin.rs
@@ -1,6 +1,6 @@
 //! A stand-in service of three databases and a platform, for a first run on one's own machine.
 //!
-//! Prints the platform's address for the settings files, then beats to the given steward. With
+//! Prints the platform's address for the settings files, then heartbeats to the given controller. With
 //! `--gateway`, three databases that answer HTTP requests, and no platform.
 #[path = "../tests/support/gateway.rs"]
 mod shed;
@@ -21,7 +21,7 @@
     if gateway {
         let databases = shed::Shed::start(&service, 3)?;
         for sequence in 1.. {
-            // Whether a steward is there yet shows in its status.
+            // Whether a controller is there yet shows in its status.
             databases.beat_all(admin, sequence);
             std::thread::sleep(Duration::from_millis(1000));
         }
--- a/src/base/ids.rs
+++ b/src/base/ids.rs
@@ -57,17 +57,17 @@
 );
 
 number!(
-    /// The term of the stewards' own log: which steward leads.
+    /// The term of the controllers' own log: which controller leads.
     Term
 );
 
 number!(
-    /// The place of an entry in the stewards' log.
+    /// The place of an entry in the controllers' log.
     LogIndex
 );
 
 number!(
-    /// One steward with one disk; a new disk makes a new member.
+    /// One controller with one disk; a new disk makes a new member.
     MemberId
 );
 
--- a/src/base/worker_pool.rs
+++ b/src/base/worker_pool.rs
@@ -8,7 +8,7 @@
 type Job = Box<dyn FnOnce() + Send>;
 
 /// Threads that do one short job after the other, and jobs that one of them is about to take. Calls,
-/// beats and questions come by the hundred a second; a new thread for each costs more than the work.
+/// heartbeats and questions come by the hundred a second; a new thread for each costs more than the work.
 struct WorkerPool {
     threads: usize,
     resting: usize,
--- a/src/config/configuration.rs
+++ b/src/config/configuration.rs
@@ -11,7 +11,7 @@
     pub revision: Revision,
     #[validate(nested)]
     pub route_rules: Vec<Route>,
-    // Far more than any deployment has; a lane counts them with 16 bits.
+    // Far more than any deployment has; a route entry counts them with 16 bits.
     #[validate(nested, length(max = 60_000))]
     pub services: Vec<Service>,
     #[serde(default)]
--- a/src/config/directory.rs
+++ b/src/config/directory.rs
@@ -17,7 +17,7 @@
     Replica,
 }
 
-/// A database as its beats tell of it. What changes with every beat is kept apart, in `Beat`.
+/// A database as its heartbeats tell of it. What changes with every heartbeat is kept apart, in `Heartbeat`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Instance {
     pub target_service: ServiceName,
--- a/src/config/route_table.rs
+++ b/src/config/route_table.rs
@@ -48,11 +48,11 @@
     }
 }
 
-/// What a node needs of a configuration: a lane for each host and prefix, in their order.
+/// What a node needs of a configuration: a route entry for each host and prefix, in their order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RouteTable {
     pub revision: Revision,
-    lanes: Vec<RouteEntry>,
+    entries: Vec<RouteEntry>,
     pub services: Vec<ServiceName>,
     pub limits: SessionLimits,
 }
@@ -64,7 +64,7 @@
         // A checked configuration names only services it has, and no place twice.
         let place =
             |(service, weight): (&ServiceName, u32)| Some((*places.get(service)? as u16, weight));
-        let lane = |route: &Route| RouteEntry {
+        let entry = |route: &Route| RouteEntry {
             hostname: route.hostname.clone(),
             path_prefix: route.path_prefix.clone(),
             route_type: route.route_type,
@@ -75,38 +75,38 @@
             stale_ms: route.stale_ms,
             targets: route.targets().filter_map(place).collect(),
         };
-        let mut lanes: Vec<RouteEntry> = config.route_rules.iter().map(lane).collect();
-        lanes.sort_by(|a, b| a.place().cmp(&b.place()));
+        let mut entries: Vec<RouteEntry> = config.route_rules.iter().map(entry).collect();
+        entries.sort_by(|a, b| a.place().cmp(&b.place()));
         Self {
             revision: config.revision,
-            lanes,
+            entries,
             services: config.services.iter().map(|s| s.name.clone()).collect(),
             limits: config.limits.clone(),
         }
     }
-    /// The lane of a database name, and the service it leads to. Of several routes with that name,
+    /// The route entry of a database name, and the service it leads to. Of several routes with that name,
     /// the one with the first prefix counts.
-    pub fn lane(&self, hostname: &str) -> Option<(&RouteEntry, &ServiceName)> {
-        let at = self.lanes.partition_point(|l| l.hostname.as_str() < hostname);
-        let lane = self.lanes.get(at).filter(|l| l.hostname == hostname)?;
-        Some((lane, self.service(lane, 0)?))
+    pub fn entry_for_hostname(&self, hostname: &str) -> Option<(&RouteEntry, &ServiceName)> {
+        let at = self.entries.partition_point(|l| l.hostname.as_str() < hostname);
+        let entry = self.entries.get(at).filter(|l| l.hostname == hostname)?;
+        Some((entry, self.service(entry, 0)?))
     }
-    /// The lane of a request: of those for its host, the one with the longest prefix of its path.
-    pub fn route(&self, hostname: &str, path: &str) -> Option<&RouteEntry> {
+    /// The route entry of a request: of those for its host, the one with the longest prefix of its path.
+    pub fn entry_for_path(&self, hostname: &str, path: &str) -> Option<&RouteEntry> {
         let slashes = path.bytes().enumerate().rev().filter(|(_, b)| *b == b'/').map(|(at, _)| at);
         slashes
             .map(|at| &path[..=at])
             .find_map(|prefix| {
-                self.lanes.binary_search_by(|l| l.place().cmp(&(hostname, prefix))).ok()
+                self.entries.binary_search_by(|l| l.place().cmp(&(hostname, prefix))).ok()
             })
-            .map(|at| &self.lanes[at])
+            .map(|at| &self.entries[at])
     }
-    /// The service that a lane leads to for one of its requests. The same request is led to the
+    /// The service that a route entry leads to for one of its requests. The same request is led to the
     /// same service at every node.
-    pub fn service(&self, lane: &RouteEntry, request: u64) -> Option<&ServiceName> {
-        let sum: u64 = lane.targets.iter().map(|(_, weight)| u64::from(*weight)).sum();
+    pub fn service(&self, entry: &RouteEntry, request: u64) -> Option<&ServiceName> {
+        let sum: u64 = entry.targets.iter().map(|(_, weight)| u64::from(*weight)).sum();
         let mut left = request.checked_rem(sum)?;
-        for (service, weight) in &lane.targets {
+        for (service, weight) in &entry.targets {
             match left.checked_sub(u64::from(*weight)) {
                 Some(less) => left = less,
                 None => return self.services.get(usize::from(*service)),
@@ -119,7 +119,7 @@
         RouteTableDelta {
             base: base.revision,
             revision: self.revision,
-            lanes: runs(&base.lanes, &self.lanes, RouteEntry::place),
+            entries: runs(&base.entries, &self.entries, RouteEntry::place),
             services: runs(&base.services, &self.services, |s| s.0.as_str()),
             limits: self.limits.clone(),
         }
@@ -131,7 +131,7 @@
         }
         Some(RouteTable {
             revision: changed.revision,
-            lanes: laid_out(&self.lanes, &changed.lanes)?,
+            entries: laid_out(&self.entries, &changed.entries)?,
             services: laid_out(&self.services, &changed.services)?,
             limits: changed.limits.clone(),
         })
@@ -143,7 +143,7 @@
 pub struct RouteTableDelta {
     pub base: Revision,
     pub revision: Revision,
-    pub lanes: Vec<DeltaRun<RouteEntry>>,
+    pub entries: Vec<DeltaRun<RouteEntry>>,
     pub services: Vec<DeltaRun<ServiceName>>,
     pub limits: SessionLimits,
 }
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -26,7 +26,7 @@
     pub bootstrap: bool,
     #[serde(default)]
     pub data_path: Option<PathBuf>,
-    /// Whether the loss of this machine counts; a steward elsewhere votes on nothing.
+    /// Whether the loss of this machine counts; a controller elsewhere votes on nothing.
     #[serde(default = "yes")]
     pub quorum_member: bool,
     #[validate(nested)]
@@ -176,15 +176,15 @@
     pub fn node(&self) -> NodeName {
         NodeName(self.node_name.clone())
     }
-    /// Where stewards listen for peers: the first port of the range, on every machine the same.
+    /// Where controllers listen for peers: the first port of the range, on every machine the same.
     pub fn peer_port(&self) -> u16 {
         self.port_range.0
     }
-    /// Whether a steward here may vote.
+    /// Whether a controller here may vote.
     pub fn can_vote(&self) -> bool {
         self.data_path.is_some() && self.quorum_member
     }
-    /// The seed that founds the hedge, when the system starts for the first time.
+    /// The seed that founds the Raft group, when the system starts for the first time.
     pub fn founder(&self) -> Option<SocketAddr> {
         self.seed_nodes.iter().min().copied().filter(|_| self.bootstrap)
     }
--- a/src/controller/admin_api.rs
+++ b/src/controller/admin_api.rs
@@ -21,19 +21,19 @@
 }
 
 impl AdminCall {
-    pub fn judge(self, almanac: &StateMachine) -> CallDecision {
+    pub fn judge(self, state_machine: &StateMachine) -> CallDecision {
         let effect = match &self {
-            Self::ReadConfiguration if almanac.body.is_empty() => {
+            Self::ReadConfiguration if state_machine.body.is_empty() => {
                 return CallDecision::Answer(Response::refusal(404, "no configuration yet"));
             }
             Self::ReadConfiguration => {
-                return CallDecision::Answer(Response::json(200, almanac.body.to_vec()));
+                return CallDecision::Answer(Response::json(200, state_machine.body.to_vec()));
             }
             Self::Command(Command::PutConfiguration { base, revision, body }) => {
-                almanac.judge(*base, *revision, body)
+                state_machine.judge(*base, *revision, body)
             }
             Self::Command(Command::RemoveInstance { id, .. })
-                if !almanac.instances.contains_key(id) =>
+                if !state_machine.instances.contains_key(id) =>
             {
                 CommandOutcome::NoChange
             }
--- a/src/controller/controller.rs
+++ b/src/controller/controller.rs
@@ -39,32 +39,32 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError, SyncSender};
 use std::time::Duration;
 
-/// What reaches a steward.
+/// What reaches a controller.
 pub enum Input {
     /// What came over a connection on the peer port.
     Frame(u64, Frame),
-    /// The layout that a steward reads, ahead of each frame that names it.
+    /// The layout that a controller reads, ahead of each frame that names it.
     PeerLayout(MemberId, u8),
     Closed(u64),
     Http(Request, SyncSender<Response>),
     DatabaseResponse(ServiceName, InstanceId, DatabaseRequest, Attempt, DatabaseResponse),
     PromotionResponse(ServiceName, InstanceId, Attempt, PromotionResponse),
-    /// What a steward said to the wish to join, or to the question whether this id still belongs.
+    /// What a controller said to the wish to join, or to the question whether this id still belongs.
     JoinResponse(MemberId, SocketAddr, Option<JoinResponse>),
     /// The write under way has ended, with its error if it failed.
     Saved(Result<(), String>),
 }
 
-/// What a steward does to the world outside. The program does it with sockets, threads and a disk, the
+/// What a controller does to the world outside. The program does it with sockets, threads and a disk, the
 /// model in the tests with queues in virtual time. Nothing here waits.
 pub trait Effects {
-    /// Sends another steward a consensus message, or drops it: the hedge asks again for what got lost.
+    /// Sends another controller a consensus message, or drops it: the Raft group asks again for what got lost.
     fn send_raft(&mut self, to: MemberId, address: SocketAddr, message: RaftMessage, now: Tick);
     /// Connections to all others are of no use any more.
     fn keep_links(&mut self, members: &[Member]);
     /// Starts to write; `Input::Saved` follows. False if nothing writes any more.
-    fn write(&mut self, sheaf: WriteBatch) -> bool;
-    /// Asks a steward to be taken in, or whether one still belongs; `Input::Standing` follows.
+    fn write(&mut self, batch: WriteBatch) -> bool;
+    /// Asks a controller to be taken in, or whether one still belongs; `Input::Standing` follows.
     fn ask_standing(&mut self, at: SocketAddr, member: Member, was: bool);
     /// Asks a database one thing; `Input::Told` follows, unless this is false.
     fn ask_database(
@@ -96,7 +96,7 @@
     fn peers(&self) -> usize;
 }
 
-/// A stile that follows this leader: what it was told, and what it is still owed. Where its link
+/// A pooler that follows this leader: what it was told, and what it is still owed. Where its link
 /// is slow, newer state takes the place of older state that has not left.
 struct Subscriber {
     node: NodeName,
@@ -107,7 +107,7 @@
     directory_due: bool,
     /// The renewal to be answered once what waits has left, and the floors it asks for.
     renewal: Option<(u64, Vec<ServiceName>)>,
-    /// Up to where in the tidings it was answered; not at all yet.
+    /// Up to where in the pending updates it was answered; not at all yet.
     told: Option<u64>,
     /// What it gave back by itself has to be told again.
     owed: BTreeSet<ServiceName>,
@@ -119,38 +119,38 @@
 struct LeaderState {
     leases: LeaseTable,
     /// When each database was last heard of, and its newest sequence.
-    beats: BTreeMap<InstanceId, (Tick, u64)>,
-    successions: BTreeMap<ServiceName, Failover>,
+    heartbeats: BTreeMap<InstanceId, (Tick, u64)>,
+    failovers: BTreeMap<ServiceName, Failover>,
     /// Services that something happened to, or that are on their way to another primary: these are
     /// looked at in every round. All are, now and then.
     stirred: BTreeSet<ServiceName>,
     swept: Tick,
-    tidings: PendingUpdates,
+    pending_updates: PendingUpdates,
     sealed: BTreeSet<ServiceName>,
-    freshness: ReplicationWatermarks,
-    cadastre: SubsetAssignments,
+    watermarks: ReplicationWatermarks,
+    subset_assignments: SubsetAssignments,
     /// Leases and shares of before the election are over.
     settled: bool,
 }
 
-/// One steward, moved on by inputs and a passed-in time; `E` carries out what it decides.
+/// One controller, moved on by inputs and a passed-in time; `E` carries out what it decides.
 pub struct Controller<E> {
     settings: Settings,
-    hedge: RaftNode,
-    desk: LogPersister,
-    almanac: StateMachine,
+    raft: RaftNode,
+    persister: LogPersister,
+    state_machine: StateMachine,
     applied: LogIndex,
     config: Option<Configuration>,
-    stiles: BTreeMap<u64, Subscriber>,
+    poolers: BTreeMap<u64, Subscriber>,
     /// Stiles that came before this leader had applied all that was committed.
     early: Vec<(u64, ToController)>,
     /// The newest versions, the last one in force; what changed since an older one is enough.
     versions: VecDeque<RouteTable>,
-    /// The frame that brings a stile from a version to the one in force.
+    /// The frame that brings a pooler from a version to the one in force.
     encoded: HashMap<Revision, Arc<[u8]>>,
-    /// The frame that brings a stile the whole directory, until that changes.
+    /// The frame that brings a pooler the whole directory, until that changes.
     listing: Option<Arc<[u8]>>,
-    /// Databases that stiles have to be told of, and since when.
+    /// Databases that poolers have to be told of, and since when.
     moved: BTreeSet<InstanceId>,
     moved_since: Option<Tick>,
     /// Stiles have to ask anew, as a primary leads; and when they were last told to.
@@ -161,16 +161,16 @@
     /// Who asked to join, and when last.
     joining: BTreeMap<MemberId, (Member, Tick)>,
     next_join: Tick,
-    /// The steward that is said to lead, for asking it to be taken in.
+    /// The controller that is said to lead, for asking it to be taken in.
     join_at: Option<SocketAddr>,
     /// The leader that says that it takes this one in, or has: answers go there while it is in no
     /// list here.
     taken_in: Option<SocketAddr>,
-    /// The one that this process told to found the hedge, as no seed has a disk.
+    /// The one that this process told to found the Raft group, as no seed has a disk.
     nominated: Option<MemberId>,
-    /// Without a disk this steward is in no list and only points at the one that leads.
+    /// Without a disk this controller is in no list and only points at the one that leads.
     pointed: Option<SocketAddr>,
-    office: Option<LeaderState>,
+    leader_state: Option<LeaderState>,
     proposed: PendingProposals<SyncSender<Response>>,
     reads: LinearizableReads<SyncSender<Response>>,
     /// Where ids and the spread of elections are drawn from.
@@ -192,7 +192,7 @@
 
 const QUESTIONS_WAITING: usize = 4_096;
 
-/// A database whose beats miss this many intervals is doubted.
+/// A database whose heartbeats miss this many intervals is doubted.
 const MISSED_BEATS: u64 = 3;
 
 /// Who asked to join and does not ask again is forgotten after this.
@@ -203,7 +203,7 @@
 /// A member that hears no leader for this long asks whether it still is one.
 const LONELY_MS: u64 = 1_200;
 
-/// A seed without a disk waits this long for the first stewards before it names a founder.
+/// A seed without a disk waits this long for the first controllers before it names a founder.
 const NOMINATE_MS: u64 = 500;
 
 /// How often all services are looked at; those that something happens to are at once.
@@ -212,10 +212,10 @@
 /// Versions of the configuration kept for telling what changed.
 const VERSIONS_KEPT: usize = 8;
 
-/// Changes of the directory that wait for a slow stile; beyond it the whole is sent later.
+/// Changes of the directory that wait for a slow pooler; beyond it the whole is sent later.
 const CHANGES_WAITING: usize = 64 << 10;
 
-/// Answers to a stile that it may still tell of what it saw since.
+/// Answers to a pooler that it may still tell of what it saw since.
 const ANSWERS_KEPT: usize = 4;
 
 /// Changes of the directory are gathered for so long.
@@ -254,20 +254,20 @@
             self.turn(now)?;
             if now.since(looked) > 1_000 {
                 looked = now;
-                let stiles = &self.stiles;
-                self.effects.drop_useless(|conn| stiles.contains_key(&conn), now);
+                let poolers = &self.poolers;
+                self.effects.drop_useless(|conn| poolers.contains_key(&conn), now);
                 if let Some(settings) = watched.poll(signals.take_hup()) {
                     self.settings = settings;
                 }
             }
             if signals.terminated() && leaving.is_none() {
-                info!(target: "hedge", "stopping");
+                info!(target: "raft", "stopping");
                 leaving = Some(now);
                 self.leave(now);
             }
             // The hand-over needs a moment; a follower can go at once.
-            if leaving.is_some_and(|t| !self.hedge.is_leader() || now.since(t) > 500) {
-                info!(target: "hedge", "stopped");
+            if leaving.is_some_and(|t| !self.raft.is_leader() || now.since(t) > 500) {
+                info!(target: "raft", "stopped");
                 return Ok(());
             }
         }
@@ -301,7 +301,7 @@
 }
 
 impl<E: Effects> Controller<E> {
-    /// A steward as it starts with what is on its disk.
+    /// A controller as it starts with what is on its disk.
     ///
     /// # Errors
     /// `Fatal::State` if the state can't be read.
@@ -313,20 +313,20 @@
         effects: E,
         now: Tick,
     ) -> Result<Self, Fatal> {
-        info!(target: "hedge", "member {} starts at epoch {}, entry {}", kept.me, kept.epoch,
+        info!(target: "raft", "member {} starts at term {}, entry {}", kept.me, kept.term,
             kept.log.last().map_or(kept.snapshot.last.1, |e| e.index));
-        let almanac = read_kept(&kept)?;
+        let state_machine = read_kept(&kept)?;
         let applied = kept.snapshot.last.1;
-        let config = almanac.configuration().map_err(Fatal::State)?;
-        let mut steward = Self {
-            hedge: RaftNode::new(kept, restarted, now, random),
+        let config = state_machine.configuration().map_err(Fatal::State)?;
+        let mut controller = Self {
+            raft: RaftNode::new(kept, restarted, now, random),
             settings,
-            desk: LogPersister::default(),
-            almanac,
+            persister: LogPersister::default(),
+            state_machine,
             applied,
             versions: config.iter().map(RouteTable::of).collect(),
             config: None,
-            stiles: BTreeMap::new(),
+            poolers: BTreeMap::new(),
             early: Vec::new(),
             encoded: HashMap::new(),
             listing: None,
@@ -341,7 +341,7 @@
             taken_in: None,
             nominated: None,
             pointed: None,
-            office: None,
+            leader_state: None,
             proposed: PendingProposals::default(),
             reads: LinearizableReads::default(),
             random,
@@ -351,25 +351,25 @@
             questions: VecDeque::new(),
             unreadable: None,
         };
-        steward.hedge.vet = readable;
-        steward.configure(config);
-        Ok(steward)
+        controller.raft.vet = readable;
+        controller.configure(config);
+        Ok(controller)
     }
 
     /// Milliseconds until a turn is due though nothing comes in.
     pub fn due(&self, now: Tick) -> u64 {
-        let busy = self.office.as_ref().is_some_and(|o| !o.stirred.is_empty());
+        let busy = self.leader_state.as_ref().is_some_and(|o| !o.stirred.is_empty());
         let wait = if busy { 25 } else { 200 };
         let gathers = self.moved_since.is_some() || self.renew_due;
         let wait = if gathers { wait.min(GATHER_MS) } else { wait };
-        self.hedge.due().since(now).clamp(1, wait)
+        self.raft.due().since(now).clamp(1, wait)
     }
     /// Does what is due, after inputs were taken.
     ///
     /// # Errors
     /// `Fatal::State` if something that is committed can't be read here: the process has to end.
     pub fn turn(&mut self, now: Tick) -> Result<(), Fatal> {
-        self.hedge.tick(now);
+        self.raft.tick(now);
         self.still_readable()?;
         self.flush(now);
         self.still_readable()?;
@@ -382,7 +382,7 @@
     }
     /// Going on beside what can't be read would be with an old state.
     fn still_readable(&self) -> Result<(), Fatal> {
-        match (&self.unreadable, &self.hedge.refused) {
+        match (&self.unreadable, &self.raft.refused) {
             (Some(why), _) => Err(Fatal::State(format!("left as it is: {why}"))),
             (_, Some(why)) => Err(Fatal::State(format!("not taken from the leader: {why}"))),
             _ => Ok(()),
@@ -390,42 +390,42 @@
     }
     /// Asked to stop: another is to lead.
     pub fn leave(&mut self, now: Tick) {
-        self.hedge.hand_over(now);
+        self.raft.hand_over(now);
         self.flush(now);
     }
-    pub fn hedge(&self) -> &RaftNode {
-        &self.hedge
+    pub fn raft(&self) -> &RaftNode {
+        &self.raft
     }
-    pub fn almanac(&self) -> &StateMachine {
-        &self.almanac
+    pub fn state_machine(&self) -> &StateMachine {
+        &self.state_machine
     }
-    /// Up to where the almanac holds what was agreed.
+    /// Up to where the state machine holds what was agreed.
     pub fn applied(&self) -> LogIndex {
         self.applied
     }
 
     /// Lets the messages leave that may, starts the next write, and applies what was agreed.
     fn flush(&mut self, now: Tick) {
-        let troubled = self.desk.troubled(now);
-        if troubled != self.hedge.ailing {
+        let troubled = self.persister.troubled(now);
+        if troubled != self.raft.ailing {
             match troubled {
                 true => warn!(target: "disk", "in trouble, another is to lead"),
                 false => info!(target: "disk", "well again"),
             }
         }
-        self.hedge.set_ailing(troubled, now);
+        self.raft.set_ailing(troubled, now);
         loop {
-            for (to, message) in self.desk.leaving(&mut self.hedge) {
+            for (to, message) in self.persister.leaving(&mut self.raft) {
                 self.send_raft(to, message, now);
             }
-            if let Some(sheaf) = self.desk.start(&mut self.hedge, now)
-                && !self.effects.write(sheaf)
+            if let Some(batch) = self.persister.start(&mut self.raft, now)
+                && !self.effects.write(batch)
             {
-                error!(target: "hedge", "the thread that writes has ended");
+                error!(target: "raft", "the thread that writes has ended");
             }
             self.apply(now);
-            self.change_office(now);
-            if self.hedge.out.is_empty() {
+            self.change_leader_state(now);
+            if self.raft.out.is_empty() {
                 return;
             }
         }
@@ -434,19 +434,19 @@
     fn saved(&mut self, saved: Result<(), String>, now: Tick) {
         // Tried again until it works; one line for the first failure is enough.
         if let Err(e) = &saved
-            && !self.hedge.ailing
+            && !self.raft.ailing
         {
             error!(target: "disk", "cannot write: {e}");
         }
-        for (to, message) in self.desk.ended(&mut self.hedge, saved.is_ok(), now) {
+        for (to, message) in self.persister.ended(&mut self.raft, saved.is_ok(), now) {
             self.send_raft(to, message, now);
         }
     }
 
     fn send_raft(&mut self, to: MemberId, message: RaftMessage, now: Tick) {
-        let member = self.hedge.members().iter().find(|m| m.id == to);
+        let member = self.raft.members().iter().find(|m| m.id == to);
         // One that begins has no list yet, and that of one that was away may lack the leader.
-        let leads = self.taken_in.filter(|_| self.hedge.leader == Some(to));
+        let leads = self.taken_in.filter(|_| self.raft.leader == Some(to));
         if let Some(address) = member.map(|m| m.peer).or(leads) {
             self.effects.send_raft(to, address, message, now);
         }
@@ -463,22 +463,22 @@
     pub fn take(&mut self, input: Input, now: Tick) {
         match input {
             Input::Closed(id) => {
-                if let Some(Subscriber { node, .. }) = self.stiles.remove(&id)
-                    && let Some(office) = &mut self.office
-                    && office.leases.lose(id, now).is_some()
+                if let Some(Subscriber { node, .. }) = self.poolers.remove(&id)
+                    && let Some(leader_state) = &mut self.leader_state
+                    && leader_state.leases.lose(id, now).is_some()
                 {
-                    office.tidings.stir_all();
-                    info!(target: "stiles", "{node} lost");
+                    leader_state.pending_updates.stir_all();
+                    info!(target: "poolers", "{node} lost");
                 }
             }
-            Input::PeerLayout(member, layout) => self.hedge.reads(member, layout),
+            Input::PeerLayout(member, layout) => self.raft.reads(member, layout),
             Input::Frame(_, Frame::Raft { to, message }) => {
-                if to == self.hedge.kept.me {
-                    self.hedge.step(*message, now);
+                if to == self.raft.kept.me {
+                    self.raft.step(*message, now);
                 }
             }
             Input::Frame(conn, Frame::Join { member, was }) => {
-                let mut answer = self.hedge.standing(&member, was, now);
+                let mut answer = self.raft.standing(&member, was, now);
                 if self.names(&member, now) {
                     answer = JoinResponse::FoundCluster;
                 }
@@ -489,7 +489,9 @@
                 self.send_conn(conn, &Frame::Joined(answer));
             }
             Input::JoinResponse(asked, at, answer) => self.stand(asked, at, answer, now),
-            Input::Frame(conn, Frame::Pooler(message)) => self.hear_stile(conn, message, now),
+            Input::Frame(conn, Frame::Pooler(message)) => {
+                self.handle_pooler_message(conn, message, now)
+            }
             Input::Frame(..) => {}
             Input::Http(request, reply) => self.answer_http(request, reply, now),
             Input::DatabaseResponse(service, id, ask, attempt, told) => {
@@ -498,14 +500,16 @@
                     self.ask_on();
                     info!(target: "failover", "{service}: {id} on {ask:?}: {told:?}");
                 }
-                self.move_on(&service, now, |s, facts| {
-                    s.told(facts, attempt, &id, ask, &told, now)
+                self.move_on(&service, now, |s, snapshot| {
+                    s.told(snapshot, attempt, &id, ask, &told, now)
                 });
             }
             Input::Saved(saved) => self.saved(saved, now),
             Input::PromotionResponse(service, id, attempt, posted) => {
                 info!(target: "failover", "{service}: promote of {id}: {posted:?}");
-                self.move_on(&service, now, |s, facts| s.posted(facts, attempt, &id, posted, now));
+                self.move_on(&service, now, |s, snapshot| {
+                    s.posted(snapshot, attempt, &id, posted, now)
+                });
             }
         }
     }
@@ -513,22 +517,22 @@
     // -- state ---------------------------------------------------------------------------------
 
     fn apply(&mut self, now: Tick) {
-        if self.hedge.commit <= self.applied || self.unreadable.is_some() {
+        if self.raft.commit <= self.applied || self.unreadable.is_some() {
             return;
         }
-        if self.hedge.kept.snapshot.last.1 > self.applied {
-            match read_state(&self.hedge.kept.snapshot) {
-                Ok(almanac) => self.almanac = almanac,
+        if self.raft.kept.snapshot.last.1 > self.applied {
+            match read_state(&self.raft.kept.snapshot) {
+                Ok(state_machine) => self.state_machine = state_machine,
                 Err(why) => {
                     self.unreadable = Some(why);
                     return;
                 }
             }
             self.listing = None;
-            self.applied = self.hedge.kept.snapshot.last.1;
+            self.applied = self.raft.kept.snapshot.last.1;
         }
         let mut relisted = None;
-        for entry in self.hedge.committed(self.applied) {
+        for entry in self.raft.committed(self.applied) {
             let change = match &entry.body {
                 EntryPayload::Command(bytes) => match read_change(entry.index, bytes) {
                     Ok(change) => Some(change),
@@ -559,11 +563,11 @@
                 |m: &Member| format!("{}{}", m.node, if m.voter { "" } else { " (learning)" });
             let names: Vec<_> = members.iter().map(word).collect();
             self.introduce();
-            info!(target: "hedge", "members: {}", names.join(", "));
+            info!(target: "raft", "members: {}", names.join(", "));
         }
-        if self.config.as_ref().map_or(Revision(0), |c| c.revision) != self.almanac.revision {
-            info!(target: "almanac", "configuration {} is in force", self.almanac.revision);
-            match self.almanac.configuration() {
+        if self.config.as_ref().map_or(Revision(0), |c| c.revision) != self.state_machine.revision {
+            info!(target: "state", "configuration {} is in force", self.state_machine.revision);
+            match self.state_machine.configuration() {
                 Ok(config) => self.configure(config),
                 Err(why) => {
                     self.unreadable = Some(why);
@@ -574,13 +578,13 @@
             if self.versions.len() > VERSIONS_KEPT {
                 self.versions.pop_front();
             }
-            let conns: Vec<u64> = self.stiles.keys().copied().collect();
+            let conns: Vec<u64> = self.poolers.keys().copied().collect();
             for conn in conns {
                 self.catch_up(conn, now);
             }
         }
-        let almanac = &self.almanac;
-        self.hedge.compact(self.applied, || almanac.write());
+        let state_machine = &self.state_machine;
+        self.raft.compact(self.applied, || state_machine.write());
     }
 
     fn configure(&mut self, config: Option<Configuration>) {
@@ -588,18 +592,18 @@
         self.services = services.map(|s| (s.name.clone(), s.clone())).collect();
         self.config = config;
         self.encoded.clear();
-        if let Some(office) = &mut self.office {
-            office.tidings.stir_all();
+        if let Some(leader_state) = &mut self.leader_state {
+            leader_state.pending_updates.stir_all();
         }
     }
 
     fn apply_change(&mut self, change: &Command, waiter: Option<SyncSender<Response>>, now: Tick) {
         let primary = match change {
-            Command::PrimaryReturned { service, .. } => self.almanac.leads.get(service),
+            Command::PrimaryReturned { service, .. } => self.state_machine.leads.get(service),
             _ => None,
         };
         let old = primary.map(|lead| lead.primary.clone());
-        let effect = self.almanac.apply(change);
+        let effect = self.state_machine.apply(change);
         if let Some(reply) = waiter {
             // A caller that no longer waits is none of our business.
             let answer = match change {
@@ -616,14 +620,14 @@
             Command::PutConfiguration { .. } => {}
             Command::Heartbeat { id, instance, .. } => {
                 self.moved(id, now);
-                info!(target: "almanac", "{id} of {}: {:?}, {:?}", instance.target_service,
+                info!(target: "state", "{id} of {}: {:?}, {:?}", instance.target_service,
                     instance.database_role, instance.lifecycle_state);
                 let (service, role) = (&instance.target_service, instance.database_role);
-                self.move_on(service, now, |s, facts| s.beat(facts, id, role, now));
-                self.move_on(service, now, |s, facts| s.tick(facts, now));
+                self.move_on(service, now, |s, snapshot| s.heartbeat(snapshot, id, role, now));
+                self.move_on(service, now, |s, snapshot| s.tick(snapshot, now));
             }
             Command::RemoveInstance { id, .. } => {
-                info!(target: "almanac", "{id} is gone");
+                info!(target: "state", "{id} is gone");
                 self.moved(id, now);
             }
             Command::SetPrimary { service, term, primary } => {
@@ -651,9 +655,9 @@
         | Command::AbandonFailover { service, .. }
         | Command::PrimaryReturned { service, .. } = change
         {
-            self.move_on(service, now, |s, facts| s.tick(facts, now));
-            if let Some(office) = &mut self.office {
-                office.tidings.stir(service);
+            self.move_on(service, now, |s, snapshot| s.tick(snapshot, now));
+            if let Some(leader_state) = &mut self.leader_state {
+                leader_state.pending_updates.stir(service);
             }
             self.renew_due |=
                 matches!(change, Command::SetPrimary { .. } | Command::PrimaryReturned { .. });
@@ -661,39 +665,39 @@
     }
 
     fn propose(&mut self, change: &Command, now: Tick) -> Option<LogIndex> {
-        self.hedge.propose(EntryPayload::Command(ByteBuf::from(pack(change))), now)
+        self.raft.propose(EntryPayload::Command(ByteBuf::from(pack(change))), now)
     }
 
-    // -- office --------------------------------------------------------------------------------
+    // -- leader state --------------------------------------------------------------------------------
 
-    fn change_office(&mut self, now: Tick) {
-        if self.known_leader != self.hedge.leader {
-            self.known_leader = self.hedge.leader;
+    fn change_leader_state(&mut self, now: Tick) {
+        if self.known_leader != self.raft.leader {
+            self.known_leader = self.raft.leader;
             match self.leader() {
                 Some(m) => {
-                    info!(target: "hedge", "{} leads epoch {}", m.node, self.hedge.kept.epoch)
+                    info!(target: "raft", "{} leads term {}", m.node, self.raft.kept.term)
                 }
-                None => info!(target: "hedge", "no leader in epoch {}", self.hedge.kept.epoch),
+                None => info!(target: "raft", "no leader in term {}", self.raft.kept.term),
             }
         }
-        match (self.hedge.is_leader(), self.office.is_some()) {
+        match (self.raft.is_leader(), self.leader_state.is_some()) {
             (true, false) => {
-                let beats = self.almanac.instances.iter();
-                self.office = Some(LeaderState {
+                let heartbeats = self.state_machine.instances.iter();
+                self.leader_state = Some(LeaderState {
                     leases: LeaseTable::new(now),
-                    beats: beats.map(|(id, r)| (id.clone(), (now, r.sequence))).collect(),
-                    successions: BTreeMap::new(),
+                    heartbeats: heartbeats.map(|(id, r)| (id.clone(), (now, r.sequence))).collect(),
+                    failovers: BTreeMap::new(),
                     stirred: BTreeSet::new(),
                     swept: Tick(0),
-                    tidings: PendingUpdates::default(),
+                    pending_updates: PendingUpdates::default(),
                     sealed: BTreeSet::new(),
-                    freshness: ReplicationWatermarks::default(),
-                    cadastre: SubsetAssignments::new(now),
+                    watermarks: ReplicationWatermarks::default(),
+                    subset_assignments: SubsetAssignments::new(now),
                     settled: false,
                 });
             }
             (false, true) => {
-                self.office = None;
+                self.leader_state = None;
                 self.questions.clear();
                 self.moved.clear();
                 self.moved_since = None;
@@ -703,7 +707,7 @@
                 }
                 let elsewhere =
                     Frame::Controller(ToPooler::NotLeader(self.leads_at().map(|l| l.0)));
-                for (conn, _) in std::mem::take(&mut self.stiles) {
+                for (conn, _) in std::mem::take(&mut self.poolers) {
                     self.send_conn(conn, &elsewhere);
                 }
             }
@@ -718,81 +722,83 @@
         self.leader().map(|m| (m.peer, m.admin)).or_else(pointed)
     }
     fn leader(&self) -> Option<&Member> {
-        let id = self.hedge.leader?;
-        self.hedge.members().iter().find(|m| m.id == id)
+        let id = self.raft.leader?;
+        self.raft.members().iter().find(|m| m.id == id)
     }
 
     /// Compares what is wanted with what is, and acts on the difference.
     fn reconcile(&mut self, now: Tick) {
         self.answer_reads(now);
         self.ask_to_join(now);
-        if !self.early.is_empty() && (self.office.is_none() || self.hedge.granting(now)) {
+        if !self.early.is_empty() && (self.leader_state.is_none() || self.raft.granting(now)) {
             for (conn, message) in std::mem::take(&mut self.early) {
-                self.hear_stile(conn, message, now);
+                self.handle_pooler_message(conn, message, now);
             }
         }
-        if !self.hedge.granting(now) {
+        if !self.raft.granting(now) {
             return;
         }
         self.joining.retain(|_, (_, asked)| now.since(*asked) < JOIN_KEPT_MS);
         let (tolerated, silent) = (self.settings.tolerated(), self.settings.given_up_ms());
         let joining = self.joining.values().map(|(member, _)| member);
-        if let Some(members) = self.hedge.wanted_members(joining, tolerated, silent, now) {
-            self.hedge.propose(EntryPayload::Membership(members), now);
+        if let Some(members) = self.raft.wanted_members(joining, tolerated, silent, now) {
+            self.raft.propose(EntryPayload::Membership(members), now);
         }
-        let Some(office) = &mut self.office else {
+        let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        let sweep = now.since(office.swept) >= SWEEP_MS;
+        let sweep = now.since(leader_state.swept) >= SWEEP_MS;
         if !sweep {
-            let stirred: Vec<ServiceName> = office.stirred.iter().cloned().collect();
+            let stirred: Vec<ServiceName> = leader_state.stirred.iter().cloned().collect();
             for service in stirred {
-                self.move_on(&service, now, |s, facts| s.tick(facts, now));
+                self.move_on(&service, now, |s, snapshot| s.tick(snapshot, now));
             }
             return;
         }
-        office.swept = now;
-        office.cadastre.divide(|node| office.leases.seats.contains_key(node), now);
-        let settled = now.since(office.leases.elected) >= SHARE_HELD_MS;
-        if office.leases.forget_old(now) || settled != office.settled {
-            office.settled = settled;
-            office.tidings.stir_all();
+        leader_state.swept = now;
+        leader_state
+            .subset_assignments
+            .divide(|node| leader_state.leases.seats.contains_key(node), now);
+        let settled = now.since(leader_state.leases.elected) >= SHARE_HELD_MS;
+        if leader_state.leases.forget_old(now) || settled != leader_state.settled {
+            leader_state.settled = settled;
+            leader_state.pending_updates.stir_all();
         }
-        let known = self.almanac.by_service.keys().chain(self.almanac.leads.keys());
+        let known = self.state_machine.by_service.keys().chain(self.state_machine.leads.keys());
         let services: BTreeSet<ServiceName> = known.cloned().collect();
         for service in services {
-            self.move_on(&service, now, |s, facts| s.tick(facts, now));
+            self.move_on(&service, now, |s, snapshot| s.tick(snapshot, now));
         }
-        let forgotten: Vec<InstanceId> = match &self.office {
-            Some(office) => office
-                .beats
+        let forgotten: Vec<InstanceId> = match &self.leader_state {
+            Some(leader_state) => leader_state
+                .heartbeats
                 .iter()
                 .filter(|(id, (at, _))| {
                     now.since(*at) > FORGOTTEN_MS
-                        && self.almanac.instances.contains_key(*id)
-                        && !self.almanac.leads.values().any(|l| l.primary == **id)
+                        && self.state_machine.instances.contains_key(*id)
+                        && !self.state_machine.leads.values().any(|l| l.primary == **id)
                 })
                 .map(|(id, _)| id.clone())
                 .collect(),
             None => Vec::new(),
         };
         for id in forgotten {
-            if let Some(office) = &mut self.office {
-                office.beats.remove(&id);
+            if let Some(leader_state) = &mut self.leader_state {
+                leader_state.heartbeats.remove(&id);
             }
             self.propose(&Command::RemoveInstance { id, sequence: 0 }, now);
         }
     }
 
-    /// A steward that is in no list asks to be taken in; one that hears no leader, whether it
+    /// A controller that is in no list asks to be taken in; one that hears no leader, whether it
     /// still belongs.
     fn ask_to_join(&mut self, now: Tick) {
-        let me = self.hedge.kept.me;
-        let was = self.hedge.members().iter().any(|m| m.id == me);
+        let me = self.raft.kept.me;
+        let was = self.raft.members().iter().any(|m| m.id == me);
         // Of a leader that is in no list here, only its messages come: it is found by asking.
-        let unknown = self.hedge.leader.is_some() && self.leader().is_none();
-        let lost = self.hedge.lonely(now, LONELY_MS) || unknown;
-        let idle = was && (self.hedge.is_leader() || !lost);
+        let unknown = self.raft.leader.is_some() && self.leader().is_none();
+        let lost = self.raft.lonely(now, LONELY_MS) || unknown;
+        let idle = was && (self.raft.is_leader() || !lost);
         if idle || now < self.next_join {
             return;
         }
@@ -802,7 +808,7 @@
         };
         let member = as_member(&self.settings, admin, me);
         let mut at: BTreeSet<SocketAddr> = self.settings.seed_peers().into_iter().collect();
-        at.extend(self.hedge.members().iter().map(|m| m.peer));
+        at.extend(self.raft.members().iter().map(|m| m.peer));
         if let Some(leader) = self.join_at.take().or(self.pointed) {
             at = BTreeSet::from([leader]);
         }
@@ -813,14 +819,14 @@
     }
 
     fn stand(&mut self, asked: MemberId, at: SocketAddr, answer: Option<JoinResponse>, now: Tick) {
-        let me = self.hedge.kept.me;
+        let me = self.raft.kept.me;
         if asked != me {
             return;
         }
         if !self.settings.can_vote() {
             match answer {
                 Some(JoinResponse::Current) if self.pointed != Some(at) => {
-                    info!(target: "hedge", "{at} leads");
+                    info!(target: "raft", "{at} leads");
                     self.pointed = Some(at);
                 }
                 Some(JoinResponse::Current) => {}
@@ -833,17 +839,17 @@
             && self.taken_in != Some(at)
         {
             self.taken_in = Some(at);
-            self.effects.keep_links(self.hedge.members());
+            self.effects.keep_links(self.raft.members());
         }
-        let listed = self.hedge.members().iter().any(|m| m.id == me);
+        let listed = self.raft.members().iter().any(|m| m.id == me);
         match answer {
             JoinResponse::NotLeader(Some(leader)) if self.join_at.is_none() => {
                 self.join_at = Some(leader);
                 self.next_join = now;
             }
             // An id stands for a disk with its vote and its log, so it may come back as a learner.
-            JoinResponse::Removed if listed && !self.hedge.is_leader() => {
-                info!(target: "hedge", "member {me} was removed, is to be taken in again");
+            JoinResponse::Removed if listed && !self.raft.is_leader() => {
+                info!(target: "raft", "member {me} was removed, is to be taken in again");
             }
             JoinResponse::FoundCluster
                 if !listed && self.settings.bootstrap && self.settings.can_vote() =>
@@ -851,7 +857,7 @@
                 let Some(admin) = self.settings.listeners.admin else {
                     return;
                 };
-                info!(target: "hedge", "founds the hedge");
+                info!(target: "raft", "founds the cluster");
                 let founder = Member { voter: true, ..as_member(&self.settings, admin, me) };
                 self.start_over(vec![founder], now);
             }
@@ -866,15 +872,15 @@
         let snapshot = Snapshot { members, ..Snapshot::default() };
         let kept = PersistentState {
             me,
-            epoch: self.hedge.kept.epoch,
+            term: self.raft.kept.term,
             snapshot,
             ..PersistentState::default()
         };
-        self.hedge = RaftNode::new(kept, false, now, self.random);
-        self.hedge.vet = readable;
-        self.hedge.dirty = UnsavedChanges::all();
-        self.desk.forget();
-        self.almanac = StateMachine::default();
+        self.raft = RaftNode::new(kept, false, now, self.random);
+        self.raft.vet = readable;
+        self.raft.dirty = UnsavedChanges::all();
+        self.persister.forget();
+        self.state_machine = StateMachine::default();
         self.applied = LogIndex(0);
         self.configure(None);
         self.versions.clear();
@@ -883,13 +889,13 @@
         self.joining.clear();
     }
 
-    /// Whether this is the steward that the first seed, having no disk, tells to found the hedge:
+    /// Whether this is the controller that the first seed, having no disk, tells to found the Raft group:
     /// the first by address of those that asked in the first moments.
     fn names(&mut self, member: &Member, now: Tick) -> bool {
         let first = self.settings.listeners.admin;
         if self.settings.can_vote()
             || self.settings.founder() != first
-            || !self.hedge.members().is_empty()
+            || !self.raft.members().is_empty()
             || !member.can_vote
         {
             return false;
@@ -903,14 +909,14 @@
         self.nominated == Some(member.id)
     }
 
-    fn facts(&self, service: &ServiceName, now: Tick) -> ServiceSnapshot {
-        let lead = self.almanac.leads.get(service).cloned();
+    fn snapshot(&self, service: &ServiceName, now: Tick) -> ServiceSnapshot {
+        let lead = self.state_machine.leads.get(service).cloned();
         let patience = MISSED_BEATS * self.settings.heartbeat_ms;
-        let mut facts = ServiceSnapshot {
+        let mut snapshot = ServiceSnapshot {
             service: service.clone(),
-            epoch: self.hedge.kept.epoch,
+            raft_term: self.raft.kept.term,
             databases: self
-                .almanac
+                .state_machine
                 .of_service(service)
                 .map(|(id, i)| (id.clone(), i.clone()))
                 .collect(),
@@ -922,29 +928,30 @@
             lead,
         };
         // Without synchronous replicas no copy is counted on.
-        if facts.sync_replicas > 0 {
-            facts.departed = self.almanac.departed(service);
+        if snapshot.sync_replicas > 0 {
+            snapshot.departed = self.state_machine.departed(service);
         }
-        if let Some(office) = &self.office {
-            let beats = |id: &&InstanceId| {
-                office.beats.get(*id).is_some_and(|(at, _)| now.since(*at) < patience)
+        if let Some(leader_state) = &self.leader_state {
+            let heartbeats = |id: &&InstanceId| {
+                leader_state.heartbeats.get(*id).is_some_and(|(at, _)| now.since(*at) < patience)
             };
-            facts.beating =
-                facts.databases.iter().map(|(id, _)| id).filter(beats).cloned().collect();
+            snapshot.beating =
+                snapshot.databases.iter().map(|(id, _)| id).filter(heartbeats).cloned().collect();
             let steady = |s: &Failover| s.stage == FailoverState::Steady;
-            if let Some(lead) = &facts.lead
-                && !office.successions.get(service).is_some_and(steady)
+            if let Some(lead) = &snapshot.lead
+                && !leader_state.failovers.get(service).is_some_and(steady)
             {
-                facts.leases_gone = office.leases.gone(service, lead.term, now);
-                let (seen, trusting) = (office.freshness.newest(service), facts.sync_replicas == 0);
-                facts.given_back =
-                    office.leases.given_back(service, lead.term, seen, trusting, now);
+                snapshot.leases_gone = leader_state.leases.gone(service, lead.term, now);
+                let (seen, trusting) =
+                    (leader_state.watermarks.newest(service), snapshot.sync_replicas == 0);
+                snapshot.given_back =
+                    leader_state.leases.given_back(service, lead.term, seen, trusting, now);
             }
         }
-        facts
+        snapshot
     }
 
-    /// Takes one step of a service's succession and carries out what it asks for.
+    /// Takes one step of a service's failover and carries out what it asks for.
     fn move_on(
         &mut self,
         service: &ServiceName,
@@ -952,62 +959,62 @@
         step: impl FnOnce(&mut Failover, &ServiceSnapshot) -> Vec<FailoverAction>,
     ) {
         // The databases of a gateway are alike: none of them leads.
-        if !self.hedge.granting(now) || self.settings.rollout == Rollout::Api {
+        if !self.raft.granting(now) || self.settings.rollout == Rollout::Api {
             return;
         }
-        let facts = self.facts(service, now);
-        let behind = self.applied < self.hedge.commit;
-        let Some(office) = &mut self.office else {
+        let snapshot = self.snapshot(service, now);
+        let behind = self.applied < self.raft.commit;
+        let Some(leader_state) = &mut self.leader_state else {
             return;
         };
         // What an earlier leader decided may stand in the next entry.
-        if behind && !office.successions.contains_key(service) {
+        if behind && !leader_state.failovers.contains_key(service) {
             return;
         }
-        let mut deeds = Vec::new();
-        let known = office.successions.get(service).map(Failover::standing);
-        let succession = office.successions.entry(service.clone()).or_insert_with(|| {
-            let (begun, first) = Failover::begin(&facts, now);
-            deeds = first;
+        let mut actions = Vec::new();
+        let known = leader_state.failovers.get(service).map(Failover::standing);
+        let failover = leader_state.failovers.entry(service.clone()).or_insert_with(|| {
+            let (begun, first) = Failover::begin(&snapshot, now);
+            actions = first;
             begun
         });
-        let before = std::mem::discriminant(&succession.stage);
-        deeds.extend(step(succession, &facts));
-        let standing = succession.standing();
+        let before = std::mem::discriminant(&failover.stage);
+        actions.extend(step(failover, &snapshot));
+        let standing = failover.standing();
         if known != Some(standing) {
-            office.tidings.stir(service);
+            leader_state.pending_updates.stir(service);
             // A sealed position is true for the moment it is told in, so it is told each time.
             match standing {
-                (true, Some(_)) => office.sealed.insert(service.clone()),
-                _ => office.sealed.remove(service),
+                (true, Some(_)) => leader_state.sealed.insert(service.clone()),
+                _ => leader_state.sealed.remove(service),
             };
         }
-        let stirs = succession.stage != FailoverState::Steady || !deeds.is_empty();
+        let stirs = failover.stage != FailoverState::Steady || !actions.is_empty();
         match stirs {
-            true => office.stirred.insert(service.clone()),
-            false => office.stirred.remove(service),
+            true => leader_state.stirred.insert(service.clone()),
+            false => leader_state.stirred.remove(service),
         };
-        if before != std::mem::discriminant(&succession.stage) {
-            info!(target: "failover", "{service}: now {}", stage_name(&succession.stage));
+        if before != std::mem::discriminant(&failover.stage) {
+            info!(target: "failover", "{service}: now {}", stage_name(&failover.stage));
         }
-        let attempt = succession.attempt;
-        for deed in deeds {
-            self.carry_out(service, deed, attempt, now);
+        let attempt = failover.attempt;
+        for action in actions {
+            self.carry_out(service, action, attempt, now);
         }
     }
 
     fn carry_out(
         &mut self,
         service: &ServiceName,
-        deed: FailoverAction,
+        action: FailoverAction,
         attempt: Attempt,
         now: Tick,
     ) {
-        match deed {
+        match action {
             FailoverAction::Propose(
                 Command::ForgetDeparted { .. } | Command::PrimaryReturned { .. },
-            ) if !self.hedge.all_read(LAYOUT) => {
-                debug!(target: "failover", "{service}: waits until all stewards are exchanged");
+            ) if !self.raft.all_read(LAYOUT) => {
+                debug!(target: "failover", "{service}: waits until all controllers are exchanged");
             }
             FailoverAction::Propose(change) => {
                 self.propose(&change, now);
@@ -1016,7 +1023,7 @@
                 // Ahead of whatever waits.
                 let frame =
                     encode(&Frame::Controller(ToPooler::Revoke { service: service.clone(), term }));
-                for conn in self.stiles.keys() {
+                for conn in self.poolers.keys() {
                     self.effects.send_first(*conn, frame.clone());
                 }
                 self.pump(now);
@@ -1045,7 +1052,7 @@
         while self.asking < MAX_ASKS
             && let Some((service, id, ask, attempt)) = self.questions.pop_front()
         {
-            let Some(record) = self.almanac.instances.get(&id) else {
+            let Some(record) = self.state_machine.instances.get(&id) else {
                 continue;
             };
             let address = record.instance.address;
@@ -1055,7 +1062,7 @@
         }
     }
 
-    // -- stiles --------------------------------------------------------------------------------
+    // -- poolers --------------------------------------------------------------------------------
 
     fn send_conn(&mut self, conn: u64, frame: &Frame) {
         self.send_bytes(conn, encode(frame));
@@ -1063,31 +1070,31 @@
     fn send_bytes(&mut self, conn: u64, frame: Arc<[u8]>) {
         self.effects.send(conn, frame);
     }
-    /// Tells all nodes which stewards there are now: one that lost this leader looks for another there.
+    /// Tells all nodes which controllers there are now: one that lost this leader looks for another there.
     fn introduce(&mut self) {
-        let stewards = self.hedge.members().iter().map(|m| m.peer).collect();
-        let frame = encode(&Frame::Controller(ToPooler::Welcome { stewards }));
-        let conns: Vec<u64> = self.stiles.keys().copied().collect();
+        let controllers = self.raft.members().iter().map(|m| m.peer).collect();
+        let frame = encode(&Frame::Controller(ToPooler::Welcome { controllers }));
+        let conns: Vec<u64> = self.poolers.keys().copied().collect();
         conns.into_iter().for_each(|conn| self.send_bytes(conn, frame.clone()));
     }
-    /// Tells all stiles of a change of the directory; one that is far behind gets the whole later.
-    fn tell_stiles(&mut self, message: ToPooler) {
+    /// Tells all poolers of a change of the directory; one that is far behind gets the whole later.
+    fn send_to_all_poolers(&mut self, message: ToPooler) {
         let frame = encode(&Frame::Controller(message));
-        let conns: Vec<u64> = self.stiles.keys().copied().collect();
+        let conns: Vec<u64> = self.poolers.keys().copied().collect();
         for conn in conns {
             let waiting = self.effects.waiting(conn).unwrap_or(0);
             if waiting + frame.len() <= CHANGES_WAITING {
                 self.send_bytes(conn, frame.clone());
-            } else if let Some(guest) = self.stiles.get_mut(&conn) {
+            } else if let Some(guest) = self.poolers.get_mut(&conn) {
                 guest.directory_due = true;
             }
         }
     }
 
-    /// The directory changed: stiles are told of all that does so within a moment.
+    /// The directory changed: poolers are told of all that does so within a moment.
     fn moved(&mut self, id: &InstanceId, now: Tick) {
         self.listing = None;
-        if self.office.is_some() {
+        if self.leader_state.is_some() {
             self.moved.insert(id.clone());
             self.moved_since.get_or_insert(now);
         }
@@ -1096,7 +1103,7 @@
         // At once for one service, and once for many that follow.
         if self.renew_due && now.since(self.renew_told) >= GATHER_MS {
             (self.renew_due, self.renew_told) = (false, now);
-            self.tell_stiles(ToPooler::RenewNow);
+            self.send_to_all_poolers(ToPooler::RenewNow);
         }
         if self.moved_since.is_none_or(|t| now.since(t) < GATHER_MS) {
             return;
@@ -1104,24 +1111,24 @@
         self.moved_since = None;
         let (mut listed, mut gone) = (Vec::new(), Vec::new());
         for id in std::mem::take(&mut self.moved) {
-            match self.almanac.instances.get(&id) {
+            match self.state_machine.instances.get(&id) {
                 Some(record) => listed.push(DirectoryEntry::of(&id, &record.instance)),
                 None => gone.push(id),
             }
         }
-        self.tell_stiles(ToPooler::DirectoryDelta { listed, gone });
+        self.send_to_all_poolers(ToPooler::DirectoryDelta { listed, gone });
     }
 
-    /// Sends a stile what it is owed, as soon as nothing older waits for it.
+    /// Sends a pooler what it is owed, as soon as nothing older waits for it.
     fn catch_up(&mut self, conn: u64, now: Tick) {
         if self.effects.waiting(conn) != Some(0) {
             return;
         }
-        let Some(guest) = self.stiles.get_mut(&conn) else {
+        let Some(guest) = self.poolers.get_mut(&conn) else {
             return;
         };
         if std::mem::take(&mut guest.directory_due) {
-            let instances = &self.almanac.instances;
+            let instances = &self.state_machine.instances;
             let whole = || {
                 let listed = instances.iter().map(|(id, r)| DirectoryEntry::of(id, &r.instance));
                 encode(&Frame::Controller(ToPooler::Directory(listed.collect())))
@@ -1129,46 +1136,46 @@
             let frame = Arc::clone(self.listing.get_or_insert_with(whole));
             self.send_bytes(conn, frame);
         }
-        if let Some(lanes) = self.versions.back()
-            && let Some(guest) = self.stiles.get_mut(&conn)
-            && guest.revision < lanes.revision
+        if let Some(route_table) = self.versions.back()
+            && let Some(guest) = self.poolers.get_mut(&conn)
+            && guest.revision < route_table.revision
         {
-            let from = std::mem::replace(&mut guest.revision, lanes.revision);
+            let from = std::mem::replace(&mut guest.revision, route_table.revision);
             let frame = self.encoded.entry(from).or_insert_with(|| {
                 let base = self.versions.iter().find(|c| c.revision == from);
                 encode(&Frame::Controller(match base {
-                    Some(base) => ToPooler::RouteTableDelta(Box::new(lanes.since(base))),
-                    None => ToPooler::RouteTable(Box::new(lanes.clone())),
+                    Some(base) => ToPooler::RouteTableDelta(Box::new(route_table.since(base))),
+                    None => ToPooler::RouteTable(Box::new(route_table.clone())),
                 }))
             });
             let frame = frame.clone();
             self.send_bytes(conn, frame);
         }
-        let renewal = self.stiles.get_mut(&conn).and_then(|g| g.renewal.take());
+        let renewal = self.poolers.get_mut(&conn).and_then(|g| g.renewal.take());
         if let Some((seq, asks)) = renewal {
             self.grant(conn, seq, &asks, now);
         }
     }
 
-    fn hear_stile(&mut self, conn: u64, message: ToController, now: Tick) {
-        if self.office.is_none() {
+    fn handle_pooler_message(&mut self, conn: u64, message: ToController, now: Tick) {
+        if self.leader_state.is_none() {
             let leader = self.leads_at().map(|l| l.0);
             return self.send_conn(conn, &Frame::Controller(ToPooler::NotLeader(leader)));
         }
-        if let ToController::Hello { node, life, revision, zone } = message {
-            if !self.hedge.granting(now) || self.applied < self.hedge.commit {
-                // What this leader has may be older than what the stile already heard.
-                self.early.push((conn, ToController::Hello { node, life, revision, zone }));
+        if let ToController::Hello { node, incarnation, revision, zone } = message {
+            if !self.raft.granting(now) || self.applied < self.raft.commit {
+                // What this leader has may be older than what the pooler already heard.
+                self.early.push((conn, ToController::Hello { node, incarnation, revision, zone }));
                 return;
             }
             // It may have left while this leader was not sure yet; nothing would end its seat.
             if self.effects.waiting(conn).is_none() {
                 return;
             }
-            info!(target: "stiles", "{node} is here");
-            if let Some(office) = &mut self.office {
-                office.leases.seat(&node, life, conn, now);
-                office.tidings.stir_all();
+            info!(target: "poolers", "{node} is here");
+            if let Some(leader_state) = &mut self.leader_state {
+                leader_state.leases.seat(&node, incarnation, conn, now);
+                leader_state.pending_updates.stir_all();
             }
             let guest = Subscriber {
                 node,
@@ -1180,78 +1187,78 @@
                 owed: BTreeSet::new(),
                 answers: VecDeque::new(),
             };
-            self.stiles.insert(conn, guest);
-            let stewards = self.hedge.members().iter().map(|m| m.peer).collect();
-            self.send_conn(conn, &Frame::Controller(ToPooler::Welcome { stewards }));
+            self.poolers.insert(conn, guest);
+            let controllers = self.raft.members().iter().map(|m| m.peer).collect();
+            self.send_conn(conn, &Frame::Controller(ToPooler::Welcome { controllers }));
             return self.catch_up(conn, now);
         }
-        let Some(node) = self.stiles.get(&conn).map(|g| g.node.clone()) else {
+        let Some(node) = self.poolers.get(&conn).map(|g| g.node.clone()) else {
             return;
         };
-        // What an older connection of the same stile still brings is overtaken by the newer one.
-        let seat = self.office.as_ref().and_then(|o| o.leases.seats.get(&node));
+        // What an older connection of the same pooler still brings is overtaken by the newer one.
+        let seat = self.leader_state.as_ref().and_then(|o| o.leases.seats.get(&node));
         if seat.is_none_or(|s| s.conn != Some(conn)) {
             return;
         }
         match message {
             ToController::Hello { .. } => {}
             ToController::RequestFullTable => {
-                if let Some(guest) = self.stiles.get_mut(&conn) {
+                if let Some(guest) = self.poolers.get_mut(&conn) {
                     guest.revision = Revision(0);
                     self.catch_up(conn, now);
                 }
             }
             ToController::RenewLeases { seq, heard, shares, wants, saw, asks, busy } => {
-                let zone = self.stiles.get(&conn).map(|g| g.zone.as_str()).unwrap_or_default();
-                if let Some(office) = &mut self.office {
+                let zone = self.poolers.get(&conn).map(|g| g.zone.as_str()).unwrap_or_default();
+                if let Some(leader_state) = &mut self.leader_state {
                     for (service, busy) in busy {
-                        office.cadastre.report(&node, zone, service, busy);
+                        leader_state.subset_assignments.report(&node, zone, service, busy);
                     }
-                    for service in office.leases.report(&node, shares, now) {
-                        office.tidings.stir(&service);
+                    for service in leader_state.leases.report(&node, shares, now) {
+                        leader_state.pending_updates.stir(&service);
                     }
                     for (service, more) in wants {
                         if self.services.contains_key(&service) {
-                            office.leases.want(&node, &service, more, now);
+                            leader_state.leases.want(&node, &service, more, now);
                         }
                     }
                 }
                 self.hear_saw(conn, heard, &saw, now);
-                if let Some(guest) = self.stiles.get_mut(&conn) {
+                if let Some(guest) = self.poolers.get_mut(&conn) {
                     guest.renewal = Some((seq, asks));
                 }
                 self.catch_up(conn, now);
             }
             ToController::Suspect { service, instance, why } => {
                 debug!(target: "failover", "{service}: {node} doubts {instance} ({why:?})");
-                self.move_on(&service, now, |s, facts| {
-                    s.suspect(facts, &node, &instance, why, now)
+                self.move_on(&service, now, |s, snapshot| {
+                    s.suspect(snapshot, &node, &instance, why, now)
                 });
             }
             ToController::RevokeAck { service, term, highest } => {
-                if let Some(office) = &mut self.office {
-                    office.leases.give_back(&node, &service, term, highest);
+                if let Some(leader_state) = &mut self.leader_state {
+                    leader_state.leases.give_back(&node, &service, term, highest);
                 }
-                if let Some(guest) = self.stiles.get_mut(&conn) {
+                if let Some(guest) = self.poolers.get_mut(&conn) {
                     guest.owed.insert(service);
                 }
             }
             ToController::Goodbye => {
-                if let Some(office) = &mut self.office {
-                    office.leases.leave(&node);
+                if let Some(leader_state) = &mut self.leader_state {
+                    leader_state.leases.leave(&node);
                 }
             }
         }
     }
 
-    /// What a stile saw at primaries, told from the answer that it had heard before.
+    /// What a pooler saw at primaries, told from the answer that it had heard before.
     fn hear_saw(&mut self, conn: u64, heard: u64, saw: &[ObservedPosition], now: Tick) {
-        let answers = self.stiles.get(&conn).map(|g| &g.answers);
+        let answers = self.poolers.get(&conn).map(|g| &g.answers);
         let answered = answers.and_then(|all| all.iter().find(|(seq, _)| *seq == heard));
-        if let (Some((_, answered)), Some(office)) = (answered, &mut self.office) {
+        if let (Some((_, answered)), Some(leader_state)) = (answered, &mut self.leader_state) {
             for saw in saw {
-                let lead = self.almanac.leads.get(&saw.service);
-                office.freshness.learn(lead, *answered, saw, now);
+                let lead = self.state_machine.leads.get(&saw.service);
+                leader_state.watermarks.learn(lead, *answered, saw, now);
             }
         }
     }
@@ -1259,23 +1266,23 @@
     /// Answers a renewal: all that was told on this connection is granted again, and what is new
     /// is told.
     fn grant(&mut self, conn: u64, seq: u64, asks: &[ServiceName], now: Tick) {
-        if !self.hedge.granting(now) {
+        if !self.raft.granting(now) {
             return;
         }
-        let Some(office) = &mut self.office else { return };
-        let Some(guest) = self.stiles.get_mut(&conn) else { return };
+        let Some(leader_state) = &mut self.leader_state else { return };
+        let Some(guest) = self.poolers.get_mut(&conn) else { return };
         let whole = guest.told.is_none();
         let mut owed = std::mem::take(&mut guest.owed);
-        owed.extend(office.leases.lent(&guest.node).cloned());
+        owed.extend(leader_state.leases.lent(&guest.node).cloned());
         let due: BTreeSet<&ServiceName> =
-            match guest.told.and_then(|told| office.tidings.since(told)) {
+            match guest.told.and_then(|told| leader_state.pending_updates.since(told)) {
                 None => self.services.keys().collect(),
-                Some(stirred) => stirred.chain(&owed).chain(&office.sealed).collect(),
+                Some(stirred) => stirred.chain(&owed).chain(&leader_state.sealed).collect(),
             };
         let mut grants = Vec::new();
         for service in due.into_iter().filter_map(|name| self.services.get(name)) {
-            let lead = self.almanac.leads.get(&service.name);
-            let standing = match (lead, office.successions.get(&service.name)) {
+            let lead = self.state_machine.leads.get(&service.name);
+            let standing = match (lead, leader_state.failovers.get(&service.name)) {
                 (Some(_), Some(s)) if s.revoking => {
                     s.sealed.map_or(PrimaryStatus::Absent, PrimaryStatus::Sealed)
                 }
@@ -1285,20 +1292,21 @@
                 _ => PrimaryStatus::Absent,
             };
             let share =
-                office.leases.share(&guest.node, &service.name, service.max_connections, now);
+                leader_state.leases.share(&guest.node, &service.name, service.max_connections, now);
             let grant = LeaseGrant { service: service.name.clone(), standing, share };
-            grants.extend(office.leases.tell(&guest.node, grant));
+            grants.extend(leader_state.leases.tell(&guest.node, grant));
         }
-        office.leases.renewed(&guest.node, now);
-        guest.told = Some(office.tidings.newest());
+        leader_state.leases.renewed(&guest.node, now);
+        guest.told = Some(leader_state.pending_updates.newest());
         if guest.answers.len() == ANSWERS_KEPT {
             guest.answers.pop_front();
         }
         guest.answers.push_back((seq, now));
-        let fresh = asks.iter().filter_map(|name| office.freshness.tell(name, now)).collect();
-        let plots = office.cadastre.due(&guest.node, whole);
+        let fresh =
+            asks.iter().filter_map(|name| leader_state.watermarks.tell(name, now)).collect();
+        let subset_ranges = leader_state.subset_assignments.due(&guest.node, whole);
         let granted =
-            ToPooler::LeaseGrants { seq, lease_ms: LEASE_MS, whole, grants, fresh, plots };
+            ToPooler::LeaseGrants { seq, lease_ms: LEASE_MS, whole, grants, fresh, subset_ranges };
         self.send_conn(conn, &Frame::Controller(granted));
     }
 
@@ -1326,18 +1334,20 @@
         if path == "/status" {
             return say(Response::json(200, self.status(now).to_string().into_bytes()));
         }
-        // What can't be read is refused by any steward.
+        // What can't be read is refused by any controller.
         let parsed = match (method, instance) {
             ("PUT", None) => match read_configuration(&request) {
                 Ok(change) => Some(change),
                 Err(response) => return say(response),
             },
             ("PUT", Some(id)) => match serde_json::from_slice::<Heartbeat>(&request.body) {
-                Ok(beat) if is_word(&beat.instance.target_service.0) => Some(Command::Heartbeat {
-                    id: InstanceId(id.to_owned()),
-                    instance: beat.instance,
-                    sequence: beat.sequence,
-                }),
+                Ok(heartbeat) if is_word(&heartbeat.instance.target_service.0) => {
+                    Some(Command::Heartbeat {
+                        id: InstanceId(id.to_owned()),
+                        instance: heartbeat.instance,
+                        sequence: heartbeat.sequence,
+                    })
+                }
                 Ok(_) => return say(Response::refusal(400, "target_service is no word")),
                 Err(e) => return say(Response::refusal(400, &format!("cannot be read: {e}"))),
             },
@@ -1347,7 +1357,7 @@
             }
             _ => None,
         };
-        if !self.hedge.is_leader() {
+        if !self.raft.is_leader() {
             return say(match self.leads_at() {
                 Some((_, admin)) => Response::elsewhere(format!("http://{admin}{path}")),
                 None => Response::refusal(503, "no leader"),
@@ -1355,7 +1365,7 @@
         }
         // Without a quorum nothing can be confirmed, and a new leader may not have applied yet what
         // the one before acknowledged.
-        if !self.hedge.granting(now) {
+        if !self.raft.granting(now) {
             return say(Response::refusal(503, "no quorum"));
         }
         self.apply(now);
@@ -1363,32 +1373,32 @@
             return say(Response::refusal(503, "stopping"));
         }
         let tolerated = self.settings.tolerated();
-        if parsed.is_some() && !self.almanac.begun() {
-            let (voters, needed) = (self.hedge.voters().len(), 2 * tolerated + 1);
-            if !self.hedge.may_begin(tolerated, now) {
-                let why = format!("being founded: {voters} of {needed} stewards vote");
+        if parsed.is_some() && !self.state_machine.begun() {
+            let (voters, needed) = (self.raft.voters().len(), 2 * tolerated + 1);
+            if !self.raft.may_begin(tolerated, now) {
+                let why = format!("being founded: {voters} of {needed} controllers vote");
                 return say(Response::refusal(503, &why));
             }
             if voters < needed {
-                warn!(target: "hedge", "begins with {voters} voters of {needed}: not as many \
+                warn!(target: "raft", "begins with {voters} voters of {needed}: not as many \
                     machines may be lost as fault_tolerance says");
             }
         }
         let call = match parsed {
             Some(Command::Heartbeat { id, instance, sequence }) => {
-                return self.take_beat(id, instance, sequence, reply, now);
+                return self.handle_heartbeat(id, instance, sequence, reply, now);
             }
             Some(change) => AdminCall::Command(change),
             None => AdminCall::ReadConfiguration,
         };
-        let ready = self.reads.ask(&mut self.hedge, &self.almanac, call, reply, now);
+        let ready = self.reads.ask(&mut self.raft, &self.state_machine, call, reply, now);
         self.carry_through(ready, now);
         // One that is alone has nobody to wait for.
         self.answer_reads(now);
     }
 
     fn answer_reads(&mut self, now: Tick) {
-        let settled = self.reads.settled(&self.hedge, &self.almanac, self.applied, now);
+        let settled = self.reads.settled(&self.raft, &self.state_machine, self.applied, now);
         self.carry_through(settled, now);
     }
     fn carry_through(
@@ -1405,7 +1415,7 @@
         }
     }
 
-    /// The answer to a beat: later ones are to come here at once, without another steward between.
+    /// The answer to a heartbeat: later ones are to come here at once, without another controller between.
     fn beaten(&self) -> Response {
         match self.settings.listeners.admin {
             Some(admin) => {
@@ -1416,7 +1426,7 @@
         }
     }
 
-    fn take_beat(
+    fn handle_heartbeat(
         &mut self,
         id: InstanceId,
         instance: Instance,
@@ -1427,21 +1437,21 @@
         let (service, role) = (instance.target_service.clone(), instance.database_role);
         // That it was heard is known at once; what it said counts only once it is committed.
         let mut newest = false;
-        if let Some(office) = &mut self.office {
-            let heard = office.beats.entry(id.clone()).or_insert((now, 0));
+        if let Some(leader_state) = &mut self.leader_state {
+            let heard = leader_state.heartbeats.entry(id.clone()).or_insert((now, 0));
             newest = sequence > heard.1;
             if newest {
                 *heard = (now, sequence);
             }
         }
-        if self.almanac.news(&id, &instance, sequence) {
+        if self.state_machine.news(&id, &instance, sequence) {
             self.await_change(&Command::Heartbeat { id, instance, sequence }, reply, now);
         } else {
             drop(reply.try_send(self.beaten()));
             // A replica, or the primary that is known, says nothing new by this.
-            let known = self.almanac.leads.get(&service).is_some_and(|l| l.primary == id);
+            let known = self.state_machine.leads.get(&service).is_some_and(|l| l.primary == id);
             if newest && role == Role::Primary && !known {
-                self.move_on(&service, now, |s, facts| s.beat(facts, &id, role, now));
+                self.move_on(&service, now, |s, snapshot| s.heartbeat(snapshot, &id, role, now));
             }
         }
     }
@@ -1449,7 +1459,7 @@
     /// Proposes what a caller asked for; it is answered when that is committed and applied.
     fn await_change(&mut self, change: &Command, reply: SyncSender<Response>, now: Tick) {
         match self.propose(change, now) {
-            Some(index) => self.proposed.add(self.hedge.kept.epoch, index, reply),
+            Some(index) => self.proposed.add(self.raft.kept.term, index, reply),
             // A caller that no longer waits is none of our business.
             None => drop(reply.try_send(Response::refusal(503, "no leader"))),
         }
@@ -1457,18 +1467,18 @@
 
     fn status(&self, now: Tick) -> serde_json::Value {
         let members: Vec<_> = self
-            .hedge
+            .raft
             .members()
             .iter()
             .map(|m| serde_json::json!({ "id": m.id.0, "node": m.node, "peer": m.peer, "admin": m.admin, "voter": m.voter }))
             .collect();
         let databases: Vec<_> = self
-            .almanac
+            .state_machine
             .instances
             .iter()
             .map(|(id, r)| serde_json::json!({ "id": id, "database": r.instance, "sequence": r.sequence }))
             .collect();
-        let stiles: Vec<_> = self.office.iter().flat_map(|o| &o.leases.seats).map(|(node, seat)| {
+        let poolers: Vec<_> = self.leader_state.iter().flat_map(|o| &o.leases.seats).map(|(node, seat)| {
             serde_json::json!({
                 "node": node,
                 "connected": seat.conn.is_some(),
@@ -1481,11 +1491,11 @@
             })
         }).collect();
         let services: Vec<_> = self
-            .almanac
+            .state_machine
             .leads
             .iter()
             .map(|(service, lead)| {
-                let stage = self.office.as_ref().and_then(|o| o.successions.get(service));
+                let stage = self.leader_state.as_ref().and_then(|o| o.failovers.get(service));
                 serde_json::json!({
                     "service": service, "term": lead.term, "primary": lead.primary,
                     "intent": lead.intent, "stage": stage.map(|s| stage_name(&s.stage)),
@@ -1494,19 +1504,19 @@
             .collect();
         serde_json::json!({
             "node": self.settings.node_name,
-            "role": "steward",
-            "member": self.hedge.kept.me.0,
+            "role": "controller",
+            "member": self.raft.kept.me.0,
             "leader": self.leader().map(|m| m.node.0.clone()),
             "leader_admin": self.leads_at().map(|l| l.1),
-            "leads": self.hedge.granting(now),
-            "epoch": self.hedge.kept.epoch,
-            "entry": self.hedge.last().1,
-            "committed": self.hedge.commit,
+            "leads": self.raft.granting(now),
+            "epoch": self.raft.kept.term,
+            "entry": self.raft.last().1,
+            "committed": self.raft.commit,
             "members": members,
-            "revision": self.almanac.revision,
+            "revision": self.state_machine.revision,
             "databases": databases,
             "services": services,
-            "stiles": stiles,
+            "stiles": poolers,
             "peers": self.effects.peers(),
             "questions_waiting": self.questions.len(),
         })
--- a/src/controller/linearizable_reads.rs
+++ b/src/controller/linearizable_reads.rs
@@ -8,7 +8,7 @@
 use crate::state_machine::StateMachine;
 use std::collections::BTreeMap;
 
-/// Calls that are answered from what is applied, once this steward is known to have led after
+/// Calls that are answered from what is applied, once this controller is known to have led after
 /// they came.
 pub struct LinearizableReads<R> {
     waiting: Vec<(ReadIndex, AdminCall, R)>,
@@ -25,16 +25,16 @@
     /// where it is applied.
     pub fn ask(
         &mut self,
-        hedge: &mut RaftNode,
-        almanac: &StateMachine,
+        raft: &mut RaftNode,
+        state_machine: &StateMachine,
         call: AdminCall,
         from: R,
         now: Tick,
     ) -> Option<(R, CallDecision)> {
-        if let CallDecision::Propose(change) = call.clone().judge(almanac) {
+        if let CallDecision::Propose(change) = call.clone().judge(state_machine) {
             return Some((from, CallDecision::Propose(change)));
         }
-        match hedge.read_index(now) {
+        match raft.read_index(now) {
             Some(read) => self.waiting.push((read, call, from)),
             None => return Some((from, CallDecision::Answer(Response::refusal(503, "no quorum")))),
         }
@@ -43,18 +43,20 @@
     /// The calls that wait no longer, judged by what is applied now.
     pub fn settled(
         &mut self,
-        hedge: &RaftNode,
-        almanac: &StateMachine,
+        raft: &RaftNode,
+        state_machine: &StateMachine,
         applied: LogIndex,
         now: Tick,
     ) -> Vec<(R, CallDecision)> {
         let mut settled = Vec::new();
         let unclear = |why| CallDecision::Answer(Response::refusal(503, why));
         for (read, call, from) in std::mem::take(&mut self.waiting) {
-            match hedge.confirmed(&read) {
+            match raft.confirmed(&read) {
                 Some(false) => settled.push((from, unclear("no longer the leader"))),
                 _ if now.since(read.asked) > READ_MS => settled.push((from, unclear("no quorum"))),
-                Some(true) if applied >= read.upto => settled.push((from, call.judge(almanac))),
+                Some(true) if applied >= read.upto => {
+                    settled.push((from, call.judge(state_machine)))
+                }
                 _ => self.waiting.push((read, call, from)),
             }
         }
@@ -74,15 +76,15 @@
 }
 
 impl<R> PendingProposals<R> {
-    pub fn add(&mut self, epoch: Term, index: LogIndex, from: R) {
-        self.waiting.insert(index, (epoch, from));
+    pub fn add(&mut self, raft_term: Term, index: LogIndex, from: R) {
+        self.waiting.insert(index, (raft_term, from));
     }
     /// Whose change this is. Another leader's entry may have come to stand in its place.
     pub fn take(&mut self, entry: &LogEntry) -> Option<R> {
-        let (epoch, from) = self.waiting.remove(&entry.index)?;
-        (epoch == entry.epoch).then_some(from)
+        let (raft_term, from) = self.waiting.remove(&entry.index)?;
+        (raft_term == entry.term).then_some(from)
     }
-    /// All that wait, as this steward no longer leads.
+    /// All that wait, as this controller no longer leads.
     pub fn give_up(&mut self) -> impl Iterator<Item = R> + use<R> {
         std::mem::take(&mut self.waiting).into_values().map(|(_, from)| from)
     }
--- a/src/controller/process.rs
+++ b/src/controller/process.rs
@@ -23,14 +23,14 @@
     let admin = settings
         .listeners
         .admin
-        .ok_or_else(|| Fatal::Settings("listeners.admin is needed by a steward".into()))?;
+        .ok_or_else(|| Fatal::Settings("listeners.admin is needed by a controller".into()))?;
     let signals = Signals::install().map_err(|e| Fatal::Call(e.to_string()))?;
     let first = || first_state(&settings, admin, rand::random::<u64>);
     let opened = || match &settings.data_path {
         Some(folder) if settings.can_vote() => RaftStorage::found(folder, first),
         _ => Ok((RaftStorage::none()?, first(), false)),
     };
-    let (granary, kept, restarted) = loop {
+    let (storage, kept, restarted) = loop {
         match opened() {
             Ok(opened) => break opened,
             // A full or failing disk may be well again later.
@@ -45,26 +45,27 @@
     let peer = SocketAddr::new(settings.ip_address, settings.peer_port());
     accept_peers(peer, settings.limits.max_open_files as usize / 4, tx.clone())?;
     let http_tx = tx.clone();
-    // Each database may keep a connection for its beats, and all of them come to the leader.
+    // Each database may keep a connection for its heartbeats, and all of them come to the leader.
     let callers = settings.limits.max_open_files as usize / 4;
     http::serve(listen(admin)?, "admin", callers, move |request| ask_core(&http_tx, request))
         .map_err(|e| Fatal::Listen(admin.to_string(), e))?;
-    let scribe = start_scribe(granary, tx.clone())?;
-    let effects = SocketTransport { conns: HashMap::new(), links: HashMap::new(), scribe, tx };
-    let mut steward =
+    let storage_thread = start_storage_thread(storage, tx.clone())?;
+    let effects =
+        SocketTransport { conns: HashMap::new(), links: HashMap::new(), storage_thread, tx };
+    let mut controller =
         Controller::new(settings, kept, restarted, rand::random::<u64>, effects, Tick::now())?;
-    steward.serve(rx, &signals, Watched::new(path))
+    controller.serve(rx, &signals, Watched::new(path))
 }
 
 /// The thread that waits for the disk, so that nothing else does.
-fn start_scribe(
-    mut granary: RaftStorage,
+fn start_storage_thread(
+    mut storage: RaftStorage,
     done: Sender<Event>,
 ) -> Result<Sender<WriteBatch>, Fatal> {
     let (jobs, next) = channel::<WriteBatch>();
     must_start("the disk", move || {
-        for sheaf in next {
-            let saved = granary.save(&sheaf).map_err(|e| e.to_string());
+        for batch in next {
+            let saved = storage.save(&batch).map_err(|e| e.to_string());
             if done.send(Event::Input(Input::Saved(saved))).is_err() {
                 return;
             }
--- a/src/controller/transport.rs
+++ b/src/controller/transport.rs
@@ -21,7 +21,7 @@
 use std::sync::mpsc::{Sender, sync_channel};
 use std::time::Duration;
 
-/// A connection of ours to another steward.
+/// A connection of ours to another controller.
 pub(crate) struct PeerLink {
     pub(crate) line: Option<PeerConnection>,
     pub(crate) dialing: bool,
@@ -128,10 +128,10 @@
     }
 }
 
-/// What may wait for a link to another steward before even heartbeats are left out.
+/// What may wait for a link to another controller before even heartbeats are left out.
 const LINK_WAITING: usize = 4 * FLIGHT_BYTES;
 
-/// Asks a steward to be taken in, or whether one still belongs.
+/// Asks a controller to be taken in, or whether one still belongs.
 fn ask_standing(at: SocketAddr, member: Member, was: bool) -> std::io::Result<JoinResponse> {
     let mut stream = dial(at, REACH, Duration::from_secs(1))?;
     stream.set_read_timeout(Some(Duration::from_secs(1)))?;
@@ -323,20 +323,20 @@
     }
 }
 
-/// What reaches the program: the steward's own inputs, and connections for its sockets.
+/// What reaches the program: the controller's own inputs, and connections for its sockets.
 pub(crate) enum Event {
     Input(Input),
     /// A connection on the peer port.
     Opened(u64, TcpStream),
-    /// A connection of ours to another steward.
+    /// A connection of ours to another controller.
     Linked(MemberId, Option<PeerConnection>),
 }
 
-/// The steward's effects with real sockets, threads and a disk.
+/// The controller's effects with real sockets, threads and a disk.
 pub(crate) struct SocketTransport {
     pub(crate) conns: HashMap<u64, PeerConnection>,
     pub(crate) links: HashMap<MemberId, PeerLink>,
-    pub(crate) scribe: Sender<WriteBatch>,
+    pub(crate) storage_thread: Sender<WriteBatch>,
     pub(crate) tx: Sender<Event>,
 }
 
@@ -396,8 +396,8 @@
     fn keep_links(&mut self, members: &[Member]) {
         self.links.retain(|id, _| members.iter().any(|m| m.id == *id));
     }
-    fn write(&mut self, sheaf: WriteBatch) -> bool {
-        self.scribe.send(sheaf).is_ok()
+    fn write(&mut self, batch: WriteBatch) -> bool {
+        self.storage_thread.send(batch).is_ok()
     }
     fn ask_standing(&mut self, at: SocketAddr, member: Member, was: bool) {
         let tx = self.tx.clone();
--- a/src/failover/mod.rs
+++ b/src/failover/mod.rs
@@ -40,10 +40,10 @@
 }
 
 /// One try at something, as its questions and calls carry it: an answer to an earlier try says
-/// nothing about a later one. The epoch tells the offices of one process apart.
+/// nothing about a later one. The term tells the offices of one process apart.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Attempt {
-    pub epoch: Term,
+    pub raft_term: Term,
     pub number: u64,
 }
 
@@ -51,7 +51,7 @@
     /// For the platform: rises with the leader, and with each call of the same leader, so that a
     /// call that was held up on its way is known to be older than one made since.
     pub fn fence(self) -> u64 {
-        (self.epoch.0 << ATTEMPT_BITS) | self.number.min((1 << ATTEMPT_BITS) - 1)
+        (self.raft_term.0 << ATTEMPT_BITS) | self.number.min((1 << ATTEMPT_BITS) - 1)
     }
 }
 
@@ -70,19 +70,19 @@
 #[derive(Clone, Debug)]
 pub struct ServiceSnapshot {
     pub service: ServiceName,
-    /// The epoch in which this leader was elected.
-    pub epoch: Term,
+    /// The term in which this leader was elected.
+    pub raft_term: Term,
     pub lead: Option<PrimaryRecord>,
     /// Every listed database of the service.
     pub databases: Vec<(InstanceId, Instance)>,
-    /// Replicas that left and may hold the only copy of a commit; see `Almanac::departed`.
+    /// Replicas that left and may hold the only copy of a commit; see `StateMachine::departed`.
     pub departed: BTreeMap<InstanceId, u64>,
-    /// Those whose beats came lately.
+    /// Those whose heartbeats came lately.
     pub beating: BTreeSet<InstanceId>,
     pub sync_replicas: u32,
     /// No lease on the present term can be in use any more.
     pub leases_gone: bool,
-    /// Every stile that could have used the present term has given it back and said how far it
+    /// Every pooler that could have used the present term has given it back and said how far it
     /// saw, or is covered by what was seen later: the furthest position passed on.
     pub given_back: Option<Option<Position>>,
 }
@@ -145,7 +145,7 @@
     },
 }
 
-/// So many stiles that are owed answers outweigh one unanswered question.
+/// So many poolers that are owed answers outweigh one unanswered question.
 const SILENT_STILES: usize = 3;
 
 /// A machine in reach takes a connection well within this.
@@ -191,7 +191,7 @@
 /// A second question without an answer within this says that the first was no lost packet.
 const UNANSWERED_MS: u64 = 1_500;
 
-/// So many reports of broken connections, from so many stiles, within so long, make a primary
+/// So many reports of broken connections, from so many poolers, within so long, make a primary
 /// unsteady.
 const BREAKS_MANY: usize = 5;
 
@@ -205,7 +205,7 @@
 
 const PAUSE_PATIENCE_MS: u64 = 600;
 
-/// For this long the replicas themselves are waited for, before the stiles' word is taken.
+/// For this long the replicas themselves are waited for, before the poolers' word is taken.
 const VOUCH_AFTER_MS: u64 = 300;
 
 /// A primary that just proved itself is not doubted again for this long.
@@ -224,8 +224,9 @@
 }
 
 impl DepartedReplicaCheck {
-    fn ask(&self, facts: &ServiceSnapshot) -> Vec<FailoverAction> {
-        let living = facts.replicas().map(|(id, _)| id).filter(|id| facts.beating.contains(*id));
+    fn ask(&self, snapshot: &ServiceSnapshot) -> Vec<FailoverAction> {
+        let living =
+            snapshot.replicas().map(|(id, _)| id).filter(|id| snapshot.beating.contains(*id));
         let missing = living.filter(|id| !self.holders.contains(*id));
         missing
             .map(|id| FailoverAction::DatabaseRequest(id.clone(), DatabaseRequest::Describe))
@@ -285,17 +286,17 @@
     slow_tried: Option<Tick>,
     slow_before: Option<Tick>,
     unanswered: Option<Tick>,
-    /// Broken connections at the primary, as stiles told of them.
+    /// Broken connections at the primary, as poolers told of them.
     breaks: VecDeque<(Tick, NodeName)>,
 }
 
 impl Failover {
     /// Taken up by a new leader. An intent it finds is finished first, with the same target;
     /// replicas that an earlier leader paused are let go.
-    pub fn begin(facts: &ServiceSnapshot, now: Tick) -> (Self, Vec<FailoverAction>) {
+    pub fn begin(snapshot: &ServiceSnapshot, now: Tick) -> (Self, Vec<FailoverAction>) {
         let mut this = Self {
             stage: FailoverState::Steady,
-            attempt: Attempt { epoch: facts.epoch, number: 0 },
+            attempt: Attempt { raft_term: snapshot.raft_term, number: 0 },
             revoking: false,
             sealed: None,
             suspects: BTreeSet::new(),
@@ -316,59 +317,59 @@
             unanswered: None,
             breaks: VecDeque::new(),
         };
-        let mut deeds = Vec::new();
-        match facts.lead.as_ref().and_then(|l| l.intent.clone().map(|target| (l.term, target))) {
-            Some((term, target)) => deeds = this.take_up(facts, term, target, now),
-            None if facts.lead.is_some() => {
-                this.paused = facts.replicas().map(|(id, _)| id.clone()).collect();
-                deeds.extend(this.let_go(now));
+        let mut actions = Vec::new();
+        match snapshot.lead.as_ref().and_then(|l| l.intent.clone().map(|target| (l.term, target))) {
+            Some((term, target)) => actions = this.take_up(snapshot, term, target, now),
+            None if snapshot.lead.is_some() => {
+                this.paused = snapshot.replicas().map(|(id, _)| id.clone()).collect();
+                actions.extend(this.let_go(now));
             }
             None => {}
         }
-        (this, deeds)
+        (this, actions)
     }
 
     /// Finishes an intent that an earlier leader left.
     fn take_up(
         &mut self,
-        facts: &ServiceSnapshot,
+        snapshot: &ServiceSnapshot,
         term: DbTerm,
         target: InstanceId,
         now: Tick,
     ) -> Vec<FailoverAction> {
         self.revoking = true;
-        let mut deeds = vec![FailoverAction::Revoke(term)];
-        deeds.extend(self.pause_newcomers(facts, &target, now));
+        let mut actions = vec![FailoverAction::Revoke(term)];
+        actions.extend(self.pause_newcomers(snapshot, &target, now));
         self.paused.insert(target.clone());
-        self.post(target, now, &mut deeds);
-        deeds
+        self.post(target, now, &mut actions);
+        actions
     }
 
     /// The target leads a newer term than is written down.
     fn taking(
         &mut self,
-        facts: &ServiceSnapshot,
+        snapshot: &ServiceSnapshot,
         target: InstanceId,
         term: DbTerm,
         now: Tick,
     ) -> Vec<FailoverAction> {
         self.stage = FailoverState::Taking { target, term, recorded: false };
-        let mut deeds = Vec::new();
-        if let Some(lead) = &facts.lead {
+        let mut actions = Vec::new();
+        if let Some(lead) = &snapshot.lead {
             if !self.revoking {
                 self.revoking = true;
-                deeds.push(FailoverAction::Revoke(lead.term));
+                actions.push(FailoverAction::Revoke(lead.term));
             }
-            deeds.push(FailoverAction::DatabaseRequest(
+            actions.push(FailoverAction::DatabaseRequest(
                 lead.primary.clone(),
                 DatabaseRequest::StepDown(term),
             ));
         }
-        deeds.extend(self.tick(facts, now));
-        deeds
+        actions.extend(self.tick(snapshot, now));
+        actions
     }
 
-    /// What stiles are to know: whether leases are being taken back, and what is sealed.
+    /// What poolers are to know: whether leases are being taken back, and what is sealed.
     pub fn standing(&self) -> (bool, Option<Position>) {
         (self.revoking, self.sealed)
     }
@@ -377,9 +378,9 @@
         self.attempt.number += 1;
     }
 
-    fn post(&mut self, target: InstanceId, now: Tick, deeds: &mut Vec<FailoverAction>) {
+    fn post(&mut self, target: InstanceId, now: Tick, actions: &mut Vec<FailoverAction>) {
         self.renumber();
-        deeds.push(FailoverAction::Post(target.clone()));
+        actions.push(FailoverAction::Post(target.clone()));
         self.stage = FailoverState::Posting {
             target,
             tried: now,
@@ -420,13 +421,13 @@
 
     pub fn suspect(
         &mut self,
-        facts: &ServiceSnapshot,
+        snapshot: &ServiceSnapshot,
         who: &NodeName,
         of: &InstanceId,
         why: SuspicionReason,
         now: Tick,
     ) -> Vec<FailoverAction> {
-        let Some(lead) = &facts.lead else {
+        let Some(lead) = &snapshot.lead else {
             return Vec::new();
         };
         if lead.primary != *of {
@@ -446,7 +447,7 @@
         }
         let planned = matches!(self.stage, FailoverState::Fencing { target: Some(_), .. });
         match self.stage {
-            FailoverState::Doubting { .. } => self.tick(facts, now),
+            FailoverState::Doubting { .. } => self.tick(snapshot, now),
             FailoverState::Steady => self.doubt(&lead.primary, now),
             _ if planned => vec![FailoverAction::DatabaseRequest(
                 lead.primary.clone(),
@@ -462,8 +463,8 @@
         vec![FailoverAction::DatabaseRequest(primary.clone(), DatabaseRequest::Describe)]
     }
 
-    fn fence(&mut self, facts: &ServiceSnapshot, now: Tick) -> Vec<FailoverAction> {
-        let Some(lead) = &facts.lead else {
+    fn fence(&mut self, snapshot: &ServiceSnapshot, now: Tick) -> Vec<FailoverAction> {
+        let Some(lead) = &snapshot.lead else {
             return Vec::new();
         };
         // The doubt before it asked for no pause, and its question still counts.
@@ -479,13 +480,13 @@
             asked: now,
             rows: BTreeMap::new(),
         };
-        let mut deeds = vec![FailoverAction::Revoke(lead.term)];
-        deeds.extend(self.pause(
-            facts.replicas().map(|(id, _)| id.clone()).collect(),
+        let mut actions = vec![FailoverAction::Revoke(lead.term)];
+        actions.extend(self.pause(
+            snapshot.replicas().map(|(id, _)| id.clone()).collect(),
             lead.term,
             now,
         ));
-        deeds
+        actions
     }
 
     /// One that is still being let go is paused once that has ended.
@@ -511,13 +512,13 @@
     /// acknowledged, and missing at the target.
     fn pause_newcomers(
         &mut self,
-        facts: &ServiceSnapshot,
+        snapshot: &ServiceSnapshot,
         target: &InstanceId,
         now: Tick,
     ) -> Vec<FailoverAction> {
-        let Some(lead) = &facts.lead else { return Vec::new() };
+        let Some(lead) = &snapshot.lead else { return Vec::new() };
         let new = |id: &&InstanceId| *id != target && !self.paused.contains(*id);
-        let newcomers = facts.replicas().map(|(id, _)| id).filter(new).cloned().collect();
+        let newcomers = snapshot.replicas().map(|(id, _)| id).filter(new).cloned().collect();
         self.pause(newcomers, lead.term, now)
     }
 
@@ -525,51 +526,57 @@
     /// at once and the last try was long ago.
     fn leave_slow(
         &mut self,
-        facts: &ServiceSnapshot,
+        snapshot: &ServiceSnapshot,
         term: DbTerm,
         now: Tick,
     ) -> Vec<FailoverAction> {
         let again = self.slow_before.is_some_and(|t| now.since(t) < SLOW_TWICE_MS);
         self.slow_before = Some(now);
-        if again { self.leave(facts, term, now) } else { Vec::new() }
+        if again { self.leave(snapshot, term, now) } else { Vec::new() }
     }
-    /// It answers for itself, but breaks connections of many stiles again and again: each break
+    /// It answers for itself, but breaks connections of many poolers again and again: each break
     /// may cost an answer, and a replica may do better.
     fn unsteady(&self, now: Tick) -> bool {
         let recent = || self.breaks.iter().filter(|(at, _)| now.since(*at) < BREAKS_WITHIN_MS);
         recent().count() >= BREAKS_MANY
             && recent().map(|(_, who)| who).collect::<BTreeSet<_>>().len() >= BREAKS_STILES
     }
-    fn leave(&mut self, facts: &ServiceSnapshot, term: DbTerm, now: Tick) -> Vec<FailoverAction> {
+    fn leave(
+        &mut self,
+        snapshot: &ServiceSnapshot,
+        term: DbTerm,
+        now: Tick,
+    ) -> Vec<FailoverAction> {
         if self.slow_tried.is_some_and(|t| now.since(t) < SLOW_AGAIN_MS) {
             return Vec::new();
         }
         self.slow_tried = Some(now);
-        self.plan(facts, term, true, now)
+        self.plan(snapshot, term, true, now)
     }
 
     /// Begins a planned change: all replicas but the target are paused, so that from then on every
     /// acknowledged commit is on the target, and the primary serves until the promote.
     fn plan(
         &mut self,
-        facts: &ServiceSnapshot,
+        snapshot: &ServiceSnapshot,
         term: DbTerm,
         slow: bool,
         now: Tick,
     ) -> Vec<FailoverAction> {
         // What one that left may have taken along no pause brings out: first others must have it.
-        if !facts.departed.is_empty() {
+        if !snapshot.departed.is_empty() {
             return Vec::new();
         }
-        let Some(target) = Self::successor(facts) else { return Vec::new() };
+        let Some(target) = Self::successor(snapshot) else { return Vec::new() };
         let others: Vec<_> =
-            facts.replicas().map(|(id, _)| id.clone()).filter(|id| *id != target).collect();
+            snapshot.replicas().map(|(id, _)| id.clone()).filter(|id| *id != target).collect();
         self.renumber();
-        let mut deeds = Vec::new();
+        let mut actions = Vec::new();
         if others.is_empty() {
-            deeds.push(FailoverAction::DatabaseRequest(target.clone(), DatabaseRequest::Describe));
+            actions
+                .push(FailoverAction::DatabaseRequest(target.clone(), DatabaseRequest::Describe));
         }
-        deeds.extend(self.pause(others, term, now));
+        actions.extend(self.pause(others, term, now));
         self.stage = FailoverState::Fencing {
             target: Some(target),
             slow,
@@ -577,19 +584,19 @@
             asked: now,
             rows: BTreeMap::new(),
         };
-        deeds
+        actions
     }
 
     /// A replica that left took its log along, and was acknowledged for until it ended. What it had
     /// is safe once enough listed ones have all that the primary had after that.
     fn cover(
         &mut self,
-        facts: &ServiceSnapshot,
+        snapshot: &ServiceSnapshot,
         primary: &InstanceId,
         now: Tick,
     ) -> Vec<FailoverAction> {
-        self.departed.retain(|id, (last, _)| facts.departed.get(id) == Some(last));
-        for (id, last) in &facts.departed {
+        self.departed.retain(|id, (last, _)| snapshot.departed.get(id) == Some(last));
+        for (id, last) in &snapshot.departed {
             self.departed.entry(id.clone()).or_insert((*last, now));
         }
         if self.departed.is_empty() {
@@ -603,7 +610,7 @@
                 self.cover_rest = (2 * self.cover_rest).min(COVER_REST_MOST_MS);
             } else if cover.mark.is_some() && now.since(cover.asked) > ASK_AGAIN_MS {
                 cover.asked = now;
-                return cover.ask(facts);
+                return cover.ask(snapshot);
             }
             return Vec::new();
         }
@@ -621,12 +628,12 @@
     }
     fn looked(
         &mut self,
-        facts: &ServiceSnapshot,
+        snapshot: &ServiceSnapshot,
         of: &InstanceId,
         row: &ServerDescription,
         now: Tick,
     ) -> Vec<FailoverAction> {
-        let (Some(cover), Some(lead)) = (&mut self.cover, &facts.lead) else {
+        let (Some(cover), Some(lead)) = (&mut self.cover, &snapshot.lead) else {
             return Vec::new();
         };
         if lead.primary == *of {
@@ -634,27 +641,27 @@
                 return Vec::new();
             }
             (cover.mark, cover.asked) = (Some(row.received), now);
-            return cover.ask(facts);
+            return cover.ask(snapshot);
         }
         if cover.mark.is_some_and(|mark| row.received >= mark) {
             cover.holders.insert(of.clone());
         }
-        let holding = facts.replicas().filter(|(id, _)| cover.holders.contains(id)).count();
-        if holding < (facts.sync_replicas as usize).max(1) {
+        let holding = snapshot.replicas().filter(|(id, _)| cover.holders.contains(id)).count();
+        if holding < (snapshot.sync_replicas as usize).max(1) {
             return Vec::new();
         }
-        let (service, departed) = (facts.service.clone(), std::mem::take(&mut cover.departed));
+        let (service, departed) = (snapshot.service.clone(), std::mem::take(&mut cover.departed));
         self.cover = None;
         self.cover_due = now.plus(COVER_REST_MS);
         vec![FailoverAction::Propose(Command::ForgetDeparted { service, departed })]
     }
 
     /// The replica a planned change should go to, so that one promote is enough.
-    fn successor(facts: &ServiceSnapshot) -> Option<InstanceId> {
-        facts
+    fn successor(snapshot: &ServiceSnapshot) -> Option<InstanceId> {
+        snapshot
             .replicas()
             .filter(|(id, i)| {
-                i.lifecycle_state == Lifecycle::Available && facts.beating.contains(id)
+                i.lifecycle_state == Lifecycle::Available && snapshot.beating.contains(id)
             })
             .max_by_key(|(id, i)| {
                 (i.revision.len(), i.revision.clone(), std::cmp::Reverse(id.clone()))
@@ -664,18 +671,18 @@
 
     pub fn told(
         &mut self,
-        facts: &ServiceSnapshot,
+        snapshot: &ServiceSnapshot,
         attempt: Attempt,
         of: &InstanceId,
         ask: DatabaseRequest,
         told: &DatabaseResponse,
         now: Tick,
     ) -> Vec<FailoverAction> {
-        let lead = facts.lead.clone();
+        let lead = snapshot.lead.clone();
         // Unanswered it may still be carried out; the time says when not.
         match (ask, told) {
             (_, DatabaseResponse::Reached | DatabaseResponse::Silent) => {}
-            _ if attempt.epoch != self.attempt.epoch => {}
+            _ if attempt.raft_term != self.attempt.raft_term => {}
             (DatabaseRequest::Pause(_), _) => self.pausing.ended(of),
             (DatabaseRequest::Continue, _) => self.letting_go.ended(of),
             _ => {}
@@ -684,7 +691,7 @@
             && cover.attempt == attempt
         {
             return match told {
-                DatabaseResponse::Description(row) => self.looked(facts, of, row, now),
+                DatabaseResponse::Description(row) => self.looked(snapshot, of, row, now),
                 _ => Vec::new(),
             };
         }
@@ -720,7 +727,7 @@
                         if target.as_ref() != Some(of)
                             && !rows.contains_key(of)
                             && !self.pausing.under_way(of, now)
-                            && facts.replicas().any(|(id, _)| id == of) =>
+                            && snapshot.replicas().any(|(id, _)| id == of) =>
                     {
                         self.pause(vec![of.clone()], lead.term, now)
                     }
@@ -736,7 +743,7 @@
                 if !row.primary {
                     return Vec::new();
                 }
-                let (service, primary) = (facts.service.clone(), of.clone());
+                let (service, primary) = (snapshot.service.clone(), of.clone());
                 vec![FailoverAction::Propose(Command::SetPrimary {
                     service,
                     term: row.term,
@@ -766,8 +773,10 @@
                             now.since(*asked) > SLOW_ANSWER_MS || *told == DatabaseResponse::Alive;
                         self.settle(now);
                         match lead {
-                            Some(lead) if slow => self.leave_slow(facts, lead.term, now),
-                            Some(lead) if self.unsteady(now) => self.leave(facts, lead.term, now),
+                            Some(lead) if slow => self.leave_slow(snapshot, lead.term, now),
+                            Some(lead) if self.unsteady(now) => {
+                                self.leave(snapshot, lead.term, now)
+                            }
                             _ => Vec::new(),
                         }
                     }
@@ -784,7 +793,7 @@
                     // Nothing was posted yet, and the alarm was false.
                     (FailoverState::Fencing { target: None, .. }, true) => self.call_off(now),
                     (FailoverState::Fencing { target: None, .. }, false) | (_, true) => Vec::new(),
-                    _ => self.fence(facts, now),
+                    _ => self.fence(snapshot, now),
                 }
             }
             // No pause holds one that leads. Of the present term it is the primary itself.
@@ -793,7 +802,7 @@
                 DatabaseRequest::Pause(_) | DatabaseRequest::Describe,
                 DatabaseResponse::Description(row),
             ) if row.primary => {
-                let (service, primary) = (facts.service.clone(), of.clone());
+                let (service, primary) = (snapshot.service.clone(), of.clone());
                 match lead {
                     Some(PrimaryRecord { term, .. }) if row.term == term => {
                         vec![FailoverAction::Propose(Command::PrimaryReturned {
@@ -804,7 +813,7 @@
                     }
                     // An earlier leader's call has taken effect.
                     Some(PrimaryRecord { term, .. }) if row.term > term => {
-                        self.taking(facts, primary, row.term, now)
+                        self.taking(snapshot, primary, row.term, now)
                     }
                     Some(PrimaryRecord { term, .. }) => vec![FailoverAction::DatabaseRequest(
                         primary,
@@ -819,12 +828,12 @@
                 DatabaseResponse::Description(row),
             ) => {
                 rows.insert(of.clone(), row.clone());
-                let deeds = self.choose(facts, now);
+                let actions = self.choose(snapshot, now);
                 match &self.stage {
                     // The others are paused: now see how far the target is.
                     FailoverState::Fencing { target: Some(target), rows, .. }
                         if !rows.contains_key(target)
-                            && facts
+                            && snapshot
                                 .replicas()
                                 .all(|(id, _)| id == target || rows.contains_key(id)) =>
                     {
@@ -833,7 +842,7 @@
                             DatabaseRequest::Describe,
                         )]
                     }
-                    _ => deeds,
+                    _ => actions,
                 }
             }
             (
@@ -844,27 +853,27 @@
                 && row.primary
                 && lead.as_ref().is_some_and(|l| l.term < row.term) =>
             {
-                self.taking(facts, of.clone(), row.term, now)
+                self.taking(snapshot, of.clone(), row.term, now)
             }
             _ => Vec::new(),
         }
     }
 
     /// Whether the paused replicas are enough, and which one then takes over.
-    fn choose(&mut self, facts: &ServiceSnapshot, now: Tick) -> Vec<FailoverAction> {
+    fn choose(&mut self, snapshot: &ServiceSnapshot, now: Tick) -> Vec<FailoverAction> {
         let FailoverState::Fencing { target, rows, since, .. } = &self.stage else {
             return Vec::new();
         };
-        let Some(lead) = &facts.lead else {
+        let Some(lead) = &snapshot.lead else {
             return Vec::new();
         };
         let furthest = rows.values().map(|r| r.received).max();
         let chosen = match target {
             Some(target) => {
-                let fenced = facts.holders().all(|id| id == target || rows.contains_key(id));
+                let fenced = snapshot.holders().all(|id| id == target || rows.contains_key(id));
                 // Commits that no paused replica can vouch for must have been given back.
-                let safe = match (fenced, &facts.given_back) {
-                    (true, _) if facts.sync_replicas > 0 => true,
+                let safe = match (fenced, &snapshot.given_back) {
+                    (true, _) if snapshot.sync_replicas > 0 => true,
                     (_, Some(highest)) => {
                         rows.get(target).is_some_and(|r| highest.is_none_or(|h| r.received >= h))
                     }
@@ -874,19 +883,19 @@
                 (safe && whole).then(|| target.clone())
             }
             None => {
-                let holders = facts.holders().count();
-                let needed = (holders + 1).saturating_sub(facts.sync_replicas as usize).max(1);
+                let holders = snapshot.holders().count();
+                let needed = (holders + 1).saturating_sub(snapshot.sync_replicas as usize).max(1);
                 // One that was paused and left since has said all that it took along.
-                let answered = facts.holders().filter(|id| rows.contains_key(*id)).count();
-                let fenced = facts.sync_replicas > 0 && answered >= needed;
+                let answered = snapshot.holders().filter(|id| rows.contains_key(*id)).count();
+                let fenced = snapshot.sync_replicas > 0 && answered >= needed;
                 let patient = now.since(*since) < VOUCH_AFTER_MS;
                 let vouched =
-                    !patient && answered > 0 && facts.given_back.is_some_and(|h| h <= furthest);
+                    !patient && answered > 0 && snapshot.given_back.is_some_and(|h| h <= furthest);
                 let holds_all = |received: Position| {
                     Some(received) == furthest
-                        || facts.given_back.is_some_and(|highest| highest <= Some(received))
+                        || snapshot.given_back.is_some_and(|highest| highest <= Some(received))
                 };
-                let best = facts
+                let best = snapshot
                     .replicas()
                     .filter_map(|(id, i)| Some((id, i, rows.get(id)?.received)))
                     .filter(|(_, _, received)| holds_all(*received))
@@ -909,13 +918,13 @@
             return Vec::new();
         };
         self.stage = FailoverState::Intending { target: target.clone(), since: now };
-        let (service, term) = (facts.service.clone(), lead.term);
+        let (service, term) = (snapshot.service.clone(), lead.term);
         vec![FailoverAction::Propose(Command::BeginFailover { service, term, target })]
     }
 
     pub fn posted(
         &mut self,
-        facts: &ServiceSnapshot,
+        snapshot: &ServiceSnapshot,
         attempt: Attempt,
         of: &InstanceId,
         posted: PromotionResponse,
@@ -939,9 +948,9 @@
             PromotionResponse::Busy => {}
             PromotionResponse::Refused => {
                 // One that has left for good will not lead any more, whatever is under way.
-                let left = facts.database(target).is_none();
+                let left = snapshot.database(target).is_none();
                 if left || perhaps.is_none_or(|t| now.since(t) > POST_SETTLED_MS) {
-                    let (service, target) = (facts.service.clone(), target.clone());
+                    let (service, target) = (snapshot.service.clone(), target.clone());
                     return vec![FailoverAction::Propose(Command::AbandonFailover {
                         service,
                         target,
@@ -954,13 +963,13 @@
 
     /// Goes on from what is committed of this service: the stage may wait for just that, and the moment
     /// of its commit may have passed while this leader was not certain of leading.
-    fn agreed(&mut self, facts: &ServiceSnapshot, now: Tick) -> Option<Vec<FailoverAction>> {
-        let lead = facts.lead.as_ref()?;
+    fn agreed(&mut self, snapshot: &ServiceSnapshot, now: Tick) -> Option<Vec<FailoverAction>> {
+        let lead = snapshot.lead.as_ref()?;
         match &self.stage {
             FailoverState::Intending { target, .. } if lead.intent.as_ref() == Some(target) => {
-                let mut deeds = Vec::new();
-                self.post(target.clone(), now, &mut deeds);
-                Some(deeds)
+                let mut actions = Vec::new();
+                self.post(target.clone(), now, &mut actions);
+                Some(actions)
             }
             // Another leader's, which came into force after this one began.
             FailoverState::Steady
@@ -970,30 +979,30 @@
                 if lead.intent.is_some() =>
             {
                 let target = lead.intent.clone()?;
-                Some(self.take_up(facts, lead.term, target, now))
+                Some(self.take_up(snapshot, lead.term, target, now))
             }
             FailoverState::Posting { target, .. } if lead.intent.as_ref() != Some(target) => {
-                Some(self.fence(facts, now))
+                Some(self.fence(snapshot, now))
             }
             FailoverState::Taking { term, .. } if lead.term >= *term => {
                 self.paused.remove(&lead.primary);
-                let deeds = self.call_off(now);
+                let actions = self.call_off(now);
                 self.rested = None;
-                Some(deeds)
+                Some(actions)
             }
             _ => None,
         }
     }
 
-    /// A beat came in; `role` is how the database sees itself.
-    pub fn beat(
+    /// A heartbeat came in; `role` is how the database sees itself.
+    pub fn heartbeat(
         &mut self,
-        facts: &ServiceSnapshot,
+        snapshot: &ServiceSnapshot,
         of: &InstanceId,
         role: Role,
         now: Tick,
     ) -> Vec<FailoverAction> {
-        match (&mut self.stage, &facts.lead) {
+        match (&mut self.stage, &snapshot.lead) {
             (FailoverState::Steady, None) if role == Role::Primary => {
                 self.stage = FailoverState::Founding { asked: now };
                 vec![FailoverAction::DatabaseRequest(of.clone(), DatabaseRequest::Describe)]
@@ -1019,8 +1028,8 @@
         }
     }
 
-    pub fn tick(&mut self, facts: &ServiceSnapshot, now: Tick) -> Vec<FailoverAction> {
-        let Some(lead) = &facts.lead else {
+    pub fn tick(&mut self, snapshot: &ServiceSnapshot, now: Tick) -> Vec<FailoverAction> {
+        let Some(lead) = &snapshot.lead else {
             if let FailoverState::Founding { asked } = self.stage
                 && now.since(asked) > 2 * ASK_AGAIN_MS
             {
@@ -1028,58 +1037,59 @@
             }
             return Vec::new();
         };
-        if let Some(deeds) = self.agreed(facts, now) {
-            return deeds;
+        if let Some(actions) = self.agreed(snapshot, now) {
+            return actions;
         }
         if let FailoverState::Fencing { target: Some(target), .. }
         | FailoverState::Intending { target, .. }
         | FailoverState::Posting { target, .. } = &self.stage
         {
-            let deeds = self.pause_newcomers(facts, &target.clone(), now);
-            if !deeds.is_empty() {
-                return deeds;
+            let actions = self.pause_newcomers(snapshot, &target.clone(), now);
+            if !actions.is_empty() {
+                return actions;
             }
         }
-        let listed = facts.database(&lead.primary);
+        let listed = snapshot.database(&lead.primary);
         match &mut self.stage {
             FailoverState::Steady => {
-                if facts.databases.is_empty() {
+                if snapshot.databases.is_empty() {
                     return Vec::new();
                 }
                 let Some((id, primary)) = listed else {
-                    return self.fence(facts, now);
+                    return self.fence(snapshot, now);
                 };
                 if !self.owed.is_empty() && now.since(self.owed_asked) > OWED_AGAIN_MS {
                     self.owed_asked = now;
-                    self.owed.retain(|id, _| facts.replicas().any(|(replica, _)| replica == id));
-                    let living = self.owed.keys().filter(|id| facts.beating.contains(*id));
+                    self.owed.retain(|id, _| snapshot.replicas().any(|(replica, _)| replica == id));
+                    let living = self.owed.keys().filter(|id| snapshot.beating.contains(*id));
                     return self.ask_to_go_on(living.cloned().collect(), now);
                 }
-                let looks = self.cover(facts, id, now);
+                let looks = self.cover(snapshot, id, now);
                 if !looks.is_empty() {
                     return looks;
                 }
                 let rested = self.rested.is_none_or(|t| now.since(t) > 1_000);
-                let rested = rested && facts.departed.is_empty();
+                let rested = rested && snapshot.departed.is_empty();
                 if primary.lifecycle_state == Lifecycle::Draining && rested {
-                    return self.plan(facts, lead.term, false, now);
+                    return self.plan(snapshot, lead.term, false, now);
                 }
-                if !facts.beating.contains(id) && self.trusted.is_none_or(|t| now.since(t) > 2_000)
+                if !snapshot.beating.contains(id)
+                    && self.trusted.is_none_or(|t| now.since(t) > 2_000)
                 {
                     return self.doubt(id, now);
                 }
             }
             FailoverState::Founding { .. } => self.stage = FailoverState::Steady,
-            // Several stiles are owed answers. If its machine does not even take a connection, it
+            // Several poolers are owed answers. If its machine does not even take a connection, it
             // is lost; if it does, it is slow, and a replica may do better while it still serves.
             FailoverState::Doubting { asked, reached }
                 if self.suspects.len() >= SILENT_STILES && now.since(*asked) >= DARK_MS =>
             {
                 if !*reached {
-                    return self.fence(facts, now);
+                    return self.fence(snapshot, now);
                 }
                 self.slow_before = Some(now);
-                return self.leave_slow(facts, lead.term, now);
+                return self.leave_slow(snapshot, lead.term, now);
             }
             FailoverState::Doubting { asked, .. } if now.since(*asked) > 4 * ASK_AGAIN_MS => {
                 self.stage = FailoverState::Steady;
@@ -1091,13 +1101,14 @@
                     if waited > if *slow { PAUSE_PATIENCE_MS } else { PLANNED_PATIENCE_MS } {
                         return self.call_off(now);
                     }
-                    let others = facts
+                    let others = snapshot
                         .replicas()
                         .map(|(id, _)| id.clone())
                         .filter(|id| *id != target && !rows.contains_key(id))
                         .collect::<Vec<_>>();
                     let stuck = !others.is_empty() && waited > PAUSE_PATIENCE_MS;
-                    if (others.is_empty() || facts.given_back.is_some()) && now.since(*asked) >= 100
+                    if (others.is_empty() || snapshot.given_back.is_some())
+                        && now.since(*asked) >= 100
                     {
                         *asked = now;
                         return vec![FailoverAction::DatabaseRequest(
@@ -1111,29 +1122,29 @@
                     }
                     return Vec::new();
                 }
-                let mut deeds = Vec::new();
+                let mut actions = Vec::new();
                 if now.since(*asked) > ASK_AGAIN_MS {
                     *asked = now;
-                    let missing: Vec<_> = facts
+                    let missing: Vec<_> = snapshot
                         .replicas()
                         .map(|(id, _)| id.clone())
                         .filter(|id| !rows.contains_key(id))
                         .collect();
-                    deeds = self.pause(missing, lead.term, now);
+                    actions = self.pause(missing, lead.term, now);
                     if waited > 2 * ASK_AGAIN_MS && listed.is_some() {
-                        deeds.push(FailoverAction::DatabaseRequest(
+                        actions.push(FailoverAction::DatabaseRequest(
                             lead.primary.clone(),
                             DatabaseRequest::Describe,
                         ));
                     }
                 }
-                deeds.extend(self.choose(facts, now));
-                return deeds;
+                actions.extend(self.choose(snapshot, now));
+                return actions;
             }
             FailoverState::Intending { target, since } if now.since(*since) > 1_000 => {
                 // Proposed but not seen committed: the same proposal again changes nothing twice.
                 *since = now;
-                let (service, term, target) = (facts.service.clone(), lead.term, target.clone());
+                let (service, term, target) = (snapshot.service.clone(), lead.term, target.clone());
                 return vec![FailoverAction::Propose(Command::BeginFailover {
                     service,
                     term,
@@ -1141,10 +1152,10 @@
                 })];
             }
             FailoverState::Posting { target, tried, in_flight, looked, perhaps } => {
-                let mut deeds = Vec::new();
+                let mut actions = Vec::new();
                 // Having left in the meantime, the target is asked for again at once: the refusal
                 // settles it.
-                let left = facts.database(target).is_none();
+                let left = snapshot.database(target).is_none();
                 let again = now >= tried.plus(POST_AGAIN_MS);
                 // What came of a call may have gone by while this leader was not certain of leading.
                 let unheard = *in_flight && now.since(*tried) > POST_UNHEARD_MS;
@@ -1155,22 +1166,24 @@
                     *in_flight = true;
                     *tried = now;
                     self.attempt.number += 1;
-                    deeds.push(FailoverAction::Post(target.clone()));
+                    actions.push(FailoverAction::Post(target.clone()));
                 }
                 if perhaps.is_some_and(|t| now.since(t) > LOOK_AGAIN_MS)
                     && now.since(*looked) > LOOK_AGAIN_MS
                 {
                     *looked = now;
-                    deeds.push(FailoverAction::DatabaseRequest(
+                    actions.push(FailoverAction::DatabaseRequest(
                         target.clone(),
                         DatabaseRequest::Describe,
                     ));
                 }
-                return deeds;
+                return actions;
             }
-            FailoverState::Taking { target, term, recorded } if facts.leases_gone && !*recorded => {
+            FailoverState::Taking { target, term, recorded }
+                if snapshot.leases_gone && !*recorded =>
+            {
                 *recorded = true;
-                let (service, term, primary) = (facts.service.clone(), *term, target.clone());
+                let (service, term, primary) = (snapshot.service.clone(), *term, target.clone());
                 return vec![FailoverAction::Propose(Command::SetPrimary {
                     service,
                     term,
--- a/src/gateway/client_connection.rs
+++ b/src/gateway/client_connection.rs
@@ -29,12 +29,12 @@
 pub(crate) struct ClientGuard {
     pub(crate) id: u64,
     pub(crate) guest: Arc<ClientConnection>,
-    pub(crate) wicket: Arc<Gateway>,
+    pub(crate) gateway: Arc<Gateway>,
 }
 
 impl Drop for ClientGuard {
     fn drop(&mut self) {
-        lock(&self.wicket.guests).remove(&self.id);
+        lock(&self.gateway.guests).remove(&self.id);
     }
 }
 
--- a/src/gateway/forwarding.rs
+++ b/src/gateway/forwarding.rs
@@ -57,7 +57,7 @@
 /// Everything that is fixed for one request.
 pub(crate) struct RequestContext<'a> {
     pub(crate) asked: &'a RequestHead,
-    pub(crate) lane: &'a RouteEntry,
+    pub(crate) route_entry: &'a RouteEntry,
     pub(crate) service: &'a ServiceName,
     pub(crate) arrived: Tick,
     pub(crate) limit: Tick,
--- a/src/gateway/load_balancing.rs
+++ b/src/gateway/load_balancing.rs
@@ -108,13 +108,14 @@
 /// order, which a new one changes little.
 pub fn homes<'a>(
     of: impl Iterator<Item = (&'a InstanceId, u32)>,
-    plot: (u32, u32),
+    subset_range: (u32, u32),
 ) -> HashMap<InstanceId, f64> {
     let mut order: Vec<(u64, &InstanceId, f64)> =
         of.map(|(id, capacity)| (digest(&id.0), id, f64::from(capacity.max(1)))).collect();
     order.sort_by(|a, b| (a.0, a.1).cmp(&(b.0, b.1)));
     let all: f64 = order.iter().map(|(_, _, capacity)| capacity).sum();
-    let (from, upto) = (f64::from(plot.0) * all / 1e6, f64::from(plot.1) * all / 1e6);
+    let (from, upto) =
+        (f64::from(subset_range.0) * all / 1e6, f64::from(subset_range.1) * all / 1e6);
     let mut at = 0.0;
     let mut found = HashMap::new();
     for (_, id, capacity) in order {
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -38,13 +38,13 @@
 pub(crate) struct Gateway {
     node: NodeName,
     zone: String,
-    life: u64,
+    incarnation: u64,
     link: LeaderConnection,
     seq: AtomicU64,
     renewed: AtomicU64,
     /// The last renewal that was answered on this connection.
     heard: AtomicU64,
-    orchard: Mutex<Upstreams>,
+    upstreams: Mutex<Upstreams>,
     /// A database has room again, or there is news.
     changed: Condvar,
     budget: Mutex<RetryBudget>,
@@ -80,12 +80,12 @@
 
 impl Gateway {
     fn config(&self) -> Option<Arc<RouteTable>> {
-        lock(&self.orchard).config.clone()
+        lock(&self.upstreams).config.clone()
     }
     /// It knows what to serve.
     fn knows(&self) -> bool {
-        let orchard = lock(&self.orchard);
-        orchard.config.is_some() && orchard.listed
+        let upstreams = lock(&self.upstreams);
+        upstreams.config.is_some() && upstreams.listed
     }
     fn ready(&self) -> bool {
         self.listening.load(Ordering::Relaxed) && !self.draining.load(Ordering::Relaxed)
@@ -107,24 +107,24 @@
     }
     /// How busy this node is, where that is news.
     fn busy(&self, ms: u64) -> Vec<(ServiceName, u32)> {
-        let mut orchard = lock(&self.orchard);
-        let rows = orchard.services.iter_mut();
+        let mut upstreams = lock(&self.upstreams);
+        let rows = upstreams.services.iter_mut();
         rows.filter_map(|(name, row)| Some((name.clone(), row.work.news(ms)?))).collect()
     }
-    /// A wicket never goes back to an older version.
+    /// A gateway never goes back to an older version.
     fn configured(&self, config: RouteTable) {
-        let mut orchard = lock(&self.orchard);
-        if orchard.config.as_ref().is_none_or(|c| c.revision < config.revision) {
-            info!(target: "wicket", "configuration {} is in force", config.revision);
-            orchard.config = Some(Arc::new(config));
+        let mut upstreams = lock(&self.upstreams);
+        if upstreams.config.as_ref().is_none_or(|c| c.revision < config.revision) {
+            info!(target: "gateway", "configuration {} is in force", config.revision);
+            upstreams.config = Some(Arc::new(config));
         }
     }
 
     fn status(&self) -> serde_json::Value {
         let now = Tick::now();
-        let orchard = lock(&self.orchard);
+        let upstreams = lock(&self.upstreams);
         let of = |n: &AtomicU64| n.load(Ordering::Relaxed);
-        let databases: Vec<_> = orchard
+        let databases: Vec<_> = upstreams
             .trees
             .iter()
             .map(|(id, t)| {
@@ -138,11 +138,11 @@
             .collect();
         serde_json::json!({
             "node": self.node,
-            "role": "wicket",
+            "role": "gateway",
             "ready": self.ready(),
             "draining": self.draining.load(Ordering::Relaxed),
             "linked": self.link.is_up(),
-            "revision": orchard.config.as_ref().map(|c| c.revision),
+            "revision": upstreams.config.as_ref().map(|c| c.revision),
             "connections": lock(&self.guests).len(),
             "connections_allowed": self.max_guests,
             "resting": self.parked.len(),
@@ -163,19 +163,19 @@
         tried: &[InstanceId],
         until: Tick,
     ) -> Option<EndpointGuard> {
-        let fresh = !errand.lane.route_type.repeatable();
-        let mut orchard = lock(&self.orchard);
+        let fresh = !errand.route_entry.route_type.repeatable();
+        let mut upstreams = lock(&self.upstreams);
         loop {
             let now = Tick::now();
-            if let Some(taken) = orchard.take(errand.service, &self.zone, tried, fresh, now) {
+            if let Some(taken) = upstreams.take(errand.service, &self.zone, tried, fresh, now) {
                 return Some(taken);
             }
             let left = until.since(now);
             if left == 0 {
                 return None;
             }
-            let wait = self.changed.wait_timeout(orchard, Duration::from_millis(left));
-            orchard = wait.unwrap_or_else(std::sync::PoisonError::into_inner).0;
+            let wait = self.changed.wait_timeout(upstreams, Duration::from_millis(left));
+            upstreams = wait.unwrap_or_else(std::sync::PoisonError::into_inner).0;
         }
     }
     /// A send is over: what was seen of the database, and perhaps its connection for another.
@@ -187,12 +187,12 @@
         stem: Option<EndpointConnection>,
     ) {
         {
-            let mut orchard = lock(&self.orchard);
-            let orchard = &mut *orchard;
-            if let Some(tree) = orchard.trees.get_mut(id) {
+            let mut upstreams = lock(&self.upstreams);
+            let upstreams = &mut *upstreams;
+            if let Some(tree) = upstreams.trees.get_mut(id) {
                 tree.load = tree.load.saturating_sub(1);
                 seen(&mut tree.health);
-                if let Some(row) = orchard.services.get_mut(&tree.service) {
+                if let Some(row) = upstreams.services.get_mut(&tree.service) {
                     row.work.add(took);
                 }
                 if let Some(stem) = stem
@@ -226,12 +226,12 @@
                 Some(stem) => stem,
                 None => {
                     let now = Tick::now();
-                    let reach = lock(&self.orchard).reach.late(CONNECT_MS).min(MOST_CONNECT_MS);
+                    let reach = lock(&self.upstreams).reach.late(CONNECT_MS).min(MOST_CONNECT_MS);
                     let left = errand.limit.since(now).clamp(1, reach);
                     let dark = Duration::from_secs(2);
                     let dialled = dial(address, Duration::from_millis(left), dark);
                     // A refusal is quick; what is not may be this node's own link.
-                    lock(&self.orchard).reach.learn(Tick::now().since(now));
+                    lock(&self.upstreams).reach.learn(Tick::now().since(now));
                     match dialled {
                         Ok(stream) => EndpointConnection {
                             stream,
@@ -316,14 +316,17 @@
         errand: &mut RequestContext<'_>,
         client: &mut Client<'_>,
     ) -> io::Result<ForwardResult> {
-        let lane = errand.lane;
-        let mut tries = AttemptPolicy::new(lane.route_type.repeatable(), lane.max_attempts);
+        let route_entry = errand.route_entry;
+        let mut tries =
+            AttemptPolicy::new(route_entry.route_type.repeatable(), route_entry.max_attempts);
         let mut tried: Vec<InstanceId> = Vec::new();
         let mut legs: Vec<Attempt> = Vec::new();
         let patience = {
-            let orchard = lock(&self.orchard);
-            let row = orchard.services.get(errand.service);
-            row.map_or(lane.target_latency_ms / 2, |r| r.pace.patience(lane.target_latency_ms))
+            let upstreams = lock(&self.upstreams);
+            let row = upstreams.services.get(errand.service);
+            row.map_or(route_entry.target_latency_ms / 2, |r| {
+                r.pace.patience(route_entry.target_latency_ms)
+            })
         };
         let mut wanted = true;
         // A part of its body went to a database and is not held here.
@@ -332,7 +335,7 @@
             if wanted {
                 wanted = false;
                 // It is offered within a quarter of the aim, or refused while that helps the client.
-                let wait = errand.arrived.plus(lane.target_latency_ms / 4).min(errand.limit);
+                let wait = errand.arrived.plus(route_entry.target_latency_ms / 4).min(errand.limit);
                 let again = tries.is_repeat();
                 let paid = !again || lock(&self.budget).spend(Tick::now());
                 let until = if again { Tick(0) } else { wait };
@@ -425,7 +428,7 @@
                         let leg = legs.swap_remove(at);
                         // Most likely forgotten while it rested: the same database may have it again,
                         // on a connection of its own.
-                        if lane.route_type.repeatable() && !streamed && leg.forgotten() {
+                        if route_entry.route_type.repeatable() && !streamed && leg.forgotten() {
                             tries.sent_anew();
                             let taken =
                                 EndpointGuard { id: leg.id, address: leg.address, stem: None };
@@ -492,7 +495,7 @@
             Refusal::Lost | Refusal::Late => count(&self.counts.lost),
             _ => {}
         }
-        ForwardResult::Own(refusal, (errand.lane.target_latency_ms / 4).clamp(50, 1_000))
+        ForwardResult::Own(refusal, (errand.route_entry.target_latency_ms / 4).clamp(50, 1_000))
     }
     /// The connection of this leg is of no more use.
     fn drop_leg(&self, leg: Attempt, late: bool) {
@@ -519,7 +522,7 @@
             && now.since(Tick(self.garbled.load(Ordering::Relaxed))) >= 1_000
         {
             self.garbled.store(now.0, Ordering::Relaxed);
-            warn!(target: "wicket", "no usable answer came from a database");
+            warn!(target: "gateway", "no usable answer came from a database");
         }
     }
 
@@ -633,15 +636,16 @@
             return Ok(false);
         }
         let number = digest(asked.id.as_deref().unwrap_or(&asked.target));
-        let found = config.route(&asked.host, asked.path());
-        let found = found.and_then(|lane| Some((lane, config.service(lane, number)?)));
-        let Some((lane, service)) = found else {
+        let found = config.entry_for_path(&asked.host, asked.path());
+        let found =
+            found.and_then(|route_entry| Some((route_entry, config.service(route_entry, number)?)));
+        let Some((route_entry, service)) = found else {
             // A body that nobody reads ends the connection.
             let close = close || asked.framing != BodyFraming::Length(0);
             self.refuse(client, Refusal::NoRoute, 0, close)?;
             return Ok(!close);
         };
-        let wait = asked.deadline_ms.unwrap_or(DEADLINE_MS).min(lane.timeout_ms);
+        let wait = asked.deadline_ms.unwrap_or(DEADLINE_MS).min(route_entry.timeout_ms);
         let limit = arrived.plus(wait);
         if asked.expects && asked.framing != BodyFraming::Length(0) && client.inbox.is_empty() {
             client.write(b"HTTP/1.1 100 Continue\r\n\r\n")?;
@@ -678,7 +682,8 @@
             held = as_chunk(&held);
         }
         lock(&self.budget).asked(arrived);
-        let mut errand = RequestContext { asked, lane, service, arrived, limit, body: &held, rest };
+        let mut errand =
+            RequestContext { asked, route_entry, service, arrived, limit, body: &held, rest };
         match self.carry(&mut errand, client)? {
             ForwardResult::Own(refusal, come_back_ms) => {
                 let close = close || refusal.answer().closes || client.half_read(&errand);
@@ -774,8 +779,8 @@
         let now = Tick::now();
         let failed = head.status >= 500;
         {
-            let mut orchard = lock(&self.orchard);
-            if !failed && let Some(row) = orchard.services.get_mut(service) {
+            let mut upstreams = lock(&self.upstreams);
+            if !failed && let Some(row) = upstreams.services.get_mut(service) {
                 row.pace.learn(took);
             }
         }
@@ -836,7 +841,7 @@
         let resting = AtomicU64::new(Tick::now().0);
         let guest = Arc::new(ClientConnection { stream, resting, watched: AtomicBool::new(false) });
         lock(&self.guests).insert(id, Arc::clone(&guest));
-        self.hand(ClientGuard { id, guest, wicket: Arc::clone(self) });
+        self.hand(ClientGuard { id, guest, gateway: Arc::clone(self) });
     }
     /// Closes connections that rested for longer than they may.
     fn send_off_idle(&self, now: Tick) {
@@ -852,15 +857,15 @@
     fn hand(&self, visit: ClientGuard) {
         start_thread(move || {
             let guest = Arc::clone(&visit.guest);
-            match visit.wicket.attend(&guest) {
+            match visit.gateway.attend(&guest) {
                 Ok(true) => {
-                    let wicket = Arc::clone(&visit.wicket);
+                    let gateway = Arc::clone(&visit.gateway);
                     let known = guest.watched.swap(true, Ordering::Relaxed);
-                    wicket.parked.rest(visit.id, &guest.stream, visit, known);
+                    gateway.parked.rest(visit.id, &guest.stream, visit, known);
                 }
                 Ok(false) => {}
                 // How a client's connection ends is not worth a line each.
-                Err(e) => debug!(target: "wicket", "client {}: {e}", visit.id),
+                Err(e) => debug!(target: "gateway", "client {}: {e}", visit.id),
             }
         });
     }
@@ -871,14 +876,14 @@
         let revision = self.config().map_or(Revision(0), |c| c.revision);
         ToController::Hello {
             node: self.node.clone(),
-            life: self.life,
+            incarnation: self.incarnation,
             revision,
             zone: self.zone.clone(),
         }
     }
     fn linked(&self) {
         self.heard.store(0, Ordering::Relaxed);
-        for row in lock(&self.orchard).services.values_mut() {
+        for row in lock(&self.upstreams).services.values_mut() {
             row.work.told = None;
         }
     }
@@ -900,30 +905,32 @@
                 }
             }
             ToPooler::Directory(listed) => {
-                let mut orchard = lock(&self.orchard);
+                let mut upstreams = lock(&self.upstreams);
                 let named = |id: &InstanceId| listed.iter().any(|l| l.id == *id);
-                let gone: Vec<_> = orchard.trees.keys().filter(|id| !named(id)).cloned().collect();
-                gone.iter().for_each(|id| orchard.remove(id));
-                listed.into_iter().for_each(|one| orchard.upsert(one));
-                orchard.settle(&self.zone);
-                orchard.listed = true;
+                let gone: Vec<_> =
+                    upstreams.trees.keys().filter(|id| !named(id)).cloned().collect();
+                gone.iter().for_each(|id| upstreams.remove(id));
+                listed.into_iter().for_each(|one| upstreams.upsert(one));
+                upstreams.settle(&self.zone);
+                upstreams.listed = true;
             }
             ToPooler::DirectoryDelta { listed, gone } => {
-                let mut orchard = lock(&self.orchard);
-                gone.iter().for_each(|id| orchard.remove(id));
-                listed.into_iter().for_each(|one| orchard.upsert(one));
-                orchard.settle(&self.zone);
+                let mut upstreams = lock(&self.upstreams);
+                gone.iter().for_each(|id| upstreams.remove(id));
+                listed.into_iter().for_each(|one| upstreams.upsert(one));
+                upstreams.settle(&self.zone);
             }
-            ToPooler::LeaseGrants { seq, plots, .. } => {
+            ToPooler::LeaseGrants { seq, subset_ranges, .. } => {
                 self.heard.store(seq, Ordering::Relaxed);
-                if plots.is_empty() {
+                if subset_ranges.is_empty() {
                     return;
                 }
-                let mut orchard = lock(&self.orchard);
-                for SubsetRange { service, from, upto } in plots {
-                    orchard.services.entry(service).or_default().plot = Some((from, upto));
+                let mut upstreams = lock(&self.upstreams);
+                for SubsetRange { service, from, upto } in subset_ranges {
+                    upstreams.services.entry(service).or_default().subset_range =
+                        Some((from, upto));
                 }
-                orchard.settle(&self.zone);
+                upstreams.settle(&self.zone);
             }
             ToPooler::RenewNow => self.renew(),
         }
@@ -943,7 +950,7 @@
 pub fn run(path: PathBuf, settings: Settings) -> Result<(), Fatal> {
     let mut watched = Watched::new(path);
     let needed = |at: Option<SocketAddr>, name: &str| {
-        at.ok_or_else(|| Fatal::Settings(format!("listeners.{name} is needed by a wicket")))
+        at.ok_or_else(|| Fatal::Settings(format!("listeners.{name} is needed by a gateway")))
     };
     let frontend = needed(settings.listeners.frontend, "frontend")?;
     let readiness = needed(settings.listeners.readiness, "readiness")?;
@@ -951,47 +958,47 @@
     let files = settings.limits.max_open_files.saturating_sub(SPARE_FILES).max(16) / 2;
     let bounds = &settings.timing_bounds;
     let budget = RetryBudget::new(bounds.retry_ratio, 1_000 * bounds.retry_window_s);
-    let wicket = Arc::new(Gateway {
+    let gateway = Arc::new(Gateway {
         node: settings.node(),
         zone: settings.zone.clone(),
-        life: rand::random(),
-        link: LeaderConnection::new("wicket", settings.seed_peers()),
+        incarnation: rand::random(),
+        link: LeaderConnection::new("gateway", settings.seed_peers()),
         seq: AtomicU64::new(0),
         renewed: AtomicU64::new(0),
         heard: AtomicU64::new(0),
-        orchard: Mutex::default(),
+        upstreams: Mutex::default(),
         changed: Condvar::new(),
         budget: Mutex::new(budget),
         listening: AtomicBool::new(false),
         draining: AtomicBool::new(false),
         closing: AtomicBool::new(false),
         guests: Mutex::default(),
-        parked: IdleConnections::new("wicket").map_err(|e| Fatal::Call(e.to_string()))?,
+        parked: IdleConnections::new("gateway").map_err(|e| Fatal::Call(e.to_string()))?,
         next_guest: AtomicU64::new(1),
         max_guests: files as usize,
         counts: Counts::default(),
         garbled: AtomicU64::new(0),
     });
-    let (asked, told) = (Arc::clone(&wicket), Arc::clone(&wicket));
+    let (asked, told) = (Arc::clone(&gateway), Arc::clone(&gateway));
     http::serve_state(readiness, move || asked.ready(), move || told.status())?;
-    let linking = Arc::clone(&wicket);
+    let linking = Arc::clone(&gateway);
     must_start("the link", move || linking.link.keep(&*linking))?;
-    // Until it knows what to serve, a wicket has no address: who is refused there goes on to
+    // Until it knows what to serve, a gateway has no address: who is refused there goes on to
     // another node at once.
-    while !wicket.knows() {
+    while !gateway.knows() {
         if signals.terminated() {
             return Ok(());
         }
         if let Some(new) = watched.poll(signals.take_hup()) {
-            wicket.link.seek(new.seed_peers());
+            gateway.link.seek(new.seed_peers());
         }
-        let orchard = lock(&wicket.orchard);
-        drop(wicket.changed.wait_timeout(orchard, Duration::from_millis(50)));
-        wicket.renew_when_due();
+        let upstreams = lock(&gateway.upstreams);
+        drop(gateway.changed.wait_timeout(upstreams, Duration::from_millis(50)));
+        gateway.renew_when_due();
     }
     let listener = listen(frontend)?;
-    wicket.listening.store(true, Ordering::Relaxed);
-    let accepting = Arc::clone(&wicket);
+    gateway.listening.store(true, Ordering::Relaxed);
+    let accepting = Arc::clone(&gateway);
     must_start("clients", move || {
         for stream in listener.incoming() {
             match stream {
@@ -1000,15 +1007,15 @@
             }
         }
     })?;
-    let watching = Arc::clone(&wicket);
+    let watching = Arc::clone(&gateway);
     must_start("resting clients", move || watching.parked.watch(|v| watching.hand(v)))?;
-    info!(target: "wicket", "{} serves {frontend}", settings.node_name);
-    tend(&wicket, &signals, watched, settings)
+    info!(target: "gateway", "{} serves {frontend}", settings.node_name);
+    tend(&gateway, &signals, watched, settings)
 }
 
 /// The loop that keeps in touch with the leader and ends the program in order.
 fn tend(
-    wicket: &Arc<Gateway>,
+    gateway: &Arc<Gateway>,
     signals: &Signals,
     mut watched: Watched,
     mut settings: Settings,
@@ -1017,20 +1024,20 @@
     loop {
         std::thread::sleep(Duration::from_millis(if leaving.is_some() { 50 } else { 225 }));
         let now = Tick::now();
-        wicket.renew_when_due();
-        wicket.send_off_idle(now);
+        gateway.renew_when_due();
+        gateway.send_off_idle(now);
         if let Some(new) = watched.poll(signals.take_hup()) {
-            wicket.link.seek(new.seed_peers());
+            gateway.link.seek(new.seed_peers());
             let bounds = &new.timing_bounds;
-            let mut budget = lock(&wicket.budget);
+            let mut budget = lock(&gateway.budget);
             (budget.ratio, budget.window_ms) = (bounds.retry_ratio, 1_000 * bounds.retry_window_s);
             drop(budget);
             settings = new;
         }
         if signals.terminated() && leaving.is_none() {
-            info!(target: "wicket", "draining");
+            info!(target: "gateway", "draining");
             leaving = Some(now);
-            wicket.draining.store(true, Ordering::Relaxed);
+            gateway.draining.store(true, Ordering::Relaxed);
         }
         let Some(since) = leaving else { continue };
         let grace = settings.timing_bounds.grace_s * 1_000;
@@ -1039,14 +1046,14 @@
             continue;
         }
         // Takes nothing more from clients that rest; what was read is still answered.
-        wicket.closing.store(true, Ordering::Relaxed);
-        let guests: Vec<Arc<ClientConnection>> = lock(&wicket.guests).values().cloned().collect();
+        gateway.closing.store(true, Ordering::Relaxed);
+        let guests: Vec<Arc<ClientConnection>> = lock(&gateway.guests).values().cloned().collect();
         for guest in guests.iter().filter(|g| g.rests().is_some()) {
             drop(guest.stream.shutdown(Shutdown::Read));
         }
         if guests.is_empty() || waited + 300 > grace {
-            wicket.link.tell(ToController::Goodbye);
-            info!(target: "wicket", "stopped with {} clients", guests.len());
+            gateway.link.tell(ToController::Goodbye);
+            info!(target: "gateway", "stopped with {} clients", guests.len());
             return Ok(());
         }
     }
--- a/src/gateway/upstreams.rs
+++ b/src/gateway/upstreams.rs
@@ -29,7 +29,7 @@
     pub(crate) idle: Vec<EndpointConnection>,
 }
 
-/// What this wicket knows.
+/// What this gateway knows.
 #[derive(Default)]
 pub(crate) struct Upstreams {
     pub(crate) config: Option<Arc<RouteTable>>,
@@ -45,7 +45,7 @@
     trees: Vec<InstanceId>,
     pub(crate) pace: LatencyEstimator,
     /// The part of the zone's databases that is used first, and what that comes to.
-    pub(crate) plot: Option<(u32, u32)>,
+    pub(crate) subset_range: Option<(u32, u32)>,
     homes: HashMap<InstanceId, f64>,
     pub(crate) work: Work,
 }
@@ -109,7 +109,8 @@
             let near = row.trees.iter().filter_map(|id| Some((id, self.trees.get(id)?)));
             let near = near.filter(|(_, tree)| tree.zone == zone && !tree.draining);
             let laid = near.map(|(id, tree)| (id, tree.capacity));
-            row.homes = row.plot.map(|plot| homes(laid, plot)).unwrap_or_default();
+            row.homes =
+                row.subset_range.map(|subset_range| homes(laid, subset_range)).unwrap_or_default();
         }
     }
     /// Takes a database of the service that was not tried yet.
--- a/src/leases/lease_table.rs
+++ b/src/leases/lease_table.rs
@@ -4,31 +4,31 @@
 use crate::net::rpc::pooler_messages::{LeaseGrant, PrimaryStatus};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long a stile may use what it was last granted, from when it asked.
+/// How long a pooler may use what it was last granted, from when it asked.
 pub const LEASE_MS: u64 = 1_800;
 
 /// For what a clock may be off by a little.
 const LEASE_SLACK_MS: u64 = 50;
 
-/// Connections of a lost stile are counted this long: a database drops a dark end after 3 s.
+/// Connections of a lost pooler are counted this long: a database drops a dark end after 3 s.
 pub(crate) const SHARE_HELD_MS: u64 = 4_500;
 
-/// A lost stile may have passed on more than it told; others have seen further after this time.
+/// A lost pooler may have passed on more than it told; others have seen further after this time.
 const UNTOLD_MS: u64 = 10_000;
 
-/// What a stile gets from a new leader that has not heard of any share yet.
+/// What a pooler gets from a new leader that has not heard of any share yet.
 const YOUNG_SHARE: u32 = 4;
 
-/// What was lent beyond a stile's part is taken back when it wanted no more for so long.
+/// What was lent beyond a pooler's part is taken back when it wanted no more for so long.
 const LENT_MS: u64 = 3_000;
 
-/// Connections to each database kept back for the stewards' own questions.
+/// Connections to each database kept back for the controllers' own questions.
 const RESERVE: u32 = 4;
 
-/// One stile, as the leader accounts for it.
+/// One pooler, as the leader accounts for it.
 #[derive(Clone, Debug, Default)]
 pub struct PoolerLeases {
-    pub life: u64,
+    pub incarnation: u64,
     pub conn: Option<u64>,
     pub lost: Option<Tick>,
     /// Its connections are counted no more, unless it comes back.
@@ -71,20 +71,20 @@
     }
 }
 
-/// Which stile may use what until when. A value; the leader keeps one while it leads.
+/// Which pooler may use what until when. A value; the leader keeps one while it leads.
 ///
-/// One lease covers all services of a stile. An answer to a renewal renews whatever it was told
+/// One lease covers all services of a pooler. An answer to a renewal renews whatever it was told
 /// before on the same connection, so only what changed is told.
 #[derive(Clone, Debug, Default)]
 pub struct LeaseTable {
     pub seats: BTreeMap<NodeName, PoolerLeases>,
     pub(crate) elected: Tick,
     live: u32,
-    /// For each service, the connections that all stiles may have.
+    /// For each service, the connections that all poolers may have.
     held: BTreeMap<ServiceName, u32>,
-    /// The most that any stile said it has.
+    /// The most that any pooler said it has.
     most: BTreeMap<ServiceName, u32>,
-    /// Until when a stile whose word will never come may have passed on commits of a service.
+    /// Until when a pooler whose word will never come may have passed on commits of a service.
     unheard: BTreeMap<ServiceName, Tick>,
 }
 
@@ -109,18 +109,18 @@
             self.count(service, before, now);
         }
     }
-    pub fn seat(&mut self, node: &NodeName, life: u64, conn: u64, now: Tick) {
+    pub fn seat(&mut self, node: &NodeName, incarnation: u64, conn: u64, now: Tick) {
         let mut seat = self.seats.remove(node).unwrap_or_default();
         if seat.conn.is_none() {
             self.live += 1;
         }
-        if seat.life != life {
+        if seat.incarnation != incarnation {
             // The old process is gone and its connections with it; what it passed on is not known.
             if !seat.released {
                 self.count_all(&seat, false);
             }
             self.never_heard(&seat);
-            seat = PoolerLeases { life, ..PoolerLeases::default() };
+            seat = PoolerLeases { incarnation, ..PoolerLeases::default() };
         } else if seat.released {
             self.count_all(&seat, true);
         }
@@ -150,7 +150,7 @@
             }
         }
     }
-    /// Counts the connections of stiles that were lost long ago no more, and forgets the stiles
+    /// Counts the connections of poolers that were lost long ago no more, and forgets the poolers
     /// themselves later. True if some connections are free for others now.
     pub fn forget_old(&mut self, now: Tick) -> bool {
         let over = |s: &PoolerLeases, ms| s.lost.is_some_and(|t| now.since(t) >= ms);
@@ -179,7 +179,7 @@
         }
         freed
     }
-    /// What this stile passed on will not be told any more.
+    /// What this pooler passed on will not be told any more.
     fn never_heard(&mut self, seat: &PoolerLeases) {
         for service in seat.told.keys().chain(seat.ended.keys()) {
             if let Some(granted) = seat.leased(service) {
@@ -204,7 +204,7 @@
             }
         }
     }
-    /// What a stile is to be told of a service now; none if that is what it was told last.
+    /// What a pooler is to be told of a service now; none if that is what it was told last.
     /// `renewed` follows once all services have been through.
     pub fn tell(&mut self, node: &NodeName, grant: LeaseGrant) -> Option<LeaseGrant> {
         let seat = self.seats.get_mut(node)?;
@@ -247,10 +247,10 @@
         };
         over(self.elected) && self.seats.values().all(free)
     }
-    /// The furthest position passed on, once it is certain. Each stile has to have said it, or to be
+    /// The furthest position passed on, once it is certain. Each pooler has to have said it, or to be
     /// covered: `seen`, the newest pair of `Freshness`, says that its position covers every commit
-    /// acknowledged before its time, so a stile whose lease had ended by then has passed on nothing
-    /// beyond it. The same holds for stiles that are gone, and for those of before the election, of
+    /// acknowledged before its time, so a pooler whose lease had ended by then has passed on nothing
+    /// beyond it. The same holds for poolers that are gone, and for those of before the election, of
     /// whom this leader may not even know. With `trusting` it is enough that all that was long ago:
     /// for a service whose replicas vouch for nothing, as there would be no way out otherwise.
     pub fn given_back(
@@ -277,7 +277,7 @@
         let seen = seen.map(|(_, position)| position);
         self.seats.values().map(word).try_fold(seen, |most, one| Some(most.max(one?)))
     }
-    /// A stile is heard of, with the shares it holds itself to where these changed.
+    /// A pooler is heard of, with the shares it holds itself to where these changed.
     /// Tells of which services others may get more now.
     pub fn report(
         &mut self,
@@ -307,19 +307,19 @@
         }
         stirred
     }
-    /// A stile has sessions that wait for more connections than its part.
+    /// A pooler has sessions that wait for more connections than its part.
     pub fn want(&mut self, node: &NodeName, service: &ServiceName, more: u32, now: Tick) {
         if let Some(seat) = self.seats.get_mut(node) {
             let more = more.saturating_add(seat.holds(service));
             seat.wants.insert(service.clone(), (more, now));
         }
     }
-    /// The services of which a stile has more than its part, or wants to. Whatever is lent has to be
+    /// The services of which a pooler has more than its part, or wants to. Whatever is lent has to be
     /// looked at until it is back.
     pub fn lent(&self, node: &NodeName) -> impl Iterator<Item = &ServiceName> {
         self.seats.get(node).into_iter().flat_map(|s| s.wants.keys())
     }
-    /// Divides `total` among the live stiles; what another still holds is not given twice. What the
+    /// Divides `total` among the live poolers; what another still holds is not given twice. What the
     /// division leaves over is lent to those who lately wanted more.
     pub fn share(&mut self, node: &NodeName, service: &ServiceName, total: u32, now: Tick) -> u32 {
         let total = total.saturating_sub(RESERVE.min(total / 4));
--- a/src/leases/subset_assignments.rs
+++ b/src/leases/subset_assignments.rs
@@ -18,7 +18,7 @@
 struct SubsetClaim {
     /// Requests under way, in hundredths.
     busy: u32,
-    plot: (u32, u32),
+    subset_range: (u32, u32),
     told: Option<(u32, u32)>,
 }
 
@@ -58,7 +58,7 @@
             for claim in claims.values_mut() {
                 let from = upto;
                 upto += weight(claim) / all * WHOLE_PLOT;
-                claim.plot = (from as u32, upto as u32);
+                claim.subset_range = (from as u32, upto as u32);
             }
         }
         self.claims.retain(|_, claims| !claims.is_empty());
@@ -68,11 +68,11 @@
         let mut due = Vec::new();
         for ((_, service), claims) in &mut self.claims {
             let Some(claim) = claims.get_mut(node) else { continue };
-            let (from, upto) = claim.plot;
+            let (from, upto) = claim.subset_range;
             let moved =
                 |(f, u): (u32, u32)| f.abs_diff(from).max(u.abs_diff(upto)) * 4 > upto - from;
             if upto > from && (all || claim.told.is_none_or(moved)) {
-                claim.told = Some(claim.plot);
+                claim.told = Some(claim.subset_range);
                 due.push(SubsetRange { service: service.clone(), from, upto });
             }
         }
--- a/src/leases/watermarks.rs
+++ b/src/leases/watermarks.rs
@@ -5,7 +5,7 @@
 use crate::state_machine::PrimaryRecord;
 use std::collections::BTreeMap;
 
-/// How far the primaries were seen, by whichever stile saw it last: a pair (s, p) says that p covers
+/// How far the primaries were seen, by whichever pooler saw it last: a pair (s, p) says that p covers
 /// every commit acknowledged before s, on this leader's clock. A value; kept while this one leads.
 #[derive(Clone, Debug, Default)]
 pub struct ReplicationWatermarks {
@@ -13,7 +13,7 @@
 }
 
 impl ReplicationWatermarks {
-    /// A stile saw something at least `saw.after` ms after an answer that left here at `answered`.
+    /// A pooler saw something at least `saw.after` ms after an answer that left here at `answered`.
     /// What can't be, or is of a term that does not lead, changes nothing.
     pub fn learn(
         &mut self,
@@ -33,7 +33,7 @@
     pub fn newest(&self, service: &ServiceName) -> Option<(Tick, Position)> {
         self.newest.get(service).copied()
     }
-    /// For an answer that leaves now, to a stile that asked before.
+    /// For an answer that leaves now, to a pooler that asked before.
     pub fn tell(&self, service: &ServiceName, now: Tick) -> Option<PositionBound> {
         let (seen, position) = *self.newest.get(service)?;
         // Times are cut to whole milliseconds, so one is kept in hand.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
 //! silvertack: a pool of client sessions on databases, and the control plane that keeps it.
 //!
-//! `stile` carries the sessions on every machine, `wicket` the requests of a gateway; `steward` keeps the configuration, the
+//! `pooler` carries the sessions on every machine, `gateway` the requests of a gateway; `controller` keeps the configuration, the
 //! directory of databases and who leads. `common` is what the two share.
 pub mod base;
 pub mod config;
--- a/src/main.rs
+++ b/src/main.rs
@@ -29,19 +29,19 @@
 #[derive(Subcommand)]
 enum Command {
     /// Carry clients' sessions on this machine.
-    Stile {
+    Pooler {
         /// The settings file; SILVERTACK_BOOT names it otherwise.
         #[arg(long)]
         settings: Option<PathBuf>,
     },
     /// Pass clients' requests on to databases, as a gateway on this machine.
-    Wicket {
+    Gateway {
         /// The settings file; SILVERTACK_BOOT names it otherwise.
         #[arg(long)]
         settings: Option<PathBuf>,
     },
     /// Keep the configuration, the directory and the leases on this machine.
-    Steward {
+    Controller {
         /// The settings file; SILVERTACK_BOOT names it otherwise.
         #[arg(long)]
         settings: Option<PathBuf>,
@@ -51,20 +51,20 @@
         #[command(subcommand)]
         what: Check,
     },
-    /// Ask a node for its state, as JSON: a steward's admin or another node's readiness address.
+    /// Ask a node for its state, as JSON: a controller's admin or another node's readiness address.
     Status {
         address: SocketAddr,
-        /// Follow to the leading steward, which knows of the whole system.
+        /// Follow to the leading controller, which knows of the whole system.
         #[arg(long)]
         leader: bool,
     },
-    /// Read or send the configuration at a steward's admin address.
+    /// Read or send the configuration at a controller's admin address.
     Configuration {
         #[command(subcommand)]
         what: ConfigurationCall,
     },
     /// Play the control side in virtual time under drawn troubles, and check what it promises.
-    Model {
+    Simulate {
         /// The first schedule that is drawn.
         #[arg(long, default_value_t = 1)]
         seed: u64,
@@ -113,17 +113,17 @@
 
 fn run(command: Command) -> Result<(), Fatal> {
     match command {
-        Command::Stile { settings } => {
+        Command::Pooler { settings } => {
             let path = Settings::path(settings)?;
             let settings = Settings::read(&path)?;
             pooler::server::run(path, settings)
         }
-        Command::Wicket { settings } => {
+        Command::Gateway { settings } => {
             let path = Settings::path(settings)?;
             let settings = Settings::read(&path)?;
             gateway::server::run(path, settings)
         }
-        Command::Steward { settings } => {
+        Command::Controller { settings } => {
             let path = Settings::path(settings)?;
             let settings = Settings::read(&path)?;
             process::run(path, settings)
@@ -145,7 +145,7 @@
                     .map_err(|e| Fatal::Call(format!("{address} answers nonsense: {e}")))?;
                 let at = status["leader_admin"].as_str().and_then(|a| a.parse().ok());
                 let at: SocketAddr = at.ok_or_else(|| {
-                    Fatal::Call(format!("{address} knows of no leader, or is no steward"))
+                    Fatal::Call(format!("{address} knows of no leader, or is no controller"))
                 })?;
                 if at != address {
                     body = call(at, "GET", "/status", &[], &[])?;
@@ -153,7 +153,7 @@
             }
             print_json(address, &body)
         }
-        Command::Model { seed, plays, jobs } => play(seed, plays, jobs),
+        Command::Simulate { seed, plays, jobs } => play(seed, plays, jobs),
         Command::Configuration { what: ConfigurationCall::Get { address } } => {
             let body = call(address, "GET", "/configuration", &[], &[])?;
             print_json(address, &body)
@@ -184,7 +184,7 @@
     }
 }
 
-/// One call, following the way to the leader twice as callers of stewards do.
+/// One call, following the way to the leader twice as callers of controllers do.
 fn call(
     address: SocketAddr,
     method: &str,
--- a/src/net/leader_connection.rs
+++ b/src/net/leader_connection.rs
@@ -26,23 +26,23 @@
     fn hear(&self, message: ToPooler);
 }
 
-/// The longest that is waited for a connection to a steward, and again for its first word. Behind a
-/// crowded link both take long; a dark steward costs no more than its turn.
+/// The longest that is waited for a connection to a controller, and again for its first word. Behind a
+/// crowded link both take long; a dark controller costs no more than its turn.
 const PATIENCE: Duration = Duration::from_secs(2);
 
-/// What a steward said first.
+/// What a controller said first.
 pub(crate) enum Answer {
-    Welcome { stream: TcpStream, reader: BufReader<TcpStream>, stewards: Vec<SocketAddr> },
+    Welcome { stream: TcpStream, reader: BufReader<TcpStream>, controllers: Vec<SocketAddr> },
     Elsewhere(Option<SocketAddr>),
 }
 
-/// The steward that welcomed the node, the connection, and the stewards that there are.
+/// The controller that welcomed the node, the connection, and the controllers that there are.
 pub(crate) type Found = (SocketAddr, TcpStream, BufReader<TcpStream>, Vec<SocketAddr>);
 
-/// Opens a connection to a steward within a time.
+/// Opens a connection to a controller within a time.
 pub type Dial = fn(SocketAddr, Duration) -> io::Result<TcpStream>;
 
-/// The stewards that were greeted and have not answered; none once one has welcomed the node. It greets
+/// The controllers that were greeted and have not answered; none once one has welcomed the node. It greets
 /// each but once at a time: to the leader only the newest greeting counts.
 type Greeted = Mutex<Option<BTreeSet<SocketAddr>>>;
 
@@ -66,10 +66,10 @@
     send(stream, &Frame::Pooler(hello))?;
     let mut reader = BufReader::with_capacity(4096, stream.try_clone()?);
     match receive(&mut reader)? {
-        Frame::Controller(ToPooler::Welcome { stewards }) => {
+        Frame::Controller(ToPooler::Welcome { controllers }) => {
             // Renewals are answered far more often than this; silence means another leader.
             stream.set_read_timeout(Some(Duration::from_millis(1_200)))?;
-            Ok(Answer::Welcome { stream: stream.try_clone()?, reader, stewards })
+            Ok(Answer::Welcome { stream: stream.try_clone()?, reader, controllers })
         }
         Frame::Controller(ToPooler::NotLeader(other)) => Ok(Answer::Elsewhere(other)),
         _ => Err(io::ErrorKind::InvalidData.into()),
@@ -79,7 +79,7 @@
 pub struct LeaderConnection {
     /// The part that logs.
     part: &'static str,
-    /// Where stewards are looked for, as the settings name them now.
+    /// Where controllers are looked for, as the settings name them now.
     seeds: Mutex<Vec<SocketAddr>>,
     stream: Mutex<Option<TcpStream>>,
     up: AtomicBool,
@@ -102,7 +102,7 @@
             dial,
         }
     }
-    /// Looks for stewards here from now on.
+    /// Looks for controllers here from now on.
     pub fn seek(&self, seeds: Vec<SocketAddr>) {
         *lock(&self.seeds) = seeds;
     }
@@ -134,18 +134,18 @@
         let mut hint = None;
         loop {
             search.begin(hint.take(), Tick::now());
-            let (to, stream, reader, stewards) = self.find(follower.hello(), &mut search);
-            if !stewards.is_empty() {
-                search.known = stewards;
+            let (to, stream, reader, controllers) = self.find(follower.hello(), &mut search);
+            if !controllers.is_empty() {
+                search.known = controllers;
             }
             match self.follow(follower, to, stream, reader, &mut search.known) {
                 Ok(elsewhere) => hint = elsewhere.filter(|e| *e != to),
-                Err(e) => log::debug!(target: self.part, "steward {to}: {e}"),
+                Err(e) => log::debug!(target: self.part, "controller {to}: {e}"),
             }
         }
     }
 
-    /// Asks stewards side by side until one that leads has welcomed the node.
+    /// Asks controllers side by side until one that leads has welcomed the node.
     fn find(&self, hello: ToController, search: &mut LeaderDiscovery) -> Found {
         let greeted: Arc<Greeted> = Arc::new(Mutex::new(Some(BTreeSet::new())));
         let (tx, rx) = channel();
@@ -163,13 +163,13 @@
             }
             let wait = search.due().since(Tick::now()).max(1);
             match rx.recv_timeout(Duration::from_millis(wait)) {
-                Ok((to, Ok(Answer::Welcome { stream, reader, stewards }))) => {
+                Ok((to, Ok(Answer::Welcome { stream, reader, controllers }))) => {
                     *lock(&greeted) = None;
-                    return (to, stream, reader, stewards);
+                    return (to, stream, reader, controllers);
                 }
                 Ok((to, Ok(Answer::Elsewhere(other)))) => search.ended(to, other, Tick::now()),
                 Ok((to, Err(e))) => {
-                    log::debug!(target: self.part, "steward {to}: {e}");
+                    log::debug!(target: self.part, "controller {to}: {e}");
                     search.ended(to, None, Tick::now());
                 }
                 Err(_) => {}
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Follows one steward for as long as it leads; tells who leads otherwise.
+    /// Follows one controller for as long as it leads; tells who leads otherwise.
     fn follow(
         &self,
         follower: &dyn LeaderSubscriber,
@@ -195,7 +195,7 @@
             match receive(&mut reader) {
                 Ok(Frame::Controller(ToPooler::NotLeader(other))) => break Ok(other),
                 // There are others now than when the connection began.
-                Ok(Frame::Controller(ToPooler::Welcome { stewards })) => *known = stewards,
+                Ok(Frame::Controller(ToPooler::Welcome { controllers })) => *known = controllers,
                 Ok(Frame::Controller(message)) => {
                     self.heard.store(Tick::now().0, Ordering::Relaxed);
                     follower.hear(message);
--- a/src/net/leader_discovery.rs
+++ b/src/net/leader_discovery.rs
@@ -2,17 +2,17 @@
 use crate::base::time::Tick;
 use std::net::SocketAddr;
 
-/// The next steward is tried after this, beside those that have not answered.
+/// The next controller is tried after this, beside those that have not answered.
 pub(crate) const TURN_MS: u64 = 150;
 
 /// After a round in which nobody led.
 const PAUSE_MS: u64 = 80;
 
-/// Tries of one steward at once: the first packet of one may be lost.
+/// Tries of one controller at once: the first packet of one may be lost.
 const TRIES: usize = 2;
 
-/// Which steward is tried when, as a value. A try that has not ended goes on while the next begins: how
-/// long an answer takes on this node's own link can't be told from a steward that gives none.
+/// Which controller is tried when, as a value. A try that has not ended goes on while the next begins: how
+/// long an answer takes on this node's own link can't be told from a controller that gives none.
 #[derive(Debug)]
 pub struct LeaderDiscovery {
     pub(crate) known: Vec<SocketAddr>,
@@ -34,7 +34,7 @@
         (self.hint, self.due) = (hint, self.due.max(now));
         self.open.clear();
     }
-    /// These are stewards too.
+    /// These are controllers too.
     pub fn learn(&mut self, seeds: &[SocketAddr]) {
         for seed in seeds {
             if !self.known.contains(seed) {
@@ -46,7 +46,7 @@
     pub fn due(&self) -> Tick {
         self.due
     }
-    /// The steward to be tried now, if one is.
+    /// The controller to be tried now, if one is.
     pub fn step(&mut self, now: Tick) -> Option<SocketAddr> {
         if now < self.due {
             return None;
--- a/src/net/rpc/mod.rs
+++ b/src/net/rpc/mod.rs
@@ -27,21 +27,21 @@
 /// Anything said on the peer port. The first frame of a connection tells who calls.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Frame {
-    /// A steward's consensus message, and the member it is meant for.
+    /// A controller's consensus message, and the member it is meant for.
     Raft {
         to: MemberId,
         message: Box<RaftMessage>,
     },
-    /// A steward that is not yet a member asks to become one; one that was asks if it still is.
+    /// A controller that is not yet a member asks to become one; one that was asks if it still is.
     Join {
         member: Member,
         was: bool,
     },
     Joined(JoinResponse),
-    /// What a stile tells the leader.
+    /// What a pooler tells the leader.
     #[serde(rename = "Stile")]
     Pooler(ToController),
-    /// What a steward tells a stile.
+    /// What a controller tells a pooler.
     #[serde(rename = "Steward")]
     Controller(ToPooler),
 }
@@ -112,7 +112,7 @@
 }
 
 /// The bytes of a value. Only a type that has no encoding could fail here, and no such value is to
-/// reach a disk or another steward as if it were empty: better none.
+/// reach a disk or another controller as if it were empty: better none.
 pub fn pack<T: Serialize>(value: &T) -> Vec<u8> {
     match rmp_serde::to_vec(value) {
         Ok(bytes) => bytes,
--- a/src/net/rpc/pooler_messages.rs
+++ b/src/net/rpc/pooler_messages.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Why a stile believes a database lost.
+/// Why a pooler believes a database lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SuspicionReason {
     /// Its connections broke or were refused.
@@ -21,7 +21,7 @@
     Hello {
         node: NodeName,
         /// Drawn anew at every start of the process.
-        life: u64,
+        incarnation: u64,
         revision: Revision,
         zone: String,
     },
@@ -30,14 +30,14 @@
         seq: u64,
         /// The last answer that came on this connection; none yet if 0.
         heard: u64,
-        /// The shares of connections this stile holds itself to, where they changed since it last
+        /// The shares of connections this pooler holds itself to, where they changed since it last
         /// said so on this connection.
         shares: Vec<(ServiceName, u32)>,
         /// How many connections more would be used now, where sessions wait for one.
         wants: Vec<(ServiceName, u32)>,
         /// How far primaries were seen, where that moved.
         saw: Vec<ObservedPosition>,
-        /// Services whose reads want a newer floor than this stile has.
+        /// Services whose reads want a newer floor than this pooler has.
         asks: Vec<ServiceName>,
         /// Requests under way at databases of a service, in hundredths, where that changed much.
         busy: Vec<(ServiceName, u32)>,
@@ -51,10 +51,10 @@
     RevokeAck {
         service: ServiceName,
         term: DbTerm,
-        /// The furthest position this stile saw acknowledged.
+        /// The furthest position this pooler saw acknowledged.
         highest: Option<Position>,
     },
-    /// A change came for a version that this stile does not have: the whole is needed.
+    /// A change came for a version that this pooler does not have: the whole is needed.
     #[serde(rename = "Whole")]
     RequestFullTable,
     /// Leaving in order: no lease is used any more.
@@ -68,11 +68,11 @@
     #[serde(rename = "Elsewhere")]
     NotLeader(Option<SocketAddr>),
     Welcome {
-        stewards: Vec<SocketAddr>,
+        controllers: Vec<SocketAddr>,
     },
     #[serde(rename = "Configured")]
     RouteTable(Box<RouteTable>),
-    /// What differs from a version that the stile has.
+    /// What differs from a version that the pooler has.
     #[serde(rename = "Changed")]
     RouteTableDelta(Box<RouteTableDelta>),
     /// The whole directory, when a connection begins.
@@ -94,7 +94,7 @@
         /// The floors that were asked for.
         fresh: Vec<PositionBound>,
         /// The parts of its zone's databases that a gateway's node is to use first.
-        plots: Vec<SubsetRange>,
+        subset_ranges: Vec<SubsetRange>,
     },
     Revoke {
         service: ServiceName,
@@ -137,7 +137,7 @@
 pub struct LeaseGrant {
     pub service: ServiceName,
     pub standing: PrimaryStatus,
-    /// Connections this stile may have to each database of the service.
+    /// Connections this pooler may have to each database of the service.
     pub share: u32,
 }
 
--- a/src/net/rpc/raft_messages.rs
+++ b/src/net/rpc/raft_messages.rs
@@ -4,7 +4,7 @@
 use serde_bytes::ByteBuf;
 use std::net::SocketAddr;
 
-/// One steward, as the replicated list of members holds it.
+/// One controller, as the replicated list of members holds it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     pub id: MemberId,
@@ -35,14 +35,14 @@
     Current,
     /// It was one and is not any more.
     Removed,
-    /// Nobody is there yet: it is to found the hedge.
+    /// Nobody is there yet: it is to found the Raft group.
     #[serde(rename = "Found")]
     FoundCluster,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LogEntry {
-    pub epoch: Term,
+    pub term: Term,
     pub index: LogIndex,
     pub body: EntryPayload,
 }
@@ -54,7 +54,7 @@
     NoOp,
     #[serde(rename = "Members")]
     Membership(Vec<Member>),
-    /// A change of the Almanac, as its own module encodes it.
+    /// A change of the StateMachine, as its own module encodes it.
     #[serde(rename = "Change")]
     Command(ByteBuf),
 }
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RaftMessage {
     pub from: MemberId,
-    pub epoch: Term,
+    pub term: Term,
     pub kind: RaftMessageKind,
 }
 
@@ -70,11 +70,11 @@
 pub enum RaftMessageKind {
     #[serde(rename = "AskVote")]
     RequestVote {
-        /// A try only: nobody's vote is spent and no epoch moves.
+        /// A try only: nobody's vote is spent and no term moves.
         trial: bool,
         /// The old leader itself asked for this election.
         handover: bool,
-        /// The asker led the epoch before this one, and does so no more.
+        /// The asker led the term before this one, and does so no more.
         led: bool,
         last: (Term, LogIndex),
     },
@@ -103,7 +103,7 @@
     /// members that read layout 2; the next follows once this one is answered.
     #[serde(rename = "Part")]
     Chunk {
-        /// Told apart within the sender's epoch.
+        /// Told apart within the sender's term.
         transfer: u64,
         size: u64,
         offset: u64,
