--- a/src/pooler/client_session.rs
+++ b/src/pooler/client_session.rs
@@ -30,7 +30,7 @@
 const RERUN_PAUSE_MS: u64 = 15;
 
 pub(crate) struct ClientSession {
-    stile: Arc<Pooler>,
+    pooler: Arc<Pooler>,
     seen: Arc<Seen>,
     id: u64,
     graft: SessionReroute,
@@ -72,7 +72,7 @@
 /// A client's connection. Between two lines it is no thread's: see `Parked`.
 pub(crate) struct Session {
     pub(crate) id: u64,
-    pub(crate) stile: Arc<Pooler>,
+    pub(crate) pooler: Arc<Pooler>,
     pub(crate) seen: Arc<Seen>,
     pub(crate) inbox: ReadBuffer,
     /// There once the client has said CONNECT.
@@ -111,10 +111,10 @@
             Err(NoLine::Quiet) => return Ok(Some(Next::Rest)),
             Err(_) => return Ok(Some(Next::End)),
         };
-        let found = self.stile.config().and_then(|config| {
-            let (lane, service) = config.lane(&database)?;
-            let (lane, service) = (lane.clone(), service.clone());
-            Some((config, lane, service))
+        let found = self.pooler.config().and_then(|config| {
+            let (route_entry, service) = config.entry_for_hostname(&database)?;
+            let (route_entry, service) = (route_entry.clone(), service.clone());
+            Some((config, route_entry, service))
         });
         let Some((config, route, service)) = found else {
             return refuse(ErrorKind::NoDatabase, "no such database");
@@ -122,7 +122,7 @@
         client.write_all(b"READY I -\r\n")?;
         self.seen.connected.store(true, Ordering::Relaxed);
         self.scion = Some(ClientSession {
-            stile: Arc::clone(&self.stile),
+            pooler: Arc::clone(&self.pooler),
             seen: Arc::clone(&self.seen),
             id: self.id,
             graft: SessionReroute::default(),
@@ -144,7 +144,7 @@
         if let Some(scion) = &mut self.scion {
             scion.unbind();
         }
-        lock(&self.stile.sessions).remove(&self.id);
+        lock(&self.pooler.sessions).remove(&self.id);
     }
 }
 
@@ -157,8 +157,8 @@
             let state = self.graft.state();
             if state == State::Idle
                 && inbox.is_empty()
-                && self.stile.draining.load(Ordering::Relaxed)
-                && self.stile.closing_idle()
+                && self.pooler.draining.load(Ordering::Relaxed)
+                && self.pooler.closing_idle()
             {
                 return Ok(Next::End);
             }
@@ -217,7 +217,7 @@
             let refused = matches!(say, ClientReply::Error(ErrorKind::Throttled, _));
             self.say(&mut client, say)?;
             let idle = self.graft.state() == State::Idle && inbox.is_empty();
-            if refused && idle && self.stile.deaf(Tick::now()) {
+            if refused && idle && self.pooler.deaf(Tick::now()) {
                 return Ok(Next::End);
             }
         }
@@ -225,11 +225,11 @@
 
     /// A changed route binds from the next transaction on. False when it is no longer there.
     fn rebind_route(&mut self) -> bool {
-        let Some(config) = self.stile.config() else {
+        let Some(config) = self.pooler.config() else {
             return false;
         };
         if !Arc::ptr_eq(&config, &self.config) {
-            let Some((route, service)) = config.lane(&self.database) else {
+            let Some((route, service)) = config.entry_for_hostname(&self.database) else {
                 return false;
             };
             (self.route, self.service) = (route.clone(), service.clone());
@@ -367,7 +367,7 @@
     fn refuse(&mut self, kind: ErrorKind) -> ClientReply {
         self.graft.give_up();
         self.unbind();
-        let after = self.stile.come_back_ms(&self.service);
+        let after = self.pooler.come_back_ms(&self.service);
         ClientReply::Error(kind, format!("retry_after_ms={after}"))
     }
 
@@ -379,15 +379,15 @@
         avoid: &mut Vec<InstanceId>,
     ) -> Result<CheckedOutConnection, ErrorKind> {
         let task = &asked.task;
-        let stile = &self.stile;
+        let pooler = &self.pooler;
         let service = &self.service;
         let began = self.graft.began(asked.arrived);
         let elsewhere = task.read_only && self.route.route_type != RouteType::Primary;
-        let waits = || stile.ask_now(Tick::now());
+        let waits = || pooler.ask_now(Tick::now());
         loop {
             let now = Tick::now();
             if elsewhere && self.need(began).is_some() {
-                for pool in stile.replicas(service, now) {
+                for pool in pooler.replicas(service, now) {
                     if avoid.contains(&pool.id) {
                         continue;
                     }
@@ -397,19 +397,19 @@
                     }
                 }
             }
-            if let Some((term, pool)) = stile.primary(service, now) {
+            if let Some((term, pool)) = pooler.primary(service, now) {
                 // Reads that belong on replicas wait behind the work only a primary can do.
                 let behind = if elsewhere { BEHIND } else { 0 };
                 let priority = self.route.priority.saturating_add(behind);
                 match pool.borrow(&self.graft, self.id, priority, hold, waits) {
                     // The lease may have run out while waiting.
-                    Ok(stock) if stile.still(service, term, Tick::now()) => {
+                    Ok(stock) if pooler.still(service, term, Tick::now()) => {
                         return Ok(CheckedOutConnection { stock, pool, term: Some(term) });
                     }
                     Ok(stock) => pool.give_back(stock),
                     Err(AcquireError::Full) => {}
                     Err(AcquireError::Down) => {
-                        stile.doubt(&pool, SuspicionReason::ConnectionsBroken, Tick::now())
+                        pooler.doubt(&pool, SuspicionReason::ConnectionsBroken, Tick::now())
                     }
                 }
             }
@@ -418,9 +418,9 @@
                 return Err(ErrorKind::Throttled);
             }
             if elsewhere {
-                stile.ask_now(now);
+                pooler.ask_now(now);
             }
-            stile.wait_for_news(hold.since(now).clamp(1, 50));
+            pooler.wait_for_news(hold.since(now).clamp(1, 50));
             // A replica that lagged may have caught up.
             avoid.clear();
         }
@@ -428,7 +428,7 @@
 
     /// The position a replica must have for a read that began at `began`.
     fn need(&self, began: Tick) -> Option<Position> {
-        let floor = self.stile.floor(&self.service, began, self.route.stale_ms)?;
+        let floor = self.pooler.floor(&self.service, began, self.route.stale_ms)?;
         Some(match self.route.route_type {
             RouteType::ReadYourWrites => self.own.map_or(floor, |own| own.max(floor)),
             _ => floor,
@@ -452,7 +452,7 @@
             },
             _ => String::new(),
         };
-        let stile = Arc::clone(&self.stile);
+        let pooler = Arc::clone(&self.pooler);
         let service = self.service.clone();
         let Some(bound) = &mut self.bound else {
             return Err((Loss::Broken, false));
@@ -468,19 +468,19 @@
         let kind = self.route.route_type as usize;
         let patience = lock(&pool.paces)[kind].patience(most) * if rerun { 1 } else { 2 };
         let look = |sent: Tick| {
-            let (stile, pool, service) = (&stile, &pool, &service);
+            let (pooler, pool, service) = (&pooler, &pool, &service);
             move || {
                 let now = Tick::now();
                 if now >= limit {
                     return Some(Loss::Late);
                 }
-                if term.is_some_and(|term| !stile.still(service, term, now)) {
+                if term.is_some_and(|term| !pooler.still(service, term, now)) {
                     return Some(Loss::Overdue);
                 }
                 let waited = now.since(sent);
                 if waited >= SILENT_MS && pool.heard.load(Ordering::Relaxed) < sent.0 {
                     if term.is_some() {
-                        stile.doubt(pool, SuspicionReason::NoResponse, now);
+                        pooler.doubt(pool, SuspicionReason::NoResponse, now);
                     } else {
                         pool.failed(now);
                     }
@@ -494,14 +494,14 @@
         let broken = |loss: Loss, sent: bool| {
             if matches!(loss, Loss::Broken) {
                 if term.is_some() {
-                    stile.doubt(&pool, SuspicionReason::ConnectionsBroken, Tick::now());
+                    pooler.doubt(&pool, SuspicionReason::ConnectionsBroken, Tick::now());
                 } else {
                     pool.failed(Tick::now());
                 }
             }
             (loss, sent)
         };
-        lay_on(&mut bound.stock, &self.graft, self.id, &stile.hasher, look(Tick::now()))
+        lay_on(&mut bound.stock, &self.graft, self.id, &pooler.hasher, look(Tick::now()))
             .map_err(|loss| broken(loss, false))?;
         let mut waits = waits;
         if !task.alone && !bound.stock.open {
@@ -525,14 +525,14 @@
         }
         let line = match (&task.shape, statement) {
             (Some(shape), Statement::Execute { rest, .. }) => {
-                let name = shape_id(&stile.hasher, shape);
+                let name = shape_id(&pooler.hasher, shape);
                 format!("QUERY {id} {waits}EXECUTE p{name:x} {rest}\r\n")
             }
             _ => format!("QUERY {id} {waits}{text}\r\n"),
         };
         let sent = Tick::now();
         // The last look before a write can take effect there.
-        if term.is_some_and(|term| !stile.still(&service, term, sent)) {
+        if term.is_some_and(|term| !pooler.still(&service, term, sent)) {
             return Err((Loss::Overdue, false));
         }
         bound.stock.write(line.as_bytes(), 1).map_err(|(l, left)| broken(l, left))?;
@@ -547,9 +547,9 @@
             lock(&pool.paces)[kind].learn(now.since(sent));
         }
         if let Some(term) = term {
-            if stile.still(&service, term, now) {
+            if pooler.still(&service, term, now) {
                 if let Some(position) = reply.position {
-                    stile.learn(&service, term, sent, position);
+                    pooler.learn(&service, term, sent, position);
                 }
             } else if reply.outcome == Outcome::Complete {
                 // Another primary may lead by now: a success of the old one is not passed on.
@@ -609,11 +609,11 @@
             bound.stock.open = reply.state != State::Idle;
             match kind {
                 ErrorKind::ReadOnly if at_primary => {
-                    // It has lost the lead; the stewards find out who has it.
+                    // It has lost the lead; the controllers find out who has it.
                     let pool = Arc::clone(&bound.pool);
                     self.unbind();
-                    self.stile.doubt(&pool, SuspicionReason::ConnectionsBroken, Tick::now());
-                    self.stile.wait_for_news(50);
+                    self.pooler.doubt(&pool, SuspicionReason::ConnectionsBroken, Tick::now());
+                    self.pooler.wait_for_news(50);
                 }
                 ErrorKind::Lagging => {
                     // A session's own fresh commit may be missing for a moment; the floor may not.
--- a/src/pooler/leases.rs
+++ b/src/pooler/leases.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
-/// The connections that this stile may have to each database of a service, as long as the leader
+/// The connections that this pooler may have to each database of a service, as long as the leader
 /// keeps saying so.
 #[derive(Debug, Default)]
 pub struct ConnectionQuota {
@@ -55,7 +55,7 @@
     /// The furthest position passed on to a client or seen at the primary.
     pub(crate) highest: Option<Position>,
     pub(crate) share: ConnectionQuota,
-    /// When the primary was last lost to this stile, for saying when to come back.
+    /// When the primary was last lost to this pooler, for saying when to come back.
     pub(crate) unled_since: Option<Tick>,
     /// The databases of the service.
     pub(crate) pools: Vec<Arc<Pool>>,
--- a/src/pooler/pool.rs
+++ b/src/pooler/pool.rs
@@ -31,7 +31,7 @@
     since.0 > 0 && now.plus(LEFT_BEFORE_MS) > since.plus(drain_ms)
 }
 
-/// The connections of this stile to one database.
+/// The connections of this pooler to one database.
 pub(crate) struct Pool {
     pub(crate) id: InstanceId,
     pub(crate) service: ServiceName,
@@ -84,7 +84,7 @@
     pub(crate) fn heard(&self, now: Tick) {
         self.heard.store(now.0, Ordering::Relaxed);
     }
-    /// Work that this stile has there or holds for it, whether a connection is at rest, and
+    /// Work that this pooler has there or holds for it, whether a connection is at rest, and
     /// whether none may be used.
     pub(crate) fn load(&self) -> (usize, bool, bool) {
         let inner = lock(&self.inner);
--- a/src/pooler/replica_reads.rs
+++ b/src/pooler/replica_reads.rs
@@ -65,7 +65,7 @@
 pub(crate) const BEHIND: u8 = 100;
 
 /// How good a replica is to read from; the least is the best. Where a connection has to be opened,
-/// each stile has an order of its own: all of them spread over all replicas, and each keeps few.
+/// each pooler has an order of its own: all of them spread over all replicas, and each keeps few.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ReplicaRank {
     pub(crate) load: usize,
--- a/src/pooler/server.rs
+++ b/src/pooler/server.rs
@@ -34,7 +34,7 @@
 pub(crate) struct Pooler {
     node: NodeName,
     zone: String,
-    life: u64,
+    incarnation: u64,
     view: Mutex<View>,
     changed: Condvar,
     link: LeaderConnection,
@@ -182,7 +182,7 @@
     }
     fn renew(&self) {
         // Numbered and sent under the link's lock, so that a lease given back and a renewal reach
-        // the leader in the order in which this stile thinks of them.
+        // the leader in the order in which this pooler thinks of them.
         let mut link = self.link.held();
         let now = Tick::now();
         let heard = *lock(&self.heard);
@@ -290,13 +290,13 @@
         }
     }
 
-    /// A stile never goes back to an older version.
+    /// A pooler never goes back to an older version.
     fn configured(&self, config: RouteTable) {
         let mut view = lock(&self.view);
         if view.config.as_ref().is_some_and(|c| c.revision >= config.revision) {
             return;
         }
-        info!(target: "stile", "configuration {} is in force", config.revision);
+        info!(target: "pooler", "configuration {} is in force", config.revision);
         for service in &config.services {
             view.services.entry(service.clone()).or_default();
         }
@@ -449,7 +449,7 @@
             .collect();
         serde_json::json!({
             "node": self.node,
-            "role": "stile",
+            "role": "pooler",
             "ready": self.link.is_up() && view.config.is_some(),
             "draining": self.draining.load(Ordering::Relaxed),
             "revision": view.config.as_ref().map(|c| c.revision),
@@ -493,7 +493,7 @@
         let revision = self.config().map_or(Revision(0), |c| c.revision);
         ToController::Hello {
             node: self.node.clone(),
-            life: self.life,
+            incarnation: self.incarnation,
             revision,
             zone: self.zone.clone(),
         }
@@ -571,8 +571,8 @@
             open: AtomicBool::new(false),
         });
         lock(&self.sessions).insert(id, Arc::clone(&seen));
-        let stile = Arc::clone(self);
-        self.hand(Session { id, stile, seen, inbox: ReadBuffer::default(), scion: None });
+        let pooler = Arc::clone(self);
+        self.hand(Session { id, pooler, seen, inbox: ReadBuffer::default(), scion: None });
     }
 
     /// Has a thread serve the session: one that rests, or a new one. Where the machine has none
@@ -588,9 +588,9 @@
         }
     }
     fn start_worker(self: &Arc<Self>) -> bool {
-        let stile = Arc::clone(self);
+        let pooler = Arc::clone(self);
         let thread = std::thread::Builder::new().stack_size(STACK);
-        thread.spawn(move || while stile.attend() {}).is_ok()
+        thread.spawn(move || while pooler.attend() {}).is_ok()
     }
 
     /// Serves the next session that something came for. False when there was none for long, and
@@ -666,18 +666,18 @@
 pub fn run(path: PathBuf, mut settings: Settings) -> Result<(), Fatal> {
     let mut watched = Watched::new(path);
     let needed = |at: Option<SocketAddr>, name: &str| {
-        at.ok_or_else(|| Fatal::Settings(format!("listeners.{name} is needed by a stile")))
+        at.ok_or_else(|| Fatal::Settings(format!("listeners.{name} is needed by a pooler")))
     };
     let frontend = needed(settings.listeners.frontend, "frontend")?;
     let readiness = needed(settings.listeners.readiness, "readiness")?;
     let signals = Signals::install().map_err(|e| Fatal::Call(e.to_string()))?;
-    let stile = Arc::new(Pooler {
+    let pooler = Arc::new(Pooler {
         node: settings.node(),
         zone: settings.zone.clone(),
-        life: rand::random(),
+        incarnation: rand::random(),
         view: Mutex::default(),
         changed: Condvar::new(),
-        link: LeaderConnection::new("stile", settings.seed_peers()),
+        link: LeaderConnection::new("pooler", settings.seed_peers()),
         sent: Mutex::default(),
         heard: Mutex::default(),
         seq: AtomicU64::new(0),
@@ -695,31 +695,31 @@
         drain_ms: AtomicU64::new(settings.timing_bounds.drain_ms),
         max_sessions: settings.limits.max_open_files.saturating_sub(SPARE_FILES).max(16) as usize,
     });
-    let (asked, told) = (Arc::clone(&stile), Arc::clone(&stile));
+    let (asked, told) = (Arc::clone(&pooler), Arc::clone(&pooler));
     let status = move || told.status(Tick::now());
     http::serve_state(readiness, move || asked.ready(Tick::now()), status)?;
-    let linking = Arc::clone(&stile);
+    let linking = Arc::clone(&pooler);
     must_start("the link", move || linking.link.keep(&*linking))?;
-    // Until it knows what to serve, a stile has no address: who is refused there goes on to
+    // Until it knows what to serve, a pooler has no address: who is refused there goes on to
     // another node at once.
-    while !stile.able(Tick::now()) {
+    while !pooler.able(Tick::now()) {
         if signals.terminated() {
             return Ok(());
         }
         if let Some(new) = watched.poll(signals.take_hup()) {
-            stile.heed(&new);
+            pooler.heed(&new);
             settings = new;
         }
-        stile.wait_for_news(50);
-        stile.renew_when_due();
+        pooler.wait_for_news(50);
+        pooler.renew_when_due();
     }
     let listener = listen(frontend)?;
-    stile.listening.store(true, Ordering::Relaxed);
-    let watching = Arc::clone(&stile);
+    pooler.listening.store(true, Ordering::Relaxed);
+    let watching = Arc::clone(&pooler);
     must_start("resting clients", move || watching.parked.watch(|s| watching.hand(s)))?;
-    let serving = Arc::clone(&stile);
+    let serving = Arc::clone(&pooler);
     must_start("sessions", move || while serving.attend() {})?;
-    let accepting = Arc::clone(&stile);
+    let accepting = Arc::clone(&pooler);
     must_start("clients", move || {
         for stream in listener.incoming() {
             match stream {
@@ -728,8 +728,8 @@
             }
         }
     })?;
-    info!(target: "stile", "{} serves {frontend}", settings.node_name);
-    tend(&stile, &signals, watched, settings)
+    info!(target: "pooler", "{} serves {frontend}", settings.node_name);
+    tend(&pooler, &signals, watched, settings)
 }
 
 /// The platform looks at readiness each second and needs two misses; new sessions come until then.
@@ -737,7 +737,7 @@
 
 /// The loop that renews leases, tends sessions and ends the program in order.
 fn tend(
-    stile: &Arc<Pooler>,
+    pooler: &Arc<Pooler>,
     signals: &Signals,
     mut watched: Watched,
     mut settings: Settings,
@@ -747,19 +747,19 @@
     loop {
         std::thread::sleep(Duration::from_millis(if leaving.is_some() { 50 } else { 150 }));
         let now = Tick::now();
-        stile.renew_when_due();
+        pooler.renew_when_due();
         if now.since(tended) >= 500 {
             tended = now;
-            stile.tend(now);
+            pooler.tend(now);
             if let Some(new) = watched.poll(signals.take_hup()) {
-                stile.heed(&new);
+                pooler.heed(&new);
                 settings = new;
             }
         }
         if signals.terminated() && leaving.is_none() {
-            info!(target: "stile", "draining");
+            info!(target: "pooler", "draining");
             leaving = Some(now);
-            stile.draining.store(true, Ordering::Relaxed);
+            pooler.draining.store(true, Ordering::Relaxed);
         }
         let Some(since) = leaving else { continue };
         let grace = settings.timing_bounds.grace_s * 1_000;
@@ -767,15 +767,15 @@
         if waited < NOTICED_MS.min(grace / 3) {
             continue;
         }
-        stile.close_from.store(0, Ordering::Relaxed);
+        pooler.close_from.store(0, Ordering::Relaxed);
         let late = waited > grace / 2;
-        let sessions: Vec<Arc<Seen>> = lock(&stile.sessions).values().cloned().collect();
+        let sessions: Vec<Arc<Seen>> = lock(&pooler.sessions).values().cloned().collect();
         for seen in &sessions {
             seen.send_off(late);
         }
         if sessions.is_empty() || waited + 300 > grace {
-            stile.tell(ToController::Goodbye);
-            info!(target: "stile", "stopped with {} sessions open", sessions.len());
+            pooler.tell(ToController::Goodbye);
+            info!(target: "pooler", "stopped with {} sessions open", sessions.len());
             return Ok(());
         }
     }
--- a/src/raft/node.rs
+++ b/src/raft/node.rs
@@ -22,10 +22,10 @@
 const RETURN_MS: u64 = 50;
 
 /// The leader acts alone only while a quorum answered messages it sent within this time. It is
-/// less than `ELECTION_MIN_MS`, so no other steward can lead meanwhile.
+/// less than `ELECTION_MIN_MS`, so no other controller can lead meanwhile.
 const QUORUM_FRESH_MS: u64 = 450;
 
-/// Whatever a steward answered a leader before it was restarted counts no more after this, and a
+/// Whatever a controller answered a leader before it was restarted counts no more after this, and a
 /// leader that is there was heard by then.
 const QUIET_MS: u64 = QUORUM_FRESH_MS + 20;
 
@@ -46,7 +46,7 @@
 /// Asked to lead, another does so within this or not at all.
 const HAND_OVER_MS: u64 = 500;
 
-/// After its founding the hedge waits so long for more stewards before it takes the first order with
+/// After its founding the Raft group waits so long for more controllers before it takes the first order with
 /// fewer voters than the loss of so many needs, and so long if there are hardly any.
 const YOUNG_MS: u64 = 5_000;
 
@@ -85,8 +85,8 @@
     Leader { opened: LogIndex, since: Tick },
 }
 
-/// The answer to a leader of an epoch that has passed. It tells of no time: the asker may lead
-/// this epoch by now, and may have been started anew since, with another clock.
+/// The answer to a leader of an term that has passed. It tells of no time: the asker may lead
+/// this term by now, and may have been started anew since, with another clock.
 const OUTDATED: RaftMessageKind =
     RaftMessageKind::AppendResponse { upto: LogIndex(0), ok: false, sent: 0 };
 
@@ -111,7 +111,7 @@
 /// A question about what is current, at the time it came: Raft's ReadIndex.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReadIndex {
-    epoch: Term,
+    term: Term,
     /// All that any leader had acknowledged when it came is at or below this.
     pub upto: LogIndex,
     pub asked: Tick,
@@ -157,7 +157,7 @@
 #[derive(Clone)]
 struct ChunkedReceive {
     leader: MemberId,
-    epoch: Term,
+    term: Term,
     transfer: u64,
     size: usize,
     upto: usize,
@@ -191,13 +191,13 @@
     }
 }
 
-/// What a steward keeps on disk.
+/// What a controller keeps on disk.
 #[derive(Clone, Debug, Default)]
 pub struct PersistentState {
     pub me: MemberId,
-    pub epoch: Term,
+    pub term: Term,
     pub voted: Option<MemberId>,
-    /// The last epoch that this steward led.
+    /// The last term that this controller led.
     pub led: Option<Term>,
     pub log: Vec<LogEntry>,
     pub snapshot: Snapshot,
@@ -219,7 +219,7 @@
     }
 }
 
-/// The set of stewards, seen from one of them: Raft with trial votes, a quorum check, hand-over
+/// The set of controllers, seen from one of them: Raft with trial votes, a quorum check, hand-over
 /// and one change of members at a time.
 #[derive(Clone)]
 pub struct RaftNode {
@@ -236,7 +236,7 @@
     round: Tick,
     /// After a restart nothing is known of what the leader was last told, so no vote is given yet.
     quiet_until: Tick,
-    /// Just started, and it had led the newest epoch it knows: nobody waits for that leader.
+    /// Just started, and it had led the newest term it knows: nobody waits for that leader.
     returning: bool,
     peers: BTreeMap<MemberId, Progress>,
     /// What those held that this leader has removed.
@@ -249,9 +249,9 @@
     asked: bool,
     /// Since when this leader knows the list of members as it is.
     relisted: Tick,
-    /// The disk is in trouble: this steward does not lead.
+    /// The disk is in trouble: this controller does not lead.
     pub(crate) ailing: bool,
-    /// Everything up to here is on this steward's disk.
+    /// Everything up to here is on this controller's disk.
     durable: LogIndex,
     /// An acknowledgement that waits for the disk: to whom, up to where, and the message's time.
     owed: Option<(MemberId, LogIndex, u64)>,
@@ -275,9 +275,9 @@
 impl RaftNode {
     pub fn new(kept: PersistentState, restarted: bool, now: Tick, spread: fn() -> u64) -> Self {
         let commit = kept.snapshot.last.1;
-        let returning = restarted && kept.led == Some(kept.epoch);
+        let returning = restarted && kept.led == Some(kept.term);
         let quiet = restarted && !returning;
-        let mut hedge = Self {
+        let mut raft = Self {
             kept,
             commit,
             leader: None,
@@ -308,28 +308,28 @@
             vet: |_| Ok(()),
             refused: None,
         };
-        hedge.durable = hedge.last().1;
-        hedge.recall_members();
-        hedge.rest(now);
+        raft.durable = raft.last().1;
+        raft.recall_members();
+        raft.rest(now);
         if quiet {
-            hedge.deadline = hedge.quiet_until.plus(1 + spread() % AFTER_QUIET_MS);
+            raft.deadline = raft.quiet_until.plus(1 + spread() % AFTER_QUIET_MS);
         }
-        if hedge.voters() == [hedge.kept.me] {
+        if raft.voters() == [raft.kept.me] {
             // Nobody else can lead, so there is nobody to wait for.
-            hedge.deadline = now;
+            raft.deadline = now;
         }
-        hedge
+        raft
     }
 
     pub fn last(&self) -> (Term, LogIndex) {
-        self.kept.log.last().map_or(self.kept.snapshot.last, |e| (e.epoch, e.index))
+        self.kept.log.last().map_or(self.kept.snapshot.last, |e| (e.term, e.index))
     }
     fn epoch_at(&self, index: LogIndex) -> Option<Term> {
         let base = self.kept.snapshot.last;
         if index == base.1 {
             return Some(base.0);
         }
-        self.position(index).map(|at| self.kept.log[at].epoch)
+        self.position(index).map(|at| self.kept.log[at].term)
     }
     fn position(&self, index: LogIndex) -> Option<usize> {
         let at = index.0.checked_sub(self.kept.snapshot.last.1.0 + 1)? as usize;
@@ -369,7 +369,7 @@
     pub fn lonely(&self, now: Tick, for_ms: u64) -> bool {
         self.heard.is_none_or(|t| now.since(t) > for_ms)
     }
-    /// True while this steward may act as the only leader: a quorum is with it, its first entry
+    /// True while this controller may act as the only leader: a quorum is with it, its first entry
     /// is committed, and it has not asked another to take over.
     pub fn granting(&self, now: Tick) -> bool {
         let RaftRole::Leader { opened, .. } = self.role else {
@@ -392,7 +392,7 @@
         count >= self.quorum()
     }
 
-    /// Takes in a question about what is current; `None` if this steward can't know. A round of
+    /// Takes in a question about what is current; `None` if this controller can't know. A round of
     /// heartbeats is begun for it: see `tick`.
     pub fn read_index(&mut self, now: Tick) -> Option<ReadIndex> {
         let RaftRole::Leader { opened, .. } = self.role else {
@@ -401,16 +401,16 @@
         if self.commit < opened {
             return None;
         }
-        let read = ReadIndex { epoch: self.kept.epoch, upto: self.commit, asked: now };
+        let read = ReadIndex { term: self.kept.term, upto: self.commit, asked: now };
         if self.confirmed(&read) != Some(true) {
             self.uncovered = Some(now);
         }
         Some(read)
     }
-    /// Whether this steward still led after the question came: a quorum answered, in its epoch,
+    /// Whether this controller still led after the question came: a quorum answered, in its term,
     /// what was sent later. `None` while that is open, `Some(false)` if it will never be known.
     pub fn confirmed(&self, read: &ReadIndex) -> Option<bool> {
-        if !self.is_leader() || self.kept.epoch != read.epoch {
+        if !self.is_leader() || self.kept.term != read.term {
             return Some(false);
         }
         // In the same millisecond it may have been sent before the question came.
@@ -425,15 +425,15 @@
     }
 
     fn say(&mut self, to: MemberId, kind: RaftMessageKind) {
-        let message = RaftMessage { from: self.kept.me, epoch: self.kept.epoch, kind };
+        let message = RaftMessage { from: self.kept.me, term: self.kept.term, kind };
         self.out.push((to, message));
     }
     fn others(&self) -> Vec<MemberId> {
         self.members().iter().map(|m| m.id).filter(|id| *id != self.kept.me).collect()
     }
-    fn set_epoch(&mut self, epoch: Term) {
-        if epoch > self.kept.epoch {
-            self.kept.epoch = epoch;
+    fn set_epoch(&mut self, term: Term) {
+        if term > self.kept.term {
+            self.kept.term = term;
             self.kept.voted = None;
             self.dirty.hard = true;
             self.owed = None;
@@ -456,7 +456,7 @@
             RaftRole::Leader { since, .. } => {
                 let patience = ELECTION_MIN_MS + ELECTION_SPREAD_MS;
                 let deserted = now.since(*since) > patience && !self.fresh(now, patience);
-                // Whoever was asked to take over may do so no more: it would be in this epoch.
+                // Whoever was asked to take over may do so no more: it would be in this term.
                 let declined = self.leaving.is_some_and(|t| now.since(t) > HAND_OVER_MS);
                 if deserted || declined {
                     return self.follow(None, now);
@@ -490,9 +490,9 @@
     }
 
     fn campaign(&mut self, trial: bool, handover: bool, now: Tick) {
-        let epoch = Term(self.kept.epoch.0 + 1);
+        let term = Term(self.kept.term.0 + 1);
         if !trial {
-            self.set_epoch(epoch);
+            self.set_epoch(term);
             self.kept.voted = Some(self.kept.me);
             self.dirty.hard = true;
         }
@@ -501,11 +501,11 @@
         self.rest(now);
         let last = self.last();
         // True only for one that does not lead any more, since a leader never asks.
-        let led = self.kept.led.is_some_and(|l| l.0 + 1 == epoch.0);
+        let led = self.kept.led.is_some_and(|l| l.0 + 1 == term.0);
         for id in self.voters() {
             if id != self.kept.me {
                 let kind = RaftMessageKind::RequestVote { trial, handover, led, last };
-                self.out.push((id, RaftMessage { from: self.kept.me, epoch, kind }));
+                self.out.push((id, RaftMessage { from: self.kept.me, term, kind }));
             }
         }
         self.count_votes(now);
@@ -525,7 +525,7 @@
         let opened = LogIndex(last.0 + 1);
         self.role = RaftRole::Leader { opened, since: now };
         self.leader = Some(self.kept.me);
-        self.kept.led = Some(self.kept.epoch);
+        self.kept.led = Some(self.kept.term);
         self.dirty.hard = true;
         self.leaving = None;
         self.relisted = now;
@@ -534,7 +534,7 @@
         self.push(EntryPayload::NoOp, now);
     }
 
-    /// Appends to the log if this steward leads; tells where.
+    /// Appends to the log if this controller leads; tells where.
     pub fn propose(&mut self, body: EntryPayload, now: Tick) -> Option<LogIndex> {
         if !self.is_leader() || self.leaving.is_some() {
             return None;
@@ -547,7 +547,7 @@
             self.members = members.clone();
             self.relisted = now;
         }
-        self.kept.log.push(LogEntry { epoch: self.kept.epoch, index, body });
+        self.kept.log.push(LogEntry { term: self.kept.term, index, body });
         self.dirty.mark_log(index);
         let others = self.others();
         let gone = self.peers.iter().filter(|(id, _)| !others.contains(id));
@@ -634,7 +634,7 @@
         }
         let (next, flying) = (progress.next, progress.flying);
         let before = LogIndex(next.0 - 1);
-        let Some(epoch) = self.epoch_at(before) else {
+        let Some(term) = self.epoch_at(before) else {
             return;
         };
         let at = |index: LogIndex| (index.0.saturating_sub(base.1.0 + 1)) as usize;
@@ -659,7 +659,7 @@
             return self.say(id, only_heartbeat);
         }
         let kind =
-            RaftMessageKind::AppendEntries { previous: (epoch, before), entries, commit, sent };
+            RaftMessageKind::AppendEntries { previous: (term, before), entries, commit, sent };
         if let Some(progress) = self.peers.get_mut(&id) {
             progress.next = next;
         }
@@ -739,13 +739,13 @@
         bytes: &[u8],
         sent: u64,
     ) -> Option<RaftMessageKind> {
-        let epoch = self.kept.epoch;
-        let same = |a: &ChunkedReceive| (a.leader, a.epoch, a.transfer) == (from, epoch, transfer);
+        let term = self.kept.term;
+        let same = |a: &ChunkedReceive| (a.leader, a.term, a.transfer) == (from, term, transfer);
         if !self.arriving.as_ref().is_some_and(same) {
             let size = usize::try_from(size).ok().filter(|s| *s <= TRANSFER_BYTES)?;
             let bytes = Vec::new();
             self.arriving =
-                Some(ChunkedReceive { leader: from, epoch, transfer, size, upto: 0, bytes });
+                Some(ChunkedReceive { leader: from, term, transfer, size, upto: 0, bytes });
         }
         let arriving = self.arriving.as_mut()?;
         let fits = arriving.upto as u64 == offset && arriving.upto + bytes.len() <= arriving.size;
@@ -772,7 +772,7 @@
     }
 
     pub fn step(&mut self, message: RaftMessage, now: Tick) {
-        let RaftMessage { from, epoch, kind } = message;
+        let RaftMessage { from, term, kind } = message;
         match kind {
             // One that was removed, or was never taken in, can't be elected by those who know it, nor
             // do its answers say anything.
@@ -782,28 +782,28 @@
             | RaftMessageKind::ChunkResponse { .. }
                 if !self.members.is_empty() && !self.members.iter().any(|m| m.id == from) => {}
             RaftMessageKind::RequestVote { trial, handover, led, last } => {
-                // One that led the newest epoch known here leads no more: there is nobody left
+                // One that led the newest term known here leads no more: there is nobody left
                 // that a vote could harm. Leaders before it lost their quorum when it won.
-                let free = handover || (led && epoch > self.kept.epoch);
-                self.asked_vote(from, epoch, trial, free, last, now)
+                let free = handover || (led && term > self.kept.term);
+                self.asked_vote(from, term, trial, free, last, now)
             }
             RaftMessageKind::VoteResponse { trial, granted } => {
-                if !granted && epoch > self.kept.epoch {
-                    self.set_epoch(epoch);
+                if !granted && term > self.kept.term {
+                    self.set_epoch(term);
                     return self.follow(None, now);
                 }
-                let asked_for = self.kept.epoch.0 + u64::from(trial);
+                let asked_for = self.kept.term.0 + u64::from(trial);
                 if let RaftRole::Candidate { trial: mine, votes, .. } = &mut self.role
                     && *mine == trial
                     && granted
-                    && epoch.0 == asked_for
+                    && term.0 == asked_for
                 {
                     votes.insert(from);
                     self.count_votes(now);
                 }
             }
             RaftMessageKind::AppendEntries { previous, entries, commit, sent } => {
-                if !self.led_by(from, epoch, now) {
+                if !self.led_by(from, term, now) {
                     return self.say(from, OUTDATED);
                 }
                 let heartbeat = entries.is_empty();
@@ -821,7 +821,7 @@
                 }
             }
             RaftMessageKind::InstallSnapshot { snapshot, sent } => {
-                if !self.led_by(from, epoch, now) {
+                if !self.led_by(from, term, now) {
                     return self.say(from, OUTDATED);
                 }
                 let upto = snapshot.last.1;
@@ -846,11 +846,11 @@
                 self.acknowledge(from, upto, sent, false);
             }
             RaftMessageKind::AppendResponse { upto, ok, sent } => {
-                if epoch > self.kept.epoch {
-                    self.set_epoch(epoch);
+                if term > self.kept.term {
+                    self.set_epoch(term);
                     return self.follow(None, now);
                 }
-                if !self.is_leader() || epoch < self.kept.epoch {
+                if !self.is_leader() || term < self.kept.term {
                     return;
                 }
                 self.layouts.entry(from).or_insert(FIRST_LAYOUT);
@@ -898,21 +898,21 @@
                 }
             }
             RaftMessageKind::Chunk { transfer, size, offset, bytes, sent } => {
-                if !self.led_by(from, epoch, now) {
+                if !self.led_by(from, term, now) {
                     return self.say(from, OUTDATED);
                 }
                 let place = (transfer, size, offset);
                 if let Some(kind) = self.take_part(from, place, &bytes, sent) {
-                    self.step(RaftMessage { from, epoch, kind }, now);
+                    self.step(RaftMessage { from, term, kind }, now);
                 }
             }
             RaftMessageKind::ChunkResponse { transfer, upto, sent } => {
-                if self.is_leader() && epoch == self.kept.epoch {
+                if self.is_leader() && term == self.kept.term {
                     self.part_taken(from, transfer, upto, sent, now);
                 }
             }
             RaftMessageKind::TimeoutNow => {
-                let mine = epoch == self.kept.epoch && self.leader == Some(from);
+                let mine = term == self.kept.term && self.leader == Some(from);
                 if mine && self.is_voter() && !self.ailing {
                     self.campaign(false, true, now);
                 }
@@ -930,7 +930,7 @@
     }
 
     /// Only what is on disk is acknowledged. New entries wait for it; a heartbeat is answered at
-    /// once with what there is, as a disk that stalls does not make this steward dead.
+    /// once with what there is, as a disk that stalls does not make this controller dead.
     fn acknowledge(&mut self, leader: MemberId, upto: LogIndex, sent: u64, heartbeat: bool) {
         if upto > self.durable {
             self.owed = Some((leader, upto, sent));
@@ -965,12 +965,12 @@
         }
     }
 
-    /// Accepts the sender as leader of its epoch, unless that epoch has passed.
-    fn led_by(&mut self, from: MemberId, epoch: Term, now: Tick) -> bool {
-        if epoch < self.kept.epoch {
+    /// Accepts the sender as leader of its term, unless that term has passed.
+    fn led_by(&mut self, from: MemberId, term: Term, now: Tick) -> bool {
+        if term < self.kept.term {
             return false;
         }
-        self.set_epoch(epoch);
+        self.set_epoch(term);
         self.follow(Some(from), now);
         self.heard = Some(now);
         true
@@ -979,7 +979,7 @@
     fn asked_vote(
         &mut self,
         from: MemberId,
-        epoch: Term,
+        term: Term,
         trial: bool,
         free: bool,
         last: (Term, LogIndex),
@@ -990,21 +990,21 @@
         if (followed || now < self.quiet_until) && !free {
             return;
         }
-        if epoch < self.kept.epoch || (trial && epoch <= self.kept.epoch) {
+        if term < self.kept.term || (trial && term <= self.kept.term) {
             return self.say(from, RaftMessageKind::VoteResponse { trial, granted: false });
         }
         let current = last >= self.last();
         if trial {
             if current {
                 let kind = RaftMessageKind::VoteResponse { trial, granted: true };
-                self.out.push((from, RaftMessage { from: self.kept.me, epoch, kind }));
+                self.out.push((from, RaftMessage { from: self.kept.me, term, kind }));
             } else {
                 self.say(from, RaftMessageKind::VoteResponse { trial, granted: false });
             }
             return;
         }
-        if epoch > self.kept.epoch {
-            self.set_epoch(epoch);
+        if term > self.kept.term {
+            self.set_epoch(term);
             self.follow(None, now);
         }
         let free = self.kept.voted.is_none_or(|v| v == from);
@@ -1035,7 +1035,7 @@
                 continue;
             }
             match self.epoch_at(entry.index) {
-                Some(epoch) if epoch == entry.epoch => continue,
+                Some(term) if term == entry.term => continue,
                 Some(_) => {
                     let keep = (entry.index.0 - base.0 - 1) as usize;
                     relisted = true;
@@ -1074,8 +1074,8 @@
         let Some(agreed) = reached.get(self.quorum() - 1).copied() else {
             return;
         };
-        // Only entries of the own epoch are committed by counting.
-        if agreed > self.commit && self.epoch_at(agreed) == Some(self.kept.epoch) {
+        // Only entries of the own term are committed by counting.
+        if agreed > self.commit && self.epoch_at(agreed) == Some(self.kept.term) {
             self.commit = agreed;
         }
     }
@@ -1110,7 +1110,7 @@
             .find_map(listed)
             .unwrap_or(&self.kept.snapshot.members)
             .clone();
-        let last = (self.kept.log[at].epoch, applied);
+        let last = (self.kept.log[at].term, applied);
         self.kept.snapshot = Snapshot { last, members, state: ByteBuf::from(state()) };
         self.kept.log.drain(..=at);
         self.dirty.snapshot = true;
@@ -1228,10 +1228,10 @@
         let spare = if spare { silent(true, silent_ms) } else { None };
         without(silent(false, silent_ms).max(spare)?.1)
     }
-    /// Whether a hedge that has taken nothing yet may begin to: there are voters enough to bear the
+    /// Whether a Raft group that has taken nothing yet may begin to: there are voters enough to bear the
     /// loss of `tolerated`. Fewer will do once nobody has come for a while, so that a deployment
     /// with few disks works at all. Those who are missing then are among the lost ones, unless
-    /// more are missing than may be: then this steward itself may be the one that is cut off.
+    /// more are missing than may be: then this controller itself may be the one that is cut off.
     pub fn may_begin(&self, tolerated: usize, now: Tick) -> bool {
         let voters = self.voters().len();
         let patience = if voters > tolerated { YOUNG_MS } else { SPARSE_MS };
@@ -1239,7 +1239,7 @@
         let waited = all_vote && now.since(self.relisted) > patience;
         self.is_leader() && (voters > 2 * tolerated || waited)
     }
-    /// How a process that asks to join, or whether it still belongs, stands with this steward.
+    /// How a process that asks to join, or whether it still belongs, stands with this controller.
     pub fn standing(&self, member: &Member, was: bool, now: Tick) -> JoinResponse {
         if !self.granting(now) {
             let leader = self.leader.filter(|l| *l != self.kept.me);
--- a/src/raft/persister.rs
+++ b/src/raft/persister.rs
@@ -11,7 +11,7 @@
 
 const WRITE_AGAIN_MS: u64 = 200;
 
-/// Between the hedge and the disk: one write at a time, whatever comes meanwhile goes into the
+/// Between the Raft group and the disk: one write at a time, whatever comes meanwhile goes into the
 /// next one, and messages wait that would promise what is not on disk yet.
 #[derive(Default)]
 pub struct LogPersister {
@@ -30,16 +30,16 @@
 }
 
 impl LogPersister {
-    /// The messages that may leave now. An epoch or a vote that is not on disk holds all of them
-    /// back but trial votes, which promise nothing; what entries they tell of is the hedge's care.
-    pub fn leaving(&mut self, hedge: &mut RaftNode) -> Vec<(MemberId, RaftMessage)> {
-        let behind = if hedge.dirty.hard {
+    /// The messages that may leave now. An term or a vote that is not on disk holds all of them
+    /// back but trial votes, which promise nothing; what entries they tell of is the Raft group's care.
+    pub fn leaving(&mut self, raft: &mut RaftNode) -> Vec<(MemberId, RaftMessage)> {
+        let behind = if raft.dirty.hard {
             Some(self.started + 1)
         } else {
             self.under_way.as_ref().filter(|w| w.dirty.hard).map(|_| self.started)
         };
         let mut free = Vec::new();
-        for (to, message) in hedge.out.drain(..) {
+        for (to, message) in raft.out.drain(..) {
             let trial = matches!(
                 message.kind,
                 RaftMessageKind::RequestVote { trial: true, .. }
@@ -53,21 +53,21 @@
         free
     }
     /// The next write, if there is one to be started now.
-    pub fn start(&mut self, hedge: &mut RaftNode, now: Tick) -> Option<WriteBatch> {
+    pub fn start(&mut self, raft: &mut RaftNode, now: Tick) -> Option<WriteBatch> {
         let waits = self.under_way.is_some() || self.retry.is_some_and(|t| now < t);
-        if waits || hedge.dirty == UnsavedChanges::default() {
+        if waits || raft.dirty == UnsavedChanges::default() {
             return None;
         }
-        let dirty = std::mem::take(&mut hedge.dirty);
-        let sheaf = WriteBatch::of(&hedge.kept, &dirty);
+        let dirty = std::mem::take(&mut raft.dirty);
+        let batch = WriteBatch::of(&raft.kept, &dirty);
         self.started += 1;
-        self.under_way = Some(UnderWay { dirty, last: hedge.last(), since: now });
-        Some(sheaf)
+        self.under_way = Some(UnderWay { dirty, last: raft.last(), since: now });
+        Some(batch)
     }
     /// The write under way has ended; gives the messages that waited for it.
     pub fn ended(
         &mut self,
-        hedge: &mut RaftNode,
+        raft: &mut RaftNode,
         well: bool,
         now: Tick,
     ) -> Vec<(MemberId, RaftMessage)> {
@@ -75,12 +75,12 @@
             return Vec::new();
         };
         if !well {
-            hedge.dirty.add(dirty);
+            raft.dirty.add(dirty);
             self.retry = Some(now.plus(WRITE_AGAIN_MS));
             return Vec::new();
         }
         self.retry = None;
-        hedge.stored(last);
+        raft.stored(last);
         let mut free = Vec::new();
         while self.held.front().is_some_and(|(number, ..)| *number <= self.started) {
             free.extend(self.held.pop_front().map(|(_, to, message)| (to, message)));
--- a/src/raft/storage.rs
+++ b/src/raft/storage.rs
@@ -76,7 +76,7 @@
 }
 
 impl RaftStorage {
-    /// For a steward without a disk, which votes on nothing: all is forgotten when it ends.
+    /// For a controller without a disk, which votes on nothing: all is forgotten when it ends.
     pub fn none() -> Result<Self, Fatal> {
         let db = Connection::open_in_memory().map_err(disk)?;
         db.execute_batch(TABLES).map_err(disk)?;
@@ -99,7 +99,7 @@
             AND name NOT IN ('hard', 'led', 'snapshot', 'log')";
         let others: i64 = db.query_row(others, [], |r| r.get(0)).map_err(disk)?;
         if others > 0 {
-            return Err(Fatal::State("not a steward's file, left as it is".into()));
+            return Err(Fatal::State("not a controller's file, left as it is".into()));
         }
         // Looked for before anything is written.
         let founded = "SELECT count(*) FROM sqlite_master WHERE name = 'hard'";
@@ -151,15 +151,15 @@
         folder: &Path,
         first: impl FnOnce() -> PersistentState,
     ) -> Result<(Self, PersistentState, bool), Fatal> {
-        let (mut granary, kept) = Self::open(folder)?;
+        let (mut storage, kept) = Self::open(folder)?;
         if let Some(kept) = kept {
-            return Ok((granary, kept, true));
+            return Ok((storage, kept, true));
         }
         let kept = first();
-        granary.save(&WriteBatch::of(&kept, &UnsavedChanges::all())).map_err(disk)?;
-        granary.marked.insert(kept.me);
-        mark(folder, &granary.marked).map_err(|e| Fatal::Disk(e.to_string()))?;
-        Ok((granary, kept, false))
+        storage.save(&WriteBatch::of(&kept, &UnsavedChanges::all())).map_err(disk)?;
+        storage.marked.insert(kept.me);
+        mark(folder, &storage.marked).map_err(|e| Fatal::Disk(e.to_string()))?;
+        Ok((storage, kept, false))
     }
 
     /// What it holds; `None` if nothing was ever saved.
@@ -178,7 +178,7 @@
             })
             .optional()
             .map_err(disk)?;
-        let Some((me, epoch, voted)) = hard else {
+        let Some((me, term, voted)) = hard else {
             return Ok(None);
         };
         let led = db
@@ -215,7 +215,7 @@
         }
         Ok(Some(PersistentState {
             me: MemberId(me as u64),
-            epoch: Term(epoch as u64),
+            term: Term(term as u64),
             voted: voted.map(|v| MemberId(v as u64)),
             led: led.map(|e| Term(e as u64)),
             log,
@@ -224,9 +224,9 @@
     }
 
     /// Writes what changed in one transaction; when this returns it is durable.
-    pub fn save(&mut self, sheaf: &WriteBatch) -> rusqlite::Result<()> {
+    pub fn save(&mut self, batch: &WriteBatch) -> rusqlite::Result<()> {
         // A removed member begins anew: the folder is marked as its before the state is.
-        if let (Some(folder), Some((me, ..))) = (&self.folder, &sheaf.hard)
+        if let (Some(folder), Some((me, ..))) = (&self.folder, &batch.hard)
             && !self.marked.is_empty()
             && self.marked.insert(*me)
             && let Err(e) = mark(folder, &self.marked)
@@ -235,18 +235,18 @@
             return Err(rusqlite::Error::ToSqlConversionFailure(e.into()));
         }
         let tx = self.db.transaction()?;
-        if let Some((me, epoch, voted, led)) = &sheaf.hard {
+        if let Some((me, term, voted, led)) = &batch.hard {
             tx.prepare_cached("INSERT OR REPLACE INTO hard VALUES (1, ?1, ?2, ?3)")?
-                .execute(params![me.0 as i64, epoch.0 as i64, voted.map(|v| v.0 as i64)])?;
+                .execute(params![me.0 as i64, term.0 as i64, voted.map(|v| v.0 as i64)])?;
             if let Some(led) = led {
                 tx.prepare_cached("INSERT OR REPLACE INTO led VALUES (1, ?1)")?
                     .execute([led.0 as i64])?;
             }
         }
-        if let Some(snapshot) = &sheaf.snapshot {
+        if let Some(snapshot) = &batch.snapshot {
             tx.execute("INSERT OR REPLACE INTO snapshot VALUES (1, ?1)", [snapshot])?;
         }
-        if let Some((from, entries)) = &sheaf.log {
+        if let Some((from, entries)) = &batch.log {
             tx.prepare_cached("DELETE FROM log WHERE place >= ?1")?.execute([from.0 as i64])?;
             let mut insert = tx.prepare_cached("INSERT INTO log VALUES (?1, ?2)")?;
             for (index, body) in entries {
@@ -276,7 +276,7 @@
             (from, after.map(|e| (e.index, pack(e))).collect::<Rows>())
         };
         Self {
-            hard: dirty.hard.then_some((kept.me, kept.epoch, kept.voted, kept.led)),
+            hard: dirty.hard.then_some((kept.me, kept.term, kept.voted, kept.led)),
             snapshot: dirty.snapshot.then(|| pack(&kept.snapshot)),
             log: dirty.log_from.map(entries),
         }
--- a/src/simulation/actors.rs
+++ b/src/simulation/actors.rs
@@ -15,11 +15,11 @@
 use std::sync::Arc;
 use std::sync::mpsc::Receiver;
 
-/// What a steward wants done, until the world does it.
+/// What a controller wants done, until the world does it.
 #[derive(Default)]
 pub(crate) struct Queue {
     pub(crate) raft: Vec<(SocketAddr, MemberId, RaftMessage)>,
-    pub(crate) sheaf: Option<WriteBatch>,
+    pub(crate) batch: Option<WriteBatch>,
     pub(crate) standing: Vec<(SocketAddr, Member, bool)>,
     pub(crate) asks: Vec<(ServiceName, InstanceId, DatabaseRequest, Attempt)>,
     pub(crate) posts: Vec<(ServiceName, InstanceId, Attempt)>,
@@ -32,8 +32,8 @@
         self.raft.push((address, to, message));
     }
     fn keep_links(&mut self, _: &[Member]) {}
-    fn write(&mut self, sheaf: WriteBatch) -> bool {
-        self.sheaf = Some(sheaf);
+    fn write(&mut self, batch: WriteBatch) -> bool {
+        self.batch = Some(batch);
         true
     }
     fn ask_standing(&mut self, at: SocketAddr, member: Member, was: bool) {
@@ -80,9 +80,9 @@
 pub(crate) struct Machine {
     pub(crate) settings: Settings,
     pub(crate) disk: RaftStorage,
-    pub(crate) steward: Option<Controller<Queue>>,
+    pub(crate) controller: Option<Controller<Queue>>,
     /// Grows with each start, so that what was meant for an older process is known.
-    pub(crate) life: u64,
+    pub(crate) incarnation: u64,
     /// Its steady clock is ahead of the world's by this.
     pub(crate) ahead: u64,
     pub(crate) wake: u64,
@@ -112,7 +112,7 @@
     }
 }
 
-/// Who speaks: stewards by number, then everybody else.
+/// Who speaks: controllers by number, then everybody else.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum End {
     Controller(usize),
@@ -122,7 +122,7 @@
 }
 
 impl End {
-    /// On which side of a cut one that is no steward stands.
+    /// On which side of a cut one that is no controller stands.
     pub(crate) fn side(self, salt: u64) -> bool {
         let (kind, number) = match self {
             End::Controller(n) => (0, n),
@@ -142,7 +142,7 @@
     pub(crate) at: u64,
 }
 
-/// One that calls stewards over HTTP: an operator, or a database with its beats.
+/// One that calls controllers over HTTP: an operator, or a database with its heartbeats.
 #[derive(Default)]
 pub(crate) struct Caller {
     pub(crate) attempt: u64,
@@ -213,9 +213,9 @@
     pub(crate) asked: u64,
 }
 
-/// A hollow node: it follows the leader as a stile does and writes at the primaries it is leased.
+/// A hollow node: it follows the leader as a pooler does and writes at the primaries it is leased.
 pub(crate) struct Node {
-    pub(crate) life: u64,
+    pub(crate) incarnation: u64,
     pub(crate) conn: Option<(u64, usize)>,
     pub(crate) welcome: bool,
     pub(crate) known: Vec<SocketAddr>,
@@ -233,7 +233,7 @@
 
 pub(crate) enum Far {
     Node(usize, u64),
-    Join { asker: usize, life: u64, me: MemberId, at: SocketAddr },
+    Join { asker: usize, incarnation: u64, me: MemberId, at: SocketAddr },
 }
 
 /// A configuration that is known to have come into force, in the order in which they did.
--- a/src/simulation/runner.rs
+++ b/src/simulation/runner.rs
@@ -10,7 +10,7 @@
     pub refused: u64,
     pub resent: u64,
     pub reads: u64,
-    pub epochs: u64,
+    pub raft_terms: u64,
     pub promoted: u64,
     pub passed_on: u64,
     /// A number that any difference between two plays shows in.
--- a/src/simulation/schedule.rs
+++ b/src/simulation/schedule.rs
@@ -7,8 +7,8 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Schedule {
     pub seed: u64,
-    /// Stewards with a disk at the first start.
-    pub stewards: usize,
+    /// Controllers with a disk at the first start.
+    pub controllers: usize,
     /// So many of them may be lost at once.
     pub tolerated: usize,
     pub operators: usize,
@@ -23,7 +23,7 @@
     pub kind: Kind,
 }
 
-/// Whom a trouble strikes: the steward that leads, or one by number.
+/// Whom a trouble strikes: the controller that leads, or one by number.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Whom {
     Leader,
@@ -40,7 +40,7 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum Kind {
-    /// Cut off from the other stewards; each caller and node is on one of the two sides.
+    /// Cut off from the other controllers; each caller and node is on one of the two sides.
     Cut(Whom, Way),
     /// Stands still, perhaps between a decision and the bytes that tell of it.
     Freeze(Whom),
@@ -54,7 +54,7 @@
     Wipe(Whom),
     /// Gone for good; an empty machine comes at another address.
     Replace(Whom),
-    /// All stewards at once; so many of them, of those that may still be lost, with their disks.
+    /// All controllers at once; so many of them, of those that may still be lost, with their disks.
     All {
         power: bool,
         wiped: u8,
@@ -87,7 +87,7 @@
     /// shrink them.
     pub fn drawn(seed: u64) -> Self {
         seed_draws(seed);
-        let (stewards, tolerated) = [(3, 1), (4, 1), (5, 2), (6, 2), (7, 2)][upto(5) as usize];
+        let (controllers, tolerated) = [(3, 1), (4, 1), (5, 2), (6, 2), (7, 2)][upto(5) as usize];
         let length = 20_000 + upto(20_000);
         let whom = || if chance(50) { Whom::Leader } else { Whom::Number(upto(8) as u8) };
         // Most schedules know few kinds of trouble, and some of these strike close together: what is
@@ -122,7 +122,7 @@
             Trouble { at, lasts, kind }
         };
         let troubles = (0..2 + upto(8)).map(trouble).collect();
-        Self { seed, stewards, tolerated, operators: 2 + upto(7) as usize, length, troubles }
+        Self { seed, controllers, tolerated, operators: 2 + upto(7) as usize, length, troubles }
     }
 }
 
--- a/src/simulation/world.rs
+++ b/src/simulation/world.rs
@@ -32,7 +32,7 @@
 use std::sync::mpsc::sync_channel;
 
 pub(crate) struct Cut {
-    steward: usize,
+    controller: usize,
     way: Way,
     until: u64,
     salt: u64,
@@ -45,7 +45,7 @@
     Written(usize, u64),
     /// A frame for the far end of a connection on a peer port.
     Frame(u64, Frame),
-    /// A call reaches a steward.
+    /// A call reaches a controller.
     AdminCall(usize, u64, Request),
     Answer(usize, u64, Option<Response>),
     Act(usize),
@@ -116,7 +116,7 @@
 /// After the last trouble everything is well again and has this long to come to rest.
 const REST_MS: u64 = 25_000;
 
-/// The other stewards may hear of a machine that stood still so long after its callers do.
+/// The other controllers may hear of a machine that stood still so long after its callers do.
 const LATER_HEARD_MS: u64 = 600;
 
 fn place(machine: usize, port: u16) -> SocketAddr {
@@ -160,8 +160,8 @@
             report: Report::default(),
             broken: None,
         };
-        let seeds: Vec<usize> = (0..schedule.stewards.min(3)).collect();
-        for machine in 0..schedule.stewards {
+        let seeds: Vec<usize> = (0..schedule.controllers.min(3)).collect();
+        for machine in 0..schedule.controllers {
             world.add_machine(&seeds, true);
             world.at(upto(300), Event::Start(machine));
         }
@@ -177,7 +177,7 @@
         }
         for number in 0..3 {
             world.nodes.push(Node {
-                life: 1,
+                incarnation: 1,
                 conn: None,
                 welcome: false,
                 known: seeds.iter().map(|m| place(*m, PEER)).collect(),
@@ -245,7 +245,7 @@
     fn reaches(&self, from: End, to: End) -> bool {
         self.cuts.iter().all(|cut| {
             let within = |end: End| match end {
-                End::Controller(n) => n == cut.steward,
+                End::Controller(n) => n == cut.controller,
                 other => other.side(cut.salt),
             };
             let (from, to) = (within(from), within(to));
@@ -274,7 +274,7 @@
         Some(at)
     }
 
-    // -- stewards ----------------------------------------------------------------------------------
+    // -- controllers ----------------------------------------------------------------------------------
 
     fn add_machine(&mut self, seeds: &[usize], bootstrap: bool) -> usize {
         let number = self.machines.len();
@@ -303,8 +303,8 @@
         self.machines.push(Machine {
             settings,
             disk,
-            steward: None,
-            life: 0,
+            controller: None,
+            incarnation: 0,
             ahead: 100_000 + upto(1_000_000),
             wake: 0,
             frozen: None,
@@ -324,7 +324,7 @@
 
     fn start(&mut self, number: usize) {
         let now = self.now;
-        if self.machines[number].gone || self.machines[number].steward.is_some() {
+        if self.machines[number].gone || self.machines[number].controller.is_some() {
             return;
         }
         if !self.machines[number].settings.bootstrap
@@ -337,7 +337,7 @@
             self.machines[number].settings.seed_nodes = seeds;
         }
         let machine = &mut self.machines[number];
-        machine.life += 1;
+        machine.incarnation += 1;
         let kept = match machine.disk.kept() {
             Ok(Some(kept)) => Ok((kept, true)),
             Ok(None) => {
@@ -358,8 +358,8 @@
                 .map_err(|e| e.to_string())
         });
         match started {
-            Ok(steward) => {
-                machine.steward = Some(steward);
+            Ok(controller) => {
+                machine.controller = Some(controller);
                 // Only the very first start is a bootstrap.
                 machine.settings.bootstrap = false;
                 self.step(number, None);
@@ -371,12 +371,12 @@
     /// The process ends; with `power` the machine does. A write under way is kept or lost.
     fn stop(&mut self, number: usize, wipe: bool) {
         let machine = &mut self.machines[number];
-        if machine.steward.take().is_none() {
+        if machine.controller.take().is_none() {
             return;
         }
         let writing = machine.writing.take().filter(|_| chance(50));
-        if let Some(sheaf) = writing
-            && let Err(e) = machine.disk.save(&sheaf)
+        if let Some(batch) = writing
+            && let Err(e) = machine.disk.save(&batch)
         {
             self.fail(format!("the model's disk: {e}"));
         }
@@ -393,20 +393,20 @@
 
     fn close(&mut self, conn: u64) {
         let Some((at, far)) = self.conns.remove(&conn) else { return };
-        if let Some(steward) = &mut self.machines[at].steward {
-            steward.effects.open.remove(&conn);
-            let life = self.machines[at].life;
-            self.soon(2, Event::Input(at, life, Input::Closed(conn)));
+        if let Some(controller) = &mut self.machines[at].controller {
+            controller.effects.open.remove(&conn);
+            let incarnation = self.machines[at].incarnation;
+            self.soon(2, Event::Input(at, incarnation, Input::Closed(conn)));
         }
-        if let Far::Node(node, life) = far
-            && self.nodes[node].life == life
+        if let Far::Node(node, incarnation) = far
+            && self.nodes[node].incarnation == incarnation
             && self.nodes[node].conn.is_some_and(|(c, _)| c == conn)
         {
             self.nodes[node].conn = None;
         }
     }
 
-    /// An input, or only a turn, and then everything that the steward wants done.
+    /// An input, or only a turn, and then everything that the controller wants done.
     fn step(&mut self, number: usize, input: Option<Input>) {
         let machine = &mut self.machines[number];
         let midway = std::mem::take(&mut machine.midway);
@@ -420,20 +420,20 @@
             machine.wake_up(self.now);
         }
         let held = machine.frozen.map_or(0, |thaw| thaw.saturating_sub(self.now));
-        let Some(steward) = &mut machine.steward else { return };
+        let Some(controller) = &mut machine.controller else { return };
         let now = Tick(self.now + machine.ahead);
         if let Some(input) = input {
-            steward.take(input, now);
+            controller.take(input, now);
         }
-        if let Err(e) = steward.turn(now) {
+        if let Err(e) = controller.turn(now) {
             return self.fail(format!("n{number} stops: {e}"));
         }
         machine.wake += 1;
-        let wake = Event::Wake(number, machine.life, machine.wake);
-        let due = steward.due(now).max(1);
-        let life = machine.life;
-        let mut wants = std::mem::take(&mut steward.effects);
-        steward.effects.open = std::mem::take(&mut wants.open);
+        let wake = Event::Wake(number, machine.incarnation, machine.wake);
+        let due = controller.due(now).max(1);
+        let incarnation = machine.incarnation;
+        let mut wants = std::mem::take(&mut controller.effects);
+        controller.effects.open = std::mem::take(&mut wants.open);
         self.soon(held + due, wake);
         self.look(number);
         for (at, to, message) in wants.raft {
@@ -443,9 +443,9 @@
                 self.at(time, Event::RaftMessage(number, at, to, message));
             }
         }
-        if let Some(sheaf) = wants.sheaf {
-            self.machines[number].writing = Some(sheaf);
-            self.soon(1 + upto(4), Event::Written(number, life));
+        if let Some(batch) = wants.batch {
+            self.machines[number].writing = Some(batch);
+            self.soon(1 + upto(4), Event::Written(number, incarnation));
         }
         for (at, member, was) in wants.standing {
             self.ask_to_join(number, at, member, was, held);
@@ -468,70 +468,74 @@
         for (service, id, ask, attempt) in wants.asks {
             self.soon(
                 held + 1 + upto(5),
-                Event::DatabaseRequest(number, life, service, id, ask, attempt),
+                Event::DatabaseRequest(number, incarnation, service, id, ask, attempt),
             );
         }
         for (service, target, attempt) in wants.posts {
-            self.soon(held + 1 + upto(20), Event::Post(number, life, service, target, attempt));
+            self.soon(
+                held + 1 + upto(20),
+                Event::Post(number, incarnation, service, target, attempt),
+            );
         }
         self.gather_answers(number, held);
     }
 
     fn ask_to_join(&mut self, from: usize, at: SocketAddr, member: Member, was: bool, held: u64) {
-        let (to, me, life) = (machine_at(at), member.id, self.machines[from].life);
+        let (to, me, incarnation) = (machine_at(at), member.id, self.machines[from].incarnation);
         let arrives = self.arrival(End::Controller(from), End::Controller(to), held);
-        let up = self.machines.get(to).is_some_and(|m| m.steward.is_some());
+        let up = self.machines.get(to).is_some_and(|m| m.controller.is_some());
         let (Some(time), true) = (arrives, up) else {
             let after = held + if up { 1_000 } else { 3 };
-            return self.soon(after, Event::Input(from, life, Input::JoinResponse(me, at, None)));
+            return self
+                .soon(after, Event::Input(from, incarnation, Input::JoinResponse(me, at, None)));
         };
         self.numbered += 1;
         let conn = self.numbered;
-        self.conns.insert(conn, (to, Far::Join { asker: from, life, me, at }));
-        if let Some(steward) = &mut self.machines[to].steward {
-            steward.effects.open.insert(conn);
+        self.conns.insert(conn, (to, Far::Join { asker: from, incarnation, me, at }));
+        if let Some(controller) = &mut self.machines[to].controller {
+            controller.effects.open.insert(conn);
         }
-        let there = self.machines[to].life;
+        let there = self.machines[to].incarnation;
         self.at(time, Event::Input(to, there, Input::Frame(conn, Frame::Join { member, was })));
     }
 
-    /// Checks what this steward holds against what any other ever held.
+    /// Checks what this controller holds against what any other ever held.
     fn look(&mut self, number: usize) {
         let machine = &mut self.machines[number];
-        let Some(steward) = &machine.steward else { return };
-        let (hedge, almanac) = (steward.hedge(), steward.almanac());
-        if hedge.kept.me != machine.me {
-            machine.me = hedge.kept.me;
+        let Some(controller) = &machine.controller else { return };
+        let (raft, state_machine) = (controller.raft(), controller.state_machine());
+        if raft.kept.me != machine.me {
+            machine.me = raft.kept.me;
             (machine.checked, machine.applied) = (LogIndex(0), LogIndex(0));
         }
         let mut wrong = None;
-        if hedge.is_leader() {
-            let (epoch, me) = (hedge.kept.epoch, hedge.kept.me);
-            let first = *self.leaders.entry(epoch).or_insert(me);
+        if raft.is_leader() {
+            let (raft_term, me) = (raft.kept.term, raft.kept.me);
+            let first = *self.leaders.entry(raft_term).or_insert(me);
             if first != me {
-                wrong = Some(format!("two led epoch {epoch}: {first} and {me}"));
+                wrong = Some(format!("two led term {raft_term}: {first} and {me}"));
             }
         }
-        for entry in hedge.committed(machine.checked) {
+        for entry in raft.committed(machine.checked) {
             machine.checked = entry.index;
             let first = self.entries.entry(entry.index).or_insert_with(|| entry.clone());
             if *first != entry {
                 wrong = Some(format!("entry {} differs at n{number}", entry.index));
             }
         }
-        let applied = steward.applied();
+        let applied = controller.applied();
         if applied > machine.applied {
             machine.applied = applied;
             let mut hasher = DefaultHasher::new();
-            pack(almanac).hash(&mut hasher);
+            pack(state_machine).hash(&mut hasher);
             let state = hasher.finish();
             if *self.states.entry(applied).or_insert(state) != state {
                 wrong = Some(format!("the state at entry {applied} differs at n{number}"));
             }
             let newest = self.forced.last().map_or(Revision(0), |f| f.revision);
-            if almanac.revision > newest {
-                let body = almanac.body.to_vec();
-                let (revision, at) = (almanac.revision, self.now);
+            if state_machine.revision > newest {
+                let body = state_machine.body.to_vec();
+                let (revision, at) = (state_machine.revision, self.now);
                 self.forced.push(Forced { revision, base: newest, body, at });
             }
         }
@@ -555,7 +559,7 @@
             Some(database) => End::Database(database),
         }
     }
-    /// Sends a request, or the same one again, to the steward that is next.
+    /// Sends a request, or the same one again, to the controller that is next.
     fn call(&mut self, who: usize, request: Request) {
         let running: Vec<usize> =
             (0..self.machines.len()).filter(|m| !self.machines[*m].gone).collect();
@@ -569,7 +573,7 @@
         let to = if running.contains(&next) { next } else { running[next % running.len()] };
         self.caller(who).next = to;
         match self.arrival(from, End::Controller(to), 0) {
-            Some(time) if self.machines[to].steward.is_some() => {
+            Some(time) if self.machines[to].controller.is_some() => {
                 self.at(time, Event::AdminCall(who, attempt, request));
             }
             Some(time) => return self.at(time, Event::Answer(who, attempt, None)),
@@ -577,7 +581,7 @@
         }
         self.soon(1_000, Event::Answer(who, attempt, None));
     }
-    fn reach_steward(&mut self, who: usize, attempt: u64, request: Request) {
+    fn reach_controller(&mut self, who: usize, attempt: u64, request: Request) {
         let caller = self.caller(who);
         if caller.attempt != attempt {
             // Gave up on it, but what is on its way arrives all the same.
@@ -587,17 +591,17 @@
         }
         let to = caller.next;
         let (reply, answer) = sync_channel(1);
-        let life = self.machines[to].life;
-        self.caller(who).answer = Some((to, life, answer));
+        let incarnation = self.machines[to].incarnation;
+        self.caller(who).answer = Some((to, incarnation, answer));
         self.step(to, Some(Input::Http(request, reply)));
     }
-    /// What this steward has answered goes on its way.
+    /// What this controller has answered goes on its way.
     fn gather_answers(&mut self, number: usize, held: u64) {
-        let life = self.machines[number].life;
+        let incarnation = self.machines[number].incarnation;
         for who in 0..self.operators.len() + self.databases.len() {
             let caller = self.caller(who);
             let Some((at, its, answer)) = &caller.answer else { continue };
-            if *at != number || *its != life {
+            if *at != number || *its != incarnation {
                 continue;
             }
             let Ok(response) = answer.try_recv() else { continue };
@@ -656,7 +660,7 @@
 
     fn act(&mut self, who: usize) {
         if let Some(database) = who.checked_sub(self.operators.len()) {
-            return self.beat(database);
+            return self.heartbeat(database);
         }
         if let Some(request) = self.caller(who).under_way.clone() {
             return self.call(who, request);
@@ -821,7 +825,7 @@
         all.max_by_key(|d| self.databases[*d].term)
     }
 
-    fn beat(&mut self, number: usize) {
+    fn heartbeat(&mut self, number: usize) {
         let database = &mut self.databases[number];
         if !database.up || database.gone {
             return;
@@ -849,8 +853,8 @@
             return self.fail(format!("a beat was answered {}", response.status));
         }
         let (id, told) = (self.databases[number].id.clone(), self.databases[number].told);
-        let best = self.machines.iter().filter_map(|m| m.steward.as_ref());
-        let best = best.max_by_key(|s| s.applied()).map(|s| s.almanac());
+        let best = self.machines.iter().filter_map(|m| m.controller.as_ref());
+        let best = best.max_by_key(|s| s.applied()).map(|s| s.state_machine());
         let listed = best.and_then(|a| a.instances.get(&id)).map(|r| r.instance.lifecycle_state);
         if request.method == "DELETE" {
             if listed.is_some() {
@@ -946,9 +950,9 @@
         database.owed.retain(|o| o.2 > has);
         let words: Vec<_> = due
             .into_iter()
-            .map(|(node, life, upto, id)| {
+            .map(|(node, incarnation, upto, id)| {
                 let position = Position { term: log[upto - 1].term, number: upto as u64 };
-                (node, Event::Committed(node, life, service.clone(), term, id, position))
+                (node, Event::Committed(node, incarnation, service.clone(), term, id, position))
             })
             .collect();
         for (node, event) in words {
@@ -957,7 +961,7 @@
             }
         }
     }
-    fn write(&mut self, node: usize, to: usize, life: u64, term: DbTerm) {
+    fn write(&mut self, node: usize, to: usize, incarnation: u64, term: DbTerm) {
         self.numbered += 1;
         let id = self.numbered;
         let database = &mut self.databases[to];
@@ -965,13 +969,13 @@
             let term = if database.term == term { term } else { database.term };
             database.log.push(Write { term, id });
             let upto = database.log.len();
-            database.owed.push((node, life, upto, id));
+            database.owed.push((node, incarnation, upto, id));
         }
     }
 
     fn asked(
         &mut self,
-        (from, life): (usize, u64),
+        (from, incarnation): (usize, u64),
         service: ServiceName,
         id: InstanceId,
         ask: DatabaseRequest,
@@ -1019,12 +1023,16 @@
         };
         self.soon(
             after,
-            Event::Input(from, life, Input::DatabaseResponse(service, id, ask, attempt, told)),
+            Event::Input(
+                from,
+                incarnation,
+                Input::DatabaseResponse(service, id, ask, attempt, told),
+            ),
         );
     }
     fn post(
         &mut self,
-        (from, life): (usize, u64),
+        (from, incarnation): (usize, u64),
         service: ServiceName,
         target: InstanceId,
         attempt: Attempt,
@@ -1043,7 +1051,11 @@
         }
         self.soon(
             after,
-            Event::Input(from, life, Input::PromotionResponse(service, target, attempt, posted)),
+            Event::Input(
+                from,
+                incarnation,
+                Input::PromotionResponse(service, target, attempt, posted),
+            ),
         );
     }
     fn promote(&mut self, service: &ServiceName, target: usize) {
@@ -1085,20 +1097,23 @@
 
     fn tell(&mut self, node: usize, message: ToController) {
         let Some((conn, at)) = self.nodes[node].conn else { return };
-        let life = self.machines[at].life;
+        let incarnation = self.machines[at].incarnation;
         match self.arrival(End::Node(node), End::Controller(at), 0) {
             Some(time) => {
-                self.at(time, Event::Input(at, life, Input::Frame(conn, Frame::Pooler(message))));
+                self.at(
+                    time,
+                    Event::Input(at, incarnation, Input::Frame(conn, Frame::Pooler(message))),
+                );
             }
             // Lost on its way: the connection does not get over it.
             None => self.close(conn),
         }
     }
-    fn node_turn(&mut self, number: usize, life: u64) {
-        if self.nodes[number].life != life {
+    fn node_turn(&mut self, number: usize, incarnation: u64) {
+        if self.nodes[number].incarnation != incarnation {
             return;
         }
-        self.soon(40, Event::Node(number, life));
+        self.soon(40, Event::Node(number, incarnation));
         let now = self.now;
         let node = &mut self.nodes[number];
         if let Some((conn, _)) = node.conn {
@@ -1113,19 +1128,19 @@
                 node.known[node.next % node.known.len()]
             });
             let at = machine_at(to);
-            if self.machines.get(at).is_some_and(|m| m.steward.is_some()) {
+            if self.machines.get(at).is_some_and(|m| m.controller.is_some()) {
                 self.numbered += 1;
                 let conn = self.numbered;
-                self.conns.insert(conn, (at, Far::Node(number, life)));
-                if let Some(steward) = &mut self.machines[at].steward {
-                    steward.effects.open.insert(conn);
+                self.conns.insert(conn, (at, Far::Node(number, incarnation)));
+                if let Some(controller) = &mut self.machines[at].controller {
+                    controller.effects.open.insert(conn);
                 }
                 let node = &mut self.nodes[number];
                 (node.conn, node.welcome, node.heard) = (Some((conn, at)), false, now);
                 let revision = node.config.as_ref().map_or(Revision(0), |c| c.revision);
                 let name = NodeName(format!("node{number}"));
                 let zone = "z".to_owned();
-                self.tell(number, ToController::Hello { node: name, life, revision, zone });
+                self.tell(number, ToController::Hello { node: name, incarnation, revision, zone });
             }
         }
         for service in SERVICES.map(ServiceName::from) {
@@ -1136,7 +1151,7 @@
                 && let Some(to) = to
                 && let Some(time) = self.arrival(End::Node(number), End::Database(to), 0)
             {
-                self.at(time, Event::Write(number, to, life, lease.term));
+                self.at(time, Event::Write(number, to, incarnation, lease.term));
             }
         }
     }
@@ -1163,9 +1178,9 @@
             return self.fail("a node was sent what is not for it".into());
         };
         match message {
-            ToPooler::Welcome { stewards } => {
-                if !stewards.is_empty() {
-                    node.known = stewards;
+            ToPooler::Welcome { controllers } => {
+                if !controllers.is_empty() {
+                    node.known = controllers;
                 }
                 if !std::mem::replace(&mut node.welcome, true) {
                     self.renew(number);
@@ -1175,10 +1190,10 @@
                 node.hint = leader;
                 self.close(conn);
             }
-            ToPooler::RouteTable(lanes) => self.configured(number, *lanes),
+            ToPooler::RouteTable(route_table) => self.configured(number, *route_table),
             ToPooler::RouteTableDelta(changed) => {
                 match node.config.as_ref().and_then(|c| c.with(&changed)) {
-                    Some(lanes) => self.configured(number, lanes),
+                    Some(route_table) => self.configured(number, route_table),
                     None => self.tell(number, ToController::RequestFullTable),
                 }
             }
@@ -1215,13 +1230,13 @@
             ToPooler::RenewNow => self.renew(number),
         }
     }
-    fn configured(&mut self, number: usize, lanes: RouteTable) {
-        if !self.forced.iter().any(|f| f.revision == lanes.revision) {
-            return self.fail(format!("a node has {}, never in force", lanes.revision));
+    fn configured(&mut self, number: usize, route_table: RouteTable) {
+        if !self.forced.iter().any(|f| f.revision == route_table.revision) {
+            return self.fail(format!("a node has {}, never in force", route_table.revision));
         }
         let node = &mut self.nodes[number];
-        if node.config.as_ref().is_none_or(|c| c.revision < lanes.revision) {
-            node.config = Some(lanes);
+        if node.config.as_ref().is_none_or(|c| c.revision < route_table.revision) {
+            node.config = Some(route_table);
         }
     }
     /// At any time all valid leases on a service are on one term.
@@ -1239,7 +1254,7 @@
     fn committed(
         &mut self,
         number: usize,
-        life: u64,
+        incarnation: u64,
         service: ServiceName,
         write: Write,
         position: Position,
@@ -1250,7 +1265,7 @@
             .leases
             .get(&service)
             .is_some_and(|l| l.term == write.term && now < l.asked + LEASE_MS);
-        if node.life != life || !leased {
+        if node.incarnation != incarnation || !leased {
             return;
         }
         let highest = node.highest.entry(service.clone()).or_insert(position);
@@ -1272,10 +1287,10 @@
     // -- troubles ----------------------------------------------------------------------------------
 
     fn whom(&self, whom: Whom) -> Option<usize> {
-        let here = |m: &Machine| !m.gone && m.steward.is_some();
+        let here = |m: &Machine| !m.gone && m.controller.is_some();
         let leads = |m: &Machine| {
             let now = Tick(self.now + m.ahead);
-            m.steward.as_ref().is_some_and(|s| s.hedge().granting(now))
+            m.controller.as_ref().is_some_and(|s| s.raft().granting(now))
         };
         let all: Vec<usize> =
             (0..self.machines.len()).filter(|m| here(&self.machines[*m])).collect();
@@ -1284,7 +1299,7 @@
             Whom::Number(n) => all.get(usize::from(n) % all.len().max(1)).copied(),
         }
     }
-    /// Whether a steward may be lost now for so long; it then counts as lost.
+    /// Whether a controller may be lost now for so long; it then counts as lost.
     fn may_lose(&mut self, whom: Whom, lasts: u64) -> Option<usize> {
         let number = self.whom(whom)?;
         let now = self.now;
@@ -1306,8 +1321,8 @@
         let until = self.now + lasts;
         match kind {
             Kind::Cut(whom, way) => {
-                if let Some(steward) = self.may_lose(whom, lasts) {
-                    self.cuts.push(Cut { steward, way, until, salt: draw() });
+                if let Some(controller) = self.may_lose(whom, lasts) {
+                    self.cuts.push(Cut { controller, way, until, salt: draw() });
                 }
             }
             Kind::Freeze(whom) => {
@@ -1354,7 +1369,7 @@
                 let mut wipes =
                     usize::from(wiped).min(self.schedule.tolerated.saturating_sub(lost));
                 for number in 0..self.machines.len() {
-                    let wipe = wipes > 0 && self.machines[number].steward.is_some();
+                    let wipe = wipes > 0 && self.machines[number].controller.is_some();
                     wipes -= usize::from(wipe);
                     if wipe {
                         self.machines[number].lost = now + lasts + JOIN_SYNC_MS;
@@ -1402,20 +1417,20 @@
                     self.close(conn);
                 }
                 let node = &mut self.nodes[number];
-                node.life += 1;
+                node.incarnation += 1;
                 (node.config, node.hint) = (None, None);
                 node.leases.clear();
                 node.revoked.clear();
                 node.highest.clear();
                 node.sent.clear();
-                let life = node.life;
-                self.soon(lasts.min(4_000), Event::Node(number, life));
+                let incarnation = node.incarnation;
+                self.soon(lasts.min(4_000), Event::Node(number, incarnation));
             }
         }
     }
-    fn cut_a_little_longer(&mut self, steward: usize, than: u64) {
+    fn cut_a_little_longer(&mut self, controller: usize, than: u64) {
         let (way, salt) = (Way::Both, draw());
-        self.cuts.push(Cut { steward, way, until: than + LATER_HEARD_MS, salt });
+        self.cuts.push(Cut { controller, way, until: than + LATER_HEARD_MS, salt });
     }
     fn pick_database(&self, primary: bool, number: u8) -> Option<usize> {
         let service = ServiceName::from(SERVICES[usize::from(number) % SERVICES.len()]);
@@ -1436,7 +1451,7 @@
         for number in 0..self.machines.len() {
             self.machines[number].disk_ill = None;
             // What a stalled disk was given is written now, not when the stall would have ended.
-            self.soon(2, Event::Written(number, self.machines[number].life));
+            self.soon(2, Event::Written(number, self.machines[number].incarnation));
             if self.machines[number].frozen.is_some() {
                 self.machines[number].frozen = Some(self.now);
                 self.soon(0, Event::Thaw(number));
@@ -1455,20 +1470,21 @@
             .filter(|m| {
                 let machine = &self.machines[*m];
                 let now = Tick(self.now + machine.ahead);
-                machine.steward.as_ref().is_some_and(|s| s.hedge().granting(now))
+                machine.controller.as_ref().is_some_and(|s| s.raft().granting(now))
             })
             .collect();
         let [leader] = leading[..] else {
             return self.fail(format!("in the end {} lead", leading.len()));
         };
-        let Some(steward) = &self.machines[leader].steward else { return };
-        let (revision, applied) = (steward.almanac().revision, steward.applied());
-        let voters = steward.hedge().members().iter().filter(|m| m.voter).count();
-        let listed = steward.almanac().instances.keys().find(|id| self.goodbyes.contains(*id));
+        let Some(controller) = &self.machines[leader].controller else { return };
+        let (revision, applied) = (controller.state_machine().revision, controller.applied());
+        let voters = controller.raft().members().iter().filter(|m| m.voter).count();
+        let listed =
+            controller.state_machine().instances.keys().find(|id| self.goodbyes.contains(*id));
         let behind = self
             .machines
             .iter()
-            .position(|m| m.steward.as_ref().is_some_and(|s| s.applied().0 + 40 < applied.0));
+            .position(|m| m.controller.as_ref().is_some_and(|s| s.applied().0 + 40 < applied.0));
         let late = self.nodes.iter().position(|n| {
             let newest = n.config.as_ref().map(|c| c.revision);
             let old = self.forced.iter().rev().find(|f| f.at + 3_000 < self.now);
@@ -1489,7 +1505,7 @@
         } else {
             None
         };
-        self.report.epochs = self.leaders.len() as u64;
+        self.report.raft_terms = self.leaders.len() as u64;
         if let Some(why) = wrong {
             self.fail(why);
         }
@@ -1499,9 +1515,9 @@
 
     fn happen(&mut self, event: Event) {
         match event {
-            Event::Wake(number, life, wake) => {
+            Event::Wake(number, incarnation, wake) => {
                 let machine = &self.machines[number];
-                if machine.life == life && machine.wake == wake {
+                if machine.incarnation == incarnation && machine.wake == wake {
                     self.step(number, None);
                 }
             }
@@ -1512,26 +1528,28 @@
                     // Only what reaches a process that is there counts as said.
                     let machine = &mut self.machines[number];
                     let now = Tick(self.now + machine.ahead);
-                    if let Some(steward) = &mut machine.steward {
-                        steward.take(Input::PeerLayout(message.from, LAYOUT), now);
+                    if let Some(controller) = &mut machine.controller {
+                        controller.take(Input::PeerLayout(message.from, LAYOUT), now);
                     }
                     let frame = Frame::Raft { to, message };
                     self.step(number, Some(Input::Frame(0, frame)));
                 }
             }
-            Event::Input(number, life, input) => {
-                if self.machines[number].life == life {
+            Event::Input(number, incarnation, input) => {
+                if self.machines[number].incarnation == incarnation {
                     self.step(number, Some(input));
                 }
             }
-            Event::Written(number, life) => {
+            Event::Written(number, incarnation) => {
                 let now = self.now;
                 let machine = &mut self.machines[number];
-                if machine.life != life {
+                if machine.incarnation != incarnation {
                     return;
                 }
                 match machine.disk_ill.filter(|(until, _)| now < *until) {
-                    Some((until, false)) => return self.at(until, Event::Written(number, life)),
+                    Some((until, false)) => {
+                        return self.at(until, Event::Written(number, incarnation));
+                    }
                     Some((_, true)) => {
                         machine.writing = None;
                         let failed = Input::Saved(Err("full".to_owned()));
@@ -1539,47 +1557,47 @@
                     }
                     None => {}
                 }
-                if let Some(sheaf) = machine.writing.take() {
-                    let saved = machine.disk.save(&sheaf).map_err(|e| e.to_string());
+                if let Some(batch) = machine.writing.take() {
+                    let saved = machine.disk.save(&batch).map_err(|e| e.to_string());
                     self.step(number, Some(Input::Saved(saved)));
                 }
             }
             Event::Frame(conn, frame) => match self.conns.get(&conn) {
-                Some((_, Far::Node(node, life))) => {
-                    let (node, life) = (*node, *life);
-                    if self.nodes[node].life == life {
+                Some((_, Far::Node(node, incarnation))) => {
+                    let (node, incarnation) = (*node, *incarnation);
+                    if self.nodes[node].incarnation == incarnation {
                         self.node_heard(node, conn, frame);
                     }
                 }
-                Some((_, Far::Join { asker, life, me, at })) => {
-                    let (asker, life, me, at) = (*asker, *life, *me, *at);
+                Some((_, Far::Join { asker, incarnation, me, at })) => {
+                    let (asker, incarnation, me, at) = (*asker, *incarnation, *me, *at);
                     let answer = match frame {
                         Frame::Joined(answer) => Some(answer),
                         _ => None,
                     };
                     self.close(conn);
-                    if self.machines[asker].life == life {
+                    if self.machines[asker].incarnation == incarnation {
                         self.step(asker, Some(Input::JoinResponse(me, at, answer)));
                     }
                 }
                 None => {}
             },
-            Event::AdminCall(who, attempt, request) => self.reach_steward(who, attempt, request),
+            Event::AdminCall(who, attempt, request) => self.reach_controller(who, attempt, request),
             Event::Answer(who, attempt, response) => self.answered(who, attempt, response),
             Event::Act(who) => self.act(who),
-            Event::Node(number, life) => self.node_turn(number, life),
-            Event::DatabaseRequest(from, life, service, id, ask, attempt) => {
-                self.asked((from, life), service, id, ask, attempt);
+            Event::Node(number, incarnation) => self.node_turn(number, incarnation),
+            Event::DatabaseRequest(from, incarnation, service, id, ask, attempt) => {
+                self.asked((from, incarnation), service, id, ask, attempt);
             }
-            Event::Post(from, life, service, target, attempt) => {
-                self.post((from, life), service, target, attempt);
+            Event::Post(from, incarnation, service, target, attempt) => {
+                self.post((from, incarnation), service, target, attempt);
             }
             Event::Promote(service, target) => self.promote(&service, target),
-            Event::Write(node, to, life, term) => self.write(node, to, life, term),
+            Event::Write(node, to, incarnation, term) => self.write(node, to, incarnation, term),
             Event::Replicate(from, to, term, log) => self.receive_log(from, to, term, &log),
             Event::Received(number, by, term, has) => self.received(number, by, term, has),
-            Event::Committed(node, life, service, term, id, position) => {
-                self.committed(node, life, service, Write { term, id }, position);
+            Event::Committed(node, incarnation, service, term, id, position) => {
+                self.committed(node, incarnation, service, Write { term, id }, position);
             }
             Event::Database(number) => self.replicate(number),
             Event::Strike(number) => self.strike(number),
--- a/src/state_machine/mod.rs
+++ b/src/state_machine/mod.rs
@@ -11,7 +11,7 @@
 use sha2::{Digest as _, Sha256};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Everything the stewards agree on.
+/// Everything the controllers agree on.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StateMachine {
     /// The newest configuration, byte for byte as it was sent.
@@ -23,7 +23,7 @@
     /// The same by service; made anew when a state is read.
     #[serde(skip)]
     pub(crate) by_service: BTreeMap<ServiceName, BTreeSet<InstanceId>>,
-    /// Databases that left, with their last sequence: a late beat must not bring them back.
+    /// Databases that left, with their last sequence: a late heartbeat must not bring them back.
     gone: VecDeque<(InstanceId, u64)>,
     pub leads: BTreeMap<ServiceName, PrimaryRecord>,
     /// The same as `gone` by id; made anew when a state is read.
@@ -101,9 +101,10 @@
         return Ok(StateMachine::default());
     }
     let unreadable = |e| format!("the snapshot at entry {} can't be read: {e}", snapshot.last.1);
-    let almanac = StateMachine::read(&snapshot.state).map_err(|e| unreadable(e.to_string()))?;
-    almanac.configuration().map_err(unreadable)?;
-    Ok(almanac)
+    let state_machine =
+        StateMachine::read(&snapshot.state).map_err(|e| unreadable(e.to_string()))?;
+    state_machine.configuration().map_err(unreadable)?;
+    Ok(state_machine)
 }
 
 fn read_entries(entries: &[LogEntry]) -> Result<(), String> {
@@ -113,7 +114,7 @@
     })
 }
 
-/// The steward's `Vet`: what it could not apply is not taken.
+/// The controller's `Vet`: what it could not apply is not taken.
 pub fn readable(kind: &RaftMessageKind) -> Result<(), String> {
     match kind {
         RaftMessageKind::AppendEntries { entries, .. } => read_entries(entries),
@@ -129,7 +130,7 @@
     read_state(&kept.snapshot).map_err(left)
 }
 
-/// More than leave while a beat can be under way; a full list takes about 90 KB of a snapshot.
+/// More than leave while a heartbeat can be under way; a full list takes about 90 KB of a snapshot.
 const GONE_KEPT: usize = 4096;
 
 /// Of one service. As many as there are synchronous replicas bar every choice already.
@@ -170,14 +171,14 @@
 impl StateMachine {
     /// The state that a snapshot holds.
     pub fn read(bytes: &[u8]) -> std::io::Result<Self> {
-        let mut almanac: Self = unpack(bytes.strip_prefix(&[STATE_LAYOUT]).unwrap_or(bytes))?;
-        for (id, record) in &almanac.instances {
+        let mut state_machine: Self = unpack(bytes.strip_prefix(&[STATE_LAYOUT]).unwrap_or(bytes))?;
+        for (id, record) in &state_machine.instances {
             let service = record.instance.target_service.clone();
-            almanac.by_service.entry(service).or_default().insert(id.clone());
+            state_machine.by_service.entry(service).or_default().insert(id.clone());
         }
         // Files of older programs may name one twice; the newest counts.
-        almanac.gone_by_id = almanac.gone.iter().cloned().collect();
-        Ok(almanac)
+        state_machine.gone_by_id = state_machine.gone.iter().cloned().collect();
+        Ok(state_machine)
     }
     /// The bytes of a snapshot. As long as there is nothing in it that the first layout has no place
     /// for, they are of that one, so that an older program can go on with them.
@@ -187,7 +188,7 @@
         let prefix: &[u8] = if first { &[] } else { &[STATE_LAYOUT] };
         [prefix, &pack(self)].concat()
     }
-    /// Whether anything was taken yet. Whoever founds a hedge has to wait for enough stewards
+    /// Whether anything was taken yet. Whoever founds a Raft group has to wait for enough controllers
     /// before; afterwards there may be fewer for a moment, while one is exchanged.
     pub fn begun(&self) -> bool {
         !self.body.is_empty() || !self.instances.is_empty()
@@ -240,7 +241,7 @@
             CommandOutcome::Applied
         }
     }
-    /// Whether a beat tells anything that must be kept.
+    /// Whether a heartbeat tells anything that must be kept.
     pub fn news(&self, id: &InstanceId, instance: &Instance, sequence: u64) -> bool {
         if self.gone_by_id.get(id).is_some_and(|last| sequence <= *last) {
             return false;
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -2,7 +2,7 @@
 //! may change; what is in the two files of `tests/data` may not, nor the names listed here.
 //!
 //! Both files were written by the program of commit e679ba0: the frames by `encode` of `frames()`,
-//! one behind the other; the state by `Granary::found` of `kept()`, put into SQL by `dump`.
+//! one behind the other; the state by `RaftStorage::found` of `kept()`, put into SQL by `dump`.
 use serde::de::{Deserialize, Deserializer, MapAccess, SeqAccess, Visitor};
 use serde_bytes::ByteBuf;
 use sha2::{Digest as _, Sha256};
@@ -47,8 +47,8 @@
 fn members() -> Vec<Member> {
     vec![member(5, true, true), member(6, false, true), member(7, false, false)]
 }
-fn entry(epoch: u64, index: u64, body: EntryPayload) -> LogEntry {
-    LogEntry { epoch: Term(epoch), index: LogIndex(index), body }
+fn entry(term: u64, index: u64, body: EntryPayload) -> LogEntry {
+    LogEntry { term: Term(term), index: LogIndex(index), body }
 }
 fn bytes(of: &[u8]) -> ByteBuf {
     ByteBuf::from(of.to_vec())
@@ -94,7 +94,7 @@
 }
 const TYPES: [&str; 6] =
     ["primary", "bounded", "read_your_writes", "idempotent", "non_idempotent", "download"];
-fn lanes(revision: u64, routes: &[&str]) -> RouteTable {
+fn route_table(revision: u64, routes: &[&str]) -> RouteTable {
     RouteTable::of(&Configuration::read(&order(revision, routes)).expect("valid"))
 }
 fn listed(id: &str, draining: bool) -> DirectoryEntry {
@@ -162,7 +162,7 @@
     ];
     let raft = |kind| Frame::Raft {
         to: MemberId(11),
-        message: Box::new(RaftMessage { from: MemberId(12), epoch: Term(13), kind }),
+        message: Box::new(RaftMessage { from: MemberId(12), term: Term(13), kind }),
     };
     let joined = [
         JoinResponse::NotLeader(None),
@@ -175,10 +175,10 @@
     let suspect = |why| ToController::Suspect { service: "s".into(), instance: "i1".into(), why };
     let revoked =
         |highest| ToController::RevokeAck { service: "s".into(), term: DbTerm(82), highest };
-    let to_steward = [
+    let to_controller = [
         ToController::Hello {
             node: "node9".into(),
-            life: u64::MAX,
+            incarnation: u64::MAX,
             revision: Revision(83),
             zone: "z2".into(),
         },
@@ -213,16 +213,16 @@
             grant("u", PrimaryStatus::Absent, 108),
         ],
         fresh: vec![PositionBound { service: t.clone(), position: position(109, 110), age: 111 }],
-        plots: vec![SubsetRange { service: s.clone(), from: 112, upto: 113 }],
+        subset_ranges: vec![SubsetRange { service: s.clone(), from: 112, upto: 113 }],
     };
-    let (old, new) = (lanes(121, &TYPES[..3]), lanes(122, &TYPES));
+    let (old, new) = (route_table(121, &TYPES[..3]), route_table(122, &TYPES));
     let mut changed = new.since(&old);
     changed.services = vec![DeltaRun::Same { from: 1, count: 1 }, DeltaRun::New(vec!["v".into()])];
     changed.limits = limits(130);
-    let to_stile = [
+    let to_pooler = [
         ToPooler::NotLeader(None),
         ToPooler::NotLeader(Some(at("[fd00::9]:82"))),
-        ToPooler::Welcome { stewards: vec![at("10.0.0.5:83"), at("10.0.0.6:84")] },
+        ToPooler::Welcome { controllers: vec![at("10.0.0.5:83"), at("10.0.0.6:84")] },
         ToPooler::RouteTable(Box::new(new)),
         ToPooler::RouteTableDelta(Box::new(changed)),
         ToPooler::Directory(vec![listed("i1", false), listed("i2", true)]),
@@ -239,8 +239,8 @@
     (kinds.into_iter().map(raft))
         .chain([join(false), join(true)])
         .chain(joined.map(Frame::Joined))
-        .chain(to_steward.map(Frame::Pooler))
-        .chain(to_stile.map(Frame::Controller))
+        .chain(to_controller.map(Frame::Pooler))
+        .chain(to_pooler.map(Frame::Controller))
         .collect()
 }
 
@@ -296,9 +296,9 @@
     use ToController::*;
     match (a, b) {
         (
-            Hello { node, life, revision, zone },
-            Hello { node: n, life: l, revision: r, zone: z },
-        ) => (node, life, revision, zone) == (n, l, r, z),
+            Hello { node, incarnation, revision, zone },
+            Hello { node: n, incarnation: l, revision: r, zone: z },
+        ) => (node, incarnation, revision, zone) == (n, l, r, z),
         (
             RenewLeases { seq, heard, shares, wants, saw, asks, busy },
             RenewLeases { seq: q, heard: h, shares: s, wants: w, saw: v, asks: k, busy: y },
@@ -325,7 +325,7 @@
     use ToPooler::*;
     match (a, b) {
         (NotLeader(a), NotLeader(b)) => a == b,
-        (Welcome { stewards: a }, Welcome { stewards: b }) => a == b,
+        (Welcome { controllers: a }, Welcome { controllers: b }) => a == b,
         (RouteTable(a), RouteTable(b)) => a == b,
         (RouteTableDelta(a), RouteTableDelta(b)) => a == b,
         (Directory(a), Directory(b)) => a == b,
@@ -333,9 +333,9 @@
             (listed, gone) == (l, g)
         }
         (
-            LeaseGrants { seq, lease_ms, whole, grants, fresh, plots },
-            LeaseGrants { seq: s, lease_ms: l, whole: w, grants: g, fresh: f, plots: p },
-        ) => (seq, lease_ms, whole, grants, fresh, plots) == (s, l, w, g, f, p),
+            LeaseGrants { seq, lease_ms, whole, grants, fresh, subset_ranges },
+            LeaseGrants { seq: s, lease_ms: l, whole: w, grants: g, fresh: f, subset_ranges: p },
+        ) => (seq, lease_ms, whole, grants, fresh, subset_ranges) == (s, l, w, g, f, p),
         (Revoke { service, term }, Revoke { service: s, term: t }) => (service, term) == (s, t),
         (RenewNow, RenewNow) => true,
         (
@@ -587,7 +587,7 @@
         database_role,
     }
 }
-fn beat(id: &str, instance: Instance, sequence: u64) -> Command {
+fn heartbeat(id: &str, instance: Instance, sequence: u64) -> Command {
     Command::Heartbeat { id: id.into(), instance, sequence }
 }
 /// One of each variant; all of them do something behind `state()`.
@@ -597,7 +597,7 @@
     let departed = BTreeMap::from([("d3".into(), 204), ("d4".into(), 205)]);
     vec![
         Command::PutConfiguration { base: Revision(161), revision: Revision(162), body },
-        beat("d5", instance(201, Lifecycle::Draining, Role::Primary), 206),
+        heartbeat("d5", instance(201, Lifecycle::Draining, Role::Primary), 206),
         Command::RemoveInstance { id: "d2".into(), sequence: 207 },
         Command::SetPrimary { service: service(), term: DbTerm(208), primary: "d1".into() },
         Command::BeginFailover { service: service(), term: DbTerm(208), target: "d5".into() },
@@ -630,23 +630,23 @@
     let taken = BTreeMap::from([(160, (OLD_BODY.len(), fnv(OLD_BODY)))]);
     let empty = BTreeMap::<String, ()>::new();
     let first = (bytes(OLD_BODY), 160, taken, &empty, Vec::<()>::new(), &empty);
-    let mut almanac = StateMachine::read(&pack(&first)).expect("of the first layout");
+    let mut state_machine = StateMachine::read(&pack(&first)).expect("of the first layout");
     let body = ByteBuf::from(order(161, &TYPES[..2]));
     for change in [
         Command::PutConfiguration { base: Revision(160), revision: Revision(161), body },
-        beat("d1", instance(211, Lifecycle::Available, Role::Primary), 212),
-        beat("d2", instance(213, Lifecycle::Draining, Role::Replica), 214),
-        beat("d3", instance(215, Lifecycle::Available, Role::Replica), 203),
-        beat("d4", instance(216, Lifecycle::Available, Role::Replica), 202),
+        heartbeat("d1", instance(211, Lifecycle::Available, Role::Primary), 212),
+        heartbeat("d2", instance(213, Lifecycle::Draining, Role::Replica), 214),
+        heartbeat("d3", instance(215, Lifecycle::Available, Role::Replica), 203),
+        heartbeat("d4", instance(216, Lifecycle::Available, Role::Replica), 202),
         Command::SetPrimary { service: "s".into(), term: DbTerm(200), primary: "d1".into() },
         Command::BeginFailover { service: "s".into(), term: DbTerm(200), target: "d2".into() },
         Command::SetPrimary { service: "t".into(), term: DbTerm(199), primary: "e1".into() },
         Command::RemoveInstance { id: "d3".into(), sequence: 204 },
         Command::RemoveInstance { id: "d4".into(), sequence: 205 },
     ] {
-        assert_eq!(almanac.apply(&change), CommandOutcome::Applied, "{change:?}");
+        assert_eq!(state_machine.apply(&change), CommandOutcome::Applied, "{change:?}");
     }
-    almanac
+    state_machine
 }
 fn kept() -> PersistentState {
     let mut bodies = vec![EntryPayload::NoOp, EntryPayload::Membership(members())];
@@ -656,7 +656,7 @@
     let log = numbered.collect();
     PersistentState {
         me: MemberId(5),
-        epoch: Term(234),
+        term: Term(234),
         voted: Some(MemberId(6)),
         led: Some(Term(230)),
         log,
@@ -694,27 +694,27 @@
 #[test]
 fn a_state_folder_is_read_and_written_as_ever() {
     let old = folder_of_then("then");
-    let (granary, read) = RaftStorage::open(&old).expect("opened");
-    drop(granary);
+    let (storage, read) = RaftStorage::open(&old).expect("opened");
+    drop(storage);
     let (read, made) = (read.expect("a state"), kept());
-    assert_eq!((read.me, read.epoch), (made.me, made.epoch));
+    assert_eq!((read.me, read.term), (made.me, made.term));
     assert_eq!((read.voted, read.led), (made.voted, made.led));
     assert_eq!(read.log, made.log);
     assert_eq!(read.snapshot, made.snapshot);
 
-    let mut almanac = StateMachine::read(&read.snapshot.state).expect("a state");
-    assert_eq!(almanac, state());
-    assert_eq!(read_kept(&read).expect("readable"), almanac);
-    assert_eq!(almanac.write(), *read.snapshot.state);
-    let record = &almanac.instances[&"d2".into()];
+    let mut state_machine = StateMachine::read(&read.snapshot.state).expect("a state");
+    assert_eq!(state_machine, state());
+    assert_eq!(read_kept(&read).expect("readable"), state_machine);
+    assert_eq!(state_machine.write(), *read.snapshot.state);
+    let record = &state_machine.instances[&"d2".into()];
     let draining = instance(213, Lifecycle::Draining, Role::Replica);
     assert_eq!((&record.instance, record.sequence), (&draining, 214));
-    let lead = &almanac.leads[&"s".into()];
+    let lead = &state_machine.leads[&"s".into()];
     assert_eq!((lead.term, lead.primary.0.as_str()), (DbTerm(200), "d1"));
     assert_eq!(lead.intent, Some("d2".into()));
-    assert_eq!(almanac.leads[&"t".into()].intent, None);
+    assert_eq!(state_machine.leads[&"t".into()].intent, None);
     let departed = BTreeMap::from([("d3".into(), 204), ("d4".into(), 205)]);
-    assert_eq!(almanac.departed(&"s".into()), departed);
+    assert_eq!(state_machine.departed(&"s".into()), departed);
     // Both kinds of digests know their own body and no other, and who left stays away.
     let now = order(161, &TYPES[..2]);
     for (revision, body, effect) in [
@@ -723,10 +723,14 @@
         (161, &now, CommandOutcome::NoChange),
         (161, OLD_BODY, CommandOutcome::StaleBase),
     ] {
-        assert_eq!(almanac.judge(Revision(3), Revision(revision), body), effect, "{revision}");
+        assert_eq!(
+            state_machine.judge(Revision(3), Revision(revision), body),
+            effect,
+            "{revision}"
+        );
     }
     for (sequence, news) in [(204, false), (205, true)] {
-        assert_eq!(almanac.news(&"d3".into(), &draining, sequence), news);
+        assert_eq!(state_machine.news(&"d3".into(), &draining, sequence), news);
     }
 
     // Written again from the values.
@@ -735,7 +739,7 @@
         let mut entry = entry.clone();
         if let EntryPayload::Command(bytes) = &mut entry.body {
             let change = unpack::<Command>(bytes).expect("a change");
-            assert_eq!(almanac.apply(&change), CommandOutcome::Applied, "{change:?}");
+            assert_eq!(state_machine.apply(&change), CommandOutcome::Applied, "{change:?}");
             *bytes = ByteBuf::from(pack(&change));
         }
         assert_eq!(entry, *made);
@@ -745,8 +749,8 @@
     let new = folder("now");
     for kept in [again, made] {
         let _ = std::fs::remove_dir_all(&new);
-        let (granary, _, restarted) = RaftStorage::found(&new, || kept).expect("founded");
-        drop(granary);
+        let (storage, _, restarted) = RaftStorage::found(&new, || kept).expect("founded");
+        drop(storage);
         assert!(!restarted);
         assert_eq!(dump(&new), STATE);
         assert_eq!(beside(&new), [("member".to_owned(), "members 5\n".to_owned())]);
--- a/tests/orders.rs
+++ b/tests/configuration_changes.rs
@@ -1,4 +1,4 @@
-//! Orders and reads: what a steward may answer, and when. Time and the network are the test's.
+//! Orders and reads: what a controller may answer, and when. Time and the network are the test's.
 use serde_bytes::ByteBuf;
 use silvertack::base::ids::{LogIndex, MemberId, NodeName, Revision, Term};
 use silvertack::base::time::Tick;
@@ -47,7 +47,7 @@
 fn gone(id: &str) -> AdminCall {
     AdminCall::Command(Command::RemoveInstance { id: id.into(), sequence: u64::MAX })
 }
-fn beat(id: &str) -> Command {
+fn heartbeat(id: &str) -> Command {
     let instance = serde_json::json!({
         "target_service": "s", "address": "10.0.0.9:1", "zone": "z", "revision": "v1",
         "capacity": 7, "lifecycle_state": "available", "warmup_left_ms": 0,
@@ -58,8 +58,8 @@
 }
 
 struct Node {
-    hedge: RaftNode,
-    almanac: StateMachine,
+    raft: RaftNode,
+    state_machine: StateMachine,
     applied: LogIndex,
     reads: LinearizableReads<u32>,
     proposed: PendingProposals<u32>,
@@ -68,14 +68,14 @@
     fn new(kept: PersistentState, restarted: bool, now: Tick) -> Self {
         let spread = SPREADS[kept.me.0 as usize - 1];
         let state = &kept.snapshot.state;
-        let almanac = match state.is_empty() {
+        let state_machine = match state.is_empty() {
             true => StateMachine::default(),
             false => StateMachine::read(state).expect("state"),
         };
         let applied = kept.snapshot.last.1;
-        let hedge = RaftNode::new(kept, restarted, now, spread);
+        let raft = RaftNode::new(kept, restarted, now, spread);
         let (reads, proposed) = (LinearizableReads::default(), PendingProposals::default());
-        Self { hedge, almanac, applied, reads, proposed }
+        Self { raft, state_machine, applied, reads, proposed }
     }
     fn carry(
         &mut self,
@@ -87,9 +87,9 @@
             CallDecision::Answer(response) => Some((from, response.status, response.body)),
             CallDecision::Propose(change) => {
                 let index =
-                    self.hedge.propose(EntryPayload::Command(ByteBuf::from(pack(&change))), now);
+                    self.raft.propose(EntryPayload::Command(ByteBuf::from(pack(&change))), now);
                 let Some(index) = index else { return Some((from, 503, Vec::new())) };
-                self.proposed.add(self.hedge.kept.epoch, index, from);
+                self.proposed.add(self.raft.kept.term, index, from);
                 None
             }
         }
@@ -97,15 +97,15 @@
     /// Applies what is committed and gives the answers that are due.
     fn turn(&mut self, now: Tick) -> Vec<(u32, u16, Vec<u8>)> {
         let mut answers = Vec::new();
-        if self.hedge.kept.snapshot.last.1 > self.applied {
-            self.almanac = StateMachine::read(&self.hedge.kept.snapshot.state).expect("state");
-            self.applied = self.hedge.kept.snapshot.last.1;
+        if self.raft.kept.snapshot.last.1 > self.applied {
+            self.state_machine = StateMachine::read(&self.raft.kept.snapshot.state).expect("state");
+            self.applied = self.raft.kept.snapshot.last.1;
         }
-        for entry in self.hedge.committed(self.applied) {
+        for entry in self.raft.committed(self.applied) {
             self.applied = entry.index;
             let caller = self.proposed.take(&entry);
             if let EntryPayload::Command(bytes) = &entry.body {
-                let effect = self.almanac.apply(&unpack(bytes).expect("change"));
+                let effect = self.state_machine.apply(&unpack(bytes).expect("change"));
                 let status = match effect {
                     CommandOutcome::Applied | CommandOutcome::NoChange => 200,
                     CommandOutcome::StaleBase => 412,
@@ -115,12 +115,12 @@
                 answers.extend(caller.map(|from| (from, status, Vec::new())));
             }
         }
-        let almanac = &self.almanac;
-        self.hedge.compact(self.applied, || pack(almanac));
-        if !self.hedge.is_leader() {
+        let state_machine = &self.state_machine;
+        self.raft.compact(self.applied, || pack(state_machine));
+        if !self.raft.is_leader() {
             answers.extend(self.proposed.give_up().map(|from| (from, 503, Vec::new())));
         }
-        let settled = self.reads.settled(&self.hedge, &self.almanac, self.applied, now);
+        let settled = self.reads.settled(&self.raft, &self.state_machine, self.applied, now);
         for (from, verdict) in settled {
             answers.extend(self.carry(from, verdict, now));
         }
@@ -128,7 +128,7 @@
     }
 }
 
-/// Stewards with what they keep, the messages under way, and the answers that callers got.
+/// Controllers with what they keep, the messages under way, and the answers that callers got.
 struct Site {
     now: Tick,
     nodes: BTreeMap<u64, Node>,
@@ -166,11 +166,11 @@
                 for (from, status, body) in node.turn(self.now) {
                     assert!(self.answers.insert(from, (status, body)).is_none(), "once");
                 }
-                if std::mem::take(&mut node.hedge.dirty) != UnsavedChanges::default() {
-                    self.disks.insert(*id, node.hedge.kept.clone());
-                    node.hedge.stored(node.hedge.last());
+                if std::mem::take(&mut node.raft.dirty) != UnsavedChanges::default() {
+                    self.disks.insert(*id, node.raft.kept.clone());
+                    node.raft.stored(node.raft.last());
                 }
-                for (to, message) in node.hedge.out.drain(..) {
+                for (to, message) in node.raft.out.drain(..) {
                     let append = matches!(message.kind, RaftMessageKind::AppendEntries { .. });
                     self.appends += usize::from(append);
                     let at = self.now.plus(self.delay);
@@ -183,25 +183,25 @@
                 |(to, _, at, _): &(u64, u64, Tick, RaftMessage)| *at <= now && !frozen.contains(to);
             let (arriving, later): (VecDeque<_>, VecDeque<_>) = self.wire.drain(..).partition(due);
             self.wire = later;
-            // All that has come is taken in before a steward's next turn.
+            // All that has come is taken in before a controller's next turn.
             if arriving.is_empty() {
                 return;
             }
             for (to, .., message) in arriving {
                 if let Some(node) = self.nodes.get_mut(&to) {
-                    node.hedge.step(message, now);
+                    node.raft.step(message, now);
                 }
             }
         }
-        panic!("the stewards never come to rest");
+        panic!("the controllers never come to rest");
     }
     fn run(&mut self, ms: u64) {
         for _ in 0..ms {
             self.now = self.now.plus(1);
             self.settle();
             for (_, node) in self.nodes.iter_mut().filter(|(id, _)| !self.frozen.contains(id)) {
-                if self.now >= node.hedge.due() {
-                    node.hedge.tick(self.now);
+                if self.now >= node.raft.due() {
+                    node.raft.tick(self.now);
                 }
             }
             self.settle();
@@ -209,20 +209,20 @@
     }
     fn lead(&mut self) -> u64 {
         self.run(3_000);
-        let granting = |(id, n): (&u64, &Node)| n.hedge.granting(self.now).then_some(*id);
+        let granting = |(id, n): (&u64, &Node)| n.raft.granting(self.now).then_some(*id);
         let leaders: Vec<u64> = self.nodes.iter().filter_map(granting).collect();
         assert_eq!(leaders.len(), 1, "{leaders:?}");
         leaders[0]
     }
-    /// A call reaches a steward, whose clock was read at `at`; nothing else happens yet.
+    /// A call reaches a controller, whose clock was read at `at`; nothing else happens yet.
     fn call_at(&mut self, to: u64, call: AdminCall, at: Tick) -> u32 {
         self.calls += 1;
         let (from, node) = (self.calls, self.nodes.get_mut(&to).expect("node"));
-        let answer = match node.hedge.granting(at) {
+        let answer = match node.raft.granting(at) {
             false => Some((from, 503, Vec::new())),
             true => node
                 .reads
-                .ask(&mut node.hedge, &node.almanac, call, from, at)
+                .ask(&mut node.raft, &node.state_machine, call, from, at)
                 .and_then(|(from, verdict)| node.carry(from, verdict, at)),
         };
         if let Some((from, status, body)) = answer {
@@ -272,10 +272,10 @@
             let early = taken_in.then(|| site.call(old, call.clone()));
             site.frozen.insert(old);
             site.run(3_000);
-            let live = site.nodes.iter().find(|(id, n)| **id != old && n.hedge.granting(site.now));
+            let live = site.nodes.iter().find(|(id, n)| **id != old && n.raft.granting(site.now));
             let new = *live.expect("another leads").0;
             assert_eq!(site.ask(new, put(3, 5, 'b')).0, 200);
-            assert_eq!(site.ask(new, AdminCall::Command(beat("late"))).0, 200);
+            assert_eq!(site.ask(new, AdminCall::Command(heartbeat("late"))).0, 200);
             site.frozen.clear();
             // Thawed, it goes on where it was, with the clock that it had read.
             let asked = early.unwrap_or_else(|| site.call_at(old, call.clone(), before));
@@ -297,16 +297,16 @@
     let leader = site.lead();
     assert_eq!(site.ask(leader, put(0, 3, 'a')).0, 200);
     // The heartbeat of this very millisecond left before the call came.
-    let due = site.nodes[&leader].hedge.due();
+    let due = site.nodes[&leader].raft.due();
     site.run(due.since(site.now) - 1);
     site.now = due;
     let node = site.nodes.get_mut(&leader).expect("leader");
-    node.hedge.tick(due);
-    let read = node.hedge.read_index(due).expect("leads");
+    node.raft.tick(due);
+    let read = node.raft.read_index(due).expect("leads");
     site.settle();
-    assert_eq!(site.nodes[&leader].hedge.confirmed(&read), None, "it tells of before");
+    assert_eq!(site.nodes[&leader].raft.confirmed(&read), None, "it tells of before");
     site.run(1);
-    assert_eq!(site.nodes[&leader].hedge.confirmed(&read), Some(true), "one round later");
+    assert_eq!(site.nodes[&leader].raft.confirmed(&read), Some(true), "one round later");
     // One voter of two answers: enough. None: the caller is told so before it goes on.
     let others: Vec<u64> = (1..=3).filter(|id| *id != leader).collect();
     site.cut.insert(others[0]);
@@ -324,7 +324,7 @@
         site.cut.remove(&others[1]);
         site.run(3_000);
         let now = site.now;
-        let back = site.nodes.iter().find(|(_, n)| n.hedge.granting(now)).map(|(id, _)| *id);
+        let back = site.nodes.iter().find(|(_, n)| n.raft.granting(now)).map(|(id, _)| *id);
         assert_eq!(back, Some(leader), "the same goes on to lead in this test");
         site.cut.insert(others[1]);
     }
@@ -338,19 +338,19 @@
     // Asked to go, it may still answer what came before, as long as nobody else leads.
     let asked = site.call(old, AdminCall::ReadConfiguration);
     let now = site.now;
-    site.nodes.get_mut(&old).expect("leader").hedge.hand_over(now);
+    site.nodes.get_mut(&old).expect("leader").raft.hand_over(now);
     let late = site.call(old, AdminCall::ReadConfiguration);
     assert_eq!(site.status(late), 503, "nothing new from then on");
     site.run(1_000);
     assert_eq!(site.status(asked), 503, "the other led before a quorum had answered");
-    // Deposed and elected again, it does not answer what came in its earlier epoch.
+    // Deposed and elected again, it does not answer what came in its earlier term.
     let leader = site.lead();
-    let hedge = &mut site.nodes.get_mut(&leader).expect("leader").hedge;
-    let read = hedge.read_index(now).expect("leads");
+    let raft = &mut site.nodes.get_mut(&leader).expect("leader").raft;
+    let read = raft.read_index(now).expect("leads");
     site.restart(&[leader]);
-    assert_eq!(site.nodes[&leader].hedge.confirmed(&read), Some(false));
+    assert_eq!(site.nodes[&leader].raft.confirmed(&read), Some(false));
     site.lead();
-    assert_eq!(site.nodes[&leader].hedge.confirmed(&read), Some(false));
+    assert_eq!(site.nodes[&leader].raft.confirmed(&read), Some(false));
     // One that is alone has nobody to ask.
     let mut site = Site::new(1);
     let leader = site.lead();
@@ -397,29 +397,29 @@
     let leader = site.lead();
     let follower = (1..=3).find(|id| *id != leader).expect("another");
     let now = site.now;
-    // The message of an epoch that has passed comes out of a socket at last.
-    let hedge = &mut site.nodes.get_mut(&follower).expect("follower").hedge;
+    // The message of an term that has passed comes out of a socket at last.
+    let raft = &mut site.nodes.get_mut(&follower).expect("follower").raft;
     let late = RaftMessageKind::AppendEntries {
         previous: (Term(0), LogIndex(0)),
         entries: Vec::new(),
         commit: LogIndex(0),
         sent: now.0 + 600_000,
     };
-    hedge.step(RaftMessage { from: MemberId(leader), epoch: Term(0), kind: late }, now);
-    let (_, answer) = hedge.out.pop().expect("it is told that it is late");
+    raft.step(RaftMessage { from: MemberId(leader), term: Term(0), kind: late }, now);
+    let (_, answer) = raft.out.pop().expect("it is told that it is late");
     assert!(
         matches!(answer.kind, RaftMessageKind::AppendResponse { ok: false, sent: 0, .. }),
         "{answer:?}"
     );
     // Nor does a leader believe such an answer, whoever gave it.
-    let hedge = &mut site.nodes.get_mut(&leader).expect("leader").hedge;
+    let raft = &mut site.nodes.get_mut(&leader).expect("leader").raft;
     let kind =
         RaftMessageKind::AppendResponse { upto: LogIndex(0), ok: false, sent: now.0 + 600_000 };
-    let epoch = hedge.kept.epoch;
-    hedge.step(RaftMessage { from: MemberId(follower), epoch, kind }, now);
+    let term = raft.kept.term;
+    raft.step(RaftMessage { from: MemberId(follower), term, kind }, now);
     site.cut.extend((1..=3).filter(|id| *id != leader));
     site.run(500);
-    assert!(!site.nodes[&leader].hedge.granting(site.now), "cut off for half a second");
+    assert!(!site.nodes[&leader].raft.granting(site.now), "cut off for half a second");
 }
 
 #[test]
@@ -431,14 +431,14 @@
         let mut leader = site.lead();
         assert_eq!(site.ask(leader, put(0, 3, 'a')).0, 200);
         site.delay = 10;
-        site.call(leader, AdminCall::Command(beat("one")));
+        site.call(leader, AdminCall::Command(heartbeat("one")));
         let first = site.call(leader, put(3, 5, 'b'));
         match what {
             "nothing" => site.run(100),
             "another leads" => {
                 site.run(1_000);
                 let now = site.now;
-                site.nodes.get_mut(&leader).expect("leader").hedge.hand_over(now);
+                site.nodes.get_mut(&leader).expect("leader").raft.hand_over(now);
                 leader = site.lead();
             }
             "taken by the next" | "before anybody had it" => {
@@ -447,9 +447,9 @@
                 site.run(3_000);
                 assert_eq!(site.status(first), 0);
                 let old = leader;
-                let live = |(id, n): &(&u64, &Node)| **id != old && n.hedge.granting(site.now);
+                let live = |(id, n): &(&u64, &Node)| **id != old && n.raft.granting(site.now);
                 leader = *site.nodes.iter().find(live).expect("another").0;
-                let has = site.nodes[&leader].almanac.revision == Revision(5);
+                let has = site.nodes[&leader].state_machine.revision == Revision(5);
                 assert_eq!(has, what != nobody, "{what}");
             }
             "power lost" => {
@@ -459,7 +459,7 @@
             }
             _ => {
                 for n in 0..300 {
-                    site.call(leader, AdminCall::Command(beat(&format!("i{n}"))));
+                    site.call(leader, AdminCall::Command(heartbeat(&format!("i{n}"))));
                 }
                 site.run(1_000);
                 assert!(!site.disks[&leader].snapshot.state.is_empty(), "folded");
@@ -495,7 +495,10 @@
         let heard = if what == nobody { 0 } else { 200 };
         assert_eq!(site.status(first), heard, "{what}");
         for node in site.nodes.values() {
-            assert_eq!((node.almanac.revision, &node.almanac.body), (Revision(7), &body(7, 'd')));
+            assert_eq!(
+                (node.state_machine.revision, &node.state_machine.body),
+                (Revision(7), &body(7, 'd'))
+            );
         }
     }
 }
@@ -523,14 +526,14 @@
 
 #[test]
 fn what_was_taken_is_never_refused_however_many_came_since() {
-    let mut almanac = StateMachine::default();
+    let mut state_machine = StateMachine::default();
     let many = 4_096;
     for n in 0..=many {
         // Every third number is left out.
         let (base, revision) = (if n == 0 { 0 } else { 3 * n }, 3 * n + 3);
-        assert_eq!(almanac.apply(&order(base, revision, 'a')), CommandOutcome::Applied);
+        assert_eq!(state_machine.apply(&order(base, revision, 'a')), CommandOutcome::Applied);
         if n == many - 1 {
-            assert_eq!(status(put(0, 3, 'a').judge(&almanac)), Some(200));
+            assert_eq!(status(put(0, 3, 'a').judge(&state_machine)), Some(200));
         }
     }
     let newest = 3 * many + 3;
@@ -544,9 +547,9 @@
         ("not above", put(newest, 3, 'b'), Some(400)),
         ("the next", put(newest, newest + 3, 'a'), None),
     ];
-    let restored = StateMachine::read(&pack(&almanac)).expect("as it was packed");
+    let restored = StateMachine::read(&pack(&state_machine)).expect("as it was packed");
     for (what, call, expected) in cases {
-        assert_eq!(status(call.clone().judge(&almanac)), expected, "{what}");
+        assert_eq!(status(call.clone().judge(&state_machine)), expected, "{what}");
         assert_eq!(status(call.judge(&restored)), expected, "{what}, restored");
     }
 }
@@ -558,7 +561,7 @@
                a12a21809080";
     let byte = |at| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex");
     let bytes: Vec<u8> = (0..hex.len()).step_by(2).map(byte).collect();
-    let mut almanac = StateMachine::read(&bytes).expect("the older layout");
+    let mut state_machine = StateMachine::read(&bytes).expect("the older layout");
     let put = |base, revision, body: &str| Command::PutConfiguration {
         base: Revision(base),
         revision: Revision(revision),
@@ -575,8 +578,12 @@
         (3, 7, r#"{"revision":7}"#, CommandOutcome::NoChange),
     ];
     for (base, revision, body, effect) in cases {
-        assert_eq!(almanac.apply(&put(base, revision, body)), effect, "{base} {revision} {body}");
-        almanac = StateMachine::read(&pack(&almanac)).expect("both kinds side by side");
+        assert_eq!(
+            state_machine.apply(&put(base, revision, body)),
+            effect,
+            "{base} {revision} {body}"
+        );
+        state_machine = StateMachine::read(&pack(&state_machine)).expect("both kinds side by side");
     }
 }
 
@@ -589,13 +596,13 @@
     let before = StateMachine::default();
     let mut reads = LinearizableReads::<u32>::default();
     assert_eq!(
-        reads.ask(&mut node.hedge, &node.almanac, AdminCall::ReadConfiguration, 7, now),
+        reads.ask(&mut node.raft, &node.state_machine, AdminCall::ReadConfiguration, 7, now),
         None
     );
     let behind = LogIndex(node.applied.0 - 1);
-    let early = reads.settled(&node.hedge, &before, behind, now);
+    let early = reads.settled(&node.raft, &before, behind, now);
     assert_eq!(early, [], "the last entry is not applied yet");
-    let settled = reads.settled(&node.hedge, &node.almanac, node.applied, now);
+    let settled = reads.settled(&node.raft, &node.state_machine, node.applied, now);
     let statuses = settled.into_iter().map(|(from, verdict)| (from, status(verdict)));
     assert_eq!(statuses.collect::<Vec<_>>(), [(7, Some(200))]);
 }
@@ -607,12 +614,13 @@
     let now = site.now;
     let node = site.nodes.get_mut(&leader).expect("leader");
     let mut reads = LinearizableReads::<u32>::default();
-    let asked = reads.ask(&mut node.hedge, &node.almanac, AdminCall::ReadConfiguration, 7, now);
+    let asked =
+        reads.ask(&mut node.raft, &node.state_machine, AdminCall::ReadConfiguration, 7, now);
     assert_eq!(asked, None);
-    assert_eq!(reads.settled(&node.hedge, &node.almanac, node.applied, now), [], "still open");
+    assert_eq!(reads.settled(&node.raft, &node.state_machine, node.applied, now), [], "still open");
     site.restart(&[leader]);
     let node = &site.nodes[&leader];
-    let settled = reads.settled(&node.hedge, &node.almanac, node.applied, now);
+    let settled = reads.settled(&node.raft, &node.state_machine, node.applied, now);
     let statuses = settled.into_iter().map(|(from, verdict)| (from, status(verdict)));
     assert_eq!(statuses.collect::<Vec<_>>(), [(7, Some(503))]);
 }
--- a/tests/succession.rs
+++ b/tests/failover.rs
@@ -32,11 +32,11 @@
     }
 }
 /// A service with primary `a` in term 1 and replicas `b` and `c`.
-fn facts() -> ServiceSnapshot {
+fn snapshot() -> ServiceSnapshot {
     let replica = database(Lifecycle::Available, Role::Replica, "v1");
     ServiceSnapshot {
         service: "s".into(),
-        epoch: Term(1),
+        raft_term: Term(1),
         lead: Some(PrimaryRecord { term: DbTerm(1), primary: "a".into(), intent: None }),
         databases: vec![
             ("a".into(), database(Lifecycle::Available, Role::Primary, "v1")),
@@ -93,112 +93,114 @@
     told
 }
 /// A new leader took it up, and the replicas answered that they go on.
-fn begun(facts: &ServiceSnapshot, now: Tick) -> Failover {
-    let (mut s, first) = Failover::begin(facts, now);
-    let replicas = facts.databases[1..]
+fn begun(snapshot: &ServiceSnapshot, now: Tick) -> Failover {
+    let (mut s, first) = Failover::begin(snapshot, now);
+    let replicas = snapshot.databases[1..]
         .iter()
         .map(|(id, _)| FailoverAction::DatabaseRequest(id.clone(), DatabaseRequest::Continue));
     assert_eq!(first, replicas.collect::<Vec<_>>(), "earlier pauses are let go");
-    went_on(&mut s, facts, now);
+    went_on(&mut s, snapshot, now);
     s
 }
-fn went_on(s: &mut Failover, facts: &ServiceSnapshot, now: Tick) {
-    for (id, _) in &facts.databases[1..] {
-        s.told(facts, s.attempt, id, DatabaseRequest::Continue, &row(false, 1, at(7)), now);
+fn went_on(s: &mut Failover, snapshot: &ServiceSnapshot, now: Tick) {
+    for (id, _) in &snapshot.databases[1..] {
+        s.told(snapshot, s.attempt, id, DatabaseRequest::Continue, &row(false, 1, at(7)), now);
     }
 }
-fn fencing(facts: &ServiceSnapshot, now: Tick) -> Failover {
-    let mut s = begun(facts, now);
-    let deeds =
-        s.suspect(facts, &"n1".into(), &"a".into(), SuspicionReason::ConnectionsBroken, now);
-    assert_eq!(deeds, [ask("a", DatabaseRequest::Describe)], "it is asked itself first");
-    let deeds = s.told(
-        facts,
+fn fencing(snapshot: &ServiceSnapshot, now: Tick) -> Failover {
+    let mut s = begun(snapshot, now);
+    let actions =
+        s.suspect(snapshot, &"n1".into(), &"a".into(), SuspicionReason::ConnectionsBroken, now);
+    assert_eq!(actions, [ask("a", DatabaseRequest::Describe)], "it is asked itself first");
+    let actions = s.told(
+        snapshot,
         s.attempt,
         &"a".into(),
         DatabaseRequest::Describe,
         &DatabaseResponse::Lost,
         now,
     );
-    assert_eq!(deeds, [FailoverAction::Revoke(DbTerm(1)), ask("b", PAUSE), ask("c", PAUSE)]);
+    assert_eq!(actions, [FailoverAction::Revoke(DbTerm(1)), ask("b", PAUSE), ask("c", PAUSE)]);
     s
 }
 /// As far as a call that may be under way.
-fn posting(facts: &mut ServiceSnapshot, now: Tick) -> Failover {
-    let mut s = fencing(facts, now);
-    assert!(s.told(facts, s.attempt, &"b".into(), PAUSE, &row(false, 1, at(7)), now).is_empty());
+fn posting(snapshot: &mut ServiceSnapshot, now: Tick) -> Failover {
+    let mut s = fencing(snapshot, now);
+    assert!(s.told(snapshot, s.attempt, &"b".into(), PAUSE, &row(false, 1, at(7)), now).is_empty());
     assert_eq!(
-        s.told(facts, s.attempt, &"c".into(), PAUSE, &row(false, 1, at(9)), now),
+        s.told(snapshot, s.attempt, &"c".into(), PAUSE, &row(false, 1, at(9)), now),
         [intend("c")]
     );
-    assert!(s.tick(facts, now).is_empty(), "not before it is committed");
-    intended(facts, "c");
-    assert_eq!(s.tick(facts, now), [FailoverAction::Post("c".into())]);
+    assert!(s.tick(snapshot, now).is_empty(), "not before it is committed");
+    intended(snapshot, "c");
+    assert_eq!(s.tick(snapshot, now), [FailoverAction::Post("c".into())]);
     s
 }
 /// The intent is committed.
-fn intended(facts: &mut ServiceSnapshot, target: &str) {
-    facts.lead =
-        facts.lead.take().map(|lead| PrimaryRecord { intent: Some(target.into()), ..lead });
+fn intended(snapshot: &mut ServiceSnapshot, target: &str) {
+    snapshot.lead =
+        snapshot.lead.take().map(|lead| PrimaryRecord { intent: Some(target.into()), ..lead });
 }
 
 #[test]
 fn a_lost_primary_is_followed_by_the_furthest_replica() {
-    let (mut facts, now) = (facts(), Tick(50_000));
-    let mut s = posting(&mut facts, now);
+    let (mut snapshot, now) = (snapshot(), Tick(50_000));
+    let mut s = posting(&mut snapshot, now);
     assert_eq!(s.sealed, Some(at(9)), "reads may go on up to there");
-    assert!(s.posted(&facts, s.attempt, &"c".into(), PromotionResponse::Accepted, now).is_empty());
+    assert!(
+        s.posted(&snapshot, s.attempt, &"c".into(), PromotionResponse::Accepted, now).is_empty()
+    );
     assert_eq!(
-        s.beat(&facts, &"c".into(), Role::Primary, now.plus(300)),
+        s.heartbeat(&snapshot, &"c".into(), Role::Primary, now.plus(300)),
         [ask("c", DatabaseRequest::Describe)]
     );
-    let deeds = s.told(
-        &facts,
+    let actions = s.told(
+        &snapshot,
         s.attempt,
         &"c".into(),
         DatabaseRequest::Describe,
         &row(true, 2, at(9)),
         now.plus(310),
     );
-    assert_eq!(deeds, [ask("a", DatabaseRequest::StepDown(DbTerm(2)))]);
-    assert!(s.tick(&facts, now.plus(400)).is_empty(), "old leases may still be used");
-    facts.leases_gone = true;
-    assert_eq!(s.tick(&facts, now.plus(500)), [led("c", 2)]);
-    assert!(s.tick(&facts, now.plus(510)).is_empty(), "once is enough");
-    facts.lead = Some(PrimaryRecord { term: DbTerm(2), primary: "c".into(), intent: None });
-    assert_eq!(s.tick(&facts, now.plus(520)), [ask("b", DatabaseRequest::Continue)]);
+    assert_eq!(actions, [ask("a", DatabaseRequest::StepDown(DbTerm(2)))]);
+    assert!(s.tick(&snapshot, now.plus(400)).is_empty(), "old leases may still be used");
+    snapshot.leases_gone = true;
+    assert_eq!(s.tick(&snapshot, now.plus(500)), [led("c", 2)]);
+    assert!(s.tick(&snapshot, now.plus(510)).is_empty(), "once is enough");
+    snapshot.lead = Some(PrimaryRecord { term: DbTerm(2), primary: "c".into(), intent: None });
+    assert_eq!(s.tick(&snapshot, now.plus(520)), [ask("b", DatabaseRequest::Continue)]);
     assert!(s.stage == FailoverState::Steady && !s.revoking && s.sealed.is_none());
 }
 
 #[test]
 fn a_false_alarm_changes_nothing() {
-    let (mut facts, now) = (facts(), Tick(50_000));
+    let (mut snapshot, now) = (snapshot(), Tick(50_000));
     for told in [row(true, 1, at(9)), DatabaseResponse::Alive] {
-        let (mut s, _) = Failover::begin(&facts, now);
-        s.suspect(&facts, &"n1".into(), &"a".into(), SuspicionReason::NoResponse, now);
+        let (mut s, _) = Failover::begin(&snapshot, now);
+        s.suspect(&snapshot, &"n1".into(), &"a".into(), SuspicionReason::NoResponse, now);
         assert!(
-            s.told(&facts, s.attempt, &"a".into(), DatabaseRequest::Describe, &told, now)
+            s.told(&snapshot, s.attempt, &"a".into(), DatabaseRequest::Describe, &told, now)
                 .is_empty()
         );
         assert_eq!(s.stage, FailoverState::Steady);
     }
     // Also after the pause, as long as nothing was posted.
-    let mut s = fencing(&facts, now);
-    let deeds = s.told(
-        &facts,
+    let mut s = fencing(&snapshot, now);
+    let actions = s.told(
+        &snapshot,
         s.attempt,
         &"a".into(),
         DatabaseRequest::Describe,
         &row(true, 1, at(9)),
         now,
     );
-    assert_eq!(deeds, [ask("b", DatabaseRequest::Continue), ask("c", DatabaseRequest::Continue)]);
+    assert_eq!(actions, [ask("b", DatabaseRequest::Continue), ask("c", DatabaseRequest::Continue)]);
     assert!(!s.revoking);
     // Once posted it is too late for that.
-    let mut s = posting(&mut facts, now);
+    let mut s = posting(&mut snapshot, now);
     assert!(
         s.told(
-            &facts,
+            &snapshot,
             s.attempt,
             &"a".into(),
             DatabaseRequest::Describe,
@@ -212,52 +214,59 @@
 
 #[test]
 fn a_replica_that_was_not_heard_to_go_on_is_told_again() {
-    let (facts, now) = (facts(), Tick(50_000));
-    let mut s = fencing(&facts, now);
+    let (snapshot, now) = (snapshot(), Tick(50_000));
+    let mut s = fencing(&snapshot, now);
     for id in ["b", "c"] {
-        s.told(&facts, s.attempt, &id.into(), PAUSE, &DatabaseResponse::Alive, now);
+        s.told(&snapshot, s.attempt, &id.into(), PAUSE, &DatabaseResponse::Alive, now);
     }
-    s.told(&facts, s.attempt, &"a".into(), DatabaseRequest::Describe, &row(true, 1, at(9)), now);
-    s.told(&facts, s.attempt, &"b".into(), DatabaseRequest::Continue, &row(false, 1, at(9)), now);
+    s.told(&snapshot, s.attempt, &"a".into(), DatabaseRequest::Describe, &row(true, 1, at(9)), now);
     s.told(
-        &facts,
+        &snapshot,
+        s.attempt,
+        &"b".into(),
+        DatabaseRequest::Continue,
+        &row(false, 1, at(9)),
+        now,
+    );
+    s.told(
+        &snapshot,
         s.attempt,
         &"c".into(),
         DatabaseRequest::Continue,
         &DatabaseResponse::Silent,
         now,
     );
-    assert!(s.tick(&facts, now.plus(500)).is_empty());
-    assert_eq!(s.tick(&facts, now.plus(1_100)), [ask("c", DatabaseRequest::Continue)]);
+    assert!(s.tick(&snapshot, now.plus(500)).is_empty());
+    assert_eq!(s.tick(&snapshot, now.plus(1_100)), [ask("c", DatabaseRequest::Continue)]);
     s.told(
-        &facts,
+        &snapshot,
         s.attempt,
         &"c".into(),
         DatabaseRequest::Continue,
         &row(false, 1, at(9)),
         now.plus(1_110),
     );
-    assert!(s.tick(&facts, now.plus(2_500)).is_empty());
+    assert!(s.tick(&snapshot, now.plus(2_500)).is_empty());
 }
 
 #[test]
-fn three_stiles_that_hear_nothing_are_enough_unless_the_machine_is_reached() {
-    let (facts, now) = (facts(), Tick(50_000));
+fn three_poolers_that_hear_nothing_are_enough_unless_the_machine_is_reached() {
+    let (snapshot, now) = (snapshot(), Tick(50_000));
     for reached in [false, true] {
-        let mut s = begun(&facts, now);
-        for (who, after, deeds) in [("n1", 0, 1), ("n1", 5, 0), ("n2", 10, 0), ("n3", 15, 0)] {
+        let mut s = begun(&snapshot, now);
+        for (who, after, actions) in [("n1", 0, 1), ("n1", 5, 0), ("n2", 10, 0), ("n3", 15, 0)] {
             let done = s.suspect(
-                &facts,
+                &snapshot,
                 &who.into(),
                 &"a".into(),
                 SuspicionReason::NoResponse,
                 now.plus(after),
             );
-            assert_eq!(done.len(), deeds, "{who}");
+            assert_eq!(done.len(), actions, "{who}");
         }
         if reached {
             s.told(
-                &facts,
+                &snapshot,
                 s.attempt,
                 &"a".into(),
                 DatabaseRequest::Describe,
@@ -265,20 +274,20 @@
                 now.plus(16),
             );
         }
-        let deeds = s.tick(&facts, now.plus(40));
+        let actions = s.tick(&snapshot, now.plus(40));
         if reached {
             // Slow is not dark: the change is planned, and the primary serves meanwhile.
-            assert_eq!(deeds, [ask("c", PAUSE)]);
+            assert_eq!(actions, [ask("c", PAUSE)]);
             assert!(!s.revoking);
-            let deeds = s.tick(&facts, now.plus(700));
+            let actions = s.tick(&snapshot, now.plus(700));
             assert_eq!(
-                deeds,
+                actions,
                 [ask("c", DatabaseRequest::Continue)],
                 "given up at the first obstacle"
             );
         } else {
             assert_eq!(
-                deeds,
+                actions,
                 [FailoverAction::Revoke(DbTerm(1)), ask("b", PAUSE), ask("c", PAUSE)]
             );
         }
@@ -287,14 +296,14 @@
 
 #[test]
 fn a_primary_seen_slow_twice_is_left_once() {
-    let (facts, now) = (facts(), Tick(50_000));
-    let (mut s, _) = Failover::begin(&facts, now);
+    let (snapshot, now) = (snapshot(), Tick(50_000));
+    let (mut s, _) = Failover::begin(&snapshot, now);
     let nine = at(9);
     let mut look = |at: u64, took: u64| {
-        s.suspect(&facts, &"n1".into(), &"a".into(), SuspicionReason::NoResponse, now.plus(at));
+        s.suspect(&snapshot, &"n1".into(), &"a".into(), SuspicionReason::NoResponse, now.plus(at));
         let answer = row(true, 1, nine);
         s.told(
-            &facts,
+            &snapshot,
             s.attempt,
             &"a".into(),
             DatabaseRequest::Describe,
@@ -305,24 +314,24 @@
     };
     // at, the answer took, deeds: quick, slow once, quick, slow once, slow again, slow once more
     let table = [(0, 20, 0), (500, 400, 0), (1_500, 20, 0), (4_000, 400, 0), (5_000, 400, 1)];
-    for (at, took, deeds) in table {
-        assert_eq!(look(at, took), deeds, "at {at}");
+    for (at, took, actions) in table {
+        assert_eq!(look(at, took), actions, "at {at}");
     }
 }
 
 #[test]
 fn a_primary_that_breaks_many_connections_is_left() {
-    let (facts, now) = (facts(), Tick(50_000));
-    // reports of so many stiles, each so many times, this far apart: whether it is left
-    for (stiles, times, apart, left) in [(3, 2, 100, true), (2, 4, 100, false), (4, 2, 500, false)]
+    let (snapshot, now) = (snapshot(), Tick(50_000));
+    // reports of so many poolers, each so many times, this far apart: whether it is left
+    for (poolers, times, apart, left) in [(3, 2, 100, true), (2, 4, 100, false), (4, 2, 500, false)]
     {
-        let (mut s, _) = Failover::begin(&facts, now);
+        let (mut s, _) = Failover::begin(&snapshot, now);
         let mut at_ms = 0;
-        for i in 0..stiles * times {
-            let who = NodeName(format!("n{}", i % stiles));
+        for i in 0..poolers * times {
+            let who = NodeName(format!("n{}", i % poolers));
             at_ms += apart;
             s.suspect(
-                &facts,
+                &snapshot,
                 &who,
                 &"a".into(),
                 SuspicionReason::ConnectionsBroken,
@@ -331,7 +340,7 @@
         }
         let fine = row(true, 1, at(9));
         s.told(
-            &facts,
+            &snapshot,
             s.attempt,
             &"a".into(),
             DatabaseRequest::Describe,
@@ -339,14 +348,14 @@
             now.plus(at_ms + 5),
         );
         let doubted = s.suspect(
-            &facts,
+            &snapshot,
             &"n0".into(),
             &"a".into(),
             SuspicionReason::ConnectionsBroken,
             now.plus(at_ms + 400),
         );
-        let deeds = s.told(
-            &facts,
+        let actions = s.told(
+            &snapshot,
             s.attempt,
             &"a".into(),
             DatabaseRequest::Describe,
@@ -354,36 +363,49 @@
             now.plus(at_ms + 410),
         );
         let planned = matches!(s.stage, FailoverState::Fencing { target: Some(_), .. });
-        assert_eq!(planned, left, "{stiles} {times} {apart}: {doubted:?} {deeds:?}");
+        assert_eq!(planned, left, "{poolers} {times} {apart}: {doubted:?} {actions:?}");
         assert!(!s.revoking);
     }
 }
 
 #[test]
 fn one_question_without_an_answer_is_no_loss_and_a_refusal_is() {
-    let (facts, now) = (facts(), Tick(50_000));
-    for (told, deeds) in [
+    let (snapshot, now) = (snapshot(), Tick(50_000));
+    for (told, actions) in [
         (DatabaseResponse::Silent, vec![ask("a", DatabaseRequest::Describe)]),
         (DatabaseResponse::Lost, Vec::new()),
     ] {
-        let (mut s, _) = Failover::begin(&facts, now);
-        s.suspect(&facts, &"n1".into(), &"a".into(), SuspicionReason::ConnectionsBroken, now);
-        let done =
-            s.told(&facts, s.attempt, &"a".into(), DatabaseRequest::Describe, &told, now.plus(300));
-        if deeds.is_empty() {
+        let (mut s, _) = Failover::begin(&snapshot, now);
+        s.suspect(&snapshot, &"n1".into(), &"a".into(), SuspicionReason::ConnectionsBroken, now);
+        let done = s.told(
+            &snapshot,
+            s.attempt,
+            &"a".into(),
+            DatabaseRequest::Describe,
+            &told,
+            now.plus(300),
+        );
+        if actions.is_empty() {
             assert!(matches!(s.stage, FailoverState::Fencing { .. }));
         } else {
-            assert_eq!(done, deeds);
-            s.told(&facts, s.attempt, &"a".into(), DatabaseRequest::Describe, &told, now.plus(600));
+            assert_eq!(done, actions);
+            s.told(
+                &snapshot,
+                s.attempt,
+                &"a".into(),
+                DatabaseRequest::Describe,
+                &told,
+                now.plus(600),
+            );
             assert!(matches!(s.stage, FailoverState::Fencing { .. }), "twice is enough");
         }
     }
 }
 
 #[test]
-fn with_too_few_answers_nobody_is_promoted_unless_the_stiles_vouch() {
+fn with_too_few_answers_nobody_is_promoted_unless_the_poolers_vouch() {
     let now = Tick(50_000);
-    // given back by the stiles, synchronous replicas, whether `b` alone may take over at 7
+    // given back by the poolers, synchronous replicas, whether `b` alone may take over at 7
     let table = [
         (None, 1, false),
         (Some(Some(at(8))), 1, false),
@@ -394,18 +416,19 @@
         (Some(Some(at(7))), 0, true),
     ];
     for (given_back, sync_replicas, may) in table {
-        let facts = ServiceSnapshot { sync_replicas, ..facts() };
-        let mut s = fencing(&facts, now);
-        let mut deeds = s.told(&facts, s.attempt, &"b".into(), PAUSE, &row(false, 1, at(7)), now);
-        let facts = ServiceSnapshot { given_back, ..facts };
-        if deeds.is_empty() {
-            assert!(s.tick(&facts, now.plus(20)).is_empty(), "the other may still answer");
-            deeds = s.tick(&facts, now.plus(320));
+        let snapshot = ServiceSnapshot { sync_replicas, ..snapshot() };
+        let mut s = fencing(&snapshot, now);
+        let mut actions =
+            s.told(&snapshot, s.attempt, &"b".into(), PAUSE, &row(false, 1, at(7)), now);
+        let snapshot = ServiceSnapshot { given_back, ..snapshot };
+        if actions.is_empty() {
+            assert!(s.tick(&snapshot, now.plus(20)).is_empty(), "the other may still answer");
+            actions = s.tick(&snapshot, now.plus(320));
         }
         let expected = if may { vec![intend("b")] } else { Vec::new() };
-        assert_eq!(deeds, expected, "{given_back:?}, sync {sync_replicas}");
+        assert_eq!(actions, expected, "{given_back:?}, sync {sync_replicas}");
         if !may {
-            let again = s.tick(&facts, now.plus(500));
+            let again = s.tick(&snapshot, now.plus(500));
             assert!(again.contains(&ask("c", PAUSE)), "the missing one is asked again");
         }
     }
@@ -416,37 +439,38 @@
     let now = Tick(50_000);
     // what the available one has, what was passed on, who takes over
     for (other, passed_on, target) in [(9, 9, "c"), (8, 8, "c"), (8, 9, "b"), (7, 8, "b")] {
-        let mut facts = facts();
-        facts.databases[1].1.lifecycle_state = Lifecycle::Draining;
-        facts.given_back = Some(Some(at(passed_on)));
-        let mut s = fencing(&facts, now);
+        let mut snapshot = snapshot();
+        snapshot.databases[1].1.lifecycle_state = Lifecycle::Draining;
+        snapshot.given_back = Some(Some(at(passed_on)));
+        let mut s = fencing(&snapshot, now);
         assert!(
-            s.told(&facts, s.attempt, &"b".into(), PAUSE, &row(false, 1, at(9)), now).is_empty()
+            s.told(&snapshot, s.attempt, &"b".into(), PAUSE, &row(false, 1, at(9)), now).is_empty()
         );
-        let mut deeds =
-            s.told(&facts, s.attempt, &"c".into(), PAUSE, &row(false, 1, at(other)), now);
-        if deeds.is_empty() {
-            deeds = s.tick(&facts, now.plus(320));
+        let mut actions =
+            s.told(&snapshot, s.attempt, &"c".into(), PAUSE, &row(false, 1, at(other)), now);
+        if actions.is_empty() {
+            actions = s.tick(&snapshot, now.plus(320));
         }
-        assert_eq!(deeds, [intend(target)], "{other} {passed_on}");
+        assert_eq!(actions, [intend(target)], "{other} {passed_on}");
     }
     // A target that left is settled by the refusal, and the call is made again at once.
-    let mut facts = facts();
-    let mut s = posting(&mut facts, now);
-    s.posted(&facts, s.attempt, &"c".into(), PromotionResponse::Accepted, now);
-    assert!(s.tick(&facts, now.plus(100)).is_empty());
-    facts.databases.pop();
-    assert_eq!(s.tick(&facts, now.plus(110)), [FailoverAction::Post("c".into())]);
-    let deeds = s.posted(&facts, s.attempt, &"c".into(), PromotionResponse::Refused, now.plus(120));
+    let mut snapshot = snapshot();
+    let mut s = posting(&mut snapshot, now);
+    s.posted(&snapshot, s.attempt, &"c".into(), PromotionResponse::Accepted, now);
+    assert!(s.tick(&snapshot, now.plus(100)).is_empty());
+    snapshot.databases.pop();
+    assert_eq!(s.tick(&snapshot, now.plus(110)), [FailoverAction::Post("c".into())]);
+    let actions =
+        s.posted(&snapshot, s.attempt, &"c".into(), PromotionResponse::Refused, now.plus(120));
     assert!(
-        matches!(deeds.as_slice(), [FailoverAction::Propose(Command::AbandonFailover { .. })]),
-        "{deeds:?}"
+        matches!(actions.as_slice(), [FailoverAction::Propose(Command::AbandonFailover { .. })]),
+        "{actions:?}"
     );
 }
 
 #[test]
 fn a_second_promote_never_starts_while_a_first_may_take_effect() {
-    let (mut facts, now) = (facts(), Tick(50_000));
+    let (mut snapshot, now) = (snapshot(), Tick(50_000));
     let abandon = FailoverAction::Propose(Command::AbandonFailover {
         service: "s".into(),
         target: "c".into(),
@@ -460,45 +484,50 @@
         (&[PromotionResponse::Unclear], 10_000, true),
     ];
     for (before, later, settled) in table {
-        facts.lead = facts.lead.take().map(|lead| PrimaryRecord { intent: None, ..lead });
-        let mut s = posting(&mut facts, now);
+        snapshot.lead = snapshot.lead.take().map(|lead| PrimaryRecord { intent: None, ..lead });
+        let mut s = posting(&mut snapshot, now);
         for posted in before {
-            assert!(s.posted(&facts, s.attempt, &"c".into(), *posted, now).is_empty());
+            assert!(s.posted(&snapshot, s.attempt, &"c".into(), *posted, now).is_empty());
         }
-        let deeds =
-            s.posted(&facts, s.attempt, &"c".into(), PromotionResponse::Refused, now.plus(later));
+        let actions = s.posted(
+            &snapshot,
+            s.attempt,
+            &"c".into(),
+            PromotionResponse::Refused,
+            now.plus(later),
+        );
         assert_eq!(
-            deeds.as_slice(),
+            actions.as_slice(),
             if settled { std::slice::from_ref(&abandon) } else { &[] },
             "{before:?}"
         );
     }
     // An unclear call is made again, with the same target.
-    facts.lead = facts.lead.take().map(|lead| PrimaryRecord { intent: None, ..lead });
-    let mut s = posting(&mut facts, now);
-    s.posted(&facts, s.attempt, &"c".into(), PromotionResponse::Unclear, now);
-    let deeds = s.tick(&facts, now.plus(400));
-    assert!(deeds.contains(&FailoverAction::Post("c".into())), "{deeds:?}");
+    snapshot.lead = snapshot.lead.take().map(|lead| PrimaryRecord { intent: None, ..lead });
+    let mut s = posting(&mut snapshot, now);
+    s.posted(&snapshot, s.attempt, &"c".into(), PromotionResponse::Unclear, now);
+    let actions = s.tick(&snapshot, now.plus(400));
+    assert!(actions.contains(&FailoverAction::Post("c".into())), "{actions:?}");
     // Given up in the log, whenever that is noticed: fenced anew, and nothing is called meanwhile.
-    facts.lead = facts.lead.take().map(|lead| PrimaryRecord { intent: None, ..lead });
-    let deeds = s.tick(&facts, now.plus(3_000));
-    assert_eq!(deeds, [FailoverAction::Revoke(DbTerm(1)), ask("b", PAUSE), ask("c", PAUSE)]);
+    snapshot.lead = snapshot.lead.take().map(|lead| PrimaryRecord { intent: None, ..lead });
+    let actions = s.tick(&snapshot, now.plus(3_000));
+    assert_eq!(actions, [FailoverAction::Revoke(DbTerm(1)), ask("b", PAUSE), ask("c", PAUSE)]);
 }
 
 #[test]
 fn a_new_leader_finishes_the_intent_it_finds() {
     let now = Tick(50_000);
-    let mut facts = facts();
-    facts.lead =
+    let mut snapshot = snapshot();
+    snapshot.lead =
         Some(PrimaryRecord { term: DbTerm(1), primary: "a".into(), intent: Some("b".into()) });
-    let (mut s, deeds) = Failover::begin(&facts, now);
+    let (mut s, actions) = Failover::begin(&snapshot, now);
     assert_eq!(
-        deeds,
+        actions,
         [FailoverAction::Revoke(DbTerm(1)), ask("c", PAUSE), FailoverAction::Post("b".into())]
     );
     assert!(s.revoking, "nobody uses the old term meanwhile");
     assert!(
-        s.suspect(&facts, &"n1".into(), &"a".into(), SuspicionReason::ConnectionsBroken, now)
+        s.suspect(&snapshot, &"n1".into(), &"a".into(), SuspicionReason::ConnectionsBroken, now)
             .is_empty()
     );
 }
@@ -506,20 +535,26 @@
 #[test]
 fn a_draining_primary_is_replaced_while_it_serves() {
     let now = Tick(50_000);
-    let mut facts = facts();
-    facts.databases[0].1.lifecycle_state = Lifecycle::Draining;
-    facts.databases.push(("d".into(), database(Lifecycle::Available, Role::Replica, "v2")));
-    facts.beating.insert("d".into());
-    let mut s = begun(&facts, now);
-    let deeds = s.tick(&facts, now);
-    assert_eq!(deeds, [ask("b", PAUSE), ask("c", PAUSE)], "the newest revision is left to receive");
+    let mut snapshot = snapshot();
+    snapshot.databases[0].1.lifecycle_state = Lifecycle::Draining;
+    snapshot.databases.push(("d".into(), database(Lifecycle::Available, Role::Replica, "v2")));
+    snapshot.beating.insert("d".into());
+    let mut s = begun(&snapshot, now);
+    let actions = s.tick(&snapshot, now);
+    assert_eq!(
+        actions,
+        [ask("b", PAUSE), ask("c", PAUSE)],
+        "the newest revision is left to receive"
+    );
     assert!(!s.revoking, "leases go on: every further commit is on the target");
-    assert!(s.told(&facts, s.attempt, &"b".into(), PAUSE, &row(false, 1, at(7)), now).is_empty());
-    let deeds = s.told(&facts, s.attempt, &"c".into(), PAUSE, &row(false, 1, at(9)), now);
-    assert_eq!(deeds, [ask("d", DatabaseRequest::Describe)]);
+    assert!(
+        s.told(&snapshot, s.attempt, &"b".into(), PAUSE, &row(false, 1, at(7)), now).is_empty()
+    );
+    let actions = s.told(&snapshot, s.attempt, &"c".into(), PAUSE, &row(false, 1, at(9)), now);
+    assert_eq!(actions, [ask("d", DatabaseRequest::Describe)]);
     assert!(
         s.told(
-            &facts,
+            &snapshot,
             s.attempt,
             &"d".into(),
             DatabaseRequest::Describe,
@@ -529,20 +564,20 @@
         .is_empty(),
         "not there yet"
     );
-    assert_eq!(s.tick(&facts, now.plus(120)), [ask("d", DatabaseRequest::Describe)]);
-    let deeds = s.told(
-        &facts,
+    assert_eq!(s.tick(&snapshot, now.plus(120)), [ask("d", DatabaseRequest::Describe)]);
+    let actions = s.told(
+        &snapshot,
         s.attempt,
         &"d".into(),
         DatabaseRequest::Describe,
         &row(false, 1, at(11)),
         now.plus(130),
     );
-    assert_eq!(deeds, [intend("d")]);
-    intended(&mut facts, "d");
-    s.tick(&facts, now.plus(140));
-    let deeds = s.told(
-        &facts,
+    assert_eq!(actions, [intend("d")]);
+    intended(&mut snapshot, "d");
+    s.tick(&snapshot, now.plus(140));
+    let actions = s.told(
+        &snapshot,
         s.attempt,
         &"d".into(),
         DatabaseRequest::Describe,
@@ -550,15 +585,15 @@
         now.plus(500),
     );
     assert_eq!(
-        deeds,
+        actions,
         [FailoverAction::Revoke(DbTerm(1)), ask("a", DatabaseRequest::StepDown(DbTerm(2)))]
     );
     // A target that never catches up: everything is let go.
-    facts.lead = facts.lead.take().map(|lead| PrimaryRecord { intent: None, ..lead });
-    let mut s = begun(&facts, now);
-    s.tick(&facts, now);
+    snapshot.lead = snapshot.lead.take().map(|lead| PrimaryRecord { intent: None, ..lead });
+    let mut s = begun(&snapshot, now);
+    s.tick(&snapshot, now);
     assert_eq!(
-        s.tick(&facts, now.plus(3_100)),
+        s.tick(&snapshot, now.plus(3_100)),
         [ask("b", DatabaseRequest::Continue), ask("c", DatabaseRequest::Continue)]
     );
 }
@@ -566,17 +601,17 @@
 #[test]
 fn the_first_primary_is_believed_once_it_says_its_term() {
     let now = Tick(50_000);
-    let facts = ServiceSnapshot { lead: None, ..facts() };
-    let (mut s, deeds) = Failover::begin(&facts, now);
-    assert!(deeds.is_empty());
-    assert!(s.beat(&facts, &"b".into(), Role::Replica, now).is_empty());
+    let snapshot = ServiceSnapshot { lead: None, ..snapshot() };
+    let (mut s, actions) = Failover::begin(&snapshot, now);
+    assert!(actions.is_empty());
+    assert!(s.heartbeat(&snapshot, &"b".into(), Role::Replica, now).is_empty());
     assert_eq!(
-        s.beat(&facts, &"a".into(), Role::Primary, now),
+        s.heartbeat(&snapshot, &"a".into(), Role::Primary, now),
         [ask("a", DatabaseRequest::Describe)]
     );
     assert_eq!(
         s.told(
-            &facts,
+            &snapshot,
             s.attempt,
             &"a".into(),
             DatabaseRequest::Describe,
@@ -589,20 +624,20 @@
 
 #[test]
 fn an_old_primary_that_returns_is_told_to_step_down() {
-    let (facts, now) = (facts(), Tick(50_000));
-    let (mut s, _) = Failover::begin(&facts, now);
+    let (snapshot, now) = (snapshot(), Tick(50_000));
+    let (mut s, _) = Failover::begin(&snapshot, now);
     assert_eq!(
-        s.beat(&facts, &"b".into(), Role::Primary, now),
+        s.heartbeat(&snapshot, &"b".into(), Role::Primary, now),
         [ask("b", DatabaseRequest::StepDown(DbTerm(1)))]
     );
     assert!(
-        s.beat(&facts, &"b".into(), Role::Primary, now.plus(10)).is_empty(),
+        s.heartbeat(&snapshot, &"b".into(), Role::Primary, now.plus(10)).is_empty(),
         "not at every beat"
     );
 }
 
 #[test]
-fn leases_are_gone_only_when_no_stile_can_use_one() {
+fn leases_are_gone_only_when_no_pooler_can_use_one() {
     let (n1, n2, s) = (NodeName::from("n1"), NodeName::from("n2"), ServiceName::from("s"));
     let start = Tick(100_000);
     let mut book = LeaseTable::new(start);
@@ -619,7 +654,7 @@
     book.give_back(&n1, &s, DbTerm(1), Some(at(5)));
     assert!(!book.gone(&s, DbTerm(1), now.plus(10)));
     assert_eq!(book.given_back(&s, DbTerm(1), None, true, now), None, "one has not said");
-    // A stile that is lost keeps its lease until it runs out, and what it passed on is not known.
+    // A pooler that is lost keeps its lease until it runs out, and what it passed on is not known.
     book.lose(11, now.plus(20));
     assert!(!book.gone(&s, DbTerm(1), now.plus(LEASE_MS)));
     assert!(book.gone(&s, DbTerm(1), now.plus(LEASE_MS + 100)));
@@ -630,12 +665,12 @@
 }
 
 #[test]
-fn a_stile_that_says_nothing_is_covered_only_by_what_was_seen_after_its_lease() {
+fn a_pooler_that_says_nothing_is_covered_only_by_what_was_seen_after_its_lease() {
     let s = ServiceName::from("s");
     let (elected, now) = (Tick(100_000), Tick(150_000));
     let late = now.plus(30_000);
     let end = LEASE_MS + 50;
-    // (what became of the second stile, what was seen when, the furthest position that is certain)
+    // (what became of the second pooler, what was seen when, the furthest position that is certain)
     let cases = [
         ("there", None, None),
         ("lost", None, None),
@@ -683,7 +718,7 @@
     assert_eq!(granted(&mut book, &node, told.clone(), now), None, "nothing changed");
     book.give_back(&node, &s, DbTerm(1), None);
     assert!(book.gone(&s, DbTerm(1), now.plus(10)));
-    // The stile dropped it, so it has to be told in full again.
+    // The pooler dropped it, so it has to be told in full again.
     assert_eq!(granted(&mut book, &node, told.clone(), now.plus(20)), Some(told));
     assert!(!book.gone(&s, DbTerm(1), now.plus(30)));
     assert_eq!(book.given_back(&s, DbTerm(1), None, true, now.plus(30)), None);
@@ -694,7 +729,7 @@
     let s = ServiceName::from("s");
     let now = Tick(100_000);
     let mut book = LeaseTable::new(now);
-    // A stile that just started comes first, then those that hold eight each.
+    // A pooler that just started comes first, then those that hold eight each.
     book.seat(&"fresh".into(), 1, 0, now);
     assert_eq!(book.share(&"fresh".into(), &s, 92, now), 4);
     for i in 1..10 {
@@ -743,30 +778,36 @@
     let id = InstanceId::from("a");
     let stays = database(Lifecycle::Available, Role::Replica, "v1");
     let leaves = database(Lifecycle::Draining, Role::Replica, "v1");
-    let beat = |instance: &Instance, sequence| Command::Heartbeat {
+    let heartbeat = |instance: &Instance, sequence| Command::Heartbeat {
         id: id.clone(),
         instance: instance.clone(),
         sequence,
     };
-    let mut almanac = StateMachine::default();
-    almanac.apply(&beat(&stays, 3));
+    let mut state_machine = StateMachine::default();
+    state_machine.apply(&heartbeat(&stays, 3));
     // Heard once and perhaps lost with its leader: a repeat must not pass as known.
     for _ in 0..3 {
-        assert!(almanac.news(&id, &leaves, 5));
+        assert!(state_machine.news(&id, &leaves, 5));
     }
-    assert_eq!(almanac.apply(&beat(&leaves, 5)), CommandOutcome::Applied);
+    assert_eq!(state_machine.apply(&heartbeat(&leaves, 5)), CommandOutcome::Applied);
     // (what is told, its sequence, whether it is news)
     for (told, sequence, news) in [(&leaves, 5, false), (&leaves, 9, false), (&stays, 4, false)] {
-        assert_eq!(almanac.news(&id, told, sequence), news, "{told:?} {sequence}");
+        assert_eq!(state_machine.news(&id, told, sequence), news, "{told:?} {sequence}");
     }
-    assert_eq!(almanac.instances[&id].instance, leaves);
-    // It said goodbye: a beat that was under way for long comes after all.
-    almanac.apply(&Command::RemoveInstance { id: id.clone(), sequence: u64::MAX });
-    assert_eq!(almanac.apply(&beat(&leaves, 40)), CommandOutcome::NoChange);
-    // One that was only not heard of for long may come back with its next beat.
-    almanac.apply(&Command::Heartbeat { id: "b".into(), instance: stays.clone(), sequence: 7 });
-    almanac.apply(&Command::RemoveInstance { id: "b".into(), sequence: 0 });
-    assert!(!almanac.news(&"b".into(), &stays, 7) && almanac.news(&"b".into(), &stays, 8));
+    assert_eq!(state_machine.instances[&id].instance, leaves);
+    // It said goodbye: a heartbeat that was under way for long comes after all.
+    state_machine.apply(&Command::RemoveInstance { id: id.clone(), sequence: u64::MAX });
+    assert_eq!(state_machine.apply(&heartbeat(&leaves, 40)), CommandOutcome::NoChange);
+    // One that was only not heard of for long may come back with its next heartbeat.
+    state_machine.apply(&Command::Heartbeat {
+        id: "b".into(),
+        instance: stays.clone(),
+        sequence: 7,
+    });
+    state_machine.apply(&Command::RemoveInstance { id: "b".into(), sequence: 0 });
+    assert!(
+        !state_machine.news(&"b".into(), &stays, 7) && state_machine.news(&"b".into(), &stays, 8)
+    );
 }
 
 #[test]
@@ -799,16 +840,16 @@
         revision: Revision(revision),
         body: body(n),
     };
-    let mut almanac = StateMachine::default();
-    assert_eq!(almanac.apply(&put(0, 3, 1)), CommandOutcome::Applied);
+    let mut state_machine = StateMachine::default();
+    assert_eq!(state_machine.apply(&put(0, 3, 1)), CommandOutcome::Applied);
     // Two built on the same version reach the log, one behind the other.
-    assert_eq!(almanac.apply(&put(3, 5, 2)), CommandOutcome::Applied);
-    assert_eq!(almanac.apply(&put(3, 6, 9)), CommandOutcome::StaleBase);
-    assert_eq!((almanac.revision, &almanac.body), (Revision(5), &body(2)));
+    assert_eq!(state_machine.apply(&put(3, 5, 2)), CommandOutcome::Applied);
+    assert_eq!(state_machine.apply(&put(3, 6, 9)), CommandOutcome::StaleBase);
+    assert_eq!((state_machine.revision, &state_machine.body), (Revision(5), &body(2)));
     // Another leader has it from a snapshot.
-    let bytes = pack(&almanac);
+    let bytes = pack(&state_machine);
     let mut other = StateMachine::read(&bytes).expect("as it was packed");
-    assert_eq!(other, almanac);
+    assert_eq!(other, state_machine);
     // (base, revision, body, what comes of it)
     let cases = [
         (0, 3, 1, CommandOutcome::NoChange),
@@ -821,12 +862,12 @@
     for (base, revision, n, effect) in cases {
         assert_eq!(other.judge(Revision(base), Revision(revision), &body(n)), effect);
         other.apply(&put(base, revision, n));
-        assert_eq!(other, almanac, "{base} {revision} {n} changes nothing");
+        assert_eq!(other, state_machine, "{base} {revision} {n} changes nothing");
     }
 }
 
 #[test]
-fn a_floor_from_another_stile_is_never_newer_than_it_was() {
+fn a_floor_from_another_pooler_is_never_newer_than_it_was() {
     let s = ServiceName::from("s");
     let lead = PrimaryRecord { term: DbTerm(4), primary: "a".into(), intent: None };
     // On one true clock, in tenths of a millisecond; each process counts whole milliseconds from a
@@ -866,7 +907,7 @@
 }
 
 #[test]
-fn what_a_stile_saw_counts_only_if_it_can_be() {
+fn what_a_pooler_saw_counts_only_if_it_can_be() {
     let (s, now) = (ServiceName::from("s"), Tick(50_000));
     let lead = PrimaryRecord { term: DbTerm(4), primary: "a".into(), intent: None };
     let position = |term, number| Position { term: DbTerm(term), number };
@@ -894,36 +935,36 @@
         ("of a service that nobody leads", None, 4, position(4, 9), 49_900, 50, kept),
     ];
     for (what, lead_now, term, position, answered, after, known) in cases {
-        let mut freshness = ReplicationWatermarks::default();
+        let mut watermarks = ReplicationWatermarks::default();
         let before =
             ObservedPosition { service: s.clone(), term: DbTerm(4), position: first, after: 100 };
-        freshness.learn(Some(&lead), Tick(49_600), &before, now);
+        watermarks.learn(Some(&lead), Tick(49_600), &before, now);
         let saw = ObservedPosition { service: s.clone(), term: DbTerm(term), position, after };
-        freshness.learn(lead_now, Tick(answered), &saw, now);
-        let told = freshness.tell(&s, now).map(|f| (f.position, f.age));
+        watermarks.learn(lead_now, Tick(answered), &saw, now);
+        let told = watermarks.tell(&s, now).map(|f| (f.position, f.age));
         assert_eq!(told, known, "{what}");
-        assert_eq!(freshness.tell(&"other".into(), now), None);
+        assert_eq!(watermarks.tell(&"other".into(), now), None);
     }
 }
 
 #[test]
 fn tidings_name_what_was_stirred_since_and_everything_when_all_was() {
-    let mut tidings = PendingUpdates::default();
+    let mut pending_updates = PendingUpdates::default();
     let (a, b) = (ServiceName::from("a"), ServiceName::from("b"));
     let since =
         |t: &PendingUpdates, told| t.since(told).map(|names| names.cloned().collect::<Vec<_>>());
-    assert_eq!(since(&tidings, 0), Some(vec![]));
-    tidings.stir(&a);
-    let first = tidings.newest();
-    tidings.stir(&b);
-    tidings.stir(&a);
-    assert_eq!(since(&tidings, first), Some(vec![b.clone(), a.clone()]), "each once");
-    assert_eq!(since(&tidings, tidings.newest()), Some(vec![]));
-    tidings.stir_all();
-    assert_eq!(since(&tidings, first), None);
-    let all = tidings.newest();
-    tidings.stir(&b);
-    assert_eq!(since(&tidings, all), Some(vec![b]));
+    assert_eq!(since(&pending_updates, 0), Some(vec![]));
+    pending_updates.stir(&a);
+    let first = pending_updates.newest();
+    pending_updates.stir(&b);
+    pending_updates.stir(&a);
+    assert_eq!(since(&pending_updates, first), Some(vec![b.clone(), a.clone()]), "each once");
+    assert_eq!(since(&pending_updates, pending_updates.newest()), Some(vec![]));
+    pending_updates.stir_all();
+    assert_eq!(since(&pending_updates, first), None);
+    let all = pending_updates.newest();
+    pending_updates.stir(&b);
+    assert_eq!(since(&pending_updates, all), Some(vec![b]));
 }
 
 #[test]
@@ -965,10 +1006,10 @@
 }
 
 /// The planned change: `a` is about to end, `b` is to take over, `c` is paused.
-fn planned(facts: &mut ServiceSnapshot, now: Tick) -> Failover {
-    facts.databases[0].1.lifecycle_state = Lifecycle::Draining;
-    let mut s = begun(facts, now);
-    assert_eq!(s.tick(facts, now), [ask("c", PAUSE)]);
+fn planned(snapshot: &mut ServiceSnapshot, now: Tick) -> Failover {
+    snapshot.databases[0].1.lifecycle_state = Lifecycle::Draining;
+    let mut s = begun(snapshot, now);
+    assert_eq!(s.tick(snapshot, now), [ask("c", PAUSE)]);
     s
 }
 
@@ -992,18 +1033,19 @@
         (0, Some(None), Some(7), 7, true),
     ];
     for (sync_replicas, given_back, paused, target, goes_on) in table {
-        let mut facts = ServiceSnapshot { sync_replicas, ..facts() };
-        let mut s = planned(&mut facts, now);
-        facts.given_back = given_back;
+        let mut snapshot = ServiceSnapshot { sync_replicas, ..snapshot() };
+        let mut s = planned(&mut snapshot, now);
+        snapshot.given_back = given_back;
         if let Some(number) = paused {
             let answer = row(false, 1, at(number));
-            let deeds = s.told(&facts, s.attempt, &"c".into(), PAUSE, &answer, now);
-            assert_eq!(deeds, [ask("b", DatabaseRequest::Describe)], "the target is asked last");
+            let actions = s.told(&snapshot, s.attempt, &"c".into(), PAUSE, &answer, now);
+            assert_eq!(actions, [ask("b", DatabaseRequest::Describe)], "the target is asked last");
         }
         let answer = row(false, 1, at(target));
-        let deeds = s.told(&facts, s.attempt, &"b".into(), DatabaseRequest::Describe, &answer, now);
+        let actions =
+            s.told(&snapshot, s.attempt, &"b".into(), DatabaseRequest::Describe, &answer, now);
         let expected = if goes_on { vec![intend("b")] } else { Vec::new() };
-        assert_eq!(deeds, expected, "{sync_replicas} {given_back:?} {paused:?} {target}");
+        assert_eq!(actions, expected, "{sync_replicas} {given_back:?} {paused:?} {target}");
     }
 }
 
@@ -1020,44 +1062,44 @@
         ((there, false), (ends, true), None),
     ];
     for (b, c, target) in table {
-        let mut facts = facts();
-        facts.databases[0].1.lifecycle_state = Lifecycle::Draining;
-        for (n, (state, beats)) in [(1, b), (2, c)] {
-            let (id, instance) = &mut facts.databases[n];
+        let mut snapshot = snapshot();
+        snapshot.databases[0].1.lifecycle_state = Lifecycle::Draining;
+        for (n, (state, heartbeats)) in [(1, b), (2, c)] {
+            let (id, instance) = &mut snapshot.databases[n];
             instance.lifecycle_state = state;
-            if !beats {
-                facts.beating.remove(id);
+            if !heartbeats {
+                snapshot.beating.remove(id);
             }
         }
-        let mut s = begun(&facts, now);
-        let deeds = s.tick(&facts, now);
+        let mut s = begun(&snapshot, now);
+        let actions = s.tick(&snapshot, now);
         let paused = target.map(|target| ask(if target == "b" { "c" } else { "b" }, PAUSE));
-        assert_eq!(deeds, paused.into_iter().collect::<Vec<_>>(), "{b:?} {c:?}");
+        assert_eq!(actions, paused.into_iter().collect::<Vec<_>>(), "{b:?} {c:?}");
     }
 }
 
 #[test]
 fn a_planned_change_that_is_given_up_resumes_all_and_rests() {
-    let (mut facts, now) = (facts(), Tick(50_000));
-    let mut s = planned(&mut facts, now);
+    let (mut snapshot, now) = (snapshot(), Tick(50_000));
+    let mut s = planned(&mut snapshot, now);
     // With a replica that does not answer its pause the leases are taken back: the poolers' word
     // may do instead.
-    assert_eq!(s.tick(&facts, now.plus(550)), []);
+    assert_eq!(s.tick(&snapshot, now.plus(550)), []);
     assert_eq!(
-        s.tick(&facts, now.plus(650)),
+        s.tick(&snapshot, now.plus(650)),
         [FailoverAction::Revoke(DbTerm(1))],
         "`c` does not answer"
     );
     assert!(s.revoking);
-    assert_eq!(s.tick(&facts, now.plus(3_000)), []);
+    assert_eq!(s.tick(&snapshot, now.plus(3_000)), []);
     let now = now.plus(3_010);
-    assert_eq!(s.tick(&facts, now), [ask("c", DatabaseRequest::Continue)]);
+    assert_eq!(s.tick(&snapshot, now), [ask("c", DatabaseRequest::Continue)]);
     assert!(s.stage == FailoverState::Steady && !s.revoking);
-    went_on(&mut s, &facts, now);
-    s.told(&facts, s.attempt, &"c".into(), PAUSE, &DatabaseResponse::Lost, now);
+    went_on(&mut s, &snapshot, now);
+    s.told(&snapshot, s.attempt, &"c".into(), PAUSE, &DatabaseResponse::Lost, now);
     for (after, again) in [(10, false), (1_000, false), (1_010, true)] {
         let expected = if again { vec![ask("c", PAUSE)] } else { Vec::new() };
-        assert_eq!(s.tick(&facts, now.plus(after)), expected, "after {after}");
+        assert_eq!(s.tick(&snapshot, now.plus(after)), expected, "after {after}");
     }
 }
 
@@ -1071,29 +1113,35 @@
         (row(true, 1, at(9)), false),
         (DatabaseResponse::Alive, false),
     ] {
-        let mut facts = facts();
-        let mut s = planned(&mut facts, now);
-        let asked =
-            s.suspect(&facts, &"n1".into(), &"a".into(), SuspicionReason::ConnectionsBroken, now);
+        let mut snapshot = snapshot();
+        let mut s = planned(&mut snapshot, now);
+        let asked = s.suspect(
+            &snapshot,
+            &"n1".into(),
+            &"a".into(),
+            SuspicionReason::ConnectionsBroken,
+            now,
+        );
         assert_eq!(asked, [ask("a", DatabaseRequest::Describe)]);
-        let deeds = s.told(&facts, s.attempt, &"a".into(), DatabaseRequest::Describe, &told, now);
+        let actions =
+            s.told(&snapshot, s.attempt, &"a".into(), DatabaseRequest::Describe, &told, now);
         let fenced = [FailoverAction::Revoke(DbTerm(1)), ask("b", PAUSE), ask("c", PAUSE)];
-        assert_eq!(deeds, if lost { &fenced[..] } else { &[] }, "{told:?}");
+        assert_eq!(actions, if lost { &fenced[..] } else { &[] }, "{told:?}");
         assert_eq!(s.revoking, lost, "{told:?}");
     }
 }
 
 #[test]
 fn only_the_primary_of_the_present_term_answers_a_doubt() {
-    let (facts, now) = (facts(), Tick(50_000));
+    let (snapshot, now) = (snapshot(), Tick(50_000));
     // (whether it says that it leads, in which term, whether that ends the doubt)
     for (leads, term, fine) in
         [(true, 1, true), (false, 1, false), (true, 2, false), (true, 0, false), (false, 2, false)]
     {
-        let mut s = begun(&facts, now);
-        s.suspect(&facts, &"n1".into(), &"a".into(), SuspicionReason::ConnectionsBroken, now);
+        let mut s = begun(&snapshot, now);
+        s.suspect(&snapshot, &"n1".into(), &"a".into(), SuspicionReason::ConnectionsBroken, now);
         let told = row(leads, term, at(9));
-        s.told(&facts, s.attempt, &"a".into(), DatabaseRequest::Describe, &told, now);
+        s.told(&snapshot, s.attempt, &"a".into(), DatabaseRequest::Describe, &told, now);
         assert_eq!(s.stage == FailoverState::Steady, fine, "{leads} {term}");
         assert_eq!(s.revoking, !fine, "{leads} {term}");
     }
@@ -1107,25 +1155,25 @@
     for (of, after, doubted) in
         [("a", 299, false), ("a", 300, true), ("b", 300, false), ("x", 300, false)]
     {
-        let facts = facts();
-        let mut s = begun(&facts, now);
-        s.suspect(&facts, &"n1".into(), &"a".into(), SuspicionReason::ConnectionsBroken, now);
+        let snapshot = snapshot();
+        let mut s = begun(&snapshot, now);
+        s.suspect(&snapshot, &"n1".into(), &"a".into(), SuspicionReason::ConnectionsBroken, now);
         s.told(
-            &facts,
+            &snapshot,
             s.attempt,
             &"a".into(),
             DatabaseRequest::Describe,
             &row(true, 1, at(9)),
             now,
         );
-        let deeds = s.suspect(
-            &facts,
+        let actions = s.suspect(
+            &snapshot,
             &"n1".into(),
             &of.into(),
             SuspicionReason::ConnectionsBroken,
             now.plus(after),
         );
-        assert_eq!(deeds, if doubted { &doubt[..] } else { &[] }, "{of} {after}");
+        assert_eq!(actions, if doubted { &doubt[..] } else { &[] }, "{of} {after}");
     }
     // (whether it is listed, its heartbeats come, it is about to end, a replica has departed;
     // what is done)
@@ -1138,47 +1186,47 @@
         (true, true, true, true, &[]),
         (false, false, false, false, &fence),
     ];
-    for (listed, beats, ends, departed, deeds) in table {
-        let mut facts = facts();
-        let mut s = begun(&facts, now);
+    for (listed, heartbeats, ends, departed, actions) in table {
+        let mut snapshot = snapshot();
+        let mut s = begun(&snapshot, now);
         if ends {
-            facts.databases[0].1.lifecycle_state = Lifecycle::Draining;
+            snapshot.databases[0].1.lifecycle_state = Lifecycle::Draining;
         }
         if departed {
-            facts.departed.insert("d".into(), 9);
+            snapshot.departed.insert("d".into(), 9);
         }
         if !listed {
-            facts.databases.remove(0);
+            snapshot.databases.remove(0);
         }
-        if !beats {
-            facts.beating.remove(&"a".into());
+        if !heartbeats {
+            snapshot.beating.remove(&"a".into());
         }
-        assert_eq!(s.tick(&facts, now), deeds, "{listed} {beats} {ends} {departed}");
+        assert_eq!(s.tick(&snapshot, now), actions, "{listed} {heartbeats} {ends} {departed}");
     }
 }
 
 #[test]
 fn a_slow_primary_is_left_at_most_once_in_five_seconds() {
-    let (facts, now) = (facts(), Tick(50_000));
-    let mut s = begun(&facts, now);
+    let (snapshot, now) = (snapshot(), Tick(50_000));
+    let mut s = begun(&snapshot, now);
     let mut left = |after: u64| {
         let now = now.plus(after);
-        s.suspect(&facts, &"n1".into(), &"a".into(), SuspicionReason::ConnectionsBroken, now);
-        let deeds = s.told(
-            &facts,
+        s.suspect(&snapshot, &"n1".into(), &"a".into(), SuspicionReason::ConnectionsBroken, now);
+        let actions = s.told(
+            &snapshot,
             s.attempt,
             &"a".into(),
             DatabaseRequest::Describe,
             &DatabaseResponse::Alive,
             now.plus(10),
         );
-        if !deeds.is_empty() {
+        if !actions.is_empty() {
             let late = now.plus(10 + 700);
-            s.told(&facts, s.attempt, &"c".into(), PAUSE, &DatabaseResponse::Lost, now.plus(20));
-            assert_eq!(s.tick(&facts, late), [ask("c", DatabaseRequest::Continue)], "given up");
-            went_on(&mut s, &facts, late);
+            s.told(&snapshot, s.attempt, &"c".into(), PAUSE, &DatabaseResponse::Lost, now.plus(20));
+            assert_eq!(s.tick(&snapshot, late), [ask("c", DatabaseRequest::Continue)], "given up");
+            went_on(&mut s, &snapshot, late);
         }
-        !deeds.is_empty()
+        !actions.is_empty()
     };
     let table =
         [(0, false), (1_000, true), (2_500, false), (4_300, false), (5_900, false), (6_300, true)];
@@ -1198,86 +1246,102 @@
         ("c", false, 2, false),
         ("b", true, 2, false),
     ] {
-        let mut facts = facts();
-        let mut s = posting(&mut facts, now);
+        let mut snapshot = snapshot();
+        let mut s = posting(&mut snapshot, now);
         let told = row(leads, term, at(9));
-        let deeds = s.told(&facts, s.attempt, &who.into(), DatabaseRequest::Describe, &told, now);
+        let actions =
+            s.told(&snapshot, s.attempt, &who.into(), DatabaseRequest::Describe, &told, now);
         let down = [ask("a", DatabaseRequest::StepDown(DbTerm(term)))];
-        assert_eq!(deeds, if done { &down[..] } else { &[] }, "{who} {leads} {term}");
+        assert_eq!(actions, if done { &down[..] } else { &[] }, "{who} {leads} {term}");
         assert_eq!(matches!(s.stage, FailoverState::Taking { .. }), done, "{who} {leads} {term}");
     }
     // In a planned change leases are granted until the target leads, and none from then on.
-    let mut facts = facts();
-    let mut s = planned(&mut facts, now);
-    s.told(&facts, s.attempt, &"c".into(), PAUSE, &row(false, 1, at(7)), now);
-    s.told(&facts, s.attempt, &"b".into(), DatabaseRequest::Describe, &row(false, 1, at(7)), now);
-    intended(&mut facts, "b");
-    assert_eq!(s.tick(&facts, now), [FailoverAction::Post("b".into())]);
+    let mut snapshot = snapshot();
+    let mut s = planned(&mut snapshot, now);
+    s.told(&snapshot, s.attempt, &"c".into(), PAUSE, &row(false, 1, at(7)), now);
+    s.told(
+        &snapshot,
+        s.attempt,
+        &"b".into(),
+        DatabaseRequest::Describe,
+        &row(false, 1, at(7)),
+        now,
+    );
+    intended(&mut snapshot, "b");
+    assert_eq!(s.tick(&snapshot, now), [FailoverAction::Post("b".into())]);
     assert!(!s.revoking);
-    s.told(&facts, s.attempt, &"b".into(), DatabaseRequest::Describe, &row(true, 2, at(7)), now);
+    s.told(&snapshot, s.attempt, &"b".into(), DatabaseRequest::Describe, &row(true, 2, at(7)), now);
     assert!(s.revoking, "no lease on the old term is granted any more");
 }
 
 #[test]
 fn one_call_at_a_time_is_under_way() {
-    let (mut facts, now) = (facts(), Tick(50_000));
-    let mut s = posting(&mut facts, now);
+    let (mut snapshot, now) = (snapshot(), Tick(50_000));
+    let mut s = posting(&mut snapshot, now);
     let first = s.attempt;
     for (after, again) in [(400, false), (2_000, false), (3_000, false), (3_010, true)] {
-        let posts = s.tick(&facts, now.plus(after)).contains(&FailoverAction::Post("c".into()));
+        let posts = s.tick(&snapshot, now.plus(after)).contains(&FailoverAction::Post("c".into()));
         assert_eq!(posts, again, "after {after}");
         assert_eq!(s.attempt > first, again, "after {after}");
     }
     // The intent that was proposed but not seen committed is proposed again.
-    let facts = self::facts();
-    let mut s = fencing(&facts, now);
-    s.told(&facts, s.attempt, &"b".into(), PAUSE, &row(false, 1, at(7)), now);
-    s.told(&facts, s.attempt, &"c".into(), PAUSE, &row(false, 1, at(9)), now);
+    let snapshot = self::snapshot();
+    let mut s = fencing(&snapshot, now);
+    s.told(&snapshot, s.attempt, &"b".into(), PAUSE, &row(false, 1, at(7)), now);
+    s.told(&snapshot, s.attempt, &"c".into(), PAUSE, &row(false, 1, at(9)), now);
     let table = [(1_000, false), (1_010, true), (2_000, false), (2_020, true)];
     for (after, again) in table {
         let expected = if again { vec![intend("c")] } else { Vec::new() };
-        assert_eq!(s.tick(&facts, now.plus(after)), expected, "after {after}");
+        assert_eq!(s.tick(&snapshot, now.plus(after)), expected, "after {after}");
     }
 }
 
 #[test]
 fn what_is_sealed_is_the_furthest_that_any_paused_replica_has() {
-    let (mut facts, now) = (facts(), Tick(50_000));
-    facts.databases[1].1.lifecycle_state = Lifecycle::Draining;
-    facts.given_back = Some(Some(at(8)));
-    let mut s = fencing(&facts, now);
-    s.told(&facts, s.attempt, &"b".into(), PAUSE, &row(false, 1, at(9)), now);
-    let deeds = s.told(&facts, s.attempt, &"c".into(), PAUSE, &row(false, 1, at(8)), now);
-    assert_eq!((deeds, s.sealed), (vec![intend("c")], Some(at(9))));
+    let (mut snapshot, now) = (snapshot(), Tick(50_000));
+    snapshot.databases[1].1.lifecycle_state = Lifecycle::Draining;
+    snapshot.given_back = Some(Some(at(8)));
+    let mut s = fencing(&snapshot, now);
+    s.told(&snapshot, s.attempt, &"b".into(), PAUSE, &row(false, 1, at(9)), now);
+    let actions = s.told(&snapshot, s.attempt, &"c".into(), PAUSE, &row(false, 1, at(8)), now);
+    assert_eq!((actions, s.sealed), (vec![intend("c")], Some(at(9))));
 }
 
 #[test]
 fn a_replica_founds_no_service() {
     let now = Tick(50_000);
-    let facts = ServiceSnapshot { lead: None, ..facts() };
+    let snapshot = ServiceSnapshot { lead: None, ..snapshot() };
     for (told, founds) in [
         (row(true, 4, at(2)), true),
         (row(false, 4, at(2)), false),
         (DatabaseResponse::Alive, false),
         (DatabaseResponse::Lost, false),
     ] {
-        let (mut s, _) = Failover::begin(&facts, now);
-        s.beat(&facts, &"a".into(), Role::Primary, now);
-        let deeds = s.told(&facts, s.attempt, &"a".into(), DatabaseRequest::Describe, &told, now);
-        assert_eq!(deeds, if founds { vec![led("a", 4)] } else { Vec::new() }, "{told:?}");
+        let (mut s, _) = Failover::begin(&snapshot, now);
+        s.heartbeat(&snapshot, &"a".into(), Role::Primary, now);
+        let actions =
+            s.told(&snapshot, s.attempt, &"a".into(), DatabaseRequest::Describe, &told, now);
+        assert_eq!(actions, if founds { vec![led("a", 4)] } else { Vec::new() }, "{told:?}");
     }
 }
 
 #[test]
 fn the_present_primary_is_told_neither_to_step_down_nor_to_go_on() {
-    let (mut facts, now) = (facts(), Tick(50_000));
-    let (mut s, _) = Failover::begin(&facts, now);
-    assert_eq!(s.beat(&facts, &"a".into(), Role::Primary, now), []);
+    let (mut snapshot, now) = (snapshot(), Tick(50_000));
+    let (mut s, _) = Failover::begin(&snapshot, now);
+    assert_eq!(s.heartbeat(&snapshot, &"a".into(), Role::Primary, now), []);
     // `c` did not say that it goes on, and leads since.
-    s.told(&facts, s.attempt, &"b".into(), DatabaseRequest::Continue, &row(false, 1, at(7)), now);
-    facts.lead = Some(PrimaryRecord { term: DbTerm(2), primary: "c".into(), intent: None });
-    assert_eq!(s.tick(&facts, now.plus(1_100)), []);
-    assert_eq!(s.beat(&facts, &"c".into(), Role::Primary, now), []);
+    s.told(
+        &snapshot,
+        s.attempt,
+        &"b".into(),
+        DatabaseRequest::Continue,
+        &row(false, 1, at(7)),
+        now,
+    );
+    snapshot.lead = Some(PrimaryRecord { term: DbTerm(2), primary: "c".into(), intent: None });
+    assert_eq!(s.tick(&snapshot, now.plus(1_100)), []);
+    assert_eq!(s.heartbeat(&snapshot, &"c".into(), Role::Primary, now), []);
     let down = [ask("a", DatabaseRequest::StepDown(DbTerm(2)))];
-    assert_eq!(s.beat(&facts, &"a".into(), Role::Primary, now), down);
+    assert_eq!(s.heartbeat(&snapshot, &"a".into(), Role::Primary, now), down);
 }
