--- a/tests/copies.rs
+++ b/tests/failover_replicas.rs
@@ -27,10 +27,10 @@
     }
 }
 /// A service with primary `a` in term 1 and replicas `b` and `c`.
-fn facts() -> ServiceSnapshot {
+fn snapshot() -> ServiceSnapshot {
     ServiceSnapshot {
         service: "s".into(),
-        epoch: Term(3),
+        raft_term: Term(3),
         lead: Some(PrimaryRecord { term: DbTerm(1), primary: "a".into(), intent: None }),
         databases: vec![
             ("a".into(), database(Role::Primary)),
@@ -53,57 +53,57 @@
 const PAUSE: DatabaseRequest = DatabaseRequest::Pause(DbTerm(2));
 
 /// The primary is doubted and refuses; gives what is asked of the replicas.
-fn lost(s: &mut Failover, facts: &ServiceSnapshot, now: Tick) -> Vec<FailoverAction> {
-    s.suspect(facts, &"n1".into(), &"a".into(), SuspicionReason::ConnectionsBroken, now);
-    let deeds = s.told(
-        facts,
+fn lost(s: &mut Failover, snapshot: &ServiceSnapshot, now: Tick) -> Vec<FailoverAction> {
+    s.suspect(snapshot, &"n1".into(), &"a".into(), SuspicionReason::ConnectionsBroken, now);
+    let actions = s.told(
+        snapshot,
         s.attempt,
         &"a".into(),
         DatabaseRequest::Describe,
         &DatabaseResponse::Lost,
         now,
     );
-    assert_eq!(deeds[0], FailoverAction::Revoke(DbTerm(1)));
-    deeds[1..].to_vec()
+    assert_eq!(actions[0], FailoverAction::Revoke(DbTerm(1)));
+    actions[1..].to_vec()
 }
 fn tell(
     s: &mut Failover,
-    facts: &ServiceSnapshot,
+    snapshot: &ServiceSnapshot,
     id: &str,
     ask: DatabaseRequest,
     number: u64,
     now: Tick,
 ) -> Vec<FailoverAction> {
-    s.told(facts, s.attempt, &id.into(), ask, &row(false, at(number)), now)
+    s.told(snapshot, s.attempt, &id.into(), ask, &row(false, at(number)), now)
 }
-fn begun(facts: &ServiceSnapshot, now: Tick) -> Failover {
-    let (mut s, _) = Failover::begin(facts, now);
+fn begun(snapshot: &ServiceSnapshot, now: Tick) -> Failover {
+    let (mut s, _) = Failover::begin(snapshot, now);
     for id in ["b", "c"] {
-        tell(&mut s, facts, id, DatabaseRequest::Continue, 7, now);
+        tell(&mut s, snapshot, id, DatabaseRequest::Continue, 7, now);
     }
     s
 }
 
 #[test]
 fn a_pause_of_an_earlier_attempt_says_nothing_about_this_one() {
-    let (facts, now) = (facts(), Tick(50_000));
-    let mut s = begun(&facts, now);
-    lost(&mut s, &facts, now);
+    let (snapshot, now) = (snapshot(), Tick(50_000));
+    let mut s = begun(&snapshot, now);
+    lost(&mut s, &snapshot, now);
     let first = s.attempt;
-    tell(&mut s, &facts, "b", PAUSE, 7, now);
+    tell(&mut s, &snapshot, "b", PAUSE, 7, now);
     // The alarm was false: both go on, and receive what is committed from here on.
-    s.told(&facts, first, &"a".into(), DatabaseRequest::Describe, &row(true, at(7)), now);
+    s.told(&snapshot, first, &"a".into(), DatabaseRequest::Describe, &row(true, at(7)), now);
     assert_eq!(s.stage, FailoverState::Steady);
     let later = now.plus(2_000);
     for id in ["b", "c"] {
-        s.told(&facts, first, &id.into(), DatabaseRequest::Continue, &row(false, at(7)), later);
+        s.told(&snapshot, first, &id.into(), DatabaseRequest::Continue, &row(false, at(7)), later);
     }
-    assert_eq!(lost(&mut s, &facts, later), [ask("b", PAUSE), ask("c", PAUSE)]);
-    tell(&mut s, &facts, "b", PAUSE, 9, later);
+    assert_eq!(lost(&mut s, &snapshot, later), [ask("b", PAUSE), ask("c", PAUSE)]);
+    tell(&mut s, &snapshot, "b", PAUSE, 9, later);
     // The answer of `c` to the first attempt comes now; it may have received more since.
-    let late = s.told(&facts, first, &"c".into(), PAUSE, &row(false, at(7)), later);
+    let late = s.told(&snapshot, first, &"c".into(), PAUSE, &row(false, at(7)), later);
     assert_eq!(late, [], "of an attempt that was called off");
-    let chosen = tell(&mut s, &facts, "c", PAUSE, 11, later);
+    let chosen = tell(&mut s, &snapshot, "c", PAUSE, 11, later);
     let target = InstanceId::from("c");
     assert_eq!(
         chosen,
@@ -117,12 +117,12 @@
 
 #[test]
 fn an_order_that_is_under_way_is_overtaken_by_no_other() {
-    let (facts, now) = (facts(), Tick(50_000));
-    let (mut s, _) = Failover::begin(&facts, now);
-    tell(&mut s, &facts, "b", DatabaseRequest::Continue, 7, now);
+    let (snapshot, now) = (snapshot(), Tick(50_000));
+    let (mut s, _) = Failover::begin(&snapshot, now);
+    tell(&mut s, &snapshot, "b", DatabaseRequest::Continue, 7, now);
     // `c` may still be let go by what is on its way: paused now, it would go on unseen.
-    assert_eq!(lost(&mut s, &facts, now.plus(10)), [ask("b", PAUSE)]);
-    assert!(!s.tick(&facts, now.plus(500)).contains(&ask("c", PAUSE)));
+    assert_eq!(lost(&mut s, &snapshot, now.plus(10)), [ask("b", PAUSE)]);
+    assert!(!s.tick(&snapshot, now.plus(500)).contains(&ask("c", PAUSE)));
     for (told, after, asked) in [
         (Some(row(false, at(7))), 600, vec![ask("c", PAUSE)]),
         (Some(DatabaseResponse::Lost), 600, vec![ask("c", PAUSE)]),
@@ -130,66 +130,71 @@
         (None, 3_100, vec![ask("b", PAUSE), ask("c", PAUSE)]),
     ] {
         let (mut s, now) = (s.clone(), now.plus(after));
-        let mut deeds = match &told {
+        let mut actions = match &told {
             Some(told) => {
-                s.told(&facts, s.attempt, &"c".into(), DatabaseRequest::Continue, told, now)
+                s.told(&snapshot, s.attempt, &"c".into(), DatabaseRequest::Continue, told, now)
             }
-            None => s.tick(&facts, now),
+            None => s.tick(&snapshot, now),
         };
-        deeds.retain(|deed| {
-            matches!(deed, FailoverAction::DatabaseRequest(_, DatabaseRequest::Pause(_)))
+        actions.retain(|action| {
+            matches!(action, FailoverAction::DatabaseRequest(_, DatabaseRequest::Pause(_)))
         });
-        assert_eq!(deeds, asked, "{told:?}");
+        assert_eq!(actions, asked, "{told:?}");
     }
     // The other way round: `c` is not taken for let go while its pause may still come.
-    tell(&mut s, &facts, "c", DatabaseRequest::Continue, 7, now.plus(600));
+    tell(&mut s, &snapshot, "c", DatabaseRequest::Continue, 7, now.plus(600));
     s.told(
-        &facts,
+        &snapshot,
         s.attempt,
         &"a".into(),
         DatabaseRequest::Describe,
         &row(true, at(7)),
         now.plus(610),
     );
-    tell(&mut s, &facts, "c", DatabaseRequest::Continue, 7, now.plus(620));
-    assert!(s.tick(&facts, now.plus(1_700)).contains(&ask("c", DatabaseRequest::Continue)));
-    tell(&mut s, &facts, "c", PAUSE, 7, now.plus(1_710));
-    tell(&mut s, &facts, "c", DatabaseRequest::Continue, 7, now.plus(1_720));
-    assert!(!s.tick(&facts, now.plus(2_800)).contains(&ask("c", DatabaseRequest::Continue)));
+    tell(&mut s, &snapshot, "c", DatabaseRequest::Continue, 7, now.plus(620));
+    assert!(s.tick(&snapshot, now.plus(1_700)).contains(&ask("c", DatabaseRequest::Continue)));
+    tell(&mut s, &snapshot, "c", PAUSE, 7, now.plus(1_710));
+    tell(&mut s, &snapshot, "c", DatabaseRequest::Continue, 7, now.plus(1_720));
+    assert!(!s.tick(&snapshot, now.plus(2_800)).contains(&ask("c", DatabaseRequest::Continue)));
 }
 
 #[test]
 fn a_call_is_answered_by_its_own_answer_and_has_a_fence_of_its_own() {
-    let (mut facts, now) = (facts(), Tick(50_000));
-    let mut s = begun(&facts, now);
-    lost(&mut s, &facts, now);
-    tell(&mut s, &facts, "b", PAUSE, 7, now);
-    tell(&mut s, &facts, "c", PAUSE, 9, now);
-    let intend = |facts: &mut ServiceSnapshot, target: Option<&str>| {
+    let (mut snapshot, now) = (snapshot(), Tick(50_000));
+    let mut s = begun(&snapshot, now);
+    lost(&mut s, &snapshot, now);
+    tell(&mut s, &snapshot, "b", PAUSE, 7, now);
+    tell(&mut s, &snapshot, "c", PAUSE, 9, now);
+    let intend = |snapshot: &mut ServiceSnapshot, target: Option<&str>| {
         let intent = target.map(InstanceId::from);
-        facts.lead = Some(PrimaryRecord { term: DbTerm(1), primary: "a".into(), intent });
+        snapshot.lead = Some(PrimaryRecord { term: DbTerm(1), primary: "a".into(), intent });
     };
-    intend(&mut facts, Some("c"));
-    assert_eq!(s.tick(&facts, now), [FailoverAction::Post("c".into())]);
+    intend(&mut snapshot, Some("c"));
+    assert_eq!(s.tick(&snapshot, now), [FailoverAction::Post("c".into())]);
     let first = s.attempt;
     // Its outcome was never heard here, so it may have taken effect; it is made again.
     let again = now.plus(3_100);
-    assert!(s.tick(&facts, again).contains(&FailoverAction::Post("c".into())));
+    assert!(s.tick(&snapshot, again).contains(&FailoverAction::Post("c".into())));
     assert!(s.attempt.fence() > first.fence());
     // The refusal of the first call comes late: the second is under way, and settles nothing yet.
     for (attempt, after) in [(first, 10), (s.attempt, 20), (first, 5_000)] {
-        let deeds =
-            s.posted(&facts, attempt, &"c".into(), PromotionResponse::Refused, again.plus(after));
-        assert_eq!(deeds, [], "{attempt:?}");
+        let actions = s.posted(
+            &snapshot,
+            attempt,
+            &"c".into(),
+            PromotionResponse::Refused,
+            again.plus(after),
+        );
+        assert_eq!(actions, [], "{attempt:?}");
     }
-    let deeds =
-        s.posted(&facts, s.attempt, &"c".into(), PromotionResponse::Refused, again.plus(5_000));
-    assert!(matches!(deeds[..], [FailoverAction::Propose(Command::AbandonFailover { .. })]));
+    let actions =
+        s.posted(&snapshot, s.attempt, &"c".into(), PromotionResponse::Refused, again.plus(5_000));
+    assert!(matches!(actions[..], [FailoverAction::Propose(Command::AbandonFailover { .. })]));
     let before = s.attempt;
-    intend(&mut facts, None);
-    s.tick(&facts, again.plus(5_010));
+    intend(&mut snapshot, None);
+    s.tick(&snapshot, again.plus(5_010));
     // Another leader's are above all of these.
-    let next = Attempt { epoch: Term(4), number: 0 };
+    let next = Attempt { raft_term: Term(4), number: 0 };
     assert!(before.fence() < s.attempt.fence() && s.attempt.fence() < next.fence());
 }
 
@@ -198,18 +203,18 @@
     FailoverAction::Propose(Command::BeginFailover { service, term: DbTerm(1), target })
 }
 /// `c` has left.
-fn without_c(facts: &ServiceSnapshot) -> ServiceSnapshot {
-    let mut facts = facts.clone();
-    facts.databases.retain(|(id, _)| *id != "c".into());
-    facts.beating.remove(&"c".into());
-    facts.departed.insert("c".into(), u64::MAX);
-    facts
+fn without_c(snapshot: &ServiceSnapshot) -> ServiceSnapshot {
+    let mut snapshot = snapshot.clone();
+    snapshot.databases.retain(|(id, _)| *id != "c".into());
+    snapshot.beating.remove(&"c".into());
+    snapshot.departed.insert("c".into(), u64::MAX);
+    snapshot
 }
 
 #[test]
 fn a_replica_that_left_counts_as_one_that_does_not_answer() {
     let now = Tick(50_000);
-    // `b` has 7. How far `c` was when it was paused in this attempt, if it was; what the stiles
+    // `b` has 7. How far `c` was when it was paused in this attempt, if it was; what the poolers
     // vouch for; synchronous replicas; whether `b` may take over.
     let table = [
         (None, None, 1, false),
@@ -221,7 +226,7 @@
         (Some(8), Some(Some(at(7))), 1, true),
     ];
     for (paused, given_back, sync_replicas, may) in table {
-        let listed = ServiceSnapshot { sync_replicas, ..facts() };
+        let listed = ServiceSnapshot { sync_replicas, ..snapshot() };
         let left = ServiceSnapshot { given_back, ..without_c(&listed) };
         let mut s = begun(&listed, now);
         let fence = |asked: &[&str]| asked.iter().map(|id| ask(id, PAUSE)).collect::<Vec<_>>();
@@ -232,56 +237,60 @@
             }
             None => assert_eq!(lost(&mut s, &left, now), fence(&["b"])),
         }
-        let mut deeds = tell(&mut s, &left, "b", PAUSE, 7, now);
-        if deeds.is_empty() {
-            deeds = s.tick(&left, now.plus(320));
+        let mut actions = tell(&mut s, &left, "b", PAUSE, 7, now);
+        if actions.is_empty() {
+            actions = s.tick(&left, now.plus(320));
         }
         let expected = if may { vec![intend("b")] } else { Vec::new() };
-        assert_eq!(deeds, expected, "{paused:?} {given_back:?} {sync_replicas}");
+        assert_eq!(actions, expected, "{paused:?} {given_back:?} {sync_replicas}");
     }
 }
 
 #[test]
 fn what_one_that_left_had_is_looked_for_with_few_questions() {
-    let (facts, now) = (without_c(&facts()), Tick(50_000));
-    let mut s = begun(&facts, now);
+    let (snapshot, now) = (without_c(&snapshot()), Tick(50_000));
+    let mut s = begun(&snapshot, now);
     let describe = |id| ask(id, DatabaseRequest::Describe);
     // It receives, and is waited for, until it has ended.
     for after in (100..2_100).step_by(100) {
-        assert_eq!(s.tick(&facts, now.plus(after)), [], "after {after}");
+        assert_eq!(s.tick(&snapshot, now.plus(after)), [], "after {after}");
     }
     let now = now.plus(2_100);
-    assert_eq!(s.tick(&facts, now), [describe("a")]);
+    assert_eq!(s.tick(&snapshot, now), [describe("a")]);
     // `b` has not said it since the primary did.
-    assert_eq!(tell(&mut s, &facts, "b", DatabaseRequest::Describe, 9, now), []);
+    assert_eq!(tell(&mut s, &snapshot, "b", DatabaseRequest::Describe, 9, now), []);
     let before = Attempt { number: s.attempt.number - 1, ..s.attempt };
     let primary = row(true, at(9));
-    assert_eq!(s.told(&facts, before, &"a".into(), DatabaseRequest::Describe, &primary, now), []);
     assert_eq!(
-        s.told(&facts, s.attempt, &"a".into(), DatabaseRequest::Describe, &primary, now),
+        s.told(&snapshot, before, &"a".into(), DatabaseRequest::Describe, &primary, now),
+        []
+    );
+    assert_eq!(
+        s.told(&snapshot, s.attempt, &"a".into(), DatabaseRequest::Describe, &primary, now),
         [describe("b")]
     );
-    assert_eq!(tell(&mut s, &facts, "b", DatabaseRequest::Describe, 8, now), []);
-    assert_eq!(s.tick(&facts, now.plus(300)), []);
-    assert_eq!(s.tick(&facts, now.plus(500)), [describe("b")]);
-    let deeds = tell(&mut s.clone(), &facts, "b", DatabaseRequest::Describe, 9, now.plus(510));
-    let covered = Command::ForgetDeparted { service: "s".into(), departed: facts.departed.clone() };
-    assert_eq!(deeds, [FailoverAction::Propose(covered)]);
+    assert_eq!(tell(&mut s, &snapshot, "b", DatabaseRequest::Describe, 8, now), []);
+    assert_eq!(s.tick(&snapshot, now.plus(300)), []);
+    assert_eq!(s.tick(&snapshot, now.plus(500)), [describe("b")]);
+    let actions = tell(&mut s.clone(), &snapshot, "b", DatabaseRequest::Describe, 9, now.plus(510));
+    let covered =
+        Command::ForgetDeparted { service: "s".into(), departed: snapshot.departed.clone() };
+    assert_eq!(actions, [FailoverAction::Propose(covered)]);
     // A replica that never gets there is asked ever more rarely.
     let mut asked = 0;
     for after in (600..60_000).step_by(100) {
-        for deed in s.tick(&facts, now.plus(after)) {
+        for action in s.tick(&snapshot, now.plus(after)) {
             asked += 1;
-            if deed == describe("a") {
-                let deeds = s.told(
-                    &facts,
+            if action == describe("a") {
+                let actions = s.told(
+                    &snapshot,
                     s.attempt,
                     &"a".into(),
                     DatabaseRequest::Describe,
                     &primary,
                     now.plus(after),
                 );
-                asked += deeds.len();
+                asked += actions.len();
             }
         }
     }
@@ -291,7 +300,7 @@
 #[test]
 fn a_planned_change_waits_for_what_left_and_pauses_whoever_comes() {
     let now = Tick(50_000);
-    let mut all = facts();
+    let mut all = snapshot();
     all.databases[0].1.lifecycle_state = Lifecycle::Draining;
     let left = without_c(&all);
     let mut s = begun(&left, now);
@@ -313,36 +322,37 @@
     assert_eq!(s.tick(&all, now.plus(260)), [FailoverAction::Post("b".into())]);
     all.databases.push(("e".into(), database(Role::Replica)));
     assert_eq!(s.tick(&all, now.plus(270)), [ask("e", PAUSE)]);
-    let (_, deeds) = Failover::begin(&all, now.plus(280));
+    let (_, actions) = Failover::begin(&all, now.plus(280));
     let paused = ["c", "d", "e"].map(|id| ask(id, PAUSE));
-    assert_eq!(deeds[1..4], paused, "another leader can't know who was");
+    assert_eq!(actions[1..4], paused, "another leader can't know who was");
 }
 
 #[test]
 fn an_intent_that_comes_into_force_late_is_finished_by_whoever_leads() {
     let now = Tick(50_000);
-    let target = |facts: &ServiceSnapshot, id: &str| {
-        let lead = facts.lead.clone().map(|lead| PrimaryRecord { intent: Some(id.into()), ..lead });
-        ServiceSnapshot { lead, ..facts.clone() }
+    let target = |snapshot: &ServiceSnapshot, id: &str| {
+        let lead =
+            snapshot.lead.clone().map(|lead| PrimaryRecord { intent: Some(id.into()), ..lead });
+        ServiceSnapshot { lead, ..snapshot.clone() }
     };
-    let facts = facts();
-    let steady = begun(&facts, now);
+    let snapshot = snapshot();
+    let steady = begun(&snapshot, now);
     let mut doubting = steady.clone();
-    doubting.suspect(&facts, &"n1".into(), &"a".into(), SuspicionReason::ConnectionsBroken, now);
+    doubting.suspect(&snapshot, &"n1".into(), &"a".into(), SuspicionReason::ConnectionsBroken, now);
     let mut fencing = steady.clone();
-    lost(&mut fencing, &facts, now);
+    lost(&mut fencing, &snapshot, now);
     let mut intending = fencing.clone();
-    tell(&mut intending, &facts, "b", PAUSE, 7, now);
-    assert_eq!(tell(&mut intending, &facts, "c", PAUSE, 9, now), [intend("c")]);
+    tell(&mut intending, &snapshot, "b", PAUSE, 7, now);
+    assert_eq!(tell(&mut intending, &snapshot, "c", PAUSE, 9, now), [intend("c")]);
     // The stage that this leader had come to, and whether it had paused `c` itself.
     for (mut s, paused) in
         [(steady, false), (doubting, false), (fencing.clone(), true), (intending, true)]
     {
-        let deeds = s.tick(&target(&facts, "b"), now.plus(100));
+        let actions = s.tick(&target(&snapshot, "b"), now.plus(100));
         let pause = (!paused).then(|| ask("c", PAUSE));
         let expected = [FailoverAction::Revoke(DbTerm(1))].into_iter().chain(pause);
         let expected: Vec<_> = expected.chain([FailoverAction::Post("b".into())]).collect();
-        assert_eq!(deeds, expected, "{paused}");
+        assert_eq!(actions, expected, "{paused}");
     }
     // Its call has taken effect already.
     let newer = DatabaseResponse::Description(ServerDescription {
@@ -350,20 +360,20 @@
         term: DbTerm(2),
         received: at(9),
     });
-    let deeds = fencing.told(&facts, fencing.attempt, &"b".into(), PAUSE, &newer, now);
-    assert_eq!(deeds, [ask("a", DatabaseRequest::StepDown(DbTerm(2)))]);
+    let actions = fencing.told(&snapshot, fencing.attempt, &"b".into(), PAUSE, &newer, now);
+    assert_eq!(actions, [ask("a", DatabaseRequest::StepDown(DbTerm(2)))]);
     assert!(matches!(fencing.stage, FailoverState::Taking { .. }));
 }
 
 /// The state with a lead, and how a database comes and goes.
-fn almanac() -> StateMachine {
-    let mut almanac = StateMachine::default();
-    almanac.apply(&Command::SetPrimary {
+fn state_machine() -> StateMachine {
+    let mut state_machine = StateMachine::default();
+    state_machine.apply(&Command::SetPrimary {
         service: "s".into(),
         term: DbTerm(1),
         primary: "a".into(),
     });
-    almanac
+    state_machine
 }
 fn comes(id: &str, sequence: u64) -> Command {
     Command::Heartbeat { id: id.into(), instance: database(Role::Replica), sequence }
@@ -375,48 +385,49 @@
 #[test]
 fn who_left_is_kept_until_others_have_what_it_had() {
     let s = ServiceName::from("s");
-    let departed = |almanac: &StateMachine| almanac.departed(&s).into_iter().collect::<Vec<_>>();
+    let departed =
+        |state_machine: &StateMachine| state_machine.departed(&s).into_iter().collect::<Vec<_>>();
     let covered = |pairs: &[(&str, u64)]| {
         let departed = pairs.iter().map(|(id, last)| (InstanceId::from(*id), *last)).collect();
         Command::ForgetDeparted { service: s.clone(), departed }
     };
-    let mut almanac = almanac();
+    let mut state_machine = state_machine();
     for change in [comes("a", 1), comes("b", 3), comes("c", 4), goes("b", u64::MAX), goes("c", 0)] {
-        assert_eq!(almanac.apply(&change), CommandOutcome::Applied);
+        assert_eq!(state_machine.apply(&change), CommandOutcome::Applied);
     }
-    assert_eq!(departed(&almanac), [("b".into(), u64::MAX), ("c".into(), 4)]);
+    assert_eq!(departed(&state_machine), [("b".into(), u64::MAX), ("c".into(), 4)]);
     // Another leader has it from a snapshot.
-    almanac = StateMachine::read(&pack(&almanac)).expect("as it was packed");
+    state_machine = StateMachine::read(&pack(&state_machine)).expect("as it was packed");
     // `c` comes back and leaves with more, while others were found to have what it had before.
-    almanac.apply(&comes("c", 8));
-    assert_eq!(departed(&almanac), [("b".into(), u64::MAX)]);
-    almanac.apply(&goes("c", 0));
-    almanac.apply(&covered(&[("b", u64::MAX), ("c", 4)]));
-    assert_eq!(departed(&almanac), [("c".into(), 8)]);
+    state_machine.apply(&comes("c", 8));
+    assert_eq!(departed(&state_machine), [("b".into(), u64::MAX)]);
+    state_machine.apply(&goes("c", 0));
+    state_machine.apply(&covered(&[("b", u64::MAX), ("c", 4)]));
+    assert_eq!(departed(&state_machine), [("c".into(), 8)]);
     // The primary's log is known to be missing; once another leads, it may be missed.
-    almanac.apply(&goes("a", u64::MAX));
-    assert_eq!(departed(&almanac), [("c".into(), 8)]);
-    almanac.apply(&Command::SetPrimary {
+    state_machine.apply(&goes("a", u64::MAX));
+    assert_eq!(departed(&state_machine), [("c".into(), 8)]);
+    state_machine.apply(&Command::SetPrimary {
         service: s.clone(),
         term: DbTerm(2),
         primary: "d".into(),
     });
-    assert_eq!(departed(&almanac), [("a".into(), u64::MAX), ("c".into(), 8)]);
-    almanac.apply(&covered(&[("a", u64::MAX), ("c", 8)]));
+    assert_eq!(departed(&state_machine), [("a".into(), u64::MAX), ("c".into(), 8)]);
+    state_machine.apply(&covered(&[("a", u64::MAX), ("c", 8)]));
     assert_eq!(
-        (departed(&almanac), almanac.apply(&covered(&[]))),
+        (departed(&state_machine), state_machine.apply(&covered(&[]))),
         (vec![], CommandOutcome::NoChange)
     );
 }
 
 #[test]
 fn a_primary_that_returns_under_another_id_is_known_again() {
-    let (mut facts, now) = (facts(), Tick(50_000));
-    let mut s = begun(&facts, now);
-    lost(&mut s, &facts, now);
-    tell(&mut s, &facts, "b", PAUSE, 7, now);
-    facts.databases.push(("d".into(), database(Role::Primary)));
-    assert!(s.tick(&facts, now.plus(500)).contains(&ask("d", PAUSE)));
+    let (mut snapshot, now) = (snapshot(), Tick(50_000));
+    let mut s = begun(&snapshot, now);
+    lost(&mut s, &snapshot, now);
+    tell(&mut s, &snapshot, "b", PAUSE, 7, now);
+    snapshot.databases.push(("d".into(), database(Role::Primary)));
+    assert!(s.tick(&snapshot, now.plus(500)).contains(&ask("d", PAUSE)));
     let answer = |term| {
         DatabaseResponse::Description(ServerDescription {
             primary: true,
@@ -425,26 +436,27 @@
         })
     };
     // One of an older term has not stepped down yet, and is no copy that a pause holds.
-    let older = s.clone().told(&facts, s.attempt, &"d".into(), PAUSE, &answer(0), now.plus(510));
+    let older = s.clone().told(&snapshot, s.attempt, &"d".into(), PAUSE, &answer(0), now.plus(510));
     assert_eq!(older, [ask("d", DatabaseRequest::StepDown(DbTerm(1)))]);
-    let deeds = s.told(&facts, s.attempt, &"d".into(), PAUSE, &answer(1), now.plus(510));
+    let actions = s.told(&snapshot, s.attempt, &"d".into(), PAUSE, &answer(1), now.plus(510));
     let (service, primary) = (ServiceName::from("s"), InstanceId::from("d"));
     let returned = Command::PrimaryReturned { service, term: DbTerm(1), primary };
-    assert_eq!(deeds, [FailoverAction::Propose(returned.clone())]);
-    let mut almanac = almanac();
+    assert_eq!(actions, [FailoverAction::Propose(returned.clone())]);
+    let mut state_machine = state_machine();
     for change in [comes("a", 1), comes("d", 1)] {
-        almanac.apply(&change);
+        state_machine.apply(&change);
     }
-    assert_eq!(almanac.apply(&returned), CommandOutcome::Applied);
+    assert_eq!(state_machine.apply(&returned), CommandOutcome::Applied);
     assert!(
-        almanac.departed(&"s".into()).is_empty() && !almanac.instances.contains_key(&"a".into())
+        state_machine.departed(&"s".into()).is_empty()
+            && !state_machine.instances.contains_key(&"a".into())
     );
-    assert_eq!(almanac.apply(&comes("a", 9)), CommandOutcome::NoChange);
-    facts.lead = almanac.leads.get(&"s".into()).cloned();
-    facts.databases.remove(0);
-    assert!(s.tick(&facts, now.plus(1_000)).contains(&ask("d", DatabaseRequest::Describe)));
-    let deeds = s.told(
-        &facts,
+    assert_eq!(state_machine.apply(&comes("a", 9)), CommandOutcome::NoChange);
+    snapshot.lead = state_machine.leads.get(&"s".into()).cloned();
+    snapshot.databases.remove(0);
+    assert!(s.tick(&snapshot, now.plus(1_000)).contains(&ask("d", DatabaseRequest::Describe)));
+    let actions = s.told(
+        &snapshot,
         s.attempt,
         &"d".into(),
         DatabaseRequest::Describe,
@@ -452,23 +464,24 @@
         now.plus(1_010),
     );
     assert!(
-        s.stage == FailoverState::Steady && deeds.contains(&ask("b", DatabaseRequest::Continue)),
-        "{deeds:?}"
+        s.stage == FailoverState::Steady && actions.contains(&ask("b", DatabaseRequest::Continue)),
+        "{actions:?}"
     );
 }
 
 #[test]
 fn a_late_beat_brings_nobody_back_after_many_departures() {
-    let mut almanac = almanac();
+    let mut state_machine = state_machine();
     for i in 0..1_000 {
-        almanac.apply(&comes(&format!("d{i}"), 5));
-        almanac.apply(&goes(&format!("d{i}"), u64::MAX));
+        state_machine.apply(&comes(&format!("d{i}"), 5));
+        state_machine.apply(&goes(&format!("d{i}"), u64::MAX));
     }
-    let bytes = pack(&almanac);
-    for mut almanac in [almanac, StateMachine::read(&bytes).expect("as it was packed")] {
+    let bytes = pack(&state_machine);
+    for mut state_machine in [state_machine, StateMachine::read(&bytes).expect("as it was packed")]
+    {
         for i in 0..1_000 {
             assert_eq!(
-                almanac.apply(&comes(&format!("d{i}"), 6)),
+                state_machine.apply(&comes(&format!("d{i}"), 6)),
                 CommandOutcome::NoChange,
                 "d{i}"
             );
@@ -487,11 +500,15 @@
     let instances = BTreeMap::<String, (Instance, u64)>::new();
     let leads = BTreeMap::from([("s", &lead)]);
     let bytes = pack(&(body, revision, taken, instances, gone, leads));
-    let almanac = StateMachine::read(&bytes).expect("read");
-    assert_eq!(almanac.leads[&"s".into()], lead);
-    assert!(almanac.departed(&"s".into()).is_empty());
+    let state_machine = StateMachine::read(&bytes).expect("read");
+    assert_eq!(state_machine.leads[&"s".into()], lead);
+    assert!(state_machine.departed(&"s".into()).is_empty());
     for (id, sequence, news) in [("x", 9, false), ("x", 10, true), ("y", 2, false)] {
-        assert_eq!(almanac.news(&id.into(), &database(Role::Replica), sequence), news, "{id}");
+        assert_eq!(
+            state_machine.news(&id.into(), &database(Role::Replica), sequence),
+            news,
+            "{id}"
+        );
     }
     // An entry names its kind, so that new ones leave the others as they were.
     assert_eq!(pack(&goes("x", 9)), b"\x81\xa4Gone\x92\xa1x\x09");
@@ -554,9 +571,9 @@
     sync: usize,
     /// Acknowledged, as (place, term).
     acknowledged: BTreeSet<(usize, u64)>,
-    almanac: StateMachine,
-    succession: Failover,
-    epoch: u64,
+    state_machine: StateMachine,
+    failover: Failover,
+    raft_term: u64,
     due: Vec<(Tick, Due)>,
     born: u64,
     promoted: usize,
@@ -567,7 +584,7 @@
 
 impl Service {
     fn new(seed: u64, sync: usize, replicas: usize) -> Self {
-        let facts = ServiceSnapshot { lead: None, databases: Vec::new(), ..facts() };
+        let snapshot = ServiceSnapshot { lead: None, databases: Vec::new(), ..snapshot() };
         let mut this = Self {
             dice: Dice(seed),
             now: Tick(50_000),
@@ -576,9 +593,9 @@
             term: 1,
             sync,
             acknowledged: BTreeSet::new(),
-            almanac: StateMachine::default(),
-            succession: Failover::begin(&facts, Tick(50_000)).0,
-            epoch: 1,
+            state_machine: StateMachine::default(),
+            failover: Failover::begin(&snapshot, Tick(50_000)).0,
+            raft_term: 1,
             due: Vec::new(),
             born: 0,
             promoted: 0,
@@ -590,7 +607,11 @@
             this.join();
         }
         let primary = this.primary.clone();
-        this.almanac.apply(&Command::SetPrimary { service: "s".into(), term: DbTerm(1), primary });
+        this.state_machine.apply(&Command::SetPrimary {
+            service: "s".into(),
+            term: DbTerm(1),
+            primary,
+        });
         this.lead_anew();
         this
     }
@@ -617,9 +638,9 @@
             },
         );
         self.say(format!("{id} joins"));
-        self.beat(&id);
+        self.heartbeat(&id);
     }
-    fn beat(&mut self, id: &InstanceId) {
+    fn heartbeat(&mut self, id: &InstanceId) {
         let leads = *id == self.primary;
         let node = self.nodes.get_mut(id).expect("known");
         node.sequence += 1;
@@ -629,46 +650,46 @@
             instance.lifecycle_state = Lifecycle::Draining;
         }
         let sequence = node.sequence;
-        self.almanac.apply(&Command::Heartbeat { id: id.clone(), instance, sequence });
+        self.state_machine.apply(&Command::Heartbeat { id: id.clone(), instance, sequence });
         if leads {
             let now = self.now;
-            self.step(|s, facts| s.beat(facts, id, Role::Primary, now));
+            self.step(|s, snapshot| s.heartbeat(snapshot, id, Role::Primary, now));
         }
     }
     fn gone(&mut self, id: &InstanceId, sequence: u64) {
         self.say(format!("{id} is gone"));
-        self.almanac.apply(&Command::RemoveInstance { id: id.clone(), sequence });
+        self.state_machine.apply(&Command::RemoveInstance { id: id.clone(), sequence });
     }
-    fn facts(&self) -> ServiceSnapshot {
+    fn snapshot(&self) -> ServiceSnapshot {
         let there = |id: &&InstanceId| self.nodes[*id].alive && !self.nodes[*id].dark;
-        let listed = self.almanac.instances.iter();
+        let listed = self.state_machine.instances.iter();
         ServiceSnapshot {
-            epoch: Term(self.epoch),
-            lead: self.almanac.leads.get(&"s".into()).cloned(),
+            raft_term: Term(self.raft_term),
+            lead: self.state_machine.leads.get(&"s".into()).cloned(),
             databases: listed.map(|(id, r)| (id.clone(), r.instance.clone())).collect(),
-            departed: self.almanac.departed(&"s".into()),
-            beating: self.almanac.instances.keys().filter(there).cloned().collect(),
+            departed: self.state_machine.departed(&"s".into()),
+            beating: self.state_machine.instances.keys().filter(there).cloned().collect(),
             sync_replicas: self.sync as u32,
             leases_gone: true,
-            ..facts()
+            ..snapshot()
         }
     }
     fn lead_anew(&mut self) {
-        self.epoch += 1;
-        self.say("another steward leads".into());
-        let (succession, deeds) = Failover::begin(&self.facts(), self.now);
-        self.succession = succession;
-        self.carry_out(deeds);
+        self.raft_term += 1;
+        self.say("another controller leads".into());
+        let (failover, actions) = Failover::begin(&self.snapshot(), self.now);
+        self.failover = failover;
+        self.carry_out(actions);
     }
     fn step(&mut self, step: impl FnOnce(&mut Failover, &ServiceSnapshot) -> Vec<FailoverAction>) {
-        let facts = self.facts();
-        let deeds = step(&mut self.succession, &facts);
-        self.carry_out(deeds);
+        let snapshot = self.snapshot();
+        let actions = step(&mut self.failover, &snapshot);
+        self.carry_out(actions);
     }
-    fn carry_out(&mut self, deeds: Vec<FailoverAction>) {
-        let attempt = self.succession.attempt;
-        for deed in deeds {
-            match deed {
+    fn carry_out(&mut self, actions: Vec<FailoverAction>) {
+        let attempt = self.failover.attempt;
+        for action in actions {
+            match action {
                 FailoverAction::DatabaseRequest(id, ask) => {
                     self.asked += 1;
                     // Now and then one is held up on its way.
@@ -682,7 +703,7 @@
                 FailoverAction::Propose(change) => {
                     self.say(format!("{change:?}"));
                     self.covered += usize::from(matches!(change, Command::ForgetDeparted { .. }));
-                    self.almanac.apply(&change);
+                    self.state_machine.apply(&change);
                 }
                 FailoverAction::Revoke(_) => {}
             }
@@ -717,7 +738,7 @@
                     .push((now.plus(wait + held), Due::DatabaseResponse(id, ask, attempt, told)));
             }
             Due::DatabaseResponse(id, ask, attempt, told) => {
-                self.step(|s, facts| s.told(facts, attempt, &id, ask, &told, now));
+                self.step(|s, snapshot| s.told(snapshot, attempt, &id, ask, &told, now));
             }
             Due::Post(id, attempt) => {
                 let posted = match self.nodes[&id].alive {
@@ -730,7 +751,7 @@
                 self.due.push((now.plus(20), Due::PromotionResponse(id, attempt, posted)));
             }
             Due::PromotionResponse(id, attempt, posted) => {
-                self.step(|s, facts| s.posted(facts, attempt, &id, posted, now));
+                self.step(|s, snapshot| s.posted(snapshot, attempt, &id, posted, now));
             }
         }
     }
@@ -782,13 +803,13 @@
             }
             let (now, primary) = (self.now, self.primary.clone());
             if now.0.is_multiple_of(100) {
-                self.step(|s, facts| s.tick(facts, now));
-                let lead = self.almanac.leads[&"s".into()].primary.clone();
+                self.step(|s, snapshot| s.tick(snapshot, now));
+                let lead = self.state_machine.leads[&"s".into()].primary.clone();
                 let unheard = !self.nodes[&lead].alive || self.nodes[&lead].dark;
                 if unheard {
-                    self.step(|s, facts| {
+                    self.step(|s, snapshot| {
                         s.suspect(
-                            facts,
+                            snapshot,
                             &"n".into(),
                             &lead,
                             SuspicionReason::ConnectionsBroken,
@@ -797,7 +818,7 @@
                     });
                 }
                 if self.nodes[&primary].alive && primary != lead {
-                    self.beat(&primary);
+                    self.heartbeat(&primary);
                 }
             }
             let ended = |n: &Node| n.alive && n.ends.is_some_and(|at| now >= at);
@@ -809,7 +830,7 @@
     /// What strikes databases, drawn.
     fn trouble(&mut self) {
         let (now, draw) = (self.now, self.dice.below(12));
-        let listed: Vec<InstanceId> = self.almanac.instances.keys().cloned().collect();
+        let listed: Vec<InstanceId> = self.state_machine.instances.keys().cloned().collect();
         if listed.is_empty() {
             return self.join();
         }
@@ -833,7 +854,7 @@
             }
             7 if leads && node.alive => {
                 node.draining = true;
-                self.beat(&id);
+                self.heartbeat(&id);
             }
             8 if node.draining && node.alive => {
                 node.ends = Some(now.plus(500));
@@ -914,25 +935,29 @@
         (&bound, returned(2, "d"), None),
     ];
     for (before, change, after) in cases {
-        let mut almanac = StateMachine::default();
-        almanac.apply(&led(2, "a"));
+        let mut state_machine = StateMachine::default();
+        state_machine.apply(&led(2, "a"));
         if let Some(target) = &before.intent {
-            assert_eq!(almanac.apply(&intend(2, &target.0)), CommandOutcome::Applied);
+            assert_eq!(state_machine.apply(&intend(2, &target.0)), CommandOutcome::Applied);
         }
-        assert_eq!(almanac.leads[&service()], *before);
-        let whole = almanac.clone();
+        assert_eq!(state_machine.leads[&service()], *before);
+        let whole = state_machine.clone();
         let effect =
             if after.is_some() { CommandOutcome::Applied } else { CommandOutcome::NoChange };
-        assert_eq!(almanac.apply(&change), effect, "{before:?} {change:?}");
+        assert_eq!(state_machine.apply(&change), effect, "{before:?} {change:?}");
         match after {
-            Some(after) => assert_eq!(almanac.leads[&service()], after, "{change:?}"),
-            None => assert_eq!(almanac, whole, "{change:?} leaves all as it was"),
+            Some(after) => assert_eq!(state_machine.leads[&service()], after, "{change:?}"),
+            None => assert_eq!(state_machine, whole, "{change:?} leaves all as it was"),
         }
     }
     for change in [intend(1, "b"), abandon("b"), returned(1, "d")] {
-        let mut almanac = StateMachine::default();
-        assert_eq!(almanac.apply(&change), CommandOutcome::NoChange, "{change:?} without a lead");
-        assert_eq!(almanac, StateMachine::default());
+        let mut state_machine = StateMachine::default();
+        assert_eq!(
+            state_machine.apply(&change),
+            CommandOutcome::NoChange,
+            "{change:?} without a lead"
+        );
+        assert_eq!(state_machine, StateMachine::default());
     }
 }
 
@@ -956,11 +981,11 @@
         ("a replica and that one", vec![led(), goes("a", 9), goes("b", 9), returned()], &["b"]),
     ];
     for (what, changes, counted) in cases {
-        let mut almanac = StateMachine::default();
+        let mut state_machine = StateMachine::default();
         for change in [comes("a", 1), comes("b", 1)].iter().chain(&changes) {
-            assert_eq!(almanac.apply(change), CommandOutcome::Applied, "{what}: {change:?}");
+            assert_eq!(state_machine.apply(change), CommandOutcome::Applied, "{what}: {change:?}");
         }
-        let departed: Vec<InstanceId> = almanac.departed(&service).into_keys().collect();
+        let departed: Vec<InstanceId> = state_machine.departed(&service).into_keys().collect();
         let counted: Vec<InstanceId> = counted.iter().map(|id| InstanceId::from(*id)).collect();
         assert_eq!(departed, counted, "{what}");
     }
@@ -968,17 +993,17 @@
 
 #[test]
 fn one_that_left_twice_is_remembered_from_the_second_time() {
-    let mut almanac = StateMachine::default();
+    let mut state_machine = StateMachine::default();
     for change in [comes("b", 1), goes("b", 5), comes("b", 6), goes("b", 9)] {
-        assert_eq!(almanac.apply(&change), CommandOutcome::Applied);
+        assert_eq!(state_machine.apply(&change), CommandOutcome::Applied);
     }
     for n in 0..4_095 {
         let id = format!("i{n}");
-        almanac.apply(&comes(&id, 1));
-        almanac.apply(&goes(&id, 1));
+        state_machine.apply(&comes(&id, 1));
+        state_machine.apply(&goes(&id, 1));
     }
-    assert_eq!(almanac.apply(&comes("b", 8)), CommandOutcome::NoChange, "a late heartbeat");
-    assert_eq!(almanac.apply(&comes("b", 10)), CommandOutcome::Applied);
+    assert_eq!(state_machine.apply(&comes("b", 8)), CommandOutcome::NoChange, "a late heartbeat");
+    assert_eq!(state_machine.apply(&comes("b", 10)), CommandOutcome::Applied);
 }
 
 /// `c` left. What it had is covered by as many others as a commit needs.
@@ -987,14 +1012,14 @@
     let now = Tick(50_000);
     let describe = |id| ask(id, DatabaseRequest::Describe);
     let begin = |sync_replicas: u32| {
-        let mut facts = ServiceSnapshot { sync_replicas, ..without_c(&facts()) };
-        facts.databases.push(("d".into(), database(Role::Replica)));
-        facts.beating.insert("d".into());
-        let mut s = begun(&facts, now);
-        tell(&mut s, &facts, "d", DatabaseRequest::Continue, 7, now);
-        assert_eq!(s.tick(&facts, now), []);
-        assert_eq!(s.tick(&facts, now.plus(2_100)), [describe("a")]);
-        (s, facts)
+        let mut snapshot = ServiceSnapshot { sync_replicas, ..without_c(&snapshot()) };
+        snapshot.databases.push(("d".into(), database(Role::Replica)));
+        snapshot.beating.insert("d".into());
+        let mut s = begun(&snapshot, now);
+        tell(&mut s, &snapshot, "d", DatabaseRequest::Continue, 7, now);
+        assert_eq!(s.tick(&snapshot, now), []);
+        assert_eq!(s.tick(&snapshot, now.plus(2_100)), [describe("a")]);
+        (s, snapshot)
     };
     let now = now.plus(2_110);
     let primary = |primary, term| {
@@ -1006,15 +1031,16 @@
     };
     // (what `a` says of itself, whether its position is the mark)
     for (leads, term, mark) in [(true, 1, true), (false, 1, false), (true, 2, false)] {
-        let (mut s, facts) = begin(1);
+        let (mut s, snapshot) = begin(1);
         let told = primary(leads, term);
-        let deeds = s.told(&facts, s.attempt, &"a".into(), DatabaseRequest::Describe, &told, now);
+        let actions =
+            s.told(&snapshot, s.attempt, &"a".into(), DatabaseRequest::Describe, &told, now);
         let asked = if mark { vec![describe("b"), describe("d")] } else { Vec::new() };
-        assert_eq!(deeds, asked, "{leads} {term}");
+        assert_eq!(actions, asked, "{leads} {term}");
     }
     // Before the primary has answered no replica is asked.
-    let (mut s, facts) = begin(1);
-    assert_eq!(s.tick(&facts, now.plus(500)), []);
+    let (mut s, snapshot) = begin(1);
+    assert_eq!(s.tick(&snapshot, now.plus(500)), []);
     // (synchronous replicas, whether `b` leaves after it answered, who answers, whether it is
     // covered)
     type Answers<'a> = &'a [(&'a str, u64)];
@@ -1029,35 +1055,35 @@
         (0, false, &[("b", 9)], true),
     ];
     for (sync_replicas, leaves, answers, covered) in cases {
-        let (mut s, mut facts) = begin(sync_replicas);
+        let (mut s, mut snapshot) = begin(sync_replicas);
         let told = primary(true, 1);
-        s.told(&facts, s.attempt, &"a".into(), DatabaseRequest::Describe, &told, now);
-        let mut deeds = Vec::new();
+        s.told(&snapshot, s.attempt, &"a".into(), DatabaseRequest::Describe, &told, now);
+        let mut actions = Vec::new();
         for (id, number) in answers {
-            assert_eq!(deeds, [], "{answers:?}");
-            deeds = tell(&mut s, &facts, id, DatabaseRequest::Describe, *number, now);
+            assert_eq!(actions, [], "{answers:?}");
+            actions = tell(&mut s, &snapshot, id, DatabaseRequest::Describe, *number, now);
             if leaves {
-                facts.databases.retain(|(id, _)| *id != "b".into());
+                snapshot.databases.retain(|(id, _)| *id != "b".into());
             }
         }
         let departed = BTreeMap::from([("c".into(), u64::MAX)]);
         let change = Command::ForgetDeparted { service: "s".into(), departed };
         let expected = if covered { vec![FailoverAction::Propose(change)] } else { Vec::new() };
-        assert_eq!(deeds, expected, "{sync_replicas} {leaves} {answers:?}");
+        assert_eq!(actions, expected, "{sync_replicas} {leaves} {answers:?}");
     }
 }
 
 #[test]
 fn a_replica_that_left_again_is_waited_for_anew() {
-    let (mut facts, now) = (without_c(&facts()), Tick(50_000));
-    let mut s = begun(&facts, now);
+    let (mut snapshot, now) = (without_c(&snapshot()), Tick(50_000));
+    let mut s = begun(&snapshot, now);
     let describe = [ask("a", DatabaseRequest::Describe)];
-    facts.departed.insert("c".into(), 5);
-    assert_eq!(s.tick(&facts, now), []);
-    facts.departed.insert("c".into(), 9);
+    snapshot.departed.insert("c".into(), 5);
+    assert_eq!(s.tick(&snapshot, now), []);
+    snapshot.departed.insert("c".into(), 9);
     for (after, asked) in [(1_500, false), (2_100, false), (3_400, false), (3_500, true)] {
-        let deeds = s.tick(&facts, now.plus(after));
-        assert_eq!(deeds, if asked { &describe[..] } else { &[] }, "after {after}");
+        let actions = s.tick(&snapshot, now.plus(after));
+        assert_eq!(actions, if asked { &describe[..] } else { &[] }, "after {after}");
     }
 }
 
@@ -1065,25 +1091,25 @@
 #[test]
 fn an_answer_counts_for_its_own_attempt_and_its_own_database() {
     let now = Tick(50_000);
-    let facts = facts();
-    let steady = begun(&facts, now);
+    let snapshot = snapshot();
+    let steady = begun(&snapshot, now);
     let mut doubting = steady.clone();
-    doubting.suspect(&facts, &"n1".into(), &"a".into(), SuspicionReason::ConnectionsBroken, now);
+    doubting.suspect(&snapshot, &"n1".into(), &"a".into(), SuspicionReason::ConnectionsBroken, now);
     let mut fencing = steady.clone();
-    lost(&mut fencing, &facts, now);
+    lost(&mut fencing, &snapshot, now);
     let mut chosen = fencing.clone();
-    tell(&mut chosen, &facts, "b", PAUSE, 7, now);
-    tell(&mut chosen, &facts, "c", PAUSE, 9, now);
+    tell(&mut chosen, &snapshot, "b", PAUSE, 7, now);
+    tell(&mut chosen, &snapshot, "c", PAUSE, 9, now);
     let lead = PrimaryRecord { term: DbTerm(1), primary: "a".into(), intent: Some("c".into()) };
-    let posting_facts = ServiceSnapshot { lead: Some(lead), ..facts.clone() };
+    let posting_facts = ServiceSnapshot { lead: Some(lead), ..snapshot.clone() };
     let mut posting = chosen.clone();
     assert_eq!(posting.tick(&posting_facts, now), [FailoverAction::Post("c".into())]);
     let others = |own: Attempt| {
         [
             Attempt { number: own.number - 1, ..own },
             Attempt { number: own.number + 1, ..own },
-            Attempt { epoch: Term(own.epoch.0 - 1), ..own },
-            Attempt { epoch: Term(own.epoch.0 + 1), ..own },
+            Attempt { raft_term: Term(own.raft_term.0 - 1), ..own },
+            Attempt { raft_term: Term(own.raft_term.0 + 1), ..own },
         ]
     };
     // (stage, who, what was asked, the answer)
@@ -1098,11 +1124,15 @@
     for (stage, who, what, told) in &table {
         for attempt in others(stage.attempt) {
             let mut s = (*stage).clone();
-            let deeds = s.told(&facts, attempt, &(*who).into(), *what, told, now);
-            assert_eq!((deeds, &s.stage), (vec![], &stage.stage), "{attempt:?} {what:?} {told:?}");
+            let actions = s.told(&snapshot, attempt, &(*who).into(), *what, told, now);
+            assert_eq!(
+                (actions, &s.stage),
+                (vec![], &stage.stage),
+                "{attempt:?} {what:?} {told:?}"
+            );
         }
         let mut s = (*stage).clone();
-        s.told(&facts, s.attempt, &(*who).into(), *what, told, now);
+        s.told(&snapshot, s.attempt, &(*who).into(), *what, told, now);
         assert_ne!(s.stage, stage.stage, "its own answer counts: {what:?} {told:?}");
     }
     for outcome in [
@@ -1113,58 +1143,66 @@
     ] {
         for attempt in others(posting.attempt) {
             let mut s = posting.clone();
-            let deeds = s.posted(&posting_facts, attempt, &"c".into(), outcome, now);
-            assert_eq!((deeds, &s.stage), (vec![], &posting.stage), "{attempt:?} {outcome:?}");
+            let actions = s.posted(&posting_facts, attempt, &"c".into(), outcome, now);
+            assert_eq!((actions, &s.stage), (vec![], &posting.stage), "{attempt:?} {outcome:?}");
         }
         let mut s = posting.clone();
-        let deeds = s.posted(&posting_facts, s.attempt, &"b".into(), outcome, now);
-        assert_eq!((deeds, &s.stage), (vec![], &posting.stage), "of another: {outcome:?}");
+        let actions = s.posted(&posting_facts, s.attempt, &"b".into(), outcome, now);
+        assert_eq!((actions, &s.stage), (vec![], &posting.stage), "of another: {outcome:?}");
     }
 }
 
 #[test]
 fn an_order_is_ended_by_an_answer_of_this_leader_only() {
-    let (facts, now) = (facts(), Tick(50_000));
-    // (the epoch of the answer that `c` goes on, whether it may be paused)
-    for (epoch, ended) in [(2, false), (3, true), (4, false)] {
-        let (mut s, _) = Failover::begin(&facts, now);
-        tell(&mut s, &facts, "b", DatabaseRequest::Continue, 7, now);
-        let attempt = Attempt { epoch: Term(epoch), ..s.attempt };
-        s.told(&facts, attempt, &"c".into(), DatabaseRequest::Continue, &row(false, at(7)), now);
-        let paused = lost(&mut s, &facts, now.plus(10));
-        assert_eq!(paused.contains(&ask("c", PAUSE)), ended, "epoch {epoch}");
+    let (snapshot, now) = (snapshot(), Tick(50_000));
+    // (the term of the answer that `c` goes on, whether it may be paused)
+    for (raft_term, ended) in [(2, false), (3, true), (4, false)] {
+        let (mut s, _) = Failover::begin(&snapshot, now);
+        tell(&mut s, &snapshot, "b", DatabaseRequest::Continue, 7, now);
+        let attempt = Attempt { raft_term: Term(raft_term), ..s.attempt };
+        s.told(&snapshot, attempt, &"c".into(), DatabaseRequest::Continue, &row(false, at(7)), now);
+        let paused = lost(&mut s, &snapshot, now.plus(10));
+        assert_eq!(paused.contains(&ask("c", PAUSE)), ended, "term {raft_term}");
     }
 }
 
 #[test]
 fn a_replica_let_go_again_is_asked_until_it_answers_that_order() {
-    let (facts, now) = (facts(), Tick(50_000));
+    let (snapshot, now) = (snapshot(), Tick(50_000));
     // (whether the answer is to the order of the present attempt, whether `c` is asked again)
     for (present, again) in [(false, true), (true, false)] {
-        let (mut s, _) = Failover::begin(&facts, now);
+        let (mut s, _) = Failover::begin(&snapshot, now);
         let first = s.attempt;
-        tell(&mut s, &facts, "b", DatabaseRequest::Continue, 7, now);
+        tell(&mut s, &snapshot, "b", DatabaseRequest::Continue, 7, now);
         let now = now.plus(3_100);
-        assert_eq!(lost(&mut s, &facts, now), [ask("b", PAUSE), ask("c", PAUSE)]);
+        assert_eq!(lost(&mut s, &snapshot, now), [ask("b", PAUSE), ask("c", PAUSE)]);
         for id in ["b", "c"] {
-            s.told(&facts, s.attempt, &id.into(), PAUSE, &DatabaseResponse::Alive, now);
+            s.told(&snapshot, s.attempt, &id.into(), PAUSE, &DatabaseResponse::Alive, now);
         }
-        s.told(&facts, s.attempt, &"a".into(), DatabaseRequest::Describe, &row(true, at(7)), now);
-        tell(&mut s, &facts, "b", DatabaseRequest::Continue, 7, now);
+        s.told(
+            &snapshot,
+            s.attempt,
+            &"a".into(),
+            DatabaseRequest::Describe,
+            &row(true, at(7)),
+            now,
+        );
+        tell(&mut s, &snapshot, "b", DatabaseRequest::Continue, 7, now);
         let attempt = if present { s.attempt } else { first };
-        s.told(&facts, attempt, &"c".into(), DatabaseRequest::Continue, &row(false, at(7)), now);
+        s.told(&snapshot, attempt, &"c".into(), DatabaseRequest::Continue, &row(false, at(7)), now);
         let expected = if again { vec![ask("c", DatabaseRequest::Continue)] } else { Vec::new() };
-        assert_eq!(s.tick(&facts, now.plus(1_100)), expected, "{present}");
+        assert_eq!(s.tick(&snapshot, now.plus(1_100)), expected, "{present}");
     }
 }
 
 #[test]
 fn a_later_call_has_a_higher_fence() {
-    let attempt = |epoch, number| Attempt { epoch: Term(epoch), number };
+    let attempt = |raft_term, number| Attempt { raft_term: Term(raft_term), number };
     // Each is above the one before, but for numbers beyond all that a leader can reach.
     let rising = [(1, 0), (1, 1), (1, 7), (1, (1 << 20) - 1), (2, 0), (2, 1), (9, 0)];
     for pair in rising.windows(2) {
-        let [low, high] = [pair[0], pair[1]].map(|(epoch, number)| attempt(epoch, number).fence());
+        let [low, high] =
+            [pair[0], pair[1]].map(|(raft_term, number)| attempt(raft_term, number).fence());
         assert!(low < high, "{pair:?}");
     }
     for number in [1 << 20, (1 << 20) + 5, 1 << 40, u64::MAX] {
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -1,4 +1,4 @@
-//! A steward and a wicket as processes, against stand-in databases: what a gateway does with bad
+//! A controller and a gateway as processes, against stand-in databases: what a gateway does with bad
 //! requests, bad answers and databases in trouble.
 #[path = "support/gateway.rs"]
 mod shed;
@@ -27,8 +27,8 @@
     frontend: SocketAddr,
     readiness: SocketAddr,
     databases: Arc<Shed>,
-    wicket: Process,
-    steward: Option<Process>,
+    gateway: Process,
+    controller: Option<Process>,
 }
 impl Drop for System {
     fn drop(&mut self) {
@@ -91,8 +91,8 @@
         frontend: at(ports[2]),
         readiness: at(ports[3]),
         databases: Shed::start("query", databases).expect("databases"),
-        steward: Some(run("steward", &file)),
-        wicket: run("wicket", &file),
+        controller: Some(run("controller", &file)),
+        gateway: run("gateway", &file),
         folder,
     };
     eventually("a configuration", || put(system.admin, "0", &configuration(1, "query")));
@@ -386,7 +386,7 @@
 #[test]
 fn a_new_version_a_leaving_database_and_a_lost_leader() {
     let mut system = start(2);
-    let leaving = system.databases.beat(0, 10, "draining");
+    let leaving = system.databases.heartbeat(0, 10, "draining");
     let path = format!("/instances/{}", system.databases.id(0));
     assert_eq!(http(system.admin, "PUT", &path, &[], &leaving).expect("beat").0, 200);
     std::thread::sleep(Duration::from_millis(300));
@@ -394,11 +394,11 @@
         let (id, got) = ask(&system, "GET", "/many/x");
         assert_eq!((got.status, system.databases.ran(&id)[0].database), (200, 1));
     }
-    // Without the steward, what is known serves on; also after it came back to its disk.
-    system.steward = None;
+    // Without the controller, what is known serves on; also after it came back to its disk.
+    system.controller = None;
     std::thread::sleep(Duration::from_millis(2_500));
     assert_eq!(ask(&system, "POST", "/once/x").1.status, 200);
-    system.steward = Some(run("steward", &system.folder.join("node.toml")));
+    system.controller = Some(run("controller", &system.folder.join("node.toml")));
     eventually("a second version", || put(system.admin, "1", &configuration(2, "none")));
     eventually("the service without databases", || {
         let (id, got) = ask(&system, "GET", "/many/x");
@@ -427,7 +427,7 @@
             let (_, body) = http(system.readiness, "GET", "/status", &[], "").expect("status");
             serde_json::from_str::<serde_json::Value>(&body).expect("json")["resting"] == 150
         });
-        let status = format!("/proc/{}/status", system.wicket.0.id());
+        let status = format!("/proc/{}/status", system.gateway.0.id());
         let status = std::fs::read_to_string(status).expect("status");
         let threads = status.lines().find_map(|l| l.strip_prefix("Threads:")).expect("threads");
         assert!(threads.trim().parse::<u32>().expect("a number") < 40, "{threads}");
@@ -460,7 +460,7 @@
     let mut kept = Client::open(&system);
     kept.send(&request("GET", "/many/x", &fresh_id(), "", ""));
     assert!(kept.answer("GET").expect("an answer").head.contains("Keep-Alive: timeout=1"));
-    let pid = rustix::process::Pid::from_child(&system.wicket.0);
+    let pid = rustix::process::Pid::from_child(&system.gateway.0);
     rustix::process::kill_process(pid, rustix::process::Signal::TERM).expect("signal");
     eventually("not ready", || {
         !http(system.readiness, "GET", "/readiness", &[], "").is_ok_and(|(s, _)| s == 200)
@@ -468,7 +468,7 @@
     // New ones come until the platform has noticed; each is told that the connection ends.
     let (_, got) = ask(&system, "GET", "/many/x");
     assert!(got.status == 200 && got.head.contains("Connection: close"));
-    let ended = system.wicket.0.wait().expect("its end");
+    let ended = system.gateway.0.wait().expect("its end");
     assert!(ended.success());
     assert!(kept.closed(), "a resting connection is closed");
 }
--- a/tests/wicket.rs
+++ b/tests/gateway_parts.rs
@@ -1,4 +1,4 @@
-//! The pure parts of the wicket, as tables of cases.
+//! The pure parts of the gateway, as tables of cases.
 use silvertack::base::errors::Refusal;
 use silvertack::base::ids::{InstanceId, NodeName, ServiceName};
 use silvertack::base::time::Tick;
@@ -230,7 +230,7 @@
     assert!(!health.out(now.plus(9_100)), "an answer makes it as good as new");
 }
 
-fn lanes(routes: serde_json::Value) -> Result<RouteTable, String> {
+fn route_table(routes: serde_json::Value) -> Result<RouteTable, String> {
     let services = serde_json::json!([{ "name": "a", "max_connections": 4 }, { "name": "b", "max_connections": 4 }]);
     let body = serde_json::json!({ "revision": 1, "route_rules": routes, "services": services });
     Configuration::read(body.to_string().as_bytes()).map(|c| RouteTable::of(&c))
@@ -245,7 +245,7 @@
 #[test]
 fn the_longest_prefix_of_a_host_decides() {
     let to = |service: &str| serde_json::json!({ "target_service": service });
-    let lanes = lanes(serde_json::json!([
+    let route_table = route_table(serde_json::json!([
         route("h", "/a/", to("a")),
         route("h", "/a/b/", to("b")),
         route("g", "/", to("b")),
@@ -262,7 +262,7 @@
         ("f", "/a/", None),
     ];
     for (host, path, prefix) in cases {
-        let found = lanes.route(host, path).map(|l| l.path_prefix.as_str());
+        let found = route_table.entry_for_path(host, path).map(|l| l.path_prefix.as_str());
         assert_eq!(found, prefix, "{host} {path}");
     }
 }
@@ -275,9 +275,10 @@
             targets.map(|(s, w)| serde_json::json!({ "target_service": s, "weight": w })).collect();
         route("h", "/", serde_json::json!({ "weighted_targets": targets }))
     };
-    let found = lanes(serde_json::json!([split([90, 10])])).expect("valid");
-    let lane = found.route("h", "/x").expect("a lane");
-    let to_b = (0..1_000).filter(|n| found.service(lane, *n).is_some_and(|s| s.0 == "b")).count();
+    let found = route_table(serde_json::json!([split([90, 10])])).expect("valid");
+    let route_entry = found.entry_for_path("h", "/x").expect("a lane");
+    let to_b =
+        (0..1_000).filter(|n| found.service(route_entry, *n).is_some_and(|s| s.0 == "b")).count();
     assert_eq!(to_b, 100);
     let unknown =
         serde_json::json!({ "weighted_targets": [{ "target_service": "x", "weight": 1 }] });
@@ -289,7 +290,7 @@
         ("target_service_or_weighted_targets", route("h", "/", serde_json::json!({}))),
     ];
     for (why, route) in bad {
-        let told = lanes(serde_json::json!([route])).expect_err(why);
+        let told = route_table(serde_json::json!([route])).expect_err(why);
         assert!(told.contains(why), "{told}");
     }
 }
@@ -297,44 +298,51 @@
 #[test]
 fn plots_follow_demand_and_cover_all_databases_once() {
     let start = Tick(100_000);
-    let mut cadastre = SubsetAssignments::new(start);
+    let mut subset_assignments = SubsetAssignments::new(start);
     let items = ServiceName::from("items");
     let node = |n: usize| NodeName(format!("n{n}"));
     let busy = [300, 100, 0, 200];
     for (n, busy) in busy.iter().enumerate() {
-        cadastre.report(&node(n), "here", items.clone(), *busy);
+        subset_assignments.report(&node(n), "here", items.clone(), *busy);
     }
-    cadastre.report(&node(9), "elsewhere", items.clone(), 50);
-    cadastre.divide(|_| true, start.plus(1_000));
-    assert!(cadastre.due(&node(0), false).is_empty(), "not before all have had time to report");
-    let divide = |cadastre: &mut SubsetAssignments, ms: u64| {
-        cadastre.divide(|n| *n != node(8), start.plus(ms));
+    subset_assignments.report(&node(9), "elsewhere", items.clone(), 50);
+    subset_assignments.divide(|_| true, start.plus(1_000));
+    assert!(
+        subset_assignments.due(&node(0), false).is_empty(),
+        "not before all have had time to report"
+    );
+    let divide = |subset_assignments: &mut SubsetAssignments, ms: u64| {
+        subset_assignments.divide(|n| *n != node(8), start.plus(ms));
         let mut upto = 0;
         let mut parts = Vec::new();
         for n in 0..busy.len() {
-            let plots = cadastre.due(&node(n), true);
-            assert_eq!((plots.len(), plots[0].from), (1, upto), "each begins where the last ends");
-            upto = plots[0].upto;
-            parts.push((plots[0].upto - plots[0].from) / 1_000);
+            let subset_ranges = subset_assignments.due(&node(n), true);
+            assert_eq!(
+                (subset_ranges.len(), subset_ranges[0].from),
+                (1, upto),
+                "each begins where the last ends"
+            );
+            upto = subset_ranges[0].upto;
+            parts.push((subset_ranges[0].upto - subset_ranges[0].from) / 1_000);
         }
         assert!(upto >= 999_990);
         parts
     };
     // The one that wants nothing has 0.3 of the mean of 150.
-    assert_eq!(divide(&mut cadastre, 3_000), [465, 155, 69, 310]);
-    let elsewhere = &cadastre.due(&node(9), true)[0];
+    assert_eq!(divide(&mut subset_assignments, 3_000), [465, 155, 69, 310]);
+    let elsewhere = &subset_assignments.due(&node(9), true)[0];
     assert_eq!((elsewhere.from, elsewhere.upto), (0, 1_000_000), "a zone by itself");
     // What moved little is not told again; what moved much is.
-    cadastre.report(&node(0), "here", items.clone(), 310);
-    cadastre.divide(|_| true, start.plus(4_100));
-    assert!((0..4).all(|n| cadastre.due(&node(n), false).is_empty()));
-    cadastre.report(&node(0), "here", items.clone(), 900);
-    cadastre.divide(|_| true, start.plus(5_200));
-    assert!((0..4).all(|n| cadastre.due(&node(n), false).len() == 1));
+    subset_assignments.report(&node(0), "here", items.clone(), 310);
+    subset_assignments.divide(|_| true, start.plus(4_100));
+    assert!((0..4).all(|n| subset_assignments.due(&node(n), false).is_empty()));
+    subset_assignments.report(&node(0), "here", items.clone(), 900);
+    subset_assignments.divide(|_| true, start.plus(5_200));
+    assert!((0..4).all(|n| subset_assignments.due(&node(n), false).len() == 1));
     // One that is gone has no part.
-    cadastre.divide(|n| *n != node(0), start.plus(6_300));
-    assert_eq!(cadastre.due(&node(1), true)[0].from, 0);
-    assert!(cadastre.due(&node(0), true).is_empty());
+    subset_assignments.divide(|n| *n != node(0), start.plus(6_300));
+    assert_eq!(subset_assignments.due(&node(1), true)[0].from, 0);
+    assert!(subset_assignments.due(&node(0), true).is_empty());
 }
 
 #[test]
--- a/tests/interfaces.rs
+++ b/tests/interfaces.rs
@@ -139,7 +139,7 @@
     assert!(lacking.is_empty() && new.is_empty(), "{what}: lacking {lacking:?}, new {new:?}");
 }
 
-const STEWARD: &str = "node role member leader leader_admin leads epoch entry committed
+const CONTROLLER: &str = "node role member leader leader_admin leads epoch entry committed
     members members[].id members[].node members[].peer members[].admin members[].voter
     revision
     databases databases[].id databases[].database databases[].sequence
@@ -152,12 +152,12 @@
     stiles[].services stiles[].services[].service stiles[].services[].connections_allowed
     stiles[].services[].term
     peers questions_waiting";
-const STILE: &str = "node role ready draining revision sessions sessions_allowed resting
+const POOLER: &str = "node role ready draining revision sessions sessions_allowed resting
     services services[].service services[].term services[].primary services[].lease_left_ms
     services[].connections_allowed services[].highest
     databases databases[].id databases[].service databases[].address databases[].zone
     databases[].open databases[].idle databases[].waiting databases[].draining databases[].down";
-const WICKET: &str = "node role ready draining linked revision connections connections_allowed
+const GATEWAY: &str = "node role ready draining linked revision connections connections_allowed
     resting requests sent_again refused lost
     databases databases[].id databases[].service databases[].address databases[].zone
     databases[].capacity databases[].draining databases[].under_way databases[].idle
@@ -184,26 +184,26 @@
         let body = serde_json::json!({ "message": message }).to_string();
         assert_eq!(machine.readiness(method, path), Some((status, body)), "{role} {method} {path}");
     }
-    let _steward = Process::start("steward", &machine.file);
+    let _steward = Process::start("controller", &machine.file);
     supply();
     eventually("ready", || answered(READY));
     eventually("all of its state", || full(&machine.node_status()));
     let status = machine.node_status();
     assert_eq!((&status["role"], &status["ready"]), (&role.into(), &true.into()));
-    assert_keys(role, &status, if role == "stile" { STILE } else { WICKET });
-    if role == "stile" {
-        eventually("the steward's whole state", || {
+    assert_keys(role, &status, if role == "pooler" { POOLER } else { GATEWAY });
+    if role == "pooler" {
+        eventually("the controller's whole state", || {
             let status = self::status(machine.admin);
             let told = &status["stiles"][0]["services"][0]["term"];
             status["leads"] == true && status["services"][0]["primary"].is_string() && told.is_u64()
         });
         let status = self::status(machine.admin);
-        assert_eq!(status["role"], "steward");
-        assert_keys("steward", &status, STEWARD);
+        assert_eq!(status["role"], "controller");
+        assert_keys("controller", &status, CONTROLLER);
     }
     // With a client there, which is let go once others know that this node drains.
     let mut client = BufReader::new(TcpStream::connect(machine.frontend).expect("frontend"));
-    if role == "stile" {
+    if role == "pooler" {
         client.get_mut().write_all(b"CONNECT strict me\r\n").expect("sent");
         let mut line = String::new();
         client.read_line(&mut line).expect("a line");
@@ -217,46 +217,47 @@
 }
 
 #[test]
-fn a_stile_and_its_steward_show_these_keys_and_answers() {
+fn a_pooler_and_its_controller_show_these_keys_and_answers() {
     let databases = StandIn::start("ledger", 2).expect("databases");
-    let machine = Machine::new("shown-stile", "", Some(databases.platform));
+    let machine = Machine::new("shown-pooler", "", Some(databases.platform));
     let supply = || {
         machine.put("ledger");
         databases.keep_beating(machine.admin, Duration::from_millis(200));
     };
-    answers(&machine, "stile", supply, |status| {
+    answers(&machine, "pooler", supply, |status| {
         let listed = status["databases"].as_array().map_or(0, Vec::len);
         listed == 2 && status["services"][0]["primary"].is_string()
     });
 }
 
 #[test]
-fn a_wicket_shows_these_keys_and_answers() {
+fn a_gateway_shows_these_keys_and_answers() {
     let databases = Shed::start("query", 2).expect("databases");
-    let machine = Machine::new("shown-wicket", "rollout = \"api\"\n", None);
+    let machine = Machine::new("shown-gateway", "rollout = \"api\"\n", None);
     let supply = || {
         machine.put("query");
         eventually("databases", || databases.beat_all(machine.admin, 1));
-        // A beat that is news, and one that is none.
+        // A heartbeat that is news, and one that is none.
         for (sequence, state) in [(2, "draining"), (3, "available"), (4, "available")] {
-            let (path, beat) = ("/instances/i-query-0", databases.beat(0, sequence, state));
-            let answer = http(machine.admin, "PUT", path, &[], &beat).expect("answer");
+            let (path, heartbeat) =
+                ("/instances/i-query-0", databases.heartbeat(0, sequence, state));
+            let answer = http(machine.admin, "PUT", path, &[], &heartbeat).expect("answer");
             let told = serde_json::json!({ "heartbeat_url": machine.admin }).to_string();
             assert_eq!(answer, (200, told), "{sequence}");
         }
     };
-    answers(&machine, "wicket", supply, |status| {
+    answers(&machine, "gateway", supply, |status| {
         status["databases"].as_array().map_or(0, Vec::len) == 2
     });
 }
 
 #[test]
-fn a_steward_ends_in_order_with_0() {
-    let machine = Machine::new("shown-steward", "", None);
-    let mut steward = Process::start("steward", &machine.file);
+fn a_controller_ends_in_order_with_0() {
+    let machine = Machine::new("shown-controller", "", None);
+    let mut controller = Process::start("controller", &machine.file);
     eventually("it leads", || status(machine.admin)["leads"] == true);
-    steward.terminate();
-    assert_eq!(steward.0.wait().expect("ended").code(), Some(0));
+    controller.terminate();
+    assert_eq!(controller.0.wait().expect("ended").code(), Some(0));
 }
 
 /// What a call of the program ends with, and what it says then. One that goes on is ended.
@@ -328,39 +329,39 @@
         ("nobody there", &["status", &nobody], 1, "silvertack: 127.0.0.1:"),
         ("nobody to send to", &["configuration", "get", &nobody], 1, "silvertack: 127.0.0.1:"),
         ("bad settings", &["check", "settings", &bad], 2, "silvertack: settings: "),
-        ("a stile's", &["stile", "--settings", &bad], 2, "silvertack: settings: "),
-        ("a wicket's", &["wicket", "--settings", &bad], 2, "silvertack: settings: "),
-        ("a steward's", &["steward", "--settings", &bad], 2, "silvertack: settings: "),
+        ("a pooler's", &["pooler", "--settings", &bad], 2, "silvertack: settings: "),
+        ("a gateway's", &["gateway", "--settings", &bad], 2, "silvertack: settings: "),
+        ("a controller's", &["controller", "--settings", &bad], 2, "silvertack: settings: "),
         (
-            "no listener, stile",
-            &["stile", "--settings", &unheard],
+            "no listener, pooler",
+            &["pooler", "--settings", &unheard],
             2,
             "silvertack: settings: listeners.",
         ),
         (
-            "no listener, wicket",
-            &["wicket", "--settings", &unheard],
+            "no listener, gateway",
+            &["gateway", "--settings", &unheard],
             2,
             "silvertack: settings: listeners.",
         ),
         (
-            "no listener, steward",
-            &["steward", "--settings", &unheard],
+            "no listener, controller",
+            &["controller", "--settings", &unheard],
             2,
             "silvertack: settings: listeners.",
         ),
         (
             "no settings",
-            &["steward"],
+            &["controller"],
             2,
             "silvertack: settings: no --settings given and SILVERTACK_BOOT",
         ),
         ("no such command", &["frobnicate"], 2, "error: "),
-        ("a newer state", &["steward", "--settings", &newer], 3, "silvertack: state on disk: "),
-        ("no state", &["steward", "--settings", &garbage], 3, "silvertack: state on disk: "),
+        ("a newer state", &["controller", "--settings", &newer], 3, "silvertack: state on disk: "),
+        ("no state", &["controller", "--settings", &garbage], 3, "silvertack: state on disk: "),
         (
             "a state that is gone",
-            &["steward", "--settings", &gone],
+            &["controller", "--settings", &gone],
             3,
             "silvertack: state on disk: ",
         ),
@@ -374,23 +375,23 @@
         );
     }
     // The variable names the file where the flag does not.
-    let (code, errors) = ended(&["steward"], Some(&bad));
+    let (code, errors) = ended(&["controller"], Some(&bad));
     assert!(code == Some(2) && errors.contains("grace_s"), "{code:?}: {errors}");
     // An address that is taken.
     let taken = std::net::TcpListener::bind(machine.readiness).expect("free");
-    let (code, errors) = ended(&["stile", "--settings", &file], None);
+    let (code, errors) = ended(&["pooler", "--settings", &file], None);
     drop(taken);
     let said = errors.starts_with("silvertack: cannot listen on ");
     assert!(code == Some(1) && said, "{code:?}: {errors}");
     // A disk that can't be used is tried again until the end.
     let mut command = Command::new(BINARY);
-    let command = command.args(["steward", "--settings", &no_disk]).stderr(Stdio::piped());
-    let mut steward = Process(command.spawn().expect("steward"));
-    let mut log = BufReader::new(steward.0.stderr.take().expect("piped")).lines();
+    let command = command.args(["controller", "--settings", &no_disk]).stderr(Stdio::piped());
+    let mut controller = Process(command.spawn().expect("controller"));
+    let mut log = BufReader::new(controller.0.stderr.take().expect("piped")).lines();
     let mut next = || log.next().expect("a line").expect("read");
     while !next().contains("cannot be used, tried again soon") {}
-    steward.terminate();
-    assert_eq!(steward.0.wait().expect("ended").code(), Some(1));
+    controller.terminate();
+    assert_eq!(controller.0.wait().expect("ended").code(), Some(1));
     let last = std::iter::from_fn(|| log.next()).last().expect("a line").expect("read");
     assert!(last.starts_with("silvertack: the disk: "), "{last}");
 }
--- a/tests/link.rs
+++ b/tests/leader_discovery.rs
@@ -1,4 +1,4 @@
-//! A node's link to the leader, against stewards that are played here.
+//! A node's link to the leader, against controllers that are played here.
 use silvertack::base::ids::{NodeName, Revision};
 use silvertack::base::time::Tick;
 use silvertack::net::leader_connection::{LeaderConnection, LeaderSubscriber};
@@ -14,25 +14,25 @@
 impl LeaderSubscriber for Node {
     fn hello(&self) -> ToController {
         let node = NodeName::from("n");
-        ToController::Hello { node, life: 1, revision: Revision(0), zone: "here".into() }
+        ToController::Hello { node, incarnation: 1, revision: Revision(0), zone: "here".into() }
     }
     fn linked(&self) {}
     fn begin(&self) {}
     fn hear(&self, _: ToPooler) {}
 }
 
-/// Takes in a node that says who it is, and tells it of these stewards.
-fn welcome(at: &TcpListener, stewards: Vec<SocketAddr>) -> TcpStream {
+/// Takes in a node that says who it is, and tells it of these controllers.
+fn welcome(at: &TcpListener, controllers: Vec<SocketAddr>) -> TcpStream {
     let (mut stream, _) = at.accept().expect("a node");
     stream.set_read_timeout(Some(Duration::from_secs(5))).expect("timeout");
     let hello = receive(&mut stream).expect("a frame");
     assert!(matches!(hello, Frame::Pooler(ToController::Hello { .. })));
-    send(&mut stream, &Frame::Controller(ToPooler::Welcome { stewards })).expect("sent");
+    send(&mut stream, &Frame::Controller(ToPooler::Welcome { controllers })).expect("sent");
     stream
 }
 
 #[test]
-fn a_node_that_loses_its_leader_looks_among_the_stewards_of_now() {
+fn a_node_that_loses_its_leader_looks_among_the_controllers_of_now() {
     let listeners: Vec<_> =
         (0..2).map(|_| TcpListener::bind("127.0.0.1:0").expect("a port")).collect();
     let at: Vec<_> = listeners.iter().map(|l| l.local_addr().expect("address")).collect();
@@ -40,14 +40,14 @@
     std::thread::spawn(move || link.keep(&Node));
     // The second joined after the node was welcomed, and the first goes dark.
     let mut first = welcome(&listeners[0], vec![at[0]]);
-    let all = ToPooler::Welcome { stewards: at.clone() };
+    let all = ToPooler::Welcome { controllers: at.clone() };
     send(&mut first, &Frame::Controller(all)).expect("sent");
     std::thread::sleep(Duration::from_millis(100));
     drop(first);
     welcome(&listeners[1], at);
 }
 
-/// What a steward does with a node.
+/// What a controller does with a node.
 #[derive(Clone, Copy)]
 enum Says {
     /// Frozen, or elected and not yet sure of it.
@@ -55,7 +55,7 @@
     Elsewhere,
     Welcome,
 }
-fn steward(says: Says, after: Duration, leader: SocketAddr, listener: TcpListener) {
+fn controller(says: Says, after: Duration, leader: SocketAddr, listener: TcpListener) {
     std::thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
             std::thread::spawn(move || {
@@ -64,7 +64,7 @@
                 let answer = match says {
                     Says::Nothing => return std::thread::sleep(Duration::from_secs(60)),
                     Says::Elsewhere => ToPooler::NotLeader(Some(leader)),
-                    Says::Welcome => ToPooler::Welcome { stewards: Vec::new() },
+                    Says::Welcome => ToPooler::Welcome { controllers: Vec::new() },
                 };
                 let _ = hello.and_then(|_| send(&mut stream, &Frame::Controller(answer)));
                 // Open for as long as the node wants it.
@@ -88,7 +88,7 @@
 
 /// A version counts within three seconds at a node in touch, the way to the leader with it.
 #[test]
-fn a_node_finds_the_leader_behind_a_crowded_link_and_among_silent_stewards() {
+fn a_node_finds_the_leader_behind_a_crowded_link_and_among_silent_controllers() {
     use Says::*;
     let none = Duration::ZERO;
     let cases = [
@@ -101,7 +101,7 @@
         let at: Vec<_> = listeners.iter().map(|l| l.local_addr().expect("address")).collect();
         let leads = all.iter().position(|s| matches!(s, Welcome)).expect("one leads");
         for (says, listener) in all.into_iter().zip(listeners) {
-            steward(says, after, at[leads], listener);
+            controller(says, after, at[leads], listener);
         }
         let dial = if after == none { at_once } else { crowded };
         let link = Arc::new(LeaderConnection::through("test", at, dial));
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -333,15 +333,15 @@
 
 #[test]
 fn a_part_is_told_once_on_a_connection_and_again_on_the_next() {
-    let mut cadastre = SubsetAssignments::new(START);
-    cadastre.report(&node(0), "here", service(), 100);
-    cadastre.divide(|_| true, START.plus(3_000));
+    let mut subset_assignments = SubsetAssignments::new(START);
+    subset_assignments.report(&node(0), "here", service(), 100);
+    subset_assignments.divide(|_| true, START.plus(3_000));
     for (row, (all, told)) in [(false, 1), (false, 0), (true, 1)].into_iter().enumerate() {
-        assert_eq!(cadastre.due(&node(0), all).len(), told, "row {row}");
+        assert_eq!(subset_assignments.due(&node(0), all).len(), told, "row {row}");
     }
 }
 
-/// What a steward sends and asks; nothing of it goes anywhere by itself.
+/// What a controller sends and asks; nothing of it goes anywhere by itself.
 #[derive(Default)]
 struct Queue {
     writes: bool,
@@ -411,7 +411,7 @@
 
 /// A leader, with followers that only answer it, or with none. The primary is `a` in term 1, its replicas are `b` and `c`.
 struct Leader {
-    steward: Controller<Queue>,
+    controller: Controller<Queue>,
     followers: Vec<RaftNode>,
     /// The followers are out of reach.
     cut: bool,
@@ -436,24 +436,24 @@
             "services": [{ "name": "s", "max_connections": 16, "sync_replicas": sync_replicas }],
         });
         let body = serde_bytes::ByteBuf::from(body.to_string());
-        let mut almanac = StateMachine::default();
-        almanac.apply(&Command::PutConfiguration {
+        let mut state_machine = StateMachine::default();
+        state_machine.apply(&Command::PutConfiguration {
             base: Revision(0),
             revision: Revision(1),
             body,
         });
         for (id, role) in [("a", "primary"), ("b", "replica"), ("c", "replica")] {
             let (id, instance) = (id.into(), instance(role));
-            almanac.apply(&Command::Heartbeat { id, instance, sequence: 1 });
+            state_machine.apply(&Command::Heartbeat { id, instance, sequence: 1 });
         }
         let primary = "a".into();
-        almanac.apply(&Command::SetPrimary { service: service(), term: DbTerm(1), primary });
+        state_machine.apply(&Command::SetPrimary { service: service(), term: DbTerm(1), primary });
         for change in before {
-            assert_eq!(almanac.apply(change), CommandOutcome::Applied, "{change:?}");
+            assert_eq!(state_machine.apply(change), CommandOutcome::Applied, "{change:?}");
         }
         let member = |id| Member {
             id: MemberId(id),
-            node: NodeName(format!("steward{id}")),
+            node: NodeName(format!("controller{id}")),
             peer: format!("10.0.0.{id}:7440").parse().expect("address"),
             admin: format!("10.0.0.{id}:8782").parse().expect("address"),
             voter: true,
@@ -462,29 +462,29 @@
         let snapshot = Snapshot {
             last: (Term(1), LogIndex(5)),
             members: (1..=voters).map(member).collect(),
-            state: serde_bytes::ByteBuf::from(almanac.write()),
+            state: serde_bytes::ByteBuf::from(state_machine.write()),
         };
         let kept = |id| PersistentState {
             me: MemberId(id),
-            epoch: Term(1),
+            term: Term(1),
             snapshot: snapshot.clone(),
             ..PersistentState::default()
         };
         let follower = |id| RaftNode::new(kept(id), false, START, || 10);
         let settings = Settings::parse(SETTINGS).expect("settings");
-        let steward = Controller::new(settings, kept(1), true, || 10, Queue::default(), START);
+        let controller = Controller::new(settings, kept(1), true, || 10, Queue::default(), START);
         let followers = (2..=voters).map(follower).collect();
-        let steward = steward.expect("starts");
-        let mut this = Self { steward, followers, cut: false, now: START };
+        let controller = controller.expect("starts");
+        let mut this = Self { controller, followers, cut: false, now: START };
         this.run(10_000);
-        assert!(this.steward.hedge().granting(this.now), "it leads");
+        assert!(this.controller.raft().granting(this.now), "it leads");
         this
     }
     fn turn(&mut self) {
-        self.steward.turn(self.now).expect("readable");
-        while std::mem::take(&mut self.steward.effects.writes) {
-            self.steward.take(Input::Saved(Ok(())), self.now);
-            self.steward.turn(self.now).expect("readable");
+        self.controller.turn(self.now).expect("readable");
+        while std::mem::take(&mut self.controller.effects.writes) {
+            self.controller.take(Input::Saved(Ok(())), self.now);
+            self.controller.turn(self.now).expect("readable");
             self.exchange();
         }
         self.exchange();
@@ -492,7 +492,7 @@
     /// What it sends its followers is answered at once.
     fn exchange(&mut self) {
         loop {
-            let messages = std::mem::take(&mut self.steward.effects.raft);
+            let messages = std::mem::take(&mut self.controller.effects.raft);
             if messages.is_empty() || self.cut {
                 return;
             }
@@ -504,10 +504,10 @@
                 follower.stored(follower.last());
                 for (to, answer) in follower.out.drain(..) {
                     let message = Box::new(answer);
-                    self.steward.take(Input::Frame(0, Frame::Raft { to, message }), self.now);
+                    self.controller.take(Input::Frame(0, Frame::Raft { to, message }), self.now);
                 }
             }
-            self.steward.turn(self.now).expect("readable");
+            self.controller.turn(self.now).expect("readable");
         }
     }
     fn run(&mut self, ms: u64) {
@@ -517,15 +517,15 @@
         }
     }
     fn hear(&mut self, conn: u64, message: ToController) {
-        self.steward.take(Input::Frame(conn, Frame::Pooler(message)), self.now);
+        self.controller.take(Input::Frame(conn, Frame::Pooler(message)), self.now);
         self.turn();
     }
     fn hello(&mut self, conn: u64, name: &str) {
         let (node, zone, revision) = (name.into(), "z".into(), Revision(1));
-        self.hear(conn, ToController::Hello { node, life: 1, revision, zone });
+        self.hear(conn, ToController::Hello { node, incarnation: 1, revision, zone });
     }
     fn close(&mut self, conn: u64) {
-        self.steward.take(Input::Closed(conn), self.now);
+        self.controller.take(Input::Closed(conn), self.now);
         self.turn();
     }
     /// A renewal with what was seen; gives its answer's grant and watermark of the service.
@@ -536,11 +536,11 @@
         heard: u64,
         saw: Vec<ObservedPosition>,
     ) -> Granted {
-        self.steward.effects.sent.clear();
+        self.controller.effects.sent.clear();
         let (shares, wants, busy) = (Vec::new(), Vec::new(), Vec::new());
         let asks = vec![service()];
         self.hear(conn, ToController::RenewLeases { seq, heard, shares, wants, saw, asks, busy });
-        let answers = std::mem::take(&mut self.steward.effects.sent).into_iter();
+        let answers = std::mem::take(&mut self.controller.effects.sent).into_iter();
         let mut granted = answers.filter_map(|(to, message)| match message {
             ToPooler::LeaseGrants { seq: of, grants, fresh, .. } if (to, of) == (conn, seq) => {
                 Some((grants.into_iter().next(), fresh.into_iter().next()))
@@ -565,14 +565,14 @@
     }
     /// A database answers the question of this kind that it was asked.
     fn answer(&mut self, id: &str, kind: fn(&DatabaseRequest) -> bool, told: DatabaseResponse) {
-        let asks = &mut self.steward.effects.asks;
+        let asks = &mut self.controller.effects.asks;
         let place = asks.iter().position(|(of, ask, _)| *of == id.into() && kind(ask));
         let (id, ask, attempt) = asks.remove(place.unwrap_or_else(|| panic!("{id} is not asked")));
-        self.steward.take(Input::DatabaseResponse(service(), id, ask, attempt, told), self.now);
+        self.controller.take(Input::DatabaseResponse(service(), id, ask, attempt, told), self.now);
         self.turn();
     }
     fn asked(&self, id: &str, kind: fn(&DatabaseRequest) -> bool) -> bool {
-        self.steward.effects.asks.iter().any(|(of, ask, _)| *of == id.into() && kind(ask))
+        self.controller.effects.asks.iter().any(|(of, ask, _)| *of == id.into() && kind(ask))
     }
     /// The replicas go on after the earlier leader.
     fn settle(&mut self, replicas: &[&str]) {
@@ -590,7 +590,7 @@
         self.answer("a", |ask| *ask == DatabaseRequest::Describe, DatabaseResponse::Lost);
     }
     fn lead(&self) -> &PrimaryRecord {
-        &self.steward.almanac().leads[&service()]
+        &self.controller.state_machine().leads[&service()]
     }
 }
 type Granted = Option<(Option<LeaseGrant>, Option<PositionBound>)>;
@@ -635,10 +635,10 @@
         for _ in 0..2 {
             assert_eq!(leader.standing(2), Some(PrimaryStatus::Sealed(at(9))), "{what}: each time");
         }
-        let (target, attempt) = leader.steward.effects.posts.pop().expect("promoted");
+        let (target, attempt) = leader.controller.effects.posts.pop().expect("promoted");
         let posted =
             Input::PromotionResponse(service(), target, attempt, PromotionResponse::Accepted);
-        leader.steward.take(posted, leader.now);
+        leader.controller.take(posted, leader.now);
         leader.run(600);
         leader.answer("c", |ask| *ask == DatabaseRequest::Describe, row(true, 2, 9));
         leader.run(100);
@@ -810,23 +810,23 @@
     leader.hello(1, "n1");
     assert_eq!(leader.standing(1), Some(led(1)));
     leader.cut = true;
-    while leader.steward.hedge().granting(leader.now) {
+    while leader.controller.raft().granting(leader.now) {
         leader.run(10);
     }
-    assert!(leader.steward.hedge().is_leader(), "for a moment it leads all the same");
+    assert!(leader.controller.raft().is_leader(), "for a moment it leads all the same");
     assert_eq!(leader.renew_with(1, 2, 1, Vec::new()), None, "no lease is renewed");
-    leader.steward.effects.asks.clear();
+    leader.controller.effects.asks.clear();
     let (instance, why) = ("a".into(), SuspicionReason::ConnectionsBroken);
     leader.hear(1, ToController::Suspect { service: service(), instance, why });
-    assert_eq!(leader.steward.effects.asks, [], "no database is asked");
-    leader.steward.effects.sent.clear();
+    assert_eq!(leader.controller.effects.asks, [], "no database is asked");
+    leader.controller.effects.sent.clear();
     leader.hello(2, "n2");
-    assert!(leader.steward.effects.sent.is_empty(), "nobody new is taken in");
+    assert!(leader.controller.effects.sent.is_empty(), "nobody new is taken in");
     // Heard again in time, it goes on.
     leader.cut = false;
     leader.run(500);
-    assert!(leader.steward.hedge().granting(leader.now));
-    assert!(leader.steward.effects.sent.iter().any(|(to, _)| *to == 2), "now it is welcome");
+    assert!(leader.controller.raft().granting(leader.now));
+    assert!(leader.controller.effects.sent.iter().any(|(to, _)| *to == 2), "now it is welcome");
     assert_eq!(leader.standing(2), Some(led(1)));
 }
 
@@ -853,8 +853,8 @@
                 "database_role": "primary", "sequence": sequence,
             });
             let (reply, answer) = sync_channel(1);
-            let beat = call("PUT", "/instances/a", &body);
-            leader.steward.take(Input::Http(beat, reply), leader.now);
+            let heartbeat = call("PUT", "/instances/a", &body);
+            leader.controller.take(Input::Http(heartbeat, reply), leader.now);
             leader.turn();
             assert_eq!(answer.try_recv().map(|a| a.status), Ok(200), "{sequence}");
         }
@@ -874,13 +874,13 @@
         let previous = (Term(0), LogIndex(0));
         let (entries, commit, sent) = (Vec::new(), LogIndex(0), 0);
         let kind = RaftMessageKind::AppendEntries { previous, entries, commit, sent };
-        Box::new(RaftMessage { from: MemberId(2), epoch: Term(99), kind })
+        Box::new(RaftMessage { from: MemberId(2), term: Term(99), kind })
     };
     for (to, heard) in [(1, true), (2, false), (9, false)] {
         let mut leader = Leader::of(3, 1, &[]);
         let frame = Frame::Raft { to: MemberId(to), message: message() };
-        leader.steward.take(Input::Frame(0, frame), leader.now);
-        assert_eq!(leader.steward.hedge().is_leader(), !heard, "to {to}");
+        leader.controller.take(Input::Frame(0, frame), leader.now);
+        assert_eq!(leader.controller.raft().is_leader(), !heard, "to {to}");
     }
 }
 
@@ -890,14 +890,14 @@
     leader.cut = true;
     let (reply, answer) = sync_channel(1);
     let order = call("DELETE", "/instances/b", &serde_json::Value::Null);
-    leader.steward.take(Input::Http(order, reply), leader.now);
+    leader.controller.take(Input::Http(order, reply), leader.now);
     leader.turn();
     assert!(answer.try_recv().is_err(), "it waits for the quorum");
     let previous = (Term(0), LogIndex(0));
     let (entries, commit, sent) = (Vec::new(), LogIndex(0), 0);
     let kind = RaftMessageKind::AppendEntries { previous, entries, commit, sent };
-    let message = Box::new(RaftMessage { from: MemberId(2), epoch: Term(99), kind });
-    leader.steward.take(Input::Frame(0, Frame::Raft { to: MemberId(1), message }), leader.now);
+    let message = Box::new(RaftMessage { from: MemberId(2), term: Term(99), kind });
+    leader.controller.take(Input::Frame(0, Frame::Raft { to: MemberId(1), message }), leader.now);
     leader.turn();
     assert_eq!(answer.try_recv().map(|a| a.status), Ok(503));
 }
--- a/tests/members.rs
+++ b/tests/membership.rs
@@ -1,6 +1,7 @@
-//! Who belongs to the stewards: losses, returns and replacements in every order.
-#[path = "support/stewards.rs"]
-mod stewards;
+//! Who belongs to the controllers: losses, returns and replacements in every order.
+#[path = "support/controllers.rs"]
+mod controllers;
+use controllers::{Orchard, SYNC_MS, State, member};
 use silvertack::base::ids::{LogIndex, MemberId, Revision, Term};
 use silvertack::base::time::Tick;
 use silvertack::net::rpc::pack;
@@ -10,7 +11,6 @@
 use silvertack::raft::node::{PersistentState, RaftNode, UnsavedChanges};
 use silvertack::state_machine::{Command, StateMachine};
 use std::collections::HashSet;
-use stewards::{Orchard, SYNC_MS, State, member};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Event {
@@ -21,13 +21,13 @@
 /// What tells two moments apart, whoever it concerns.
 type Key = (Vec<(State, u64, u8, bool)>, usize, usize);
 
-fn key(orchard: &Orchard) -> Key {
-    let (list, leader) = (orchard.members(), orchard.leader());
+fn key(upstreams: &Orchard) -> Key {
+    let (list, leader) = (upstreams.members(), upstreams.leader());
     let vote = |id: u64| list.iter().find(|m| m.id.0 == id).map_or(0, |m| 1 + u8::from(m.voter));
-    let mut each: Vec<_> = (0..orchard.machines.len())
+    let mut each: Vec<_> = (0..upstreams.machines.len())
         .map(|i| {
-            let m = &orchard.machines[i];
-            let age = orchard.now.since(m.back).min(SYNC_MS) / 500;
+            let m = &upstreams.machines[i];
+            let age = upstreams.now.since(m.back).min(SYNC_MS) / 500;
             (m.state, if m.state == State::Up { age } else { 0 }, vote(m.id), leader == Some(i))
         })
         .collect();
@@ -38,16 +38,16 @@
 
 /// What may happen now, within what a deployment promises: no more than so many lost at once. One
 /// that still counts as lost may be lost again. Of machines that are alike one stands for all.
-fn events(orchard: &Orchard) -> Vec<Event> {
-    let (list, leader, mut seen) = (orchard.members(), orchard.leader(), HashSet::new());
+fn events(upstreams: &Orchard) -> Vec<Event> {
+    let (list, leader, mut seen) = (upstreams.members(), upstreams.leader(), HashSet::new());
     let mut all = vec![Event::Wait(700), Event::Wait(SYNC_MS)];
-    for (i, m) in orchard.machines.iter().enumerate() {
+    for (i, m) in upstreams.machines.iter().enumerate() {
         let vote = list.iter().find(|l| l.id.0 == m.id).map(|l| l.voter);
-        if !seen.insert((m.state, orchard.settled(i), vote, leader == Some(i))) {
+        if !seen.insert((m.state, upstreams.settled(i), vote, leader == Some(i))) {
             continue;
         }
         match m.state {
-            State::Up if !orchard.settled(i) || orchard.lost() < orchard.bears => {
+            State::Up if !upstreams.settled(i) || upstreams.lost() < upstreams.bears => {
                 all.extend([State::Cut, State::Gone].map(|s| Event::Lose(i, s)));
             }
             State::Up => {}
@@ -60,34 +60,40 @@
 
 /// The inequality that has to hold at every moment: whichever machines are lost next, as many as
 /// still may be, those left are more than half of the voters, and hold what was acknowledged.
-fn check(orchard: &Orchard, told: &[Event]) {
-    let list = orchard.members();
+fn check(upstreams: &Orchard, told: &[Event]) {
+    let list = upstreams.members();
     let mut places: Vec<_> = list.iter().map(|m| m.admin).collect();
     places.sort();
     places.dedup();
     assert_eq!(places.len(), list.len(), "one address twice after {told:?}: {list:?}");
     let voters: Vec<u64> = list.iter().filter(|m| m.voter).map(|m| m.id.0).collect();
-    let lost = orchard.lost();
-    let more = orchard.bears.checked_sub(lost).expect("within the promise");
-    let settled: Vec<usize> = (0..orchard.machines.len()).filter(|i| orchard.settled(*i)).collect();
-    let vote = settled.iter().filter(|i| voters.contains(&orchard.machines[**i].id)).count();
+    let lost = upstreams.lost();
+    let more = upstreams.bears.checked_sub(lost).expect("within the promise");
+    let settled: Vec<usize> =
+        (0..upstreams.machines.len()).filter(|i| upstreams.settled(*i)).collect();
+    let vote = settled.iter().filter(|i| voters.contains(&upstreams.machines[**i].id)).count();
     assert!(
         vote > more + voters.len() / 2,
         "after {told:?}: {lost} lost, {more} more may be; {vote} of the voters are safe: {list:?}"
     );
-    if let Some(last) = orchard.acked.last() {
-        let hold = settled.iter().filter(|i| orchard.holds(**i, *last)).count();
+    if let Some(last) = upstreams.acked.last() {
+        let hold = settled.iter().filter(|i| upstreams.holds(**i, *last)).count();
         assert!(hold > more, "after {told:?}: only {hold} hold what was acknowledged");
     }
 }
 
-fn walk(orchard: &Orchard, told: &mut Vec<Event>, deep: usize, known: &mut HashSet<(Key, usize)>) {
-    if deep == 0 || (0..=12).any(|d| d >= deep && known.contains(&(key(orchard), d))) {
+fn walk(
+    upstreams: &Orchard,
+    told: &mut Vec<Event>,
+    deep: usize,
+    known: &mut HashSet<(Key, usize)>,
+) {
+    if deep == 0 || (0..=12).any(|d| d >= deep && known.contains(&(key(upstreams), d))) {
         return;
     }
-    known.insert((key(orchard), deep));
-    for event in events(orchard) {
-        let mut next = orchard.clone();
+    known.insert((key(upstreams), deep));
+    for event in events(upstreams) {
+        let mut next = upstreams.clone();
         told.push(event);
         let ms = match event {
             Event::Lose(at, state) => {
@@ -126,13 +132,13 @@
     std::thread::scope(|scope| {
         for (count, bears, deep) in cases {
             scope.spawn(move || {
-                let mut orchard = Orchard::new(count, bears);
+                let mut upstreams = Orchard::new(count, bears);
                 for _ in 0..100 {
-                    orchard.turn();
+                    upstreams.turn();
                 }
-                assert!(orchard.order(), "{count}");
+                assert!(upstreams.order(), "{count}");
                 let mut known = HashSet::new();
-                walk(&orchard, &mut Vec::new(), deep, &mut known);
+                walk(&upstreams, &mut Vec::new(), deep, &mut known);
                 println!("{count} machines, {bears} lost at once: {} moments", known.len());
             });
         }
@@ -141,7 +147,7 @@
 
 /// A leader and what it sends; the others are played here.
 struct Led {
-    hedge: RaftNode,
+    raft: RaftNode,
     now: Tick,
 }
 impl Led {
@@ -150,25 +156,25 @@
         let snapshot = Snapshot { members, ..Snapshot::default() };
         let kept = PersistentState { me: MemberId(1), snapshot, ..PersistentState::default() };
         let mut this =
-            Self { hedge: RaftNode::new(kept, false, Tick(1_000), || 0), now: Tick(2_000) };
-        this.hedge.tick(this.now);
+            Self { raft: RaftNode::new(kept, false, Tick(1_000), || 0), now: Tick(2_000) };
+        this.raft.tick(this.now);
         for trial in [true, false] {
             for from in 2..=voters {
                 this.hear(from, RaftMessageKind::VoteResponse { trial, granted: true });
             }
         }
-        assert!(this.hedge.is_leader());
+        assert!(this.raft.is_leader());
         this.store();
         this
     }
     fn store(&mut self) {
-        self.hedge.dirty = UnsavedChanges::default();
-        self.hedge.stored(self.hedge.last());
+        self.raft.dirty = UnsavedChanges::default();
+        self.raft.stored(self.raft.last());
     }
     fn hear(&mut self, from: u64, kind: RaftMessageKind) {
         let trial = matches!(kind, RaftMessageKind::VoteResponse { trial: true, .. });
-        let epoch = Term(self.hedge.kept.epoch.0 + u64::from(trial));
-        self.hedge.step(RaftMessage { from: MemberId(from), epoch, kind }, self.now);
+        let term = Term(self.raft.kept.term.0 + u64::from(trial));
+        self.raft.step(RaftMessage { from: MemberId(from), term, kind }, self.now);
     }
     /// One says that it holds everything up to here, in answer to what was sent just now.
     fn holds(&mut self, from: u64, upto: u64) {
@@ -176,16 +182,16 @@
         self.hear(from, RaftMessageKind::AppendResponse { upto: LogIndex(upto), ok: true, sent });
     }
     fn propose(&mut self) {
-        self.hedge.propose(EntryPayload::NoOp, self.now);
+        self.raft.propose(EntryPayload::NoOp, self.now);
         self.store();
     }
     fn wait(&mut self, ms: u64) {
         self.now = self.now.plus(ms);
-        self.hedge.tick(self.now);
+        self.raft.tick(self.now);
     }
     /// Who was asked to take over.
     fn asked(&mut self) -> Vec<u64> {
-        let out = self.hedge.out.drain(..);
+        let out = self.raft.out.drain(..);
         out.filter(|(_, m)| m.kind == RaftMessageKind::TimeoutNow).map(|(to, _)| to.0).collect()
     }
 }
@@ -213,7 +219,7 @@
             led.holds(3, third);
         }
         led.asked();
-        led.hedge.hand_over(led.now);
+        led.raft.hand_over(led.now);
         assert_eq!(led.asked(), at_once, "{what}");
         led.wait(after);
         if let Some(upto) = then {
@@ -221,7 +227,7 @@
         }
         assert_eq!(led.asked(), later, "{what}, later");
         led.wait(510);
-        assert!(!led.hedge.is_leader(), "{what}: it does not lead on");
+        assert!(!led.raft.is_leader(), "{what}: it does not lead on");
     }
 }
 
@@ -235,8 +241,8 @@
         for _ in 0..400 {
             led.wait(10);
             led.propose();
-            led.hedge.out.clear();
-            answers.push_back((led.now.plus(late), led.hedge.last().1.0, led.now));
+            led.raft.out.clear();
+            answers.push_back((led.now.plus(late), led.raft.last().1.0, led.now));
             while let Some((due, upto, sent)) = answers.front().copied()
                 && due <= led.now
             {
@@ -250,13 +256,13 @@
                     },
                 );
             }
-            let wanted = led.hedge.wanted_members([&joiner].into_iter(), 0, 4_000, led.now);
+            let wanted = led.raft.wanted_members([&joiner].into_iter(), 0, 4_000, led.now);
             if let Some(list) = wanted {
-                led.hedge.propose(EntryPayload::Membership(list), led.now);
+                led.raft.propose(EntryPayload::Membership(list), led.now);
                 led.store();
             }
         }
-        let list = led.hedge.members();
+        let list = led.raft.members();
         assert_eq!(list.iter().any(|m| m.id == MemberId(2) && m.voter), votes, "{late} ms late");
     }
 }
@@ -280,15 +286,15 @@
     for (voters, bears, learners, after) in cases {
         let mut led = Led::new(voters);
         let joins = (0..learners).map(|i| member(100 + i, 100 + i, false));
-        let list: Vec<Member> = led.hedge.members().iter().cloned().chain(joins).collect();
-        led.hedge.propose(EntryPayload::Membership(list), led.now);
+        let list: Vec<Member> = led.raft.members().iter().cloned().chain(joins).collect();
+        led.raft.propose(EntryPayload::Membership(list), led.now);
         for waited in [0, 4_900, 5_100, 59_900, 60_100, 600_000] {
             let now = led.now.plus(waited);
-            let may = led.hedge.may_begin(bears, now);
+            let may = led.raft.may_begin(bears, now);
             assert_eq!(may, waited >= after, "{voters} voters, {bears} lost, {waited} ms");
         }
         // A restart waits anew; whoever does not lead never says so.
-        let kept = led.hedge.kept.clone();
+        let kept = led.raft.kept.clone();
         let again = RaftNode::new(kept, true, led.now.plus(600_000), || 0);
         assert!(!again.may_begin(bears, led.now.plus(600_000)));
     }
@@ -301,38 +307,38 @@
         revision: Revision(1),
         body: serde_bytes::ByteBuf::from(b"{}".to_vec()),
     };
-    let mut almanac = StateMachine::default();
-    assert!(!almanac.begun());
-    almanac.apply(&configure);
-    assert!(almanac.begun());
-    let again = StateMachine::read(&pack(&almanac)).expect("read");
+    let mut state_machine = StateMachine::default();
+    assert!(!state_machine.begun());
+    state_machine.apply(&configure);
+    assert!(state_machine.begun());
+    let again = StateMachine::read(&pack(&state_machine)).expect("read");
     assert!(again.begun(), "after a fold, and on a disk of before");
 }
 
 #[test]
 fn one_that_was_cut_off_for_long_comes_back_with_what_it_has() {
-    let mut orchard = Orchard::new(4, 1);
-    let run = |orchard: &mut Orchard, ms: u64| (0..ms / 50).for_each(|_| orchard.turn());
-    run(&mut orchard, 3_000);
+    let mut upstreams = Orchard::new(4, 1);
+    let run = |upstreams: &mut Orchard, ms: u64| (0..ms / 50).for_each(|_| upstreams.turn());
+    run(&mut upstreams, 3_000);
     for _ in 0..60 {
-        assert!(orchard.order());
+        assert!(upstreams.order());
     }
-    let at = orchard.leader().map_or(0, |leader| (leader + 1) % 4);
-    orchard.lose(at, State::Cut);
-    run(&mut orchard, 20_000);
-    assert_eq!(orchard.members().len(), 3, "a spare one that is silent goes");
-    let last = orchard.machines[at].hedge.last();
-    assert!((0..5).all(|_| orchard.order()));
-    orchard.back(at, false);
-    orchard.sent_to = (orchard.machines[at].id, 0);
-    run(&mut orchard, SYNC_MS);
-    assert!(orchard.members().iter().any(|m| m.id.0 == orchard.sent_to.0 && m.voter));
-    let hedge = &orchard.machines[at].hedge;
-    let missing = hedge.last().1.0 - last.1.0;
+    let at = upstreams.leader().map_or(0, |leader| (leader + 1) % 4);
+    upstreams.lose(at, State::Cut);
+    run(&mut upstreams, 20_000);
+    assert_eq!(upstreams.members().len(), 3, "a spare one that is silent goes");
+    let last = upstreams.machines[at].raft.last();
+    assert!((0..5).all(|_| upstreams.order()));
+    upstreams.back(at, false);
+    upstreams.sent_to = (upstreams.machines[at].id, 0);
+    run(&mut upstreams, SYNC_MS);
+    assert!(upstreams.members().iter().any(|m| m.id.0 == upstreams.sent_to.0 && m.voter));
+    let raft = &upstreams.machines[at].raft;
+    let missing = raft.last().1.0 - last.1.0;
     assert!(missing < 20, "it has missed a little: {missing}");
-    let sent = orchard.sent_to.1 as u64;
+    let sent = upstreams.sent_to.1 as u64;
     assert!(sent <= 2 * missing, "{sent} entries for {missing} that it had missed");
-    assert!(orchard.acked.iter().all(|order| orchard.holds(at, *order)));
+    assert!(upstreams.acked.iter().all(|order| upstreams.holds(at, *order)));
 }
 
 /// So many voters, and learners with the ids after theirs.
@@ -358,23 +364,23 @@
     for (what, before, (voters, learners), acknowledge, commits) in cases {
         let mut led = Led::new(before);
         for id in 2..=before {
-            led.holds(id, led.hedge.last().1.0);
+            led.holds(id, led.raft.last().1.0);
         }
-        assert!(led.hedge.granting(led.now), "{what}");
+        assert!(led.raft.granting(led.now), "{what}");
         led.wait(500);
-        let commit = led.hedge.commit;
-        led.hedge.propose(EntryPayload::Membership(list(voters, learners)), led.now);
+        let commit = led.raft.commit;
+        led.raft.propose(EntryPayload::Membership(list(voters, learners)), led.now);
         led.store();
-        assert_eq!(led.hedge.commit, commit, "{what}: its own disk alone");
-        let last = led.hedge.last().1;
-        let read = led.hedge.read_index(led.now).expect("it leads");
+        assert_eq!(led.raft.commit, commit, "{what}: its own disk alone");
+        let last = led.raft.last().1;
+        let read = led.raft.read_index(led.now).expect("it leads");
         led.wait(1);
         for id in acknowledge {
             led.holds(*id, last.0);
         }
-        assert_eq!(led.hedge.commit == last, commits, "{what}");
-        assert_eq!(led.hedge.granting(led.now), commits, "{what}: a quorum answered");
-        assert_eq!(led.hedge.confirmed(&read), commits.then_some(true), "{what}: ReadIndex");
+        assert_eq!(led.raft.commit == last, commits, "{what}");
+        assert_eq!(led.raft.granting(led.now), commits, "{what}: a quorum answered");
+        assert_eq!(led.raft.confirmed(&read), commits.then_some(true), "{what}: ReadIndex");
     }
 }
 
@@ -392,19 +398,19 @@
         for trial in [true, false] {
             let snapshot = Snapshot { members: list(voters, learners), ..Snapshot::default() };
             let kept = PersistentState { me: MemberId(1), snapshot, ..PersistentState::default() };
-            let mut hedge = RaftNode::new(kept, false, Tick(1_000), || 0);
+            let mut raft = RaftNode::new(kept, false, Tick(1_000), || 0);
             let now = Tick(2_000);
-            hedge.tick(now);
-            let vote = |hedge: &mut RaftNode, id: u64, trial| {
+            raft.tick(now);
+            let vote = |raft: &mut RaftNode, id: u64, trial| {
                 let kind = RaftMessageKind::VoteResponse { trial, granted: true };
-                hedge.step(RaftMessage { from: MemberId(id), epoch: Term(1), kind }, now);
+                raft.step(RaftMessage { from: MemberId(id), term: Term(1), kind }, now);
             };
             if !trial {
-                (2..=voters).for_each(|id| vote(&mut hedge, id, true));
+                (2..=voters).for_each(|id| vote(&mut raft, id, true));
             }
-            let before = hedge.kept.epoch;
-            grant.iter().for_each(|id| vote(&mut hedge, *id, trial));
-            let won = if trial { hedge.kept.epoch > before } else { hedge.is_leader() };
+            let before = raft.kept.term;
+            grant.iter().for_each(|id| vote(&mut raft, *id, trial));
+            let won = if trial { raft.kept.term > before } else { raft.is_leader() };
             assert_eq!(won, leads, "{voters} voters, {learners} learners, {grant:?}, {trial}");
         }
     }
@@ -416,33 +422,33 @@
     let (first, second) = (member(4, 4, false), member(5, 5, false));
     let wanted = |led: &Led| {
         let joining = [&first, &second].into_iter();
-        led.hedge.wanted_members(joining, 1, 4_000, led.now).map(|list| list.len())
+        led.raft.wanted_members(joining, 1, 4_000, led.now).map(|list| list.len())
     };
     assert_eq!(wanted(&led), Some(4));
-    led.hedge.propose(EntryPayload::Membership(list(3, 1)), led.now);
+    led.raft.propose(EntryPayload::Membership(list(3, 1)), led.now);
     led.store();
     assert_eq!(wanted(&led), None, "the change is on one disk of three");
-    led.holds(4, led.hedge.last().1.0);
+    led.holds(4, led.raft.last().1.0);
     assert_eq!(wanted(&led), None, "and on a learner's");
-    led.holds(2, led.hedge.last().1.0);
+    led.holds(2, led.raft.last().1.0);
     assert_eq!(wanted(&led), Some(5));
     // One that hands over adds nothing to its log any more.
-    led.hedge.hand_over(led.now);
-    let last = led.hedge.last();
-    assert_eq!(led.hedge.propose(EntryPayload::Membership(list(3, 2)), led.now), None);
-    assert_eq!(led.hedge.last(), last);
+    led.raft.hand_over(led.now);
+    let last = led.raft.last();
+    assert_eq!(led.raft.propose(EntryPayload::Membership(list(3, 2)), led.now), None);
+    assert_eq!(led.raft.last(), last);
 }
 
 #[test]
 fn a_learner_is_not_asked_to_take_over() {
     let mut led = Led::new(3);
-    led.hedge.propose(EntryPayload::Membership(list(3, 1)), led.now);
+    led.raft.propose(EntryPayload::Membership(list(3, 1)), led.now);
     led.store();
-    let last = led.hedge.last().1.0;
+    let last = led.raft.last().1.0;
     led.holds(4, last);
     led.holds(2, last - 1);
     led.asked();
-    led.hedge.hand_over(led.now);
+    led.raft.hand_over(led.now);
     assert!(led.asked().is_empty(), "only the learner holds the whole log");
     led.holds(2, last);
     assert_eq!(led.asked(), [2]);
--- a/tests/whole.rs
+++ b/tests/pooler.rs
@@ -27,8 +27,8 @@
     frontend: SocketAddr,
     peer: SocketAddr,
     databases: Arc<StandIn>,
-    stile: Process,
-    steward: Option<Process>,
+    pooler: Process,
+    controller: Option<Process>,
 }
 impl Drop for System {
     fn drop(&mut self) {
@@ -88,13 +88,13 @@
     let file = folder.join("node.toml");
     std::fs::write(&file, settings).expect("settings");
     let at = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
-    let steward = run("steward", &file);
+    let controller = run("controller", &file);
     let system = System {
         admin: at(ports[1]),
         frontend: at(ports[2]),
         peer: at(ports[0]),
-        stile: run("stile", &file),
-        steward: Some(steward),
+        pooler: run("pooler", &file),
+        controller: Some(controller),
         folder,
         databases,
     };
@@ -165,18 +165,18 @@
     bad_configurations(&system);
     bad_http(&system);
     bad_frames(&system);
-    // The stile listens once it is ready.
+    // The pooler listens once it is ready.
     eventually("the frontend", || TcpStream::connect(system.frontend).is_ok());
     bad_lines(&system);
     reroute(&system);
     status_and_commands(&system);
     assert!(system.databases.most_open.load(Ordering::SeqCst) <= 3 * 16, "never over the total");
     without_a_leader(&mut system, &folder);
-    // SIGTERM ends the stile in order, within its grace.
-    let pid = system.stile.0.id().to_string();
+    // SIGTERM ends the pooler in order, within its grace.
+    let pid = system.pooler.0.id().to_string();
     assert!(Command::new("kill").args(["-TERM", &pid]).status().expect("kill").success());
     let start = Instant::now();
-    let status = system.stile.0.wait().expect("ended");
+    let status = system.pooler.0.wait().expect("ended");
     assert!(status.success() && start.elapsed() < Duration::from_secs(4), "{status}");
 }
 
@@ -227,8 +227,8 @@
 }
 
 fn bad_http(system: &System) {
-    let beat = system.databases.beat(0, 1_000_000);
-    let wrong = beat.replace("available", "asleep");
+    let heartbeat = system.databases.heartbeat(0, 1_000_000);
+    let wrong = heartbeat.replace("available", "asleep");
     let table = [
         ("GET", "/nothing", "", 404),
         ("GET", "/instances/", "", 404),
@@ -244,16 +244,19 @@
         assert_eq!(got, status, "{method} {path}");
         assert!(status < 400 || answer.contains("message"), "{answer}");
     }
-    // A late beat changes nothing.
-    let beat = |sequence, state: &str| {
+    // A late heartbeat changes nothing.
+    let heartbeat = |sequence, state: &str| {
         let body = system
             .databases
-            .beat(1, sequence)
+            .heartbeat(1, sequence)
             .replace("available", state)
             .replace("ledger", "other");
         http(system.admin, "PUT", "/instances/i-late", &[], &body).expect("answer").0
     };
-    assert_eq!((beat(9, "draining"), beat(8, "available"), beat(9, "available")), (200, 200, 200));
+    assert_eq!(
+        (heartbeat(9, "draining"), heartbeat(8, "available"), heartbeat(9, "available")),
+        (200, 200, 200)
+    );
     let status = http(system.admin, "GET", "/status", &[], "").expect("answer").1;
     let status: serde_json::Value = serde_json::from_str(&status).expect("JSON");
     let late = status["databases"].as_array().expect("list").iter().find(|d| d["id"] == "i-late");
@@ -382,7 +385,7 @@
     // The databases' port speaks another language.
     let (code, _, errors) = run(&["status", &system.databases.addresses[0].to_string()]);
     assert!(code == Some(1) && errors.lines().count() == 1, "{errors}");
-    let (code, _, errors) = run(&["stile", "--settings", "/nowhere.toml"]);
+    let (code, _, errors) = run(&["pooler", "--settings", "/nowhere.toml"]);
     assert!(code == Some(2) && errors.lines().count() == 1, "{errors}");
     let bad = system.folder.join("bad.toml");
     let text = std::fs::read_to_string(system.folder.join("node.toml")).expect("settings");
@@ -392,18 +395,18 @@
 }
 
 /// With no leader nothing is confirmed, and sessions with nothing under way are sent elsewhere; the
-/// steward comes back with all that it had.
+/// controller comes back with all that it had.
 fn without_a_leader(system: &mut System, folder: &std::path::Path) {
     let mut idle = Client::ready(system, "strict");
     assert_eq!(idle.ask("w1", "STORE kept yes"), "stamped I");
     let (_, before) = http(system.admin, "GET", "/configuration", &[], "").expect("answer");
-    system.steward = None;
+    system.controller = None;
     let start = Instant::now();
     assert_eq!(idle.line(), "", "closed, not held");
     assert!(start.elapsed() > Duration::from_millis(1_000), "not for a moment without a leader");
     let mut new = Client::open(system, "strict");
     assert_eq!(new.line(), "", "turned away at once");
-    system.steward = Some(run("steward", &folder.join("node.toml")));
+    system.controller = Some(run("controller", &folder.join("node.toml")));
     eventually("the configuration again", || {
         http(system.admin, "GET", "/configuration", &[], "").is_ok_and(|(_, body)| body == before)
     });
--- a/tests/power.rs
+++ b/tests/power_loss.rs
@@ -1,5 +1,5 @@
 //! After a loss of power each file that was made, renamed or removed without a sync of its folder is
-//! there or not, by itself. Tables of what may then lie in a steward's folder, of real SQLite files.
+//! there or not, by itself. Tables of what may then lie in a controller's folder, of real SQLite files.
 use silvertack::base::ids::{LogIndex, MemberId, NodeName, Term};
 use silvertack::net::rpc::raft_messages::{EntryPayload, LogEntry, Member, Snapshot};
 use silvertack::raft::node::{PersistentState, UnsavedChanges};
@@ -20,7 +20,7 @@
     let snapshot = Snapshot { members: vec![member], ..Snapshot::default() };
     PersistentState {
         me: MemberId(1),
-        epoch: Term(1),
+        term: Term(1),
         voted: None,
         led: None,
         log: Vec::new(),
@@ -34,16 +34,16 @@
     std::fs::create_dir_all(&path).expect("folder");
     path
 }
-fn write(granary: &mut RaftStorage, kept: &mut PersistentState, entries: u64, bytes: usize) {
+fn write(storage: &mut RaftStorage, kept: &mut PersistentState, entries: u64, bytes: usize) {
     for _ in 0..entries {
         let index = LogIndex(kept.log.len() as u64 + 1);
         kept.log.push(LogEntry {
-            epoch: Term(1),
+            term: Term(1),
             index,
             body: EntryPayload::Command(vec![0; bytes].into()),
         });
         let dirty = UnsavedChanges { log_from: Some(index), ..UnsavedChanges::default() };
-        granary.save(&WriteBatch::of(kept, &dirty)).expect("saved");
+        storage.save(&WriteBatch::of(kept, &dirty)).expect("saved");
     }
 }
 
@@ -105,33 +105,33 @@
     let now = |name: &str| read(&base, name);
     // (what had just happened, forms of the WAL, entries that must be there); the rest as it lies.
     let mut cases: Vec<(&str, File, Vec<File>, usize)> = Vec::new();
-    let (mut granary, mut kept, _) = RaftStorage::found(&base, first).expect("founded");
-    write(&mut granary, &mut kept, 3, 8);
+    let (mut storage, mut kept, _) = RaftStorage::found(&base, first).expect("founded");
+    write(&mut storage, &mut kept, 3, 8);
     let three = now(WAL);
     cases.push(("saved", now(DATABASE), vec![three.clone()], 3));
-    drop(granary);
+    drop(storage);
     assert_eq!(now(WAL), None, "an orderly end removes it");
     cases.push(("closed", now(DATABASE), vec![three.clone(), None], 3));
-    let (mut granary, _) = RaftStorage::open(&base).expect("again");
+    let (mut storage, _) = RaftStorage::open(&base).expect("again");
     let old = vec![three.clone(), None, now(WAL), Some(Vec::new())];
     cases.push(("opened, nothing saved", now(DATABASE), old, 3));
     // With the first transaction the folder is synced (see the test of the premise).
-    write(&mut granary, &mut kept, 1, 8);
+    write(&mut storage, &mut kept, 1, 8);
     cases.push(("saved again", now(DATABASE), vec![now(WAL)], 4));
     // Past a checkpoint, after which the WAL is written on from its beginning.
-    write(&mut granary, &mut kept, 200, 32 << 10);
+    write(&mut storage, &mut kept, 200, 32 << 10);
     let (size, before) = (now(WAL).map(|w| w.len()), now(DATABASE));
     assert!(before.as_ref().is_some_and(|d| d.len() > 1 << 20), "a checkpoint has been");
     cases.push(("past a checkpoint", before, vec![now(WAL)], 204));
-    write(&mut granary, &mut kept, 1, 8);
+    write(&mut storage, &mut kept, 1, 8);
     assert_eq!(now(WAL).map(|w| w.len()), size, "written on from its beginning");
     let late = now(WAL);
     cases.push(("saved past a checkpoint", now(DATABASE), vec![late.clone()], 205));
-    drop(granary);
+    drop(storage);
     cases.push(("closed past a checkpoint", now(DATABASE), vec![late.clone(), None], 205));
-    let (granary, _) = RaftStorage::open(&base).expect("again");
+    let (storage, _) = RaftStorage::open(&base).expect("again");
     cases.push(("opened past a checkpoint", now(DATABASE), vec![late, None, now(WAL)], 205));
-    drop(granary);
+    drop(storage);
     let mark = now("member");
     for (what, database, wal, entries) in cases {
         let forms = [
@@ -144,12 +144,12 @@
             let at = lay(&files);
             let why = format!("{what}: {:?}", shape(&files));
             // It is read, and what is saved on top of it is read too.
-            let (mut granary, found) =
+            let (mut storage, found) =
                 RaftStorage::open(&at).unwrap_or_else(|e| panic!("{why}: {e}"));
             let mut found = found.unwrap_or_else(|| panic!("{why}: nothing"));
             assert_eq!(found.log.len(), entries, "{why}");
-            write(&mut granary, &mut found, 1, 8);
-            drop(granary);
+            write(&mut storage, &mut found, 1, 8);
+            drop(storage);
             let (_, found) = RaftStorage::open(&at).unwrap_or_else(|e| panic!("{why}, then: {e}"));
             assert_eq!(found.map(|f| f.log.len()), Some(entries + 1), "{why}, then");
             let _ = std::fs::remove_dir_all(&at);
@@ -162,12 +162,12 @@
 fn a_founding_that_was_not_over_is_begun_again_and_one_that_was_is_not() {
     let base = folder("founding");
     let journal = journal_of_the_founding();
-    let (granary, _) = RaftStorage::open(&base).expect("made");
+    let (storage, _) = RaftStorage::open(&base).expect("made");
     let (empty, tables) = (read(&base, DATABASE), read(&base, WAL));
-    drop(granary);
-    let (granary, ..) = RaftStorage::found(&base, first).expect("founded");
+    drop(storage);
+    let (storage, ..) = RaftStorage::found(&base, first).expect("founded");
     let (database, state, mark) = (read(&base, DATABASE), read(&base, WAL), read(&base, "member"));
-    drop(granary);
+    drop(storage);
     let (nothing, cut) = (None, Some(Vec::new()));
     let half = state.as_ref().map(|s| s[..s.len() / 2].to_vec());
     // (what had just happened, forms of database, WAL and mark, founded anew; refused if none)
@@ -211,9 +211,9 @@
             let at = lay(&files);
             let why = format!("{what}: {:?}", shape(&files));
             match (RaftStorage::found(&at, first), founded) {
-                (Ok((granary, kept, was)), Some(founded)) => {
+                (Ok((storage, kept, was)), Some(founded)) => {
                     assert_eq!((kept.me, !was), (MemberId(1), founded), "{why}");
-                    drop(granary);
+                    drop(storage);
                     let (_, found) =
                         RaftStorage::open(&at).unwrap_or_else(|e| panic!("{why}: {e}"));
                     assert_eq!(found.map(|f| f.me), Some(MemberId(1)), "{why}, then");
--- a/tests/hedge.rs
+++ b/tests/raft.rs
@@ -1,4 +1,4 @@
-//! Stewards in a box: time and the network are the test's.
+//! Controllers in a box: time and the network are the test's.
 use serde_bytes::ByteBuf;
 use silvertack::base::ids::{LogIndex, MemberId, NodeName, Term};
 use silvertack::base::time::Tick;
@@ -38,7 +38,7 @@
 /// Different spreads, so that elections do not tie.
 const SPREADS: [fn() -> u64; 5] = [|| 10, || 130, || 250, || 370, || 70];
 
-/// Stewards, what is under way between them, and who can't be reached.
+/// Controllers, what is under way between them, and who can't be reached.
 struct Orchard {
     now: Tick,
     hedges: BTreeMap<u64, RaftNode>,
@@ -65,32 +65,32 @@
     }
     fn settle(&mut self) {
         for _ in 0..10_000 {
-            for (id, hedge) in &mut self.hedges {
-                if std::mem::take(&mut hedge.dirty) != UnsavedChanges::default()
+            for (id, raft) in &mut self.hedges {
+                if std::mem::take(&mut raft.dirty) != UnsavedChanges::default()
                     || !self.disks.contains_key(id)
                 {
-                    self.disks.insert(*id, hedge.kept.clone());
-                    hedge.stored(hedge.last());
+                    self.disks.insert(*id, raft.kept.clone());
+                    raft.stored(raft.last());
                 }
                 let from_cut = self.cut.contains(id);
-                self.wire.extend(hedge.out.drain(..).filter(|_| !from_cut));
+                self.wire.extend(raft.out.drain(..).filter(|_| !from_cut));
             }
             let Some((to, message)) = self.wire.pop_front() else {
                 return;
             };
-            if let Some(hedge) = self.hedges.get_mut(&to.0)
+            if let Some(raft) = self.hedges.get_mut(&to.0)
                 && !self.cut.contains(&to.0)
             {
-                hedge.step(message, self.now);
+                raft.step(message, self.now);
             }
         }
-        panic!("the stewards never come to rest");
+        panic!("the controllers never come to rest");
     }
     fn run(&mut self, ms: u64) {
         for _ in 0..ms / 10 {
             self.now = self.now.plus(10);
-            for hedge in self.hedges.values_mut() {
-                hedge.tick(self.now);
+            for raft in self.hedges.values_mut() {
+                raft.tick(self.now);
             }
             self.settle();
         }
@@ -130,106 +130,106 @@
 #[test]
 fn one_leads_and_all_hold_what_it_committed() {
     for count in [1, 3, 4] {
-        let mut stewards = Orchard::new(count);
-        let leader = stewards.lead();
+        let mut controllers = Orchard::new(count);
+        let leader = controllers.lead();
         for n in 0..5 {
-            assert!(stewards.propose(leader, change(n)).is_some());
+            assert!(controllers.propose(leader, change(n)).is_some());
         }
-        stewards.run(500);
+        controllers.run(500);
         for id in 1..=count {
-            assert_eq!(stewards.changes(id), [0, 1, 2, 3, 4], "{count} stewards, {id}");
+            assert_eq!(controllers.changes(id), [0, 1, 2, 3, 4], "{count} controllers, {id}");
         }
     }
 }
 
 #[test]
 fn a_leader_that_is_cut_off_stops_before_another_starts() {
-    let mut stewards = Orchard::new(4);
-    let old = stewards.lead();
-    stewards.cut.insert(old);
+    let mut controllers = Orchard::new(4);
+    let old = controllers.lead();
+    controllers.cut.insert(old);
     for _ in 0..400 {
-        stewards.run(10);
-        assert!(stewards.leaders().len() <= 1, "two at once: {:?}", stewards.leaders());
+        controllers.run(10);
+        assert!(controllers.leaders().len() <= 1, "two at once: {:?}", controllers.leaders());
     }
-    let new = stewards.leaders();
+    let new = controllers.leaders();
     assert!(new.len() == 1 && new != [old]);
     // What the old one took alone is lost, and what the new one committed stays.
-    stewards.propose(old, change(66));
-    stewards.propose(new[0], change(7));
-    stewards.cut.clear();
-    stewards.run(3_000);
+    controllers.propose(old, change(66));
+    controllers.propose(new[0], change(7));
+    controllers.cut.clear();
+    controllers.run(3_000);
     for id in 1..=4 {
-        assert_eq!(stewards.changes(id), [7], "{id}");
+        assert_eq!(controllers.changes(id), [7], "{id}");
     }
 }
 
 #[test]
 fn without_more_than_half_nothing_is_committed() {
-    let mut stewards = Orchard::new(4);
-    let leader = stewards.lead();
+    let mut controllers = Orchard::new(4);
+    let leader = controllers.lead();
     let others: Vec<u64> = (1..=4).filter(|i| *i != leader).take(2).collect();
-    stewards.cut.extend(others);
-    stewards.propose(leader, change(1));
-    stewards.run(3_000);
-    assert!(stewards.changes(leader).is_empty());
-    assert!(stewards.leaders().is_empty());
-    stewards.cut.clear();
-    stewards.lead();
+    controllers.cut.extend(others);
+    controllers.propose(leader, change(1));
+    controllers.run(3_000);
+    assert!(controllers.changes(leader).is_empty());
+    assert!(controllers.leaders().is_empty());
+    controllers.cut.clear();
+    controllers.lead();
 }
 
 #[test]
 fn all_restart_from_their_disks_though_as_many_are_lost_as_are_to_be_borne() {
     for (count, lost) in [(3, 0), (4, 1), (5, 2)] {
-        let mut stewards = Orchard::new(count);
-        let leader = stewards.lead();
-        stewards.propose(leader, change(9));
+        let mut controllers = Orchard::new(count);
+        let leader = controllers.lead();
+        controllers.propose(leader, change(9));
         // The leader's disk is among the lost ones, right after it has acknowledged.
         let gone: Vec<u64> = (0..lost).map(|i| (leader + i - 1) % count + 1).collect();
         for id in 1..=count {
-            stewards.restart(id);
+            controllers.restart(id);
         }
-        stewards.hedges.retain(|id, _| !gone.contains(id));
-        stewards.wire.clear();
-        let leader = stewards.lead();
-        stewards.propose(leader, change(10));
-        stewards.run(400);
-        for id in stewards.hedges.keys() {
-            assert_eq!(stewards.changes(*id), [9, 10], "{count} stewards, {lost} lost");
+        controllers.hedges.retain(|id, _| !gone.contains(id));
+        controllers.wire.clear();
+        let leader = controllers.lead();
+        controllers.propose(leader, change(10));
+        controllers.run(400);
+        for id in controllers.hedges.keys() {
+            assert_eq!(controllers.changes(*id), [9, 10], "{count} controllers, {lost} lost");
         }
     }
 }
 
 #[test]
 fn a_voter_that_just_started_elects_nobody_while_a_leader_may_act() {
-    let mut stewards = Orchard::new(3);
-    let leader = stewards.lead();
+    let mut controllers = Orchard::new(3);
+    let leader = controllers.lead();
     let (voter, other) = if leader == 1 { (2, 3) } else { (1, if leader == 2 { 3 } else { 2 }) };
-    stewards.restart(voter);
-    let last = stewards.hedges[&other].last();
-    let ask = |epoch| RaftMessage {
+    controllers.restart(voter);
+    let last = controllers.hedges[&other].last();
+    let ask = |term| RaftMessage {
         from: MemberId(other),
-        epoch: Term(epoch),
+        term: Term(term),
         kind: RaftMessageKind::RequestVote { trial: false, handover: false, led: false, last },
     };
-    let now = stewards.now;
-    let hedge = stewards.hedges.get_mut(&voter).expect("voter");
-    hedge.step(ask(50), now);
-    assert!(hedge.out.is_empty(), "silent at first");
-    hedge.step(ask(50), now.plus(ELECTION_MIN_MS + 1));
-    assert!(matches!(hedge.out[0].1.kind, RaftMessageKind::VoteResponse { granted: true, .. }));
+    let now = controllers.now;
+    let raft = controllers.hedges.get_mut(&voter).expect("voter");
+    raft.step(ask(50), now);
+    assert!(raft.out.is_empty(), "silent at first");
+    raft.step(ask(50), now.plus(ELECTION_MIN_MS + 1));
+    assert!(matches!(raft.out[0].1.kind, RaftMessageKind::VoteResponse { granted: true, .. }));
 }
 
 #[test]
 fn a_leader_hands_over_without_a_gap_in_certainty() {
-    let mut stewards = Orchard::new(4);
-    let old = stewards.lead();
-    let now = stewards.now;
-    let hedge = stewards.hedges.get_mut(&old).expect("leader");
-    hedge.hand_over(now);
-    assert!(!hedge.granting(now), "no lease from the moment it asks");
-    stewards.settle();
-    stewards.run(300);
-    let new = stewards.leaders();
+    let mut controllers = Orchard::new(4);
+    let old = controllers.lead();
+    let now = controllers.now;
+    let raft = controllers.hedges.get_mut(&old).expect("leader");
+    raft.hand_over(now);
+    assert!(!raft.granting(now), "no lease from the moment it asks");
+    controllers.settle();
+    controllers.run(300);
+    let new = controllers.leaders();
     assert!(new.len() == 1 && new != [old], "{new:?}");
 }
 
@@ -246,45 +246,45 @@
     ];
     for (what, lost, (new, at), there, wanted) in cases {
         let joiner = Member { id: MemberId(new), ..member(at, false) };
-        let mut stewards = Orchard::new(3);
+        let mut controllers = Orchard::new(3);
         // So that the one that is lost does not lead.
-        while stewards.lead() == 3 {
-            let now = stewards.now;
-            stewards.hedges.get_mut(&3).expect("leader").hand_over(now);
-            stewards.settle();
+        while controllers.lead() == 3 {
+            let now = controllers.now;
+            controllers.hedges.get_mut(&3).expect("leader").hand_over(now);
+            controllers.settle();
         }
-        let leader = stewards.lead();
-        stewards.propose(leader, change(1));
-        // Long in office, so that what counts is since when a newcomer is known.
-        stewards.run(9_000);
+        let leader = controllers.lead();
+        controllers.propose(leader, change(1));
+        // Long in leader state, so that what counts is since when a newcomer is known.
+        controllers.run(9_000);
         if lost {
-            stewards.hedges.remove(&3);
-            stewards.disks.remove(&3);
+            controllers.hedges.remove(&3);
+            controllers.disks.remove(&3);
         }
         if there {
             let kept = PersistentState { me: joiner.id, ..PersistentState::default() };
-            let hedge = RaftNode::new(kept, false, stewards.now, || 20);
-            stewards.hedges.insert(new, hedge);
+            let raft = RaftNode::new(kept, false, controllers.now, || 20);
+            controllers.hedges.insert(new, raft);
         }
         let mut changes = 0;
         for _ in 0..50 {
-            let now = stewards.now;
-            let hedge = &stewards.hedges[&leader];
-            if let Some(list) = hedge.wanted_members([&joiner].into_iter(), 1, 8_000, now) {
+            let now = controllers.now;
+            let raft = &controllers.hedges[&leader];
+            if let Some(list) = raft.wanted_members([&joiner].into_iter(), 1, 8_000, now) {
                 changes += 1;
                 let voters = list.iter().filter(|m| m.voter && (m.id.0 != 3 || !lost)).count();
                 assert!(voters >= 2, "{what}: {list:?}");
-                stewards.propose(leader, EntryPayload::Membership(list));
+                controllers.propose(leader, EntryPayload::Membership(list));
             }
-            stewards.run(300);
+            controllers.run(300);
         }
         assert!(changes <= 3, "{what}: nobody goes in and out: {changes}");
-        let list = stewards.hedges[&leader].members();
+        let list = controllers.hedges[&leader].members();
         assert!(
             list.iter().map(|m| (m.id.0, m.voter)).eq(wanted.iter().map(|i| (*i, true))),
             "{what}: {list:?}"
         );
-        assert!(!there || stewards.changes(new) == [1], "{what}");
+        assert!(!there || controllers.changes(new) == [1], "{what}");
     }
 }
 
@@ -294,55 +294,58 @@
         seed_nodes = [\"10.0.0.1:2\"]\n[listeners]\n[fault_tolerance]\nmachines = 2\n\
         [timing_bounds]\njoin_sync_s = 6\n";
     let settings = Settings::parse(settings).expect("valid");
-    let mut stewards = Orchard::new(5);
-    let leader = stewards.lead();
+    let mut controllers = Orchard::new(5);
+    let leader = controllers.lead();
     let others: Vec<u64> = (1..=5).filter(|i| *i != leader).collect();
     let joiner = Member { id: MemberId(901), ..member(77, false) };
     // One is lost for good, and an empty machine comes for it a moment later.
-    stewards.hedges.remove(&others[0]);
-    stewards.disks.remove(&others[0]);
-    stewards.run(1_200);
+    controllers.hedges.remove(&others[0]);
+    controllers.disks.remove(&others[0]);
+    controllers.run(1_200);
     let kept = PersistentState { me: joiner.id, ..PersistentState::default() };
-    stewards.hedges.insert(901, RaftNode::new(kept, false, stewards.now, || 20));
-    let counts_from = stewards.now.plus(6_000);
-    while stewards.now < counts_from {
-        let (hedge, now) = (&stewards.hedges[&leader], stewards.now);
+    controllers.hedges.insert(901, RaftNode::new(kept, false, controllers.now, || 20));
+    let counts_from = controllers.now.plus(6_000);
+    while controllers.now < counts_from {
+        let (raft, now) = (&controllers.hedges[&leader], controllers.now);
         let (tolerated, silent) = (settings.tolerated(), settings.given_up_ms());
-        if let Some(list) = hedge.wanted_members([&joiner].into_iter(), tolerated, silent, now) {
-            stewards.propose(leader, EntryPayload::Membership(list));
+        if let Some(list) = raft.wanted_members([&joiner].into_iter(), tolerated, silent, now) {
+            controllers.propose(leader, EntryPayload::Membership(list));
         }
-        stewards.run(300);
+        controllers.run(300);
     }
     // Two of those that are left go dark: the other three still agree.
-    stewards.cut.extend([others[1], others[2]]);
-    stewards.propose(leader, change(7));
-    stewards.run(600);
-    assert!(stewards.changes(901).contains(&7));
+    controllers.cut.extend([others[1], others[2]]);
+    controllers.propose(leader, change(7));
+    controllers.run(600);
+    assert!(controllers.changes(901).contains(&7));
 }
 
 #[test]
 fn one_that_was_removed_is_told_so_by_a_certain_leader_only() {
-    let mut stewards = Orchard::new(4);
-    let leader = stewards.lead();
-    let now = stewards.now;
-    let hedge = &stewards.hedges[&leader];
+    let mut controllers = Orchard::new(4);
+    let leader = controllers.lead();
+    let now = controllers.now;
+    let raft = &controllers.hedges[&leader];
     let old = member(77, true);
-    let listed = hedge.members()[0].clone();
-    assert_eq!(hedge.standing(&listed, true, now), JoinResponse::Current);
-    assert_eq!(hedge.standing(&old, true, now), JoinResponse::Removed);
-    assert_eq!(hedge.standing(&old, false, now), JoinResponse::Accepted);
+    let listed = raft.members()[0].clone();
+    assert_eq!(raft.standing(&listed, true, now), JoinResponse::Current);
+    assert_eq!(raft.standing(&old, true, now), JoinResponse::Removed);
+    assert_eq!(raft.standing(&old, false, now), JoinResponse::Accepted);
     // One without a disk is in no list; it only learns who leads.
     let diskless = Member { can_vote: false, ..old.clone() };
-    assert_eq!(hedge.standing(&diskless, false, now), JoinResponse::Current);
+    assert_eq!(raft.standing(&diskless, false, now), JoinResponse::Current);
     let follower = (1..=4).find(|i| *i != leader).expect("another");
     let at = member(leader, true).peer;
     assert_eq!(
-        stewards.hedges[&follower].standing(&old, true, now),
+        controllers.hedges[&follower].standing(&old, true, now),
         JoinResponse::NotLeader(Some(at))
     );
     // Cut off, it may have been the one that was replaced.
     let later = now.plus(ELECTION_MIN_MS);
-    assert_eq!(stewards.hedges[&leader].standing(&old, true, later), JoinResponse::NotLeader(None));
+    assert_eq!(
+        controllers.hedges[&leader].standing(&old, true, later),
+        JoinResponse::NotLeader(None)
+    );
     // And whoever is in no list is not voted for.
     let ask = RaftMessageKind::RequestVote {
         trial: false,
@@ -350,56 +353,56 @@
         led: true,
         last: (Term(90), LogIndex(900)),
     };
-    let hedge = stewards.hedges.get_mut(&follower).expect("follower");
-    let epoch = hedge.kept.epoch;
-    hedge.step(RaftMessage { from: old.id, epoch: Term(91), kind: ask }, now.plus(5_000));
-    assert!(hedge.out.is_empty() && hedge.kept.epoch == epoch);
+    let raft = controllers.hedges.get_mut(&follower).expect("follower");
+    let term = raft.kept.term;
+    raft.step(RaftMessage { from: old.id, term: Term(91), kind: ask }, now.plus(5_000));
+    assert!(raft.out.is_empty() && raft.kept.term == term);
 }
 
 #[test]
 fn a_long_log_is_folded_and_a_late_member_gets_the_fold() {
-    let mut stewards = Orchard::new(3);
-    let leader = stewards.lead();
+    let mut controllers = Orchard::new(3);
+    let leader = controllers.lead();
     let late = (1..=3).find(|i| *i != leader).expect("another");
-    stewards.cut.insert(late);
+    controllers.cut.insert(late);
     for n in 0..=255 {
-        stewards.propose(leader, change(n));
+        controllers.propose(leader, change(n));
     }
-    stewards.propose(leader, change(1));
-    stewards.run(300);
-    let hedge = stewards.hedges.get_mut(&leader).expect("leader");
-    let commit = hedge.commit;
-    hedge.compact(commit, || vec![42]);
-    assert!(hedge.kept.log.is_empty());
-    stewards.cut.clear();
-    stewards.run(2_000);
-    assert_eq!(stewards.hedges[&late].kept.snapshot.state.as_ref(), [42]);
-    assert!(stewards.hedges[&late].commit >= commit);
+    controllers.propose(leader, change(1));
+    controllers.run(300);
+    let raft = controllers.hedges.get_mut(&leader).expect("leader");
+    let commit = raft.commit;
+    raft.compact(commit, || vec![42]);
+    assert!(raft.kept.log.is_empty());
+    controllers.cut.clear();
+    controllers.run(2_000);
+    assert_eq!(controllers.hedges[&late].kept.snapshot.state.as_ref(), [42]);
+    assert!(controllers.hedges[&late].commit >= commit);
 }
 
 #[test]
 fn the_disk_gives_back_what_was_saved_and_refuses_what_it_can_not_read() {
     let folder = std::env::temp_dir().join(format!("silvertack-granary-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
-    let (mut granary, kept) = RaftStorage::open(&folder).expect("a new file");
+    let (mut storage, kept) = RaftStorage::open(&folder).expect("a new file");
     assert!(kept.is_none());
     let entry =
-        |index, epoch, n| LogEntry { epoch: Term(epoch), index: LogIndex(index), body: change(n) };
-    let mut kept = PersistentState { epoch: Term(3), voted: Some(MemberId(2)), ..founder(1, 3) };
+        |index, term, n| LogEntry { term: Term(term), index: LogIndex(index), body: change(n) };
+    let mut kept = PersistentState { term: Term(3), voted: Some(MemberId(2)), ..founder(1, 3) };
     kept.log = vec![entry(1, 1, 1), entry(2, 1, 2), entry(3, 1, 3)];
-    granary.save(&WriteBatch::of(&kept, &UnsavedChanges::all())).expect("saved");
+    storage.save(&WriteBatch::of(&kept, &UnsavedChanges::all())).expect("saved");
     // A conflicting tail is replaced.
     kept.log.truncate(1);
     kept.log.push(entry(2, 3, 9));
     let tail = UnsavedChanges { log_from: Some(LogIndex(2)), ..UnsavedChanges::default() };
-    granary.save(&WriteBatch::of(&kept, &tail)).expect("saved");
-    drop(granary);
-    let (granary, found) = RaftStorage::open(&folder).expect("again");
+    storage.save(&WriteBatch::of(&kept, &tail)).expect("saved");
+    drop(storage);
+    let (storage, found) = RaftStorage::open(&folder).expect("again");
     let found = found.expect("kept");
-    assert_eq!((found.me, found.epoch, found.voted), (MemberId(1), Term(3), Some(MemberId(2))));
+    assert_eq!((found.me, found.term, found.voted), (MemberId(1), Term(3), Some(MemberId(2))));
     assert_eq!(found.log, kept.log);
     assert_eq!(found.snapshot, kept.snapshot);
-    drop(granary);
+    drop(storage);
     let file = folder.join("hedge.sqlite");
     let newer = rusqlite::Connection::open(&file).expect("file");
     newer.execute_batch("PRAGMA user_version = 99").expect("set");
@@ -414,22 +417,22 @@
     // A list of members that can't be is refused too.
     for wrong in [vec![member(1, true), member(1, true)], vec![member(1, false)]] {
         let _ = std::fs::remove_dir_all(&folder);
-        let (mut granary, _) = RaftStorage::open(&folder).expect("a new file");
+        let (mut storage, _) = RaftStorage::open(&folder).expect("a new file");
         let snapshot = Snapshot { members: wrong, ..Snapshot::default() };
         let kept = PersistentState { me: MemberId(1), snapshot, ..PersistentState::default() };
-        granary.save(&WriteBatch::of(&kept, &UnsavedChanges::all())).expect("saved");
-        drop(granary);
+        storage.save(&WriteBatch::of(&kept, &UnsavedChanges::all())).expect("saved");
+        drop(storage);
         let refused = RaftStorage::open(&folder).err().expect("refused").to_string();
         assert!(refused.contains("can't be"), "{refused}");
     }
     // A member's state that is gone is not taken for a new disk; an empty folder is.
     let _ = std::fs::remove_dir_all(&folder);
-    let (granary, first, old) = RaftStorage::found(&folder, || founder(1, 3)).expect("founded");
+    let (storage, first, old) = RaftStorage::found(&folder, || founder(1, 3)).expect("founded");
     assert!(!old && first.me == MemberId(1));
-    drop(granary);
-    let (granary, again, old) = RaftStorage::found(&folder, || founder(2, 3)).expect("again");
+    drop(storage);
+    let (storage, again, old) = RaftStorage::found(&folder, || founder(2, 3)).expect("again");
     assert!(old && again.me == MemberId(1), "what is on disk wins");
-    drop(granary);
+    drop(storage);
     for name in ["hedge.sqlite", "hedge.sqlite-wal"] {
         let _ = std::fs::remove_file(folder.join(name));
     }
@@ -441,16 +444,16 @@
 #[test]
 fn nothing_leaves_that_stands_on_what_the_disk_has_not_taken() {
     let now = Tick(5_000);
-    let mut hedge = RaftNode::new(founder(2, 3), false, now, || 10);
-    let mut desk = LogPersister::default();
-    let raft = |epoch, kind| RaftMessage { from: MemberId(1), epoch: Term(epoch), kind };
+    let mut raft = RaftNode::new(founder(2, 3), false, now, || 10);
+    let mut persister = LogPersister::default();
+    let message = |term, kind| RaftMessage { from: MemberId(1), term: Term(term), kind };
     let append = |entries, sent| RaftMessageKind::AppendEntries {
         previous: (Term(0), LogIndex(0)),
         entries,
         commit: LogIndex(0),
         sent,
     };
-    let entry = LogEntry { epoch: Term(4), index: LogIndex(1), body: change(1) };
+    let entry = LogEntry { term: Term(4), index: LogIndex(1), body: change(1) };
     let acked = |out: &[(MemberId, RaftMessage)]| -> Vec<u64> {
         out.iter()
             .filter_map(|(_, m)| match m.kind {
@@ -459,21 +462,23 @@
             })
             .collect()
     };
-    // A new epoch and an entry: both go to the disk, and no word leaves meanwhile.
-    hedge.step(raft(4, append(vec![entry], 1)), now);
-    assert!(desk.leaving(&mut hedge).is_empty());
-    assert!(desk.start(&mut hedge, now).is_some() && desk.start(&mut hedge, now).is_none());
-    hedge.step(raft(4, append(vec![], 2)), now.plus(100));
-    assert!(desk.leaving(&mut hedge).is_empty(), "the epoch is not on disk");
+    // A new term and an entry: both go to the disk, and no word leaves meanwhile.
+    raft.step(message(4, append(vec![entry], 1)), now);
+    assert!(persister.leaving(&mut raft).is_empty());
+    assert!(persister.start(&mut raft, now).is_some() && persister.start(&mut raft, now).is_none());
+    raft.step(message(4, append(vec![], 2)), now.plus(100));
+    assert!(persister.leaving(&mut raft).is_empty(), "the term is not on disk");
     // The disk refuses: the same goes there again, and still nothing was promised.
-    assert!(desk.ended(&mut hedge, false, now.plus(110)).is_empty());
-    assert!(desk.troubled(now.plus(110)) && desk.start(&mut hedge, now.plus(120)).is_none());
-    assert!(desk.start(&mut hedge, now.plus(400)).is_some());
-    let freed = desk.ended(&mut hedge, true, now.plus(401));
+    assert!(persister.ended(&mut raft, false, now.plus(110)).is_empty());
+    assert!(
+        persister.troubled(now.plus(110)) && persister.start(&mut raft, now.plus(120)).is_none()
+    );
+    assert!(persister.start(&mut raft, now.plus(400)).is_some());
+    let freed = persister.ended(&mut raft, true, now.plus(401));
     assert_eq!(acked(&freed), [0], "a heartbeat's answer, as of when it came");
-    assert_eq!(acked(&desk.leaving(&mut hedge)), [1], "and the entry once it is there");
+    assert_eq!(acked(&persister.leaving(&mut raft)), [1], "and the entry once it is there");
     // From here on only entries wait: a heartbeat is answered while the disk stalls.
-    let second = LogEntry { epoch: Term(4), index: LogIndex(2), body: change(2) };
+    let second = LogEntry { term: Term(4), index: LogIndex(2), body: change(2) };
     let previous = (Term(4), LogIndex(1));
     let kind = RaftMessageKind::AppendEntries {
         previous,
@@ -481,98 +486,98 @@
         commit: LogIndex(0),
         sent: 3,
     };
-    hedge.step(raft(4, kind), now.plus(500));
-    assert!(desk.start(&mut hedge, now.plus(500)).is_some());
+    raft.step(message(4, kind), now.plus(500));
+    assert!(persister.start(&mut raft, now.plus(500)).is_some());
     let kind = RaftMessageKind::AppendEntries {
         previous: (Term(4), LogIndex(2)),
         entries: vec![],
         commit: LogIndex(0),
         sent: 4,
     };
-    hedge.step(raft(4, kind), now.plus(900));
-    assert_eq!(acked(&desk.leaving(&mut hedge)), [1]);
-    assert!(!desk.troubled(now.plus(900)) && desk.troubled(now.plus(1_400)), "stalled");
-    desk.ended(&mut hedge, true, now.plus(1_500));
-    assert_eq!(acked(&desk.leaving(&mut hedge)), [2]);
-    assert!(!desk.troubled(now.plus(1_500)));
+    raft.step(message(4, kind), now.plus(900));
+    assert_eq!(acked(&persister.leaving(&mut raft)), [1]);
+    assert!(!persister.troubled(now.plus(900)) && persister.troubled(now.plus(1_400)), "stalled");
+    persister.ended(&mut raft, true, now.plus(1_500));
+    assert_eq!(acked(&persister.leaving(&mut raft)), [2]);
+    assert!(!persister.troubled(now.plus(1_500)));
 }
 
 #[test]
 fn a_leader_whose_disk_is_in_trouble_lets_another_lead() {
-    let mut stewards = Orchard::new(4);
-    let old = stewards.lead();
-    let now = stewards.now;
-    stewards.hedges.get_mut(&old).expect("leader").set_ailing(true, now);
-    stewards.settle();
+    let mut controllers = Orchard::new(4);
+    let old = controllers.lead();
+    let now = controllers.now;
+    controllers.hedges.get_mut(&old).expect("leader").set_ailing(true, now);
+    controllers.settle();
     for _ in 0..60 {
-        stewards.run(10);
-        assert!(stewards.leaders().len() <= 1);
+        controllers.run(10);
+        assert!(controllers.leaders().len() <= 1);
     }
-    let new = stewards.leaders();
+    let new = controllers.leaders();
     assert!(new.len() == 1 && new != [old], "{new:?}");
     // The ailing one stands for nothing, even when nobody else is left to lead.
-    stewards.cut.insert(new[0]);
-    stewards.run(4_000);
-    assert!(!stewards.leaders().contains(&old));
+    controllers.cut.insert(new[0]);
+    controllers.run(4_000);
+    assert!(!controllers.leaders().contains(&old));
 }
 
 #[test]
 fn a_leader_commits_only_what_its_own_disk_or_enough_others_have() {
-    let mut stewards = Orchard::new(3);
-    let leader = stewards.lead();
+    let mut controllers = Orchard::new(3);
+    let leader = controllers.lead();
     let others: Vec<u64> = (1..=3).filter(|i| *i != leader).collect();
-    let (now, hedge) = (stewards.now, stewards.hedges.get_mut(&leader).expect("leader"));
-    let before = hedge.commit;
-    let index = hedge.propose(change(1), now).expect("taken");
-    let epoch = hedge.kept.epoch;
+    let (now, raft) = (controllers.now, controllers.hedges.get_mut(&leader).expect("leader"));
+    let before = raft.commit;
+    let index = raft.propose(change(1), now).expect("taken");
+    let term = raft.kept.term;
     let kind = RaftMessageKind::AppendResponse { upto: index, ok: true, sent: now.0 };
-    hedge.step(RaftMessage { from: MemberId(others[0]), epoch, kind: kind.clone() }, now);
-    assert_eq!(hedge.commit, before, "one disk of three");
-    hedge.step(RaftMessage { from: MemberId(others[1]), epoch, kind }, now);
-    assert_eq!(hedge.commit, index, "two of three, though not its own");
+    raft.step(RaftMessage { from: MemberId(others[0]), term, kind: kind.clone() }, now);
+    assert_eq!(raft.commit, before, "one disk of three");
+    raft.step(RaftMessage { from: MemberId(others[1]), term, kind }, now);
+    assert_eq!(raft.commit, index, "two of three, though not its own");
 }
 
 #[test]
 fn a_restarted_leader_is_elected_at_once_and_nobody_else_is() {
-    let mut stewards = Orchard::new(4);
-    let old = stewards.lead();
+    let mut controllers = Orchard::new(4);
+    let old = controllers.lead();
     // (who restarts, how soon somebody may lead, whether it must be the old leader)
     for (who, all) in [("the leader", false), ("everybody", true)] {
         let ids: Vec<u64> = if all { (1..=4).collect() } else { vec![old] };
         for id in ids {
-            stewards.restart(id);
+            controllers.restart(id);
         }
-        stewards.wire.clear();
-        stewards.run(200);
-        assert_eq!(stewards.leaders(), [old], "{who}");
-        stewards.run(1_000);
+        controllers.wire.clear();
+        controllers.run(200);
+        assert_eq!(controllers.leaders(), [old], "{who}");
+        controllers.run(1_000);
     }
     // Without that leader the others do not wait longer than its word could have counted.
-    stewards.cut.insert(old);
+    controllers.cut.insert(old);
     for id in (1..=4).filter(|i| *i != old) {
-        stewards.restart(id);
+        controllers.restart(id);
     }
-    stewards.wire.clear();
-    stewards.run(400);
-    assert!(stewards.leaders().is_empty());
-    stewards.run(300);
-    let new = stewards.leaders();
+    controllers.wire.clear();
+    controllers.run(400);
+    assert!(controllers.leaders().is_empty());
+    controllers.run(300);
+    let new = controllers.leaders();
     assert!(new.len() == 1 && new != [old], "{new:?}");
-    stewards.cut.clear();
-    stewards.run(1_000);
-    // One that led an epoch before the newest has nothing to go by.
+    controllers.cut.clear();
+    controllers.run(1_000);
+    // One that led an term before the newest has nothing to go by.
     let old = new[0];
-    let epoch = stewards.hedges[&old].kept.epoch;
+    let term = controllers.hedges[&old].kept.term;
     let voter = (1..=4).find(|i| *i != old).expect("another");
-    let (now, last) = (stewards.now, stewards.hedges[&old].last());
+    let (now, last) = (controllers.now, controllers.hedges[&old].last());
     for (asked, led, answered) in
-        [(epoch.0, true, false), (epoch.0 + 1, false, false), (epoch.0 + 1, true, true)]
+        [(term.0, true, false), (term.0 + 1, false, false), (term.0 + 1, true, true)]
     {
-        stewards.restart(voter);
-        let hedge = stewards.hedges.get_mut(&voter).expect("voter");
+        controllers.restart(voter);
+        let raft = controllers.hedges.get_mut(&voter).expect("voter");
         let kind = RaftMessageKind::RequestVote { trial: true, handover: false, led, last };
-        hedge.step(RaftMessage { from: MemberId(old), epoch: Term(asked), kind }, now);
-        assert_eq!(!hedge.out.is_empty(), answered, "{asked} {led}");
+        raft.step(RaftMessage { from: MemberId(old), term: Term(asked), kind }, now);
+        assert_eq!(!raft.out.is_empty(), answered, "{asked} {led}");
     }
 }
 
@@ -602,14 +607,14 @@
     let base = std::env::temp_dir().join(format!("silvertack-torn-{}", std::process::id()));
     let (whole, torn) = (base.join("whole"), base.join("torn"));
     let _ = std::fs::remove_dir_all(&base);
-    let (mut granary, mut kept, _) = RaftStorage::found(&whole, || founder(1, 3)).expect("founded");
+    let (mut storage, mut kept, _) = RaftStorage::found(&whole, || founder(1, 3)).expect("founded");
     let wal = whole.join("hedge.sqlite-wal");
     // What the file of the journal held after each write that was confirmed.
     let mut synced = vec![std::fs::metadata(&wal).map_or(0, |m| m.len())];
     for n in 1..=3u64 {
-        kept.log.push(LogEntry { epoch: Term(1), index: LogIndex(n), body: change(n as u8) });
+        kept.log.push(LogEntry { term: Term(1), index: LogIndex(n), body: change(n as u8) });
         let dirty = UnsavedChanges { log_from: Some(LogIndex(n)), ..UnsavedChanges::default() };
-        granary.save(&WriteBatch::of(&kept, &dirty)).expect("saved");
+        storage.save(&WriteBatch::of(&kept, &dirty)).expect("saved");
         synced.push(std::fs::metadata(&wal).expect("journal").len());
     }
     let journal = std::fs::read(&wal).expect("journal");
@@ -644,7 +649,7 @@
 /// Entries of these terms, from index 1 on.
 fn log_of(terms: &[u64]) -> Vec<LogEntry> {
     let entry = |(term, index): (&u64, u64)| LogEntry {
-        epoch: Term(*term),
+        term: Term(*term),
         index: LogIndex(index),
         body: change(index as u8),
     };
@@ -652,34 +657,34 @@
 }
 /// Member 1 of so many voters in this term, with entries of these terms on its disk.
 fn replica(voters: u64, term: u64, terms: &[u64]) -> RaftNode {
-    let kept = PersistentState { epoch: Term(term), log: log_of(terms), ..founder(1, voters) };
+    let kept = PersistentState { term: Term(term), log: log_of(terms), ..founder(1, voters) };
     RaftNode::new(kept, false, Tick(1_000), || 0)
 }
-fn raft(id: u64, term: u64, kind: RaftMessageKind) -> RaftMessage {
-    RaftMessage { from: MemberId(id), epoch: Term(term), kind }
+fn message(id: u64, term: u64, kind: RaftMessageKind) -> RaftMessage {
+    RaftMessage { from: MemberId(id), term: Term(term), kind }
 }
-fn store(hedge: &mut RaftNode) {
-    hedge.dirty = UnsavedChanges::default();
-    hedge.stored(hedge.last());
+fn store(raft: &mut RaftNode) {
+    raft.dirty = UnsavedChanges::default();
+    raft.stored(raft.last());
 }
 /// When member 1 was elected by `elected`.
 const ELECTED: Tick = Tick(2_000);
 /// Member 1 as the leader of this term; its first entry of that term follows those of the others.
 fn elected(voters: u64, term: u64, terms: &[u64]) -> RaftNode {
-    let mut hedge = replica(voters, term - 1, terms);
-    hedge.tick(ELECTED);
+    let mut raft = replica(voters, term - 1, terms);
+    raft.tick(ELECTED);
     for trial in [true, false] {
         for id in 2..=voters {
-            hedge.step(
-                raft(id, term, RaftMessageKind::VoteResponse { trial, granted: true }),
+            raft.step(
+                message(id, term, RaftMessageKind::VoteResponse { trial, granted: true }),
                 ELECTED,
             );
         }
     }
-    assert!(hedge.is_leader() && hedge.kept.epoch == Term(term));
-    store(&mut hedge);
-    hedge.out.clear();
-    hedge
+    assert!(raft.is_leader() && raft.kept.term == Term(term));
+    store(&mut raft);
+    raft.out.clear();
+    raft
 }
 fn appended(upto: u64) -> RaftMessageKind {
     RaftMessageKind::AppendResponse { upto: LogIndex(upto), ok: true, sent: ELECTED.0 }
@@ -699,17 +704,17 @@
     for (what, voters, terms, term, acknowledged, commits) in cases {
         let mut leader = elected(voters, term, terms);
         for (id, (upto, commit)) in (2..).zip(acknowledged.iter().zip(commits)) {
-            leader.step(raft(id, term, appended(*upto)), ELECTED);
+            leader.step(message(id, term, appended(*upto)), ELECTED);
             assert_eq!(leader.commit, LogIndex(*commit), "{what}: member {id} has {upto}");
         }
     }
 }
 
 /// The answers to candidates that leave: of a pre-vote or not, granted or not, and their term.
-fn votes_of(hedge: &mut RaftNode) -> Vec<(bool, bool, u64)> {
-    let out = hedge.out.drain(..);
+fn votes_of(raft: &mut RaftNode) -> Vec<(bool, bool, u64)> {
+    let out = raft.out.drain(..);
     out.filter_map(|(_, m)| match m.kind {
-        RaftMessageKind::VoteResponse { trial, granted } => Some((trial, granted, m.epoch.0)),
+        RaftMessageKind::VoteResponse { trial, granted } => Some((trial, granted, m.term.0)),
         _ => None,
     })
     .collect()
@@ -739,27 +744,27 @@
         voter.kept.voted = voted.map(MemberId);
         let last = (Term(last.0), LogIndex(last.1));
         let ask = |trial| RaftMessageKind::RequestVote { trial, handover: false, led: false, last };
-        voter.step(raft(2, term, ask(false)), ELECTED);
+        voter.step(message(2, term, ask(false)), ELECTED);
         assert_eq!(votes_of(&mut voter), [(false, granted, after)], "{what}");
-        assert_eq!(voter.kept.epoch, Term(after), "{what}");
+        assert_eq!(voter.kept.term, Term(after), "{what}");
         if granted {
             assert_eq!(voter.kept.voted, Some(MemberId(2)), "{what}");
             let new = voted != Some(2) || after > 5;
             assert!(voter.dirty.hard || !new, "{what}: the vote goes to the disk");
             // From now on this term's vote is spent.
-            voter.step(raft(3, term, ask(false)), ELECTED);
+            voter.step(message(3, term, ask(false)), ELECTED);
             assert_eq!(votes_of(&mut voter), [(false, false, after)], "{what}: a second one");
         }
         // A pre-vote goes by the log alone, spends nothing, and is for a later term only.
         let mut voter = replica(3, 5, log);
         voter.kept.voted = voted.map(MemberId);
-        voter.step(raft(2, 5, ask(true)), ELECTED);
+        voter.step(message(2, 5, ask(true)), ELECTED);
         assert_eq!(votes_of(&mut voter), [(true, false, 5)], "{what}: pre-vote of this term");
-        voter.step(raft(2, 6, ask(true)), ELECTED);
+        voter.step(message(2, 6, ask(true)), ELECTED);
         let current = last >= (Term(3), LogIndex(3));
         let at = if current { 6 } else { 5 };
         assert_eq!(votes_of(&mut voter), [(true, current, at)], "{what}: pre-vote");
-        assert_eq!((voter.kept.epoch.0, voter.kept.voted), (5, voted.map(MemberId)), "{what}");
+        assert_eq!((voter.kept.term.0, voter.kept.voted), (5, voted.map(MemberId)), "{what}");
         assert!(!voter.dirty.hard, "{what}");
     }
 }
@@ -784,31 +789,31 @@
         for trial in [true, false] {
             let what = format!("{since} ms, handover {handover}, pre-vote {trial}");
             let mut follower = replica(3, 5, &[1]);
-            follower.step(raft(2, 5, heartbeat.clone()), ELECTED);
+            follower.step(message(2, 5, heartbeat.clone()), ELECTED);
             store(&mut follower);
             follower.out.clear();
             let last = (Term(5), LogIndex(9));
             let ask = RaftMessageKind::RequestVote { trial, handover, led: false, last };
-            follower.step(raft(3, 6, ask.clone()), ELECTED.plus(since));
+            follower.step(message(3, 6, ask.clone()), ELECTED.plus(since));
             let expected = if answers { vec![(trial, true, 6)] } else { vec![] };
             assert_eq!(votes_of(&mut follower), expected, "{what}");
             let moved = answers && !trial;
-            assert_eq!(follower.kept.epoch, Term(if moved { 6 } else { 5 }), "{what}");
+            assert_eq!(follower.kept.term, Term(if moved { 6 } else { 5 }), "{what}");
             // A leader answers so too, by when a quorum last answered it.
             let mut leader = elected(3, 5, &[1]);
-            leader.step(raft(2, 5, appended(2)), ELECTED);
-            leader.step(raft(3, 6, ask), ELECTED.plus(since));
+            leader.step(message(2, 5, appended(2)), ELECTED);
+            leader.step(message(3, 6, ask), ELECTED.plus(since));
             assert_eq!(votes_of(&mut leader), expected, "{what}: leader");
             assert_eq!(leader.is_leader(), !moved, "{what}");
         }
     }
     // In a term whose leader it knows it votes no more, however long that one has been silent.
     let mut follower = replica(3, 5, &[1]);
-    follower.step(raft(2, 5, heartbeat), ELECTED);
+    follower.step(message(2, 5, heartbeat), ELECTED);
     follower.out.clear();
     let last = (Term(4), LogIndex(9));
     let ask = RaftMessageKind::RequestVote { trial: false, handover: false, led: false, last };
-    follower.step(raft(3, 5, ask), ELECTED.plus(60_000));
+    follower.step(message(3, 5, ask), ELECTED.plus(60_000));
     assert_eq!(votes_of(&mut follower), [(false, false, 5)]);
     assert_eq!((follower.leader, follower.kept.voted), (Some(MemberId(2)), None));
 }
@@ -828,43 +833,43 @@
     for (what, trial, granted, term, leads) in cases {
         let mut candidate = replica(3, 5, &[1]);
         candidate.tick(ELECTED);
-        assert_eq!(candidate.kept.epoch, Term(5), "a pre-vote moves no term");
+        assert_eq!(candidate.kept.term, Term(5), "a pre-vote moves no term");
         // Nothing but a granted pre-vote for the next term moves it.
         for (trial, granted, term) in [(true, true, 5), (true, false, 5), (false, true, 6)] {
             candidate
-                .step(raft(2, term, RaftMessageKind::VoteResponse { trial, granted }), ELECTED);
-            assert_eq!(candidate.kept.epoch, Term(5), "{trial} {granted} {term}");
+                .step(message(2, term, RaftMessageKind::VoteResponse { trial, granted }), ELECTED);
+            assert_eq!(candidate.kept.term, Term(5), "{trial} {granted} {term}");
         }
         candidate.step(
-            raft(2, 6, RaftMessageKind::VoteResponse { trial: true, granted: true }),
+            message(2, 6, RaftMessageKind::VoteResponse { trial: true, granted: true }),
             ELECTED,
         );
-        assert_eq!((candidate.kept.epoch, candidate.kept.voted), (Term(6), Some(MemberId(1))));
+        assert_eq!((candidate.kept.term, candidate.kept.voted), (Term(6), Some(MemberId(1))));
         assert!(candidate.dirty.hard && !candidate.is_leader(), "{what}: its own vote is kept");
-        candidate.step(raft(3, term, RaftMessageKind::VoteResponse { trial, granted }), ELECTED);
+        candidate.step(message(3, term, RaftMessageKind::VoteResponse { trial, granted }), ELECTED);
         assert_eq!(candidate.is_leader(), leads, "{what}");
     }
     // One that hears of a later term in a refusal goes there as a follower, with its vote unspent.
     for leads in [false, true] {
-        let mut hedge = if leads { elected(3, 6, &[1]) } else { replica(3, 5, &[1]) };
-        hedge.tick(ELECTED);
-        hedge.step(
-            raft(3, 9, RaftMessageKind::VoteResponse { trial: false, granted: false }),
+        let mut raft = if leads { elected(3, 6, &[1]) } else { replica(3, 5, &[1]) };
+        raft.tick(ELECTED);
+        raft.step(
+            message(3, 9, RaftMessageKind::VoteResponse { trial: false, granted: false }),
             ELECTED,
         );
-        assert!(!hedge.is_leader());
-        assert_eq!((hedge.kept.epoch, hedge.kept.voted), (Term(9), None), "leads: {leads}");
-        hedge.step(
-            raft(2, 6, RaftMessageKind::VoteResponse { trial: true, granted: true }),
+        assert!(!raft.is_leader());
+        assert_eq!((raft.kept.term, raft.kept.voted), (Term(9), None), "leads: {leads}");
+        raft.step(
+            message(2, 6, RaftMessageKind::VoteResponse { trial: true, granted: true }),
             ELECTED,
         );
-        assert_eq!(hedge.kept.epoch, Term(9), "it is no candidate any more");
+        assert_eq!(raft.kept.term, Term(9), "it is no candidate any more");
     }
 }
 
 /// The terms of the entries that a member holds in its log.
-fn terms_of(hedge: &RaftNode) -> Vec<u64> {
-    hedge.kept.log.iter().map(|e| e.epoch.0).collect()
+fn terms_of(raft: &RaftNode) -> Vec<u64> {
+    raft.kept.log.iter().map(|e| e.term.0).collect()
 }
 
 #[test]
@@ -911,13 +916,13 @@
             let entries = log_of(terms).into_iter().map(place).collect();
             RaftMessageKind::AppendEntries { previous, entries, commit, sent: 7 }
         };
-        follower.step(raft(3, 4, append((1, 1), &[], 1)), ELECTED);
+        follower.step(message(3, 4, append((1, 1), &[], 1)), ELECTED);
         follower.out.clear();
-        follower.step(raft(2, term, append(previous, terms, commit)), ELECTED);
+        follower.step(message(2, term, append(previous, terms, commit)), ELECTED);
         store(&mut follower);
         assert_eq!(terms_of(&follower), log, "{what}");
         assert_eq!(follower.commit, LogIndex(committed), "{what}");
-        let last = follower.out.pop().map(|(to, m)| (to, m.epoch, m.kind));
+        let last = follower.out.pop().map(|(to, m)| (to, m.term, m.kind));
         let sent = if term < 4 { 0 } else { 7 };
         let kind = RaftMessageKind::AppendResponse { upto: LogIndex(answer.1), ok: answer.0, sent };
         assert_eq!(last, Some((MemberId(2), Term(4), kind)), "{what}");
@@ -938,8 +943,8 @@
         commit: LogIndex(0),
         sent: 7,
     };
-    let acknowledged = |hedge: &mut RaftNode| -> Vec<(u64, u64)> {
-        let out = hedge.out.drain(..);
+    let acknowledged = |raft: &mut RaftNode| -> Vec<(u64, u64)> {
+        let out = raft.out.drain(..);
         out.filter_map(|(to, m)| match m.kind {
             RaftMessageKind::AppendResponse { upto, ok: true, .. } => Some((to.0, upto.0)),
             _ => None,
@@ -948,10 +953,10 @@
     };
     // A heartbeat vouches only for the entry before it, not for what the log has behind.
     let mut follower = replica(3, 4, &[1, 1, 2, 2]);
-    follower.step(raft(2, 4, append((1, 2), vec![])), ELECTED);
+    follower.step(message(2, 4, append((1, 2), vec![])), ELECTED);
     assert_eq!(acknowledged(&mut follower), [(2, 2)]);
     // A suffix that replaces another is not on disk because the one before was.
-    follower.step(raft(2, 4, append((1, 2), entries(3, &[4, 4]))), ELECTED);
+    follower.step(message(2, 4, append((1, 2), entries(3, &[4, 4]))), ELECTED);
     assert_eq!(acknowledged(&mut follower), []);
     // Nor when a write of the old suffix ends; and as soon as its own write does.
     follower.stored((Term(2), LogIndex(4)));
@@ -961,9 +966,9 @@
     follower.stored((Term(4), LogIndex(4)));
     assert_eq!(acknowledged(&mut follower), [(2, 4)]);
     // What an earlier term's leader still waits for is not told to anyone in the next.
-    follower.step(raft(2, 4, append((4, 4), entries(5, &[4]))), ELECTED);
+    follower.step(message(2, 4, append((4, 4), entries(5, &[4]))), ELECTED);
     acknowledged(&mut follower);
-    follower.step(raft(2, 5, append((4, 2), vec![])), ELECTED);
+    follower.step(message(2, 5, append((4, 2), vec![])), ELECTED);
     acknowledged(&mut follower);
     follower.stored((Term(4), LogIndex(5)));
     assert_eq!(acknowledged(&mut follower), [], "nothing is owed in the new term");
@@ -983,33 +988,33 @@
     for (what, term, ok, upto, commit, leads) in cases {
         let mut leader = elected(3, 5, &[1]);
         let answer = RaftMessageKind::AppendResponse { upto: LogIndex(upto), ok, sent: ELECTED.0 };
-        leader.step(raft(2, term, answer), ELECTED);
+        leader.step(message(2, term, answer), ELECTED);
         assert_eq!((leader.commit, leader.is_leader()), (LogIndex(commit), leads), "{what}");
         let fresh = leads && term == 5;
         assert_eq!(leader.granting(ELECTED.plus(10)), fresh && commit == 2, "{what}");
-        assert_eq!(leader.kept.epoch, Term(term.max(5)), "{what}");
+        assert_eq!(leader.kept.term, Term(term.max(5)), "{what}");
     }
     // What answers a part keeps a leader's quorum fresh in its own term only.
     for (term, fresh) in [(5, true), (4, false)] {
         let mut leader = elected(3, 5, &[]);
-        leader.step(raft(2, 5, appended(1)), ELECTED);
+        leader.step(message(2, 5, appended(1)), ELECTED);
         let later = ELECTED.plus(440);
         let taken = RaftMessageKind::ChunkResponse { transfer: 1, upto: 0, sent: later.0 };
-        leader.step(raft(2, term, taken), later);
+        leader.step(message(2, term, taken), later);
         assert!(leader.granting(later));
         assert_eq!(leader.granting(ELECTED.plus(500)), fresh, "a part of term {term}");
     }
     // An answer that comes late takes back nothing that was acknowledged before it.
     let mut leader = elected(5, 5, &[1]);
     for (id, upto, commit) in [(2, 2, 0), (2, 1, 0), (3, 2, 2)] {
-        leader.step(raft(id, 5, appended(upto)), ELECTED);
+        leader.step(message(id, 5, appended(upto)), ELECTED);
         assert_eq!(leader.commit, LogIndex(commit), "member {id} has {upto}");
     }
     // One from a time to come is of another life's clock, and makes no quorum fresh.
     let mut leader = elected(3, 5, &[1]);
     let answer =
         RaftMessageKind::AppendResponse { upto: LogIndex(2), ok: true, sent: ELECTED.0 + 5_000 };
-    leader.step(raft(2, 5, answer), ELECTED);
+    leader.step(message(2, 5, answer), ELECTED);
     assert_eq!(leader.commit, LogIndex(2));
     assert!(!leader.granting(ELECTED.plus(4_900)));
 }
@@ -1035,14 +1040,16 @@
         let entries = Vec::new();
         let heartbeat =
             RaftMessageKind::AppendEntries { previous, entries, commit: committed, sent: 1 };
-        follower.step(raft(2, 4, heartbeat), ELECTED);
+        follower.step(message(2, 4, heartbeat), ELECTED);
         follower.out.clear();
         let members: Vec<Member> = (1..=4).map(|id| member(id, true)).collect();
         let state = ByteBuf::from(vec![42]);
         let upto = LogIndex(last.1);
         let snapshot = Snapshot { last: (Term(last.0), upto), members, state };
-        follower
-            .step(raft(2, term, RaftMessageKind::InstallSnapshot { snapshot, sent: 7 }), ELECTED);
+        follower.step(
+            message(2, term, RaftMessageKind::InstallSnapshot { snapshot, sent: 7 }),
+            ELECTED,
+        );
         assert_eq!(follower.out.is_empty(), taken, "{what}: not acknowledged before it is on disk");
         assert_eq!(follower.dirty.snapshot, taken, "{what}");
         store(&mut follower);
@@ -1060,7 +1067,7 @@
 #[test]
 fn the_members_are_those_of_the_newest_list_that_is_still_in_the_log() {
     let listed = |term, index, voters| LogEntry {
-        epoch: Term(term),
+        term: Term(term),
         index: LogIndex(index),
         body: EntryPayload::Membership((1..=voters).map(|id| member(id, true)).collect()),
     };
@@ -1072,10 +1079,10 @@
     };
     // A list counts from when it is in the log, and no more once another leader replaced it.
     let mut follower = replica(3, 4, &[1, 1]);
-    follower.step(raft(2, 4, append((1, 2), vec![listed(4, 3, 4)])), ELECTED);
+    follower.step(message(2, 4, append((1, 2), vec![listed(4, 3, 4)])), ELECTED);
     assert_eq!(follower.members().len(), 4);
-    let other = LogEntry { epoch: Term(5), index: LogIndex(3), body: EntryPayload::NoOp };
-    follower.step(raft(3, 5, append((1, 2), vec![other])), ELECTED);
+    let other = LogEntry { term: Term(5), index: LogIndex(3), body: EntryPayload::NoOp };
+    follower.step(message(3, 5, append((1, 2), vec![other])), ELECTED);
     assert_eq!((follower.members().len(), terms_of(&follower)), (3, vec![1, 1, 5]));
     // A snapshot holds the list as of its last entry, not one that came later.
     let mut leader = elected(1, 5, &[]);
@@ -1104,25 +1111,25 @@
         let snapshot = Snapshot { members, ..Snapshot::default() };
         let kept = PersistentState {
             me: MemberId(1),
-            epoch: Term(5),
+            term: Term(5),
             snapshot,
             ..PersistentState::default()
         };
-        let mut hedge = RaftNode::new(kept, false, Tick(1_000), || 0);
+        let mut raft = RaftNode::new(kept, false, Tick(1_000), || 0);
         let (previous, commit) = ((Term(0), LogIndex(0)), LogIndex(0));
         let heartbeat =
             RaftMessageKind::AppendEntries { previous, entries: Vec::new(), commit, sent: 1 };
-        hedge.step(raft(2, 5, heartbeat), ELECTED);
-        hedge.out.clear();
-        hedge.step(raft(from, term, RaftMessageKind::TimeoutNow), ELECTED);
+        raft.step(message(2, 5, heartbeat), ELECTED);
+        raft.out.clear();
+        raft.step(message(from, term, RaftMessageKind::TimeoutNow), ELECTED);
         let asked =
-            hedge.out.iter().filter(|(_, m)| matches!(m.kind, RaftMessageKind::RequestVote { .. }));
+            raft.out.iter().filter(|(_, m)| matches!(m.kind, RaftMessageKind::RequestVote { .. }));
         assert_eq!(asked.count(), if stands { 3 } else { 0 }, "{what}");
-        assert_eq!(hedge.kept.epoch, Term(if stands { 6 } else { 5 }), "{what}");
+        assert_eq!(raft.kept.term, Term(if stands { 6 } else { 5 }), "{what}");
         // Nor does a learner when it has heard of no leader for long.
-        hedge.out.clear();
-        hedge.tick(ELECTED.plus(60_000));
-        assert_eq!(hedge.out.is_empty(), !votes, "{what}: after a silence");
+        raft.out.clear();
+        raft.tick(ELECTED.plus(60_000));
+        assert_eq!(raft.out.is_empty(), !votes, "{what}: after a silence");
     }
 }
 
@@ -1140,7 +1147,7 @@
     for (what, terms, acknowledged, may) in cases {
         let mut leader = elected(3, 5, terms);
         if let Some(upto) = acknowledged {
-            leader.step(raft(2, 5, appended(upto)), ELECTED);
+            leader.step(message(2, 5, appended(upto)), ELECTED);
         }
         let now = ELECTED.plus(10);
         assert_eq!(leader.granting(now), may, "{what}");
@@ -1152,29 +1159,29 @@
 #[test]
 fn a_vote_leaves_only_once_it_is_on_disk_however_often_a_write_fails() {
     for failed in [0, 1, 3] {
-        let mut granary = RaftStorage::none().expect("in memory");
-        let (mut voter, mut desk, mut now) =
+        let mut storage = RaftStorage::none().expect("in memory");
+        let (mut voter, mut persister, mut now) =
             (replica(3, 5, &[1]), LogPersister::default(), ELECTED);
         let last = (Term(1), LogIndex(1));
         let ask = RaftMessageKind::RequestVote { trial: false, handover: false, led: false, last };
-        voter.step(raft(2, 6, ask), now);
-        assert!(desk.leaving(&mut voter).is_empty(), "{failed} writes fail");
+        voter.step(message(2, 6, ask), now);
+        assert!(persister.leaving(&mut voter).is_empty(), "{failed} writes fail");
         for _ in 0..failed {
             now = now.plus(1_000);
-            assert!(desk.start(&mut voter, now).is_some(), "{failed} writes fail");
-            assert!(desk.leaving(&mut voter).is_empty(), "{failed} writes fail");
-            assert!(desk.ended(&mut voter, false, now).is_empty(), "{failed} writes fail");
-            assert!(desk.leaving(&mut voter).is_empty(), "{failed} writes fail");
+            assert!(persister.start(&mut voter, now).is_some(), "{failed} writes fail");
+            assert!(persister.leaving(&mut voter).is_empty(), "{failed} writes fail");
+            assert!(persister.ended(&mut voter, false, now).is_empty(), "{failed} writes fail");
+            assert!(persister.leaving(&mut voter).is_empty(), "{failed} writes fail");
         }
         now = now.plus(1_000);
-        let sheaf = desk.start(&mut voter, now).expect("the vote is still to be written");
-        assert!(desk.leaving(&mut voter).is_empty(), "{failed} writes fail");
-        granary.save(&sheaf).expect("saved");
+        let batch = persister.start(&mut voter, now).expect("the vote is still to be written");
+        assert!(persister.leaving(&mut voter).is_empty(), "{failed} writes fail");
+        storage.save(&batch).expect("saved");
         let left: Vec<RaftMessageKind> =
-            desk.ended(&mut voter, true, now).into_iter().map(|(_, m)| m.kind).collect();
+            persister.ended(&mut voter, true, now).into_iter().map(|(_, m)| m.kind).collect();
         assert_eq!(left, [RaftMessageKind::VoteResponse { trial: false, granted: true }]);
-        let on_disk = granary.kept().expect("read").expect("kept");
-        assert_eq!((on_disk.epoch, on_disk.voted), (Term(6), Some(MemberId(2))));
+        let on_disk = storage.kept().expect("read").expect("kept");
+        assert_eq!((on_disk.term, on_disk.voted), (Term(6), Some(MemberId(2))));
     }
 }
 
@@ -1183,11 +1190,11 @@
     // (the last term that it led, whether it tells voters that nobody leads the term before 6)
     for (led, says) in [(None, false), (Some(3), false), (Some(4), false), (Some(5), true)] {
         let led = led.map(Term);
-        let kept = PersistentState { epoch: Term(5), led, log: log_of(&[1, 5]), ..founder(1, 3) };
+        let kept = PersistentState { term: Term(5), led, log: log_of(&[1, 5]), ..founder(1, 3) };
         let mut candidate = RaftNode::new(kept, false, Tick(1_000), || 0);
         candidate.tick(ELECTED);
         candidate.step(
-            raft(2, 6, RaftMessageKind::VoteResponse { trial: true, granted: true }),
+            message(2, 6, RaftMessageKind::VoteResponse { trial: true, granted: true }),
             ELECTED,
         );
         let last = (Term(5), LogIndex(2));
@@ -1195,7 +1202,7 @@
         let asked: Vec<(u64, RaftMessage)> =
             candidate.out.drain(..).map(|(to, m)| (to.0, m)).collect();
         let expected = [(2, true), (3, true), (2, false), (3, false)];
-        assert_eq!(asked, expected.map(|(to, trial)| (to, raft(1, 6, ask(trial)))), "{led:?}");
+        assert_eq!(asked, expected.map(|(to, trial)| (to, message(1, 6, ask(trial)))), "{led:?}");
     }
 }
 
@@ -1211,7 +1218,7 @@
     ];
     for (what, term, other, before, follows) in cases {
         let mut leader = elected(3, 5, &[]);
-        leader.step(raft(2, 5, appended(1)), ELECTED);
+        leader.step(message(2, 5, appended(1)), ELECTED);
         leader.reads(MemberId(2), LAYOUT);
         leader.out.clear();
         let now = ELECTED.plus(10);
@@ -1230,7 +1237,7 @@
         let [(transfer, 0, size)] = first[..] else { panic!("{what}: {first:?}") };
         let sent = now.0 - before;
         let taken = RaftMessageKind::ChunkResponse { transfer: transfer + other, upto: size, sent };
-        leader.step(raft(2, term, taken), now.plus(5));
+        leader.step(message(2, term, taken), now.plus(5));
         let next: Vec<(u64, u64)> = parts(&mut leader).iter().map(|p| (p.0, p.1)).collect();
         assert_eq!(next, if follows { vec![(transfer, size)] } else { vec![] }, "{what}");
     }
@@ -1253,13 +1260,14 @@
         candidate.tick(ELECTED);
         if !trial {
             let granted = RaftMessageKind::VoteResponse { trial: true, granted: true };
-            candidate.step(raft(2, 6, granted), ELECTED);
+            candidate.step(message(2, 6, granted), ELECTED);
         }
-        candidate.step(raft(2, term, append.clone()), ELECTED);
+        candidate.step(message(2, term, append.clone()), ELECTED);
         assert_eq!(candidate.leader, if counts { None } else { Some(MemberId(2)) }, "{what}");
-        candidate.step(raft(3, 6, RaftMessageKind::VoteResponse { trial, granted: true }), ELECTED);
+        candidate
+            .step(message(3, 6, RaftMessageKind::VoteResponse { trial, granted: true }), ELECTED);
         assert_eq!(candidate.is_leader(), counts && !trial, "{what}");
-        assert_eq!(candidate.kept.epoch, Term(after), "{what}");
+        assert_eq!(candidate.kept.term, Term(after), "{what}");
     }
 }
 
@@ -1279,14 +1287,14 @@
         for id in answer {
             let sent = ELECTED.0 + 900;
             let kind = RaftMessageKind::AppendResponse { upto: LogIndex(0), ok: true, sent };
-            leader.step(raft(*id, 5, kind), ELECTED.plus(900));
+            leader.step(message(*id, 5, kind), ELECTED.plus(900));
         }
         for (after, leads) in [1_000, 1_010].into_iter().zip(leads) {
             leader.tick(ELECTED.plus(after));
             assert_eq!(leader.is_leader(), leads, "{voters} voters, {answer:?}, {after} ms");
         }
         assert_eq!(leader.propose(change(9), ELECTED.plus(1_010)).is_some(), leads[1]);
-        assert_eq!(leader.kept.epoch, Term(5), "{voters} voters, {answer:?}");
+        assert_eq!(leader.kept.term, Term(5), "{voters} voters, {answer:?}");
     }
 }
 
@@ -1294,7 +1302,7 @@
 fn a_snapshot_has_the_term_of_the_last_entry_that_it_covers() {
     let mut log = log_of(&[1, 3, 3]);
     log[0].body = EntryPayload::Command(ByteBuf::from(vec![0; 2 << 20]));
-    let kept = PersistentState { epoch: Term(4), log, ..founder(1, 3) };
+    let kept = PersistentState { term: Term(4), log, ..founder(1, 3) };
     let mut follower = RaftNode::new(kept, false, Tick(1_000), || 0);
     let append = |previous: (u64, u64)| RaftMessageKind::AppendEntries {
         previous: (Term(previous.0), LogIndex(previous.1)),
@@ -1302,14 +1310,14 @@
         commit: LogIndex(1),
         sent: 1,
     };
-    follower.step(raft(2, 4, append((3, 3))), ELECTED);
+    follower.step(message(2, 4, append((3, 3))), ELECTED);
     follower.compact(follower.commit, || vec![42]);
     assert_eq!(follower.kept.snapshot.last, (Term(1), LogIndex(1)));
     assert_eq!((terms_of(&follower), follower.last()), (vec![3, 3], (Term(3), LogIndex(3))));
     // The entry that the snapshot ends with is agreed on by its term like any other.
     for (previous, agrees) in [((1, 1), true), ((3, 2), true), ((4, 1), false), ((1, 2), false)] {
         follower.out.clear();
-        follower.step(raft(2, 4, append(previous)), ELECTED);
+        follower.step(message(2, 4, append(previous)), ELECTED);
         let ok = matches!(follower.out[0].1.kind, RaftMessageKind::AppendResponse { ok: true, .. });
         assert_eq!(ok, agrees, "{previous:?}");
     }
@@ -1333,14 +1341,14 @@
             let place = |e: LogEntry| LogEntry { index: LogIndex(from + e.index.0), ..e };
             log_of(terms).into_iter().map(place).collect()
         };
-        let mut kept = PersistentState { epoch: Term(4), log: behind(3, &[2, 3]), ..founder(1, 3) };
+        let mut kept = PersistentState { term: Term(4), log: behind(3, &[2, 3]), ..founder(1, 3) };
         kept.snapshot.last = (Term(2), LogIndex(3));
         let mut follower = RaftNode::new(kept, false, Tick(1_000), || 0);
         let entries = behind(previous.1, terms);
         let previous = (Term(previous.0), LogIndex(previous.1));
         let append =
             RaftMessageKind::AppendEntries { previous, entries, commit: LogIndex(0), sent: 7 };
-        follower.step(raft(2, 4, append), ELECTED);
+        follower.step(message(2, 4, append), ELECTED);
         store(&mut follower);
         assert_eq!(terms_of(&follower), log, "{what}");
         let places = follower.kept.log.iter().map(|e| e.index.0);
@@ -1362,12 +1370,12 @@
     // (the last term that it led, the term whose leader it hears, whether it may ask sooner then)
     for (led, term, sooner) in [(5, None, true), (5, Some(6), false), (4, Some(5), false)] {
         let led = Some(Term(led));
-        let kept = PersistentState { epoch: Term(5), led, log: log_of(&[5]), ..founder(1, 3) };
-        let mut hedge = RaftNode::new(kept, true, ELECTED, || 0);
+        let kept = PersistentState { term: Term(5), led, log: log_of(&[5]), ..founder(1, 3) };
+        let mut raft = RaftNode::new(kept, true, ELECTED, || 0);
         if let Some(term) = term {
-            hedge.step(raft(2, term, heartbeat.clone()), ELECTED);
+            raft.step(message(2, term, heartbeat.clone()), ELECTED);
         }
-        let soon = hedge.due() < ELECTED.plus(ELECTION_MIN_MS);
+        let soon = raft.due() < ELECTED.plus(ELECTION_MIN_MS);
         assert_eq!(soon, sooner, "it led {led:?} and hears of {term:?}");
     }
 }
--- a/tests/repeats.rs
+++ b/tests/retries.rs
@@ -22,13 +22,13 @@
         let _ = self.0.wait();
     }
 }
-/// A steward and one node that serves clients.
+/// A controller and one node that serves clients.
 struct Site {
     folder: PathBuf,
     admin: SocketAddr,
     frontend: SocketAddr,
     readiness: SocketAddr,
-    steward: Option<Process>,
+    controller: Option<Process>,
     _node: Process,
 }
 impl Drop for Site {
@@ -49,7 +49,7 @@
     command.args([role, "--settings"]).arg(settings).stderr(Stdio::null());
     Process(command.spawn().expect(role))
 }
-fn start(role: &str, more: &str, configuration: &str, beat: impl Fn(SocketAddr)) -> Site {
+fn start(role: &str, more: &str, configuration: &str, heartbeat: impl Fn(SocketAddr)) -> Site {
     let at: Vec<SocketAddr> =
         (0..4).map(|_| SocketAddr::from(([127, 0, 0, 1], free_port()))).collect();
     let folder = std::env::temp_dir().join(format!("silvertack-repeats-{}", at[0].port()));
@@ -67,15 +67,15 @@
     );
     let file = folder.join("node.toml");
     std::fs::write(&file, settings).expect("settings");
-    let steward = Some(run("steward", &file));
+    let controller = Some(run("controller", &file));
     let node = run(role, &file);
     let site =
-        Site { folder, admin: at[1], frontend: at[2], readiness: at[3], steward, _node: node };
+        Site { folder, admin: at[1], frontend: at[2], readiness: at[3], controller, _node: node };
     eventually("a configuration", || {
         let base = [("If-Match", "0")];
         http(site.admin, "PUT", "/configuration", &base, configuration).is_ok_and(|(s, _)| s == 200)
     });
-    beat(site.admin);
+    heartbeat(site.admin);
     eventually("readiness", || {
         http(site.readiness, "GET", "/readiness", &[], "").is_ok_and(|(s, _)| s == 200)
     });
@@ -87,9 +87,9 @@
 }
 
 // ---------------------------------------------------------------------------------------------
-// The stile
+// The pooler
 
-fn start_stile(databases: &Arc<StandIn>) -> Site {
+fn start_pooler(databases: &Arc<StandIn>) -> Site {
     let route = |name: &str, kind: &str, timeout: u64| {
         serde_json::json!({
             "name": name, "hostname": name, "path_prefix": "/", "route_type": kind, "priority": 1,
@@ -107,7 +107,7 @@
     .to_string();
     let platform = format!("[provider]\naddress = \"{}\"", databases.platform);
     let beating = Arc::clone(databases);
-    let site = start("stile", &platform, &configuration, move |admin| {
+    let site = start("pooler", &platform, &configuration, move |admin| {
         beating.keep_beating(admin, Duration::from_millis(200));
     });
     eventually("the first write", || {
@@ -170,9 +170,9 @@
 #[test]
 fn no_statement_is_run_twice_that_may_be_kept_and_no_answer_is_anothers() {
     let databases = StandIn::start("ledger", 3).expect("databases");
-    let site = start_stile(&databases);
+    let site = start_pooler(&databases);
     let all = [Silence, Late(60), ResetBefore, ResetAfter, ResetWithin, Doubled];
-    // What goes before, the statement, and for each mishap in turn how it must end.
+    // What goes before, the statement, and for each fault in turn how it must end.
     let unknown = "UNKNOWN I";
     let cases: [(&[&str], &str, [&str; 6]); 6] = [
         // Nothing is kept and nothing was shown: run again, silently.
@@ -238,7 +238,7 @@
 #[test]
 fn what_comes_late_on_a_connection_is_nobodys_answer() {
     let databases = StandIn::start("ledger", 2).expect("databases");
-    let site = start_stile(&databases);
+    let site = start_pooler(&databases);
     let stored = |thing: &str| {
         let text = format!("STORE {thing} {thing}");
         assert_eq!(served(&site, "strict", &text).1.0, "own I", "{text}");
@@ -328,7 +328,7 @@
 #[test]
 fn in_a_crowd_each_session_hears_its_own_answers() {
     let databases = StandIn::start("ledger", 3).expect("databases");
-    let site = start_stile(&databases);
+    let site = start_pooler(&databases);
     std::thread::scope(|threads| {
         for place in 0..8 {
             let (site, databases) = (&site, &databases);
@@ -384,7 +384,7 @@
 #[test]
 fn what_was_laid_on_in_a_transaction_that_is_gone_is_laid_on_anew() {
     let databases = StandIn::start("ledger", 2).expect("databases");
-    let site = start_stile(&databases);
+    let site = start_pooler(&databases);
     for round in 0..3 {
         let id = fresh_id();
         let one = format!("CONFIGURE tenant one{round}");
@@ -403,7 +403,7 @@
 #[test]
 fn an_answer_that_comes_after_the_lease_is_not_passed_on() {
     let databases = StandIn::start("ledger", 2).expect("databases");
-    let mut site = start_stile(&databases);
+    let mut site = start_pooler(&databases);
     // The first write, the last of a transaction, a read at the primary only.
     let cases: [(&[&str], &str, &str); 3] = [
         (&[], "STORE a a", "UNKNOWN I"),
@@ -418,7 +418,7 @@
             (prepared(&site, "strict", &fresh_id(), before).expect("open"), id, *text, *end)
         })
         .collect();
-    site.steward = None;
+    site.controller = None;
     for (session, id, text, _) in &mut sessions {
         session.send(id, text);
     }
@@ -429,9 +429,9 @@
 }
 
 // ---------------------------------------------------------------------------------------------
-// The wicket
+// The gateway
 
-fn start_wicket(databases: &Arc<Shed>) -> Site {
+fn start_gateway(databases: &Arc<Shed>) -> Site {
     let route = |prefix: &str, kind: &str| {
         serde_json::json!({
             "name": prefix, "hostname": "shop.example", "path_prefix": prefix, "route_type": kind,
@@ -446,7 +446,7 @@
     })
     .to_string();
     let all = databases.addresses.len();
-    let site = start("wicket", "rollout = \"api\"", &configuration, |admin| {
+    let site = start("gateway", "rollout = \"api\"", &configuration, |admin| {
         eventually("databases", || databases.beat_all(admin, 1));
     });
     eventually("all databases known", || {
@@ -477,7 +477,7 @@
 fn a_request_reaches_a_database_as_often_as_it_may_and_its_answer_is_its_own() {
     use How::*;
     let databases = Shed::start("query", 4).expect("databases");
-    let site = start_wicket(&databases);
+    let site = start_gateway(&databases);
     // What the databases do in turn; the status and how often it ran, where it may be repeated and where
     // not.
     let cases: [(&[How], u16, usize, u16, usize); 16] = [
@@ -533,7 +533,7 @@
 fn a_promise_is_passed_on_only_while_it_is_true_of_the_whole_request() {
     use How::*;
     let databases = Shed::start("query", 1).expect("databases");
-    let site = start_wicket(&databases);
+    let site = start_gateway(&databases);
     // A rested connection is reset after the request ran, and the second send of it is refused.
     for second in [FullLarge(100_000), Full] {
         let rested = fresh_id();
@@ -549,7 +549,7 @@
         eventually("fresh databases", || databases.beat_all(site.admin, 3));
     }
     let two = Shed::start("query", 2).expect("databases");
-    let site = start_wicket(&two);
+    let site = start_gateway(&two);
     two.will(&[Reset, FullLarge(100_000)]);
     let id = fresh_id();
     let (status, head, _) = request(&site, "GET", "/many/x", Some(&id));
@@ -559,7 +559,7 @@
 #[test]
 fn an_answer_too_many_is_no_later_requests_with_or_without_an_id() {
     let databases = Shed::start("query", 1).expect("databases");
-    let site = start_wicket(&databases);
+    let site = start_gateway(&databases);
     for kind in ["many", "once"] {
         for round in 0..6 {
             for id in [Some(fresh_id()), None] {
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -71,8 +71,11 @@
     ];
     for (what, new, sent) in cases {
         let changed = new.since(&base);
-        let count: usize =
-            changed.lanes.iter().map(|r| if let DeltaRun::New(n) = r { n.len() } else { 0 }).sum();
+        let count: usize = changed
+            .entries
+            .iter()
+            .map(|r| if let DeltaRun::New(n) = r { n.len() } else { 0 })
+            .sum();
         assert_eq!(count, sent, "{what}");
         assert_eq!(base.with(&changed).as_ref(), Some(&new), "{what}");
         let (frame, whole) = (pack(&changed), pack(&new));
@@ -85,8 +88,8 @@
     }
     // A place that the base does not have makes nothing of it, and no mix.
     let mut wrong = base.since(&base);
-    wrong.lanes = vec![DeltaRun::Same { from: 3, count: 2 }];
+    wrong.entries = vec![DeltaRun::Same { from: 3, count: 2 }];
     assert_eq!(base.with(&wrong), None);
-    wrong.lanes = vec![DeltaRun::Same { from: 1, count: usize::MAX }];
+    wrong.entries = vec![DeltaRun::Same { from: 1, count: usize::MAX }];
     assert_eq!(base.with(&wrong), None);
 }
--- a/tests/model.rs
+++ b/tests/simulation.rs
@@ -40,7 +40,7 @@
     let size = prop::sample::select(vec![(3, 1), (4, 1), (5, 2), (6, 2), (7, 2)]);
     let suspends = prop::bool::weighted(0.15);
     (any::<u64>(), size, 2..9usize, prop::collection::vec(trouble, 0..10), suspends).prop_map(
-        |(seed, (stewards, tolerated), operators, mut troubles, suspends)| {
+        |(seed, (controllers, tolerated), operators, mut troubles, suspends)| {
             let length = 20_000;
             // Nothing is promised of leases then, so most schedules are without.
             for trouble in troubles.iter_mut().filter(|_| suspends) {
@@ -48,7 +48,7 @@
                     trouble.kind = Kind::Suspend(whom);
                 }
             }
-            Schedule { seed, stewards, tolerated, operators, length, troubles }
+            Schedule { seed, controllers, tolerated, operators, length, troubles }
         },
     )
 }
@@ -81,8 +81,8 @@
         (63, "leases counted as gone at once"),
         (146, "a read was answered without a quorum asked"),
         (1121, "one replica less was enough to choose by"),
-        // These broke with an earlier drawing, which they no longer show: lost stiles forgotten, and
-        // a steward that began anew with seeds that had all been replaced.
+        // These broke with an earlier drawing, which they no longer show: lost poolers forgotten, and
+        // a controller that began anew with seeds that had all been replaced.
         (4, "drawn"),
         (43, "drawn"),
         (129, "drawn"),
@@ -107,8 +107,8 @@
 }
 
 #[test]
-fn a_replica_that_counts_before_the_stewards_know_it_keeps_its_commits() {
-    // Schedules in which a new replica is the only one that has a commit before its first beat is
+fn a_replica_that_counts_before_the_controllers_know_it_keeps_its_commits() {
+    // Schedules in which a new replica is the only one that has a commit before its first heartbeat is
     // taken, while a planned change is under way.
     let played = [10_588, 10_856, 11_529].map(|seed| play(&Schedule::drawn(seed)).map(drop));
     assert_eq!(played, [Ok(()), Ok(()), Ok(())]);
