--- a/src/controller/controller.rs
+++ b/src/controller/controller.rs
@@ -495,7 +495,7 @@
             Input::Frame(..) => {}
             Input::Http(request, reply) => self.answer_http(request, reply, now),
             Input::DatabaseResponse(service, id, ask, attempt, told) => {
-                if told != DatabaseResponse::Reached {
+                if told != DatabaseResponse::Connected {
                     self.asking -= 1;
                     self.ask_on();
                     info!(target: "failover", "{service}: {id} on {ask:?}: {told:?}");
@@ -1019,7 +1019,7 @@
             FailoverAction::Propose(change) => {
                 self.propose(&change, now);
             }
-            FailoverAction::Revoke(term) => {
+            FailoverAction::RevokeLeases(term) => {
                 // Ahead of whatever waits.
                 let frame =
                     encode(&Frame::Controller(ToPooler::Revoke { service: service.clone(), term }));
@@ -1028,7 +1028,7 @@
                 }
                 self.pump(now);
             }
-            FailoverAction::DatabaseRequest(id, ask) => {
+            FailoverAction::SendRequest(id, ask) => {
                 // The same question twice is one; beyond the bound whoever needs it asks again.
                 let question = (service.clone(), id, ask, attempt);
                 if self.questions.len() < QUESTIONS_WAITING && !self.questions.contains(&question) {
@@ -1036,7 +1036,7 @@
                 }
                 self.ask_on();
             }
-            FailoverAction::Post(target) => {
+            FailoverAction::Promote(target) => {
                 let Some(provider) = &self.settings.provider else {
                     warn!(target: "failover", "no provider is set, {service} can't be moved");
                     return;
--- a/src/controller/transport.rs
+++ b/src/controller/transport.rs
@@ -237,8 +237,8 @@
         if let Some(refused) = read_answer(&mut stream, &mut inbox)? {
             use crate::base::errors::ErrorKind;
             return Ok(match refused {
-                ErrorKind::WrongNode => DatabaseResponse::Lost,
-                _ => DatabaseResponse::Alive,
+                ErrorKind::WrongNode => DatabaseResponse::Unavailable,
+                _ => DatabaseResponse::NoDescription,
             });
         }
         stream.write_all(format!("QUERY - {text}\r\n").as_bytes())?;
@@ -246,14 +246,16 @@
             match statement_protocol::reply(inbox.pending()) {
                 Ok(Some(reply)) => {
                     let row = reply.described(inbox.pending());
-                    return Ok(row.map_or(DatabaseResponse::Alive, DatabaseResponse::Description));
+                    return Ok(
+                        row.map_or(DatabaseResponse::NoDescription, DatabaseResponse::Description)
+                    );
                 }
                 Ok(None) => {
                     if inbox.fill(&mut stream)? == 0 {
-                        return Ok(DatabaseResponse::Lost);
+                        return Ok(DatabaseResponse::Unavailable);
                     }
                 }
-                Err(statement_protocol::Garbled) => return Ok(DatabaseResponse::Lost),
+                Err(statement_protocol::Garbled) => return Ok(DatabaseResponse::Unavailable),
             }
         }
     };
@@ -261,9 +263,9 @@
         Ok(told) => told,
         Err(e) => match e.kind() {
             std::io::ErrorKind::TimedOut | std::io::ErrorKind::WouldBlock => {
-                DatabaseResponse::Silent
+                DatabaseResponse::TimedOut
             }
-            _ => DatabaseResponse::Lost,
+            _ => DatabaseResponse::Unavailable,
         },
     }
 }
@@ -310,15 +312,15 @@
         Duration::from_secs(1),
     ) {
         Ok((200..=299, ..)) => PromotionResponse::Accepted,
-        Ok((409, ..)) => PromotionResponse::Refused,
-        Ok((429, ..)) => PromotionResponse::Busy,
+        Ok((409, ..)) => PromotionResponse::NotRunning,
+        Ok((429, ..)) => PromotionResponse::NotAttempted,
         Ok((status, _, body)) => {
             warn!(target: "failover", "platform answered {status}: {}", String::from_utf8_lossy(&body));
-            PromotionResponse::Unclear
+            PromotionResponse::Unknown
         }
         Err(e) => {
             warn!(target: "failover", "platform: {e}");
-            PromotionResponse::Unclear
+            PromotionResponse::Unknown
         }
     }
 }
@@ -427,7 +429,7 @@
                         id,
                         ask,
                         attempt,
-                        DatabaseResponse::Reached,
+                        DatabaseResponse::Connected,
                     );
                     drop(tx.send(Event::Input(told)));
                 }
@@ -455,7 +457,8 @@
         });
         if !started {
             let (tx, service, target) = again;
-            let busy = Input::PromotionResponse(service, target, attempt, PromotionResponse::Busy);
+            let busy =
+                Input::PromotionResponse(service, target, attempt, PromotionResponse::NotAttempted);
             drop(tx.send(Event::Input(busy)));
         }
     }
--- a/src/failover/mod.rs
+++ b/src/failover/mod.rs
@@ -21,22 +21,22 @@
 pub enum DatabaseResponse {
     Description(ServerDescription),
     /// Its machine took the connection; the answer may follow.
-    Reached,
+    Connected,
     /// It answered, so it lives, but not with its state.
-    Alive,
+    NoDescription,
     /// Refused, closed, or another database lives there.
-    Lost,
-    Silent,
+    Unavailable,
+    TimedOut,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PromotionResponse {
     Accepted,
     /// The named database is not running.
-    Refused,
+    NotRunning,
     /// Not taken this time, for certain.
-    Busy,
-    Unclear,
+    NotAttempted,
+    Unknown,
 }
 
 /// One try at something, as its questions and calls carry it: an answer to an earlier try says
@@ -60,10 +60,10 @@
 /// What each is asked belongs to the attempt that is under way when the step ends.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FailoverAction {
-    DatabaseRequest(InstanceId, DatabaseRequest),
-    Post(InstanceId),
+    SendRequest(InstanceId, DatabaseRequest),
+    Promote(InstanceId),
     Propose(Command),
-    Revoke(DbTerm),
+    RevokeLeases(DbTerm),
 }
 
 /// A service as the leader sees it when a step is taken.
@@ -105,11 +105,11 @@
 pub enum FailoverState {
     Steady,
     /// A first primary says so itself; its term is being asked for.
-    Founding {
+    DiscoveringFirstPrimary {
         asked: Tick,
     },
     /// The primary is suspected; its own answer decides.
-    Doubting {
+    Suspected {
         asked: Tick,
         /// Its machine took the connection, so it is not dark, only slow perhaps.
         reached: bool,
@@ -125,11 +125,11 @@
         rows: BTreeMap<InstanceId, ServerDescription>,
     },
     /// The intent is on its way into the log.
-    Intending {
+    RecordingIntent {
         target: InstanceId,
         since: Tick,
     },
-    Posting {
+    Promoting {
         target: InstanceId,
         tried: Tick,
         in_flight: bool,
@@ -138,7 +138,7 @@
         looked: Tick,
     },
     /// The target leads; the old term's leases are running out.
-    Taking {
+    AwaitingLeaseExpiry {
         target: InstanceId,
         term: DbTerm,
         recorded: bool,
@@ -229,7 +229,7 @@
             snapshot.replicas().map(|(id, _)| id).filter(|id| snapshot.beating.contains(*id));
         let missing = living.filter(|id| !self.holders.contains(*id));
         missing
-            .map(|id| FailoverAction::DatabaseRequest(id.clone(), DatabaseRequest::Describe))
+            .map(|id| FailoverAction::SendRequest(id.clone(), DatabaseRequest::Describe))
             .collect()
     }
 }
@@ -338,7 +338,7 @@
         now: Tick,
     ) -> Vec<FailoverAction> {
         self.revoking = true;
-        let mut actions = vec![FailoverAction::Revoke(term)];
+        let mut actions = vec![FailoverAction::RevokeLeases(term)];
         actions.extend(self.pause_newcomers(snapshot, &target, now));
         self.paused.insert(target.clone());
         self.post(target, now, &mut actions);
@@ -353,14 +353,14 @@
         term: DbTerm,
         now: Tick,
     ) -> Vec<FailoverAction> {
-        self.stage = FailoverState::Taking { target, term, recorded: false };
+        self.stage = FailoverState::AwaitingLeaseExpiry { target, term, recorded: false };
         let mut actions = Vec::new();
         if let Some(lead) = &snapshot.lead {
             if !self.revoking {
                 self.revoking = true;
-                actions.push(FailoverAction::Revoke(lead.term));
+                actions.push(FailoverAction::RevokeLeases(lead.term));
             }
-            actions.push(FailoverAction::DatabaseRequest(
+            actions.push(FailoverAction::SendRequest(
                 lead.primary.clone(),
                 DatabaseRequest::StepDown(term),
             ));
@@ -380,8 +380,8 @@
 
     fn post(&mut self, target: InstanceId, now: Tick, actions: &mut Vec<FailoverAction>) {
         self.renumber();
-        actions.push(FailoverAction::Post(target.clone()));
-        self.stage = FailoverState::Posting {
+        actions.push(FailoverAction::Promote(target.clone()));
+        self.stage = FailoverState::Promoting {
             target,
             tried: now,
             in_flight: true,
@@ -415,7 +415,7 @@
         which.iter().for_each(|id| self.letting_go.sent(id, now));
         which
             .into_iter()
-            .map(|id| FailoverAction::DatabaseRequest(id, DatabaseRequest::Continue))
+            .map(|id| FailoverAction::SendRequest(id, DatabaseRequest::Continue))
             .collect()
     }
 
@@ -447,20 +447,19 @@
         }
         let planned = matches!(self.stage, FailoverState::Fencing { target: Some(_), .. });
         match self.stage {
-            FailoverState::Doubting { .. } => self.tick(snapshot, now),
+            FailoverState::Suspected { .. } => self.tick(snapshot, now),
             FailoverState::Steady => self.doubt(&lead.primary, now),
-            _ if planned => vec![FailoverAction::DatabaseRequest(
-                lead.primary.clone(),
-                DatabaseRequest::Describe,
-            )],
+            _ if planned => {
+                vec![FailoverAction::SendRequest(lead.primary.clone(), DatabaseRequest::Describe)]
+            }
             _ => Vec::new(),
         }
     }
 
     fn doubt(&mut self, primary: &InstanceId, now: Tick) -> Vec<FailoverAction> {
         self.renumber();
-        self.stage = FailoverState::Doubting { asked: now, reached: false };
-        vec![FailoverAction::DatabaseRequest(primary.clone(), DatabaseRequest::Describe)]
+        self.stage = FailoverState::Suspected { asked: now, reached: false };
+        vec![FailoverAction::SendRequest(primary.clone(), DatabaseRequest::Describe)]
     }
 
     fn fence(&mut self, snapshot: &ServiceSnapshot, now: Tick) -> Vec<FailoverAction> {
@@ -468,7 +467,7 @@
             return Vec::new();
         };
         // The doubt before it asked for no pause, and its question still counts.
-        if !matches!(self.stage, FailoverState::Doubting { .. }) {
+        if !matches!(self.stage, FailoverState::Suspected { .. }) {
             self.renumber();
         }
         self.revoking = true;
@@ -480,7 +479,7 @@
             asked: now,
             rows: BTreeMap::new(),
         };
-        let mut actions = vec![FailoverAction::Revoke(lead.term)];
+        let mut actions = vec![FailoverAction::RevokeLeases(lead.term)];
         actions.extend(self.pause(
             snapshot.replicas().map(|(id, _)| id.clone()).collect(),
             lead.term,
@@ -502,9 +501,7 @@
         self.owed.retain(|id, _| !which.contains(id));
         which
             .into_iter()
-            .map(|id| {
-                FailoverAction::DatabaseRequest(id, DatabaseRequest::Pause(DbTerm(term.0 + 1)))
-            })
+            .map(|id| FailoverAction::SendRequest(id, DatabaseRequest::Pause(DbTerm(term.0 + 1))))
             .collect()
     }
 
@@ -573,8 +570,7 @@
         self.renumber();
         let mut actions = Vec::new();
         if others.is_empty() {
-            actions
-                .push(FailoverAction::DatabaseRequest(target.clone(), DatabaseRequest::Describe));
+            actions.push(FailoverAction::SendRequest(target.clone(), DatabaseRequest::Describe));
         }
         actions.extend(self.pause(others, term, now));
         self.stage = FailoverState::Fencing {
@@ -624,7 +620,7 @@
         let cover =
             DepartedReplicaCheck { attempt, departed, began: now, asked: now, mark: None, holders };
         self.cover = Some(cover);
-        vec![FailoverAction::DatabaseRequest(primary.clone(), DatabaseRequest::Describe)]
+        vec![FailoverAction::SendRequest(primary.clone(), DatabaseRequest::Describe)]
     }
     fn looked(
         &mut self,
@@ -681,7 +677,7 @@
         let lead = snapshot.lead.clone();
         // Unanswered it may still be carried out; the time says when not.
         match (ask, told) {
-            (_, DatabaseResponse::Reached | DatabaseResponse::Silent) => {}
+            (_, DatabaseResponse::Connected | DatabaseResponse::TimedOut) => {}
             _ if attempt.raft_term != self.attempt.raft_term => {}
             (DatabaseRequest::Pause(_), _) => self.pausing.ended(of),
             (DatabaseRequest::Continue, _) => self.letting_go.ended(of),
@@ -697,7 +693,7 @@
         }
         let late = match (&self.stage, ask) {
             // Whoever leads a newer term does so whenever it was asked.
-            (FailoverState::Posting { .. }, DatabaseRequest::Describe) => false,
+            (FailoverState::Promoting { .. }, DatabaseRequest::Describe) => false,
             (_, DatabaseRequest::Pause(_) | DatabaseRequest::Describe) => attempt != self.attempt,
             (_, DatabaseRequest::Continue | DatabaseRequest::StepDown(_)) => false,
         };
@@ -706,14 +702,14 @@
         }
         match (&mut self.stage, ask, told) {
             (
-                FailoverState::Doubting { reached, .. },
+                FailoverState::Suspected { reached, .. },
                 DatabaseRequest::Describe,
-                DatabaseResponse::Reached,
+                DatabaseResponse::Connected,
             ) => {
                 *reached = true;
                 Vec::new()
             }
-            (_, _, DatabaseResponse::Reached) => Vec::new(),
+            (_, _, DatabaseResponse::Connected) => Vec::new(),
             (_, DatabaseRequest::Continue, told) => {
                 if matches!(told, DatabaseResponse::Description(_))
                     && self.owed.get(of).is_some_and(|since| attempt >= *since)
@@ -735,7 +731,7 @@
                 }
             }
             (
-                FailoverState::Founding { .. },
+                FailoverState::DiscoveringFirstPrimary { .. },
                 DatabaseRequest::Describe,
                 DatabaseResponse::Description(row),
             ) if lead.is_none() => {
@@ -750,12 +746,12 @@
                     primary,
                 })]
             }
-            (FailoverState::Founding { .. }, ..) => {
+            (FailoverState::DiscoveringFirstPrimary { .. }, ..) => {
                 self.stage = FailoverState::Steady;
                 Vec::new()
             }
             (
-                FailoverState::Doubting { .. } | FailoverState::Fencing { .. },
+                FailoverState::Suspected { .. } | FailoverState::Fencing { .. },
                 DatabaseRequest::Describe,
                 told,
             ) if lead.as_ref().is_some_and(|l| l.primary == *of) => {
@@ -763,14 +759,14 @@
                     DatabaseResponse::Description(row) => {
                         row.primary && lead.as_ref().is_some_and(|l| l.term == row.term)
                     }
-                    DatabaseResponse::Alive | DatabaseResponse::Reached => true,
-                    DatabaseResponse::Lost | DatabaseResponse::Silent => false,
+                    DatabaseResponse::NoDescription | DatabaseResponse::Connected => true,
+                    DatabaseResponse::Unavailable | DatabaseResponse::TimedOut => false,
                 };
                 match (&self.stage, leads) {
-                    (FailoverState::Doubting { asked, .. }, true) => {
+                    (FailoverState::Suspected { asked, .. }, true) => {
                         // Its own answer was slow, or it turned even this question away.
-                        let slow =
-                            now.since(*asked) > SLOW_ANSWER_MS || *told == DatabaseResponse::Alive;
+                        let slow = now.since(*asked) > SLOW_ANSWER_MS
+                            || *told == DatabaseResponse::NoDescription;
                         self.settle(now);
                         match lead {
                             Some(lead) if slow => self.leave_slow(snapshot, lead.term, now),
@@ -781,14 +777,14 @@
                         }
                     }
                     // One question without an answer may be a lost packet: it is asked once more.
-                    (FailoverState::Doubting { .. }, false)
-                        if *told == DatabaseResponse::Silent
+                    (FailoverState::Suspected { .. }, false)
+                        if *told == DatabaseResponse::TimedOut
                             && self.suspects.len() < SILENT_STILES
                             && self.unanswered.is_none_or(|t| now.since(t) > UNANSWERED_MS) =>
                     {
                         self.unanswered = Some(now);
-                        self.stage = FailoverState::Doubting { asked: now, reached: false };
-                        vec![FailoverAction::DatabaseRequest(of.clone(), DatabaseRequest::Describe)]
+                        self.stage = FailoverState::Suspected { asked: now, reached: false };
+                        vec![FailoverAction::SendRequest(of.clone(), DatabaseRequest::Describe)]
                     }
                     // Nothing was posted yet, and the alarm was false.
                     (FailoverState::Fencing { target: None, .. }, true) => self.call_off(now),
@@ -815,10 +811,9 @@
                     Some(PrimaryRecord { term, .. }) if row.term > term => {
                         self.taking(snapshot, primary, row.term, now)
                     }
-                    Some(PrimaryRecord { term, .. }) => vec![FailoverAction::DatabaseRequest(
-                        primary,
-                        DatabaseRequest::StepDown(term),
-                    )],
+                    Some(PrimaryRecord { term, .. }) => {
+                        vec![FailoverAction::SendRequest(primary, DatabaseRequest::StepDown(term))]
+                    }
                     None => Vec::new(),
                 }
             }
@@ -837,16 +832,13 @@
                                 .replicas()
                                 .all(|(id, _)| id == target || rows.contains_key(id)) =>
                     {
-                        vec![FailoverAction::DatabaseRequest(
-                            target.clone(),
-                            DatabaseRequest::Describe,
-                        )]
+                        vec![FailoverAction::SendRequest(target.clone(), DatabaseRequest::Describe)]
                     }
                     _ => actions,
                 }
             }
             (
-                FailoverState::Posting { target, .. },
+                FailoverState::Promoting { target, .. },
                 DatabaseRequest::Describe,
                 DatabaseResponse::Description(row),
             ) if of == target
@@ -917,7 +909,7 @@
         let Some(target) = chosen else {
             return Vec::new();
         };
-        self.stage = FailoverState::Intending { target: target.clone(), since: now };
+        self.stage = FailoverState::RecordingIntent { target: target.clone(), since: now };
         let (service, term) = (snapshot.service.clone(), lead.term);
         vec![FailoverAction::Propose(Command::BeginFailover { service, term, target })]
     }
@@ -930,7 +922,7 @@
         posted: PromotionResponse,
         now: Tick,
     ) -> Vec<FailoverAction> {
-        let FailoverState::Posting { target, in_flight, perhaps, tried, .. } = &mut self.stage
+        let FailoverState::Promoting { target, in_flight, perhaps, tried, .. } = &mut self.stage
         else {
             return Vec::new();
         };
@@ -944,9 +936,9 @@
                 // Accepted: not to be repeated unless the target stays silent for long.
                 *tried = now.plus(POST_SETTLED_MS);
             }
-            PromotionResponse::Unclear => *perhaps = Some(now),
-            PromotionResponse::Busy => {}
-            PromotionResponse::Refused => {
+            PromotionResponse::Unknown => *perhaps = Some(now),
+            PromotionResponse::NotAttempted => {}
+            PromotionResponse::NotRunning => {
                 // One that has left for good will not lead any more, whatever is under way.
                 let left = snapshot.database(target).is_none();
                 if left || perhaps.is_none_or(|t| now.since(t) > POST_SETTLED_MS) {
@@ -966,25 +958,27 @@
     fn agreed(&mut self, snapshot: &ServiceSnapshot, now: Tick) -> Option<Vec<FailoverAction>> {
         let lead = snapshot.lead.as_ref()?;
         match &self.stage {
-            FailoverState::Intending { target, .. } if lead.intent.as_ref() == Some(target) => {
+            FailoverState::RecordingIntent { target, .. }
+                if lead.intent.as_ref() == Some(target) =>
+            {
                 let mut actions = Vec::new();
                 self.post(target.clone(), now, &mut actions);
                 Some(actions)
             }
             // Another leader's, which came into force after this one began.
             FailoverState::Steady
-            | FailoverState::Doubting { .. }
+            | FailoverState::Suspected { .. }
             | FailoverState::Fencing { .. }
-            | FailoverState::Intending { .. }
+            | FailoverState::RecordingIntent { .. }
                 if lead.intent.is_some() =>
             {
                 let target = lead.intent.clone()?;
                 Some(self.take_up(snapshot, lead.term, target, now))
             }
-            FailoverState::Posting { target, .. } if lead.intent.as_ref() != Some(target) => {
+            FailoverState::Promoting { target, .. } if lead.intent.as_ref() != Some(target) => {
                 Some(self.fence(snapshot, now))
             }
-            FailoverState::Taking { term, .. } if lead.term >= *term => {
+            FailoverState::AwaitingLeaseExpiry { term, .. } if lead.term >= *term => {
                 self.paused.remove(&lead.primary);
                 let actions = self.call_off(now);
                 self.rested = None;
@@ -1004,8 +998,8 @@
     ) -> Vec<FailoverAction> {
         match (&mut self.stage, &snapshot.lead) {
             (FailoverState::Steady, None) if role == Role::Primary => {
-                self.stage = FailoverState::Founding { asked: now };
-                vec![FailoverAction::DatabaseRequest(of.clone(), DatabaseRequest::Describe)]
+                self.stage = FailoverState::DiscoveringFirstPrimary { asked: now };
+                vec![FailoverAction::SendRequest(of.clone(), DatabaseRequest::Describe)]
             }
             (FailoverState::Steady, Some(lead))
                 if role == Role::Primary
@@ -1013,16 +1007,13 @@
                     && self.stepped_down.is_none_or(|t| now.since(t) > 1_000) =>
             {
                 self.stepped_down = Some(now);
-                vec![FailoverAction::DatabaseRequest(
-                    of.clone(),
-                    DatabaseRequest::StepDown(lead.term),
-                )]
+                vec![FailoverAction::SendRequest(of.clone(), DatabaseRequest::StepDown(lead.term))]
             }
-            (FailoverState::Posting { target, looked, .. }, _)
+            (FailoverState::Promoting { target, looked, .. }, _)
                 if target == of && role == Role::Primary =>
             {
                 *looked = now;
-                vec![FailoverAction::DatabaseRequest(of.clone(), DatabaseRequest::Describe)]
+                vec![FailoverAction::SendRequest(of.clone(), DatabaseRequest::Describe)]
             }
             _ => Vec::new(),
         }
@@ -1030,7 +1021,7 @@
 
     pub fn tick(&mut self, snapshot: &ServiceSnapshot, now: Tick) -> Vec<FailoverAction> {
         let Some(lead) = &snapshot.lead else {
-            if let FailoverState::Founding { asked } = self.stage
+            if let FailoverState::DiscoveringFirstPrimary { asked } = self.stage
                 && now.since(asked) > 2 * ASK_AGAIN_MS
             {
                 self.stage = FailoverState::Steady;
@@ -1041,8 +1032,8 @@
             return actions;
         }
         if let FailoverState::Fencing { target: Some(target), .. }
-        | FailoverState::Intending { target, .. }
-        | FailoverState::Posting { target, .. } = &self.stage
+        | FailoverState::RecordingIntent { target, .. }
+        | FailoverState::Promoting { target, .. } = &self.stage
         {
             let actions = self.pause_newcomers(snapshot, &target.clone(), now);
             if !actions.is_empty() {
@@ -1079,10 +1070,10 @@
                     return self.doubt(id, now);
                 }
             }
-            FailoverState::Founding { .. } => self.stage = FailoverState::Steady,
+            FailoverState::DiscoveringFirstPrimary { .. } => self.stage = FailoverState::Steady,
             // Several poolers are owed answers. If its machine does not even take a connection, it
             // is lost; if it does, it is slow, and a replica may do better while it still serves.
-            FailoverState::Doubting { asked, reached }
+            FailoverState::Suspected { asked, reached }
                 if self.suspects.len() >= SILENT_STILES && now.since(*asked) >= DARK_MS =>
             {
                 if !*reached {
@@ -1091,7 +1082,7 @@
                 self.slow_before = Some(now);
                 return self.leave_slow(snapshot, lead.term, now);
             }
-            FailoverState::Doubting { asked, .. } if now.since(*asked) > 4 * ASK_AGAIN_MS => {
+            FailoverState::Suspected { asked, .. } if now.since(*asked) > 4 * ASK_AGAIN_MS => {
                 self.stage = FailoverState::Steady;
             }
             FailoverState::Fencing { target, slow, since, asked, rows } => {
@@ -1111,14 +1102,14 @@
                         && now.since(*asked) >= 100
                     {
                         *asked = now;
-                        return vec![FailoverAction::DatabaseRequest(
+                        return vec![FailoverAction::SendRequest(
                             target,
                             DatabaseRequest::Describe,
                         )];
                     }
                     if stuck && !*slow && !self.revoking {
                         self.revoking = true;
-                        return vec![FailoverAction::Revoke(lead.term)];
+                        return vec![FailoverAction::RevokeLeases(lead.term)];
                     }
                     return Vec::new();
                 }
@@ -1132,7 +1123,7 @@
                         .collect();
                     actions = self.pause(missing, lead.term, now);
                     if waited > 2 * ASK_AGAIN_MS && listed.is_some() {
-                        actions.push(FailoverAction::DatabaseRequest(
+                        actions.push(FailoverAction::SendRequest(
                             lead.primary.clone(),
                             DatabaseRequest::Describe,
                         ));
@@ -1141,7 +1132,7 @@
                 actions.extend(self.choose(snapshot, now));
                 return actions;
             }
-            FailoverState::Intending { target, since } if now.since(*since) > 1_000 => {
+            FailoverState::RecordingIntent { target, since } if now.since(*since) > 1_000 => {
                 // Proposed but not seen committed: the same proposal again changes nothing twice.
                 *since = now;
                 let (service, term, target) = (snapshot.service.clone(), lead.term, target.clone());
@@ -1151,7 +1142,7 @@
                     target,
                 })];
             }
-            FailoverState::Posting { target, tried, in_flight, looked, perhaps } => {
+            FailoverState::Promoting { target, tried, in_flight, looked, perhaps } => {
                 let mut actions = Vec::new();
                 // Having left in the meantime, the target is asked for again at once: the refusal
                 // settles it.
@@ -1166,20 +1157,20 @@
                     *in_flight = true;
                     *tried = now;
                     self.attempt.number += 1;
-                    actions.push(FailoverAction::Post(target.clone()));
+                    actions.push(FailoverAction::Promote(target.clone()));
                 }
                 if perhaps.is_some_and(|t| now.since(t) > LOOK_AGAIN_MS)
                     && now.since(*looked) > LOOK_AGAIN_MS
                 {
                     *looked = now;
-                    actions.push(FailoverAction::DatabaseRequest(
+                    actions.push(FailoverAction::SendRequest(
                         target.clone(),
                         DatabaseRequest::Describe,
                     ));
                 }
                 return actions;
             }
-            FailoverState::Taking { target, term, recorded }
+            FailoverState::AwaitingLeaseExpiry { target, term, recorded }
                 if snapshot.leases_gone && !*recorded =>
             {
                 *recorded = true;
@@ -1199,12 +1190,12 @@
 pub(crate) fn stage_name(stage: &FailoverState) -> &'static str {
     match stage {
         FailoverState::Steady => "steady",
-        FailoverState::Founding { .. } => "asking the first primary",
-        FailoverState::Doubting { .. } => "doubting the primary",
+        FailoverState::DiscoveringFirstPrimary { .. } => "asking the first primary",
+        FailoverState::Suspected { .. } => "doubting the primary",
         FailoverState::Fencing { target: Some(_), .. } => "fencing for a planned change",
         FailoverState::Fencing { target: None, .. } => "fencing a lost primary",
-        FailoverState::Intending { .. } => "writing down the intent",
-        FailoverState::Posting { .. } => "promoting",
-        FailoverState::Taking { .. } => "waiting for old leases",
+        FailoverState::RecordingIntent { .. } => "writing down the intent",
+        FailoverState::Promoting { .. } => "promoting",
+        FailoverState::AwaitingLeaseExpiry { .. } => "waiting for old leases",
     }
 }
--- a/src/simulation/world.rs
+++ b/src/simulation/world.rs
@@ -987,8 +987,8 @@
             self.reaches(here, there) && self.reaches(there, here) && !self.lost()
         });
         let (told, after) = match reached {
-            None => (DatabaseResponse::Silent, 1_000),
-            Some(n) if !self.databases[n].up => (DatabaseResponse::Lost, 2),
+            None => (DatabaseResponse::TimedOut, 1_000),
+            Some(n) if !self.databases[n].up => (DatabaseResponse::Unavailable, 2),
             Some(n) => {
                 let database = &mut self.databases[n];
                 let good = match ask {
@@ -1016,7 +1016,11 @@
                 };
                 let late = if !self.healed && chance(3) { upto(1_200) } else { upto(5) };
                 (
-                    if good { DatabaseResponse::Description(row) } else { DatabaseResponse::Alive },
+                    if good {
+                        DatabaseResponse::Description(row)
+                    } else {
+                        DatabaseResponse::NoDescription
+                    },
                     1 + late,
                 )
             }
@@ -1041,13 +1045,13 @@
         let running = number.filter(|n| self.databases[*n].up);
         let (mut posted, mut after) = match running {
             Some(_) => (PromotionResponse::Accepted, 20),
-            None => (PromotionResponse::Refused, 20),
+            None => (PromotionResponse::NotRunning, 20),
         };
         if let Some(n) = running {
             self.soon(100 + upto(300), Event::Promote(service.clone(), n));
         }
         if !self.healed && chance(10) {
-            (posted, after) = (PromotionResponse::Unclear, 1_000);
+            (posted, after) = (PromotionResponse::Unknown, 1_000);
         }
         self.soon(
             after,
--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -1,4 +1,4 @@
-//! Who leads a service: each case is a story of events with the deeds that must follow.
+//! Who leads a service: each case is a story of events with the actions that must follow.
 use silvertack::base::ids::{DbTerm, InstanceId, NodeName, Position, Revision, ServiceName, Term};
 use silvertack::base::time::Tick;
 use silvertack::config::directory::{Instance, Lifecycle, Role};
@@ -54,7 +54,7 @@
     DatabaseResponse::Description(ServerDescription { primary, term: DbTerm(term), received })
 }
 fn ask(id: &str, ask: DatabaseRequest) -> FailoverAction {
-    FailoverAction::DatabaseRequest(id.into(), ask)
+    FailoverAction::SendRequest(id.into(), ask)
 }
 fn intend(target: &str) -> FailoverAction {
     FailoverAction::Propose(Command::BeginFailover {
@@ -97,7 +97,7 @@
     let (mut s, first) = Failover::begin(snapshot, now);
     let replicas = snapshot.databases[1..]
         .iter()
-        .map(|(id, _)| FailoverAction::DatabaseRequest(id.clone(), DatabaseRequest::Continue));
+        .map(|(id, _)| FailoverAction::SendRequest(id.clone(), DatabaseRequest::Continue));
     assert_eq!(first, replicas.collect::<Vec<_>>(), "earlier pauses are let go");
     went_on(&mut s, snapshot, now);
     s
@@ -117,10 +117,13 @@
         s.attempt,
         &"a".into(),
         DatabaseRequest::Describe,
-        &DatabaseResponse::Lost,
+        &DatabaseResponse::Unavailable,
         now,
     );
-    assert_eq!(actions, [FailoverAction::Revoke(DbTerm(1)), ask("b", PAUSE), ask("c", PAUSE)]);
+    assert_eq!(
+        actions,
+        [FailoverAction::RevokeLeases(DbTerm(1)), ask("b", PAUSE), ask("c", PAUSE)]
+    );
     s
 }
 /// As far as a call that may be under way.
@@ -133,7 +136,7 @@
     );
     assert!(s.tick(snapshot, now).is_empty(), "not before it is committed");
     intended(snapshot, "c");
-    assert_eq!(s.tick(snapshot, now), [FailoverAction::Post("c".into())]);
+    assert_eq!(s.tick(snapshot, now), [FailoverAction::Promote("c".into())]);
     s
 }
 /// The intent is committed.
@@ -175,7 +178,7 @@
 #[test]
 fn a_false_alarm_changes_nothing() {
     let (mut snapshot, now) = (snapshot(), Tick(50_000));
-    for told in [row(true, 1, at(9)), DatabaseResponse::Alive] {
+    for told in [row(true, 1, at(9)), DatabaseResponse::NoDescription] {
         let (mut s, _) = Failover::begin(&snapshot, now);
         s.suspect(&snapshot, &"n1".into(), &"a".into(), SuspicionReason::NoResponse, now);
         assert!(
@@ -209,7 +212,7 @@
         )
         .is_empty()
     );
-    assert!(matches!(s.stage, FailoverState::Posting { .. }));
+    assert!(matches!(s.stage, FailoverState::Promoting { .. }));
 }
 
 #[test]
@@ -217,7 +220,7 @@
     let (snapshot, now) = (snapshot(), Tick(50_000));
     let mut s = fencing(&snapshot, now);
     for id in ["b", "c"] {
-        s.told(&snapshot, s.attempt, &id.into(), PAUSE, &DatabaseResponse::Alive, now);
+        s.told(&snapshot, s.attempt, &id.into(), PAUSE, &DatabaseResponse::NoDescription, now);
     }
     s.told(&snapshot, s.attempt, &"a".into(), DatabaseRequest::Describe, &row(true, 1, at(9)), now);
     s.told(
@@ -233,7 +236,7 @@
         s.attempt,
         &"c".into(),
         DatabaseRequest::Continue,
-        &DatabaseResponse::Silent,
+        &DatabaseResponse::TimedOut,
         now,
     );
     assert!(s.tick(&snapshot, now.plus(500)).is_empty());
@@ -270,7 +273,7 @@
                 s.attempt,
                 &"a".into(),
                 DatabaseRequest::Describe,
-                &DatabaseResponse::Reached,
+                &DatabaseResponse::Connected,
                 now.plus(16),
             );
         }
@@ -288,7 +291,7 @@
         } else {
             assert_eq!(
                 actions,
-                [FailoverAction::Revoke(DbTerm(1)), ask("b", PAUSE), ask("c", PAUSE)]
+                [FailoverAction::RevokeLeases(DbTerm(1)), ask("b", PAUSE), ask("c", PAUSE)]
             );
         }
     }
@@ -372,8 +375,8 @@
 fn one_question_without_an_answer_is_no_loss_and_a_refusal_is() {
     let (snapshot, now) = (snapshot(), Tick(50_000));
     for (told, actions) in [
-        (DatabaseResponse::Silent, vec![ask("a", DatabaseRequest::Describe)]),
-        (DatabaseResponse::Lost, Vec::new()),
+        (DatabaseResponse::TimedOut, vec![ask("a", DatabaseRequest::Describe)]),
+        (DatabaseResponse::Unavailable, Vec::new()),
     ] {
         let (mut s, _) = Failover::begin(&snapshot, now);
         s.suspect(&snapshot, &"n1".into(), &"a".into(), SuspicionReason::ConnectionsBroken, now);
@@ -459,9 +462,9 @@
     s.posted(&snapshot, s.attempt, &"c".into(), PromotionResponse::Accepted, now);
     assert!(s.tick(&snapshot, now.plus(100)).is_empty());
     snapshot.databases.pop();
-    assert_eq!(s.tick(&snapshot, now.plus(110)), [FailoverAction::Post("c".into())]);
+    assert_eq!(s.tick(&snapshot, now.plus(110)), [FailoverAction::Promote("c".into())]);
     let actions =
-        s.posted(&snapshot, s.attempt, &"c".into(), PromotionResponse::Refused, now.plus(120));
+        s.posted(&snapshot, s.attempt, &"c".into(), PromotionResponse::NotRunning, now.plus(120));
     assert!(
         matches!(actions.as_slice(), [FailoverAction::Propose(Command::AbandonFailover { .. })]),
         "{actions:?}"
@@ -478,10 +481,10 @@
     // what came of the calls, and whether the refusal after them settles it
     let table: [(&[PromotionResponse], u64, bool); 5] = [
         (&[], 10, true),
-        (&[PromotionResponse::Busy], 10, true),
+        (&[PromotionResponse::NotAttempted], 10, true),
         (&[PromotionResponse::Accepted], 10, false),
-        (&[PromotionResponse::Unclear], 10, false),
-        (&[PromotionResponse::Unclear], 10_000, true),
+        (&[PromotionResponse::Unknown], 10, false),
+        (&[PromotionResponse::Unknown], 10_000, true),
     ];
     for (before, later, settled) in table {
         snapshot.lead = snapshot.lead.take().map(|lead| PrimaryRecord { intent: None, ..lead });
@@ -493,7 +496,7 @@
             &snapshot,
             s.attempt,
             &"c".into(),
-            PromotionResponse::Refused,
+            PromotionResponse::NotRunning,
             now.plus(later),
         );
         assert_eq!(
@@ -505,13 +508,16 @@
     // An unclear call is made again, with the same target.
     snapshot.lead = snapshot.lead.take().map(|lead| PrimaryRecord { intent: None, ..lead });
     let mut s = posting(&mut snapshot, now);
-    s.posted(&snapshot, s.attempt, &"c".into(), PromotionResponse::Unclear, now);
+    s.posted(&snapshot, s.attempt, &"c".into(), PromotionResponse::Unknown, now);
     let actions = s.tick(&snapshot, now.plus(400));
-    assert!(actions.contains(&FailoverAction::Post("c".into())), "{actions:?}");
+    assert!(actions.contains(&FailoverAction::Promote("c".into())), "{actions:?}");
     // Given up in the log, whenever that is noticed: fenced anew, and nothing is called meanwhile.
     snapshot.lead = snapshot.lead.take().map(|lead| PrimaryRecord { intent: None, ..lead });
     let actions = s.tick(&snapshot, now.plus(3_000));
-    assert_eq!(actions, [FailoverAction::Revoke(DbTerm(1)), ask("b", PAUSE), ask("c", PAUSE)]);
+    assert_eq!(
+        actions,
+        [FailoverAction::RevokeLeases(DbTerm(1)), ask("b", PAUSE), ask("c", PAUSE)]
+    );
 }
 
 #[test]
@@ -523,7 +529,11 @@
     let (mut s, actions) = Failover::begin(&snapshot, now);
     assert_eq!(
         actions,
-        [FailoverAction::Revoke(DbTerm(1)), ask("c", PAUSE), FailoverAction::Post("b".into())]
+        [
+            FailoverAction::RevokeLeases(DbTerm(1)),
+            ask("c", PAUSE),
+            FailoverAction::Promote("b".into())
+        ]
     );
     assert!(s.revoking, "nobody uses the old term meanwhile");
     assert!(
@@ -586,7 +596,7 @@
     );
     assert_eq!(
         actions,
-        [FailoverAction::Revoke(DbTerm(1)), ask("a", DatabaseRequest::StepDown(DbTerm(2)))]
+        [FailoverAction::RevokeLeases(DbTerm(1)), ask("a", DatabaseRequest::StepDown(DbTerm(2)))]
     );
     // A target that never catches up: everything is let go.
     snapshot.lead = snapshot.lead.take().map(|lead| PrimaryRecord { intent: None, ..lead });
@@ -1087,7 +1097,7 @@
     assert_eq!(s.tick(&snapshot, now.plus(550)), []);
     assert_eq!(
         s.tick(&snapshot, now.plus(650)),
-        [FailoverAction::Revoke(DbTerm(1))],
+        [FailoverAction::RevokeLeases(DbTerm(1))],
         "`c` does not answer"
     );
     assert!(s.revoking);
@@ -1096,7 +1106,7 @@
     assert_eq!(s.tick(&snapshot, now), [ask("c", DatabaseRequest::Continue)]);
     assert!(s.stage == FailoverState::Steady && !s.revoking);
     went_on(&mut s, &snapshot, now);
-    s.told(&snapshot, s.attempt, &"c".into(), PAUSE, &DatabaseResponse::Lost, now);
+    s.told(&snapshot, s.attempt, &"c".into(), PAUSE, &DatabaseResponse::Unavailable, now);
     for (after, again) in [(10, false), (1_000, false), (1_010, true)] {
         let expected = if again { vec![ask("c", PAUSE)] } else { Vec::new() };
         assert_eq!(s.tick(&snapshot, now.plus(after)), expected, "after {after}");
@@ -1108,10 +1118,10 @@
     let now = Tick(50_000);
     // (what the primary says, whether it is given up)
     for (told, lost) in [
-        (DatabaseResponse::Lost, true),
+        (DatabaseResponse::Unavailable, true),
         (row(false, 1, at(9)), true),
         (row(true, 1, at(9)), false),
-        (DatabaseResponse::Alive, false),
+        (DatabaseResponse::NoDescription, false),
     ] {
         let mut snapshot = snapshot();
         let mut s = planned(&mut snapshot, now);
@@ -1125,7 +1135,7 @@
         assert_eq!(asked, [ask("a", DatabaseRequest::Describe)]);
         let actions =
             s.told(&snapshot, s.attempt, &"a".into(), DatabaseRequest::Describe, &told, now);
-        let fenced = [FailoverAction::Revoke(DbTerm(1)), ask("b", PAUSE), ask("c", PAUSE)];
+        let fenced = [FailoverAction::RevokeLeases(DbTerm(1)), ask("b", PAUSE), ask("c", PAUSE)];
         assert_eq!(actions, if lost { &fenced[..] } else { &[] }, "{told:?}");
         assert_eq!(s.revoking, lost, "{told:?}");
     }
@@ -1177,7 +1187,7 @@
     }
     // (whether it is listed, its heartbeats come, it is about to end, a replica has departed;
     // what is done)
-    let fence = [FailoverAction::Revoke(DbTerm(1)), ask("b", PAUSE), ask("c", PAUSE)];
+    let fence = [FailoverAction::RevokeLeases(DbTerm(1)), ask("b", PAUSE), ask("c", PAUSE)];
     let table: [(bool, bool, bool, bool, &[FailoverAction]); 6] = [
         (true, true, false, false, &[]),
         (true, false, false, false, &doubt),
@@ -1217,12 +1227,19 @@
             s.attempt,
             &"a".into(),
             DatabaseRequest::Describe,
-            &DatabaseResponse::Alive,
+            &DatabaseResponse::NoDescription,
             now.plus(10),
         );
         if !actions.is_empty() {
             let late = now.plus(10 + 700);
-            s.told(&snapshot, s.attempt, &"c".into(), PAUSE, &DatabaseResponse::Lost, now.plus(20));
+            s.told(
+                &snapshot,
+                s.attempt,
+                &"c".into(),
+                PAUSE,
+                &DatabaseResponse::Unavailable,
+                now.plus(20),
+            );
             assert_eq!(s.tick(&snapshot, late), [ask("c", DatabaseRequest::Continue)], "given up");
             went_on(&mut s, &snapshot, late);
         }
@@ -1253,7 +1270,11 @@
             s.told(&snapshot, s.attempt, &who.into(), DatabaseRequest::Describe, &told, now);
         let down = [ask("a", DatabaseRequest::StepDown(DbTerm(term)))];
         assert_eq!(actions, if done { &down[..] } else { &[] }, "{who} {leads} {term}");
-        assert_eq!(matches!(s.stage, FailoverState::Taking { .. }), done, "{who} {leads} {term}");
+        assert_eq!(
+            matches!(s.stage, FailoverState::AwaitingLeaseExpiry { .. }),
+            done,
+            "{who} {leads} {term}"
+        );
     }
     // In a planned change leases are granted until the target leads, and none from then on.
     let mut snapshot = snapshot();
@@ -1268,7 +1289,7 @@
         now,
     );
     intended(&mut snapshot, "b");
-    assert_eq!(s.tick(&snapshot, now), [FailoverAction::Post("b".into())]);
+    assert_eq!(s.tick(&snapshot, now), [FailoverAction::Promote("b".into())]);
     assert!(!s.revoking);
     s.told(&snapshot, s.attempt, &"b".into(), DatabaseRequest::Describe, &row(true, 2, at(7)), now);
     assert!(s.revoking, "no lease on the old term is granted any more");
@@ -1280,7 +1301,8 @@
     let mut s = posting(&mut snapshot, now);
     let first = s.attempt;
     for (after, again) in [(400, false), (2_000, false), (3_000, false), (3_010, true)] {
-        let posts = s.tick(&snapshot, now.plus(after)).contains(&FailoverAction::Post("c".into()));
+        let posts =
+            s.tick(&snapshot, now.plus(after)).contains(&FailoverAction::Promote("c".into()));
         assert_eq!(posts, again, "after {after}");
         assert_eq!(s.attempt > first, again, "after {after}");
     }
@@ -1314,8 +1336,8 @@
     for (told, founds) in [
         (row(true, 4, at(2)), true),
         (row(false, 4, at(2)), false),
-        (DatabaseResponse::Alive, false),
-        (DatabaseResponse::Lost, false),
+        (DatabaseResponse::NoDescription, false),
+        (DatabaseResponse::Unavailable, false),
     ] {
         let (mut s, _) = Failover::begin(&snapshot, now);
         s.heartbeat(&snapshot, &"a".into(), Role::Primary, now);
--- a/tests/failover_replicas.rs
+++ b/tests/failover_replicas.rs
@@ -48,7 +48,7 @@
     DatabaseResponse::Description(ServerDescription { primary, term: DbTerm(1), received })
 }
 fn ask(id: &str, ask: DatabaseRequest) -> FailoverAction {
-    FailoverAction::DatabaseRequest(id.into(), ask)
+    FailoverAction::SendRequest(id.into(), ask)
 }
 const PAUSE: DatabaseRequest = DatabaseRequest::Pause(DbTerm(2));
 
@@ -60,10 +60,10 @@
         s.attempt,
         &"a".into(),
         DatabaseRequest::Describe,
-        &DatabaseResponse::Lost,
+        &DatabaseResponse::Unavailable,
         now,
     );
-    assert_eq!(actions[0], FailoverAction::Revoke(DbTerm(1)));
+    assert_eq!(actions[0], FailoverAction::RevokeLeases(DbTerm(1)));
     actions[1..].to_vec()
 }
 fn tell(
@@ -125,8 +125,8 @@
     assert!(!s.tick(&snapshot, now.plus(500)).contains(&ask("c", PAUSE)));
     for (told, after, asked) in [
         (Some(row(false, at(7))), 600, vec![ask("c", PAUSE)]),
-        (Some(DatabaseResponse::Lost), 600, vec![ask("c", PAUSE)]),
-        (Some(DatabaseResponse::Silent), 600, vec![]),
+        (Some(DatabaseResponse::Unavailable), 600, vec![ask("c", PAUSE)]),
+        (Some(DatabaseResponse::TimedOut), 600, vec![]),
         (None, 3_100, vec![ask("b", PAUSE), ask("c", PAUSE)]),
     ] {
         let (mut s, now) = (s.clone(), now.plus(after));
@@ -137,7 +137,7 @@
             None => s.tick(&snapshot, now),
         };
         actions.retain(|action| {
-            matches!(action, FailoverAction::DatabaseRequest(_, DatabaseRequest::Pause(_)))
+            matches!(action, FailoverAction::SendRequest(_, DatabaseRequest::Pause(_)))
         });
         assert_eq!(actions, asked, "{told:?}");
     }
@@ -170,11 +170,11 @@
         snapshot.lead = Some(PrimaryRecord { term: DbTerm(1), primary: "a".into(), intent });
     };
     intend(&mut snapshot, Some("c"));
-    assert_eq!(s.tick(&snapshot, now), [FailoverAction::Post("c".into())]);
+    assert_eq!(s.tick(&snapshot, now), [FailoverAction::Promote("c".into())]);
     let first = s.attempt;
     // Its outcome was never heard here, so it may have taken effect; it is made again.
     let again = now.plus(3_100);
-    assert!(s.tick(&snapshot, again).contains(&FailoverAction::Post("c".into())));
+    assert!(s.tick(&snapshot, again).contains(&FailoverAction::Promote("c".into())));
     assert!(s.attempt.fence() > first.fence());
     // The refusal of the first call comes late: the second is under way, and settles nothing yet.
     for (attempt, after) in [(first, 10), (s.attempt, 20), (first, 5_000)] {
@@ -182,13 +182,18 @@
             &snapshot,
             attempt,
             &"c".into(),
-            PromotionResponse::Refused,
+            PromotionResponse::NotRunning,
             again.plus(after),
         );
         assert_eq!(actions, [], "{attempt:?}");
     }
-    let actions =
-        s.posted(&snapshot, s.attempt, &"c".into(), PromotionResponse::Refused, again.plus(5_000));
+    let actions = s.posted(
+        &snapshot,
+        s.attempt,
+        &"c".into(),
+        PromotionResponse::NotRunning,
+        again.plus(5_000),
+    );
     assert!(matches!(actions[..], [FailoverAction::Propose(Command::AbandonFailover { .. })]));
     let before = s.attempt;
     intend(&mut snapshot, None);
@@ -319,7 +324,7 @@
     assert_eq!(s.tick(&all, now.plus(250)), [ask("d", PAUSE)]);
     let lead = all.lead.take().map(|lead| PrimaryRecord { intent: Some("b".into()), ..lead });
     all.lead = lead;
-    assert_eq!(s.tick(&all, now.plus(260)), [FailoverAction::Post("b".into())]);
+    assert_eq!(s.tick(&all, now.plus(260)), [FailoverAction::Promote("b".into())]);
     all.databases.push(("e".into(), database(Role::Replica)));
     assert_eq!(s.tick(&all, now.plus(270)), [ask("e", PAUSE)]);
     let (_, actions) = Failover::begin(&all, now.plus(280));
@@ -350,8 +355,8 @@
     {
         let actions = s.tick(&target(&snapshot, "b"), now.plus(100));
         let pause = (!paused).then(|| ask("c", PAUSE));
-        let expected = [FailoverAction::Revoke(DbTerm(1))].into_iter().chain(pause);
-        let expected: Vec<_> = expected.chain([FailoverAction::Post("b".into())]).collect();
+        let expected = [FailoverAction::RevokeLeases(DbTerm(1))].into_iter().chain(pause);
+        let expected: Vec<_> = expected.chain([FailoverAction::Promote("b".into())]).collect();
         assert_eq!(actions, expected, "{paused}");
     }
     // Its call has taken effect already.
@@ -362,7 +367,7 @@
     });
     let actions = fencing.told(&snapshot, fencing.attempt, &"b".into(), PAUSE, &newer, now);
     assert_eq!(actions, [ask("a", DatabaseRequest::StepDown(DbTerm(2)))]);
-    assert!(matches!(fencing.stage, FailoverState::Taking { .. }));
+    assert!(matches!(fencing.stage, FailoverState::AwaitingLeaseExpiry { .. }));
 }
 
 /// The state with a lead, and how a database comes and goes.
@@ -690,14 +695,14 @@
         let attempt = self.failover.attempt;
         for action in actions {
             match action {
-                FailoverAction::DatabaseRequest(id, ask) => {
+                FailoverAction::SendRequest(id, ask) => {
                     self.asked += 1;
                     // Now and then one is held up on its way.
                     let held = if self.dice.once_in(10) { 900 } else { 30 };
                     let at = self.now.plus(1 + self.dice.below(held));
                     self.due.push((at, Due::Order(id, ask, attempt)));
                 }
-                FailoverAction::Post(id) => {
+                FailoverAction::Promote(id) => {
                     self.due.push((self.now.plus(200), Due::Post(id, attempt)))
                 }
                 FailoverAction::Propose(change) => {
@@ -705,7 +710,7 @@
                     self.covered += usize::from(matches!(change, Command::ForgetDeparted { .. }));
                     self.state_machine.apply(&change);
                 }
-                FailoverAction::Revoke(_) => {}
+                FailoverAction::RevokeLeases(_) => {}
             }
         }
     }
@@ -716,8 +721,8 @@
                 let (leads, term) = (id == self.primary, DbTerm(self.term));
                 let node = self.nodes.get_mut(&id).expect("known");
                 let told = match node {
-                    Node { alive: false, .. } => DatabaseResponse::Lost,
-                    Node { dark: true, .. } => DatabaseResponse::Silent,
+                    Node { alive: false, .. } => DatabaseResponse::Unavailable,
+                    Node { dark: true, .. } => DatabaseResponse::TimedOut,
                     _ => {
                         node.paused = match ask {
                             DatabaseRequest::Pause(_) if !leads => true,
@@ -731,8 +736,11 @@
                         })
                     }
                 };
-                let wait =
-                    if told == DatabaseResponse::Silent { 1_000 } else { 1 + self.dice.below(30) };
+                let wait = if told == DatabaseResponse::TimedOut {
+                    1_000
+                } else {
+                    1 + self.dice.below(30)
+                };
                 let held = if self.dice.once_in(10) { 1_500 } else { 0 };
                 self.due
                     .push((now.plus(wait + held), Due::DatabaseResponse(id, ask, attempt, told)));
@@ -743,7 +751,7 @@
             Due::Post(id, attempt) => {
                 let posted = match self.nodes[&id].alive {
                     true => PromotionResponse::Accepted,
-                    false => PromotionResponse::Refused,
+                    false => PromotionResponse::NotRunning,
                 };
                 if posted == PromotionResponse::Accepted && id != self.primary {
                     self.promote(&id);
@@ -1103,7 +1111,7 @@
     let lead = PrimaryRecord { term: DbTerm(1), primary: "a".into(), intent: Some("c".into()) };
     let posting_facts = ServiceSnapshot { lead: Some(lead), ..snapshot.clone() };
     let mut posting = chosen.clone();
-    assert_eq!(posting.tick(&posting_facts, now), [FailoverAction::Post("c".into())]);
+    assert_eq!(posting.tick(&posting_facts, now), [FailoverAction::Promote("c".into())]);
     let others = |own: Attempt| {
         [
             Attempt { number: own.number - 1, ..own },
@@ -1114,9 +1122,9 @@
     };
     // (stage, who, what was asked, the answer)
     let table = [
-        (&doubting, "a", DatabaseRequest::Describe, DatabaseResponse::Lost),
+        (&doubting, "a", DatabaseRequest::Describe, DatabaseResponse::Unavailable),
         (&doubting, "a", DatabaseRequest::Describe, row(true, at(7))),
-        (&doubting, "a", DatabaseRequest::Describe, DatabaseResponse::Reached),
+        (&doubting, "a", DatabaseRequest::Describe, DatabaseResponse::Connected),
         (&fencing, "a", DatabaseRequest::Describe, row(true, at(7))),
         (&fencing, "c", PAUSE, row(false, at(9))),
         (&fencing, "c", DatabaseRequest::Describe, row(false, at(9))),
@@ -1136,10 +1144,10 @@
         assert_ne!(s.stage, stage.stage, "its own answer counts: {what:?} {told:?}");
     }
     for outcome in [
-        PromotionResponse::Refused,
+        PromotionResponse::NotRunning,
         PromotionResponse::Accepted,
-        PromotionResponse::Unclear,
-        PromotionResponse::Busy,
+        PromotionResponse::Unknown,
+        PromotionResponse::NotAttempted,
     ] {
         for attempt in others(posting.attempt) {
             let mut s = posting.clone();
@@ -1177,7 +1185,7 @@
         let now = now.plus(3_100);
         assert_eq!(lost(&mut s, &snapshot, now), [ask("b", PAUSE), ask("c", PAUSE)]);
         for id in ["b", "c"] {
-            s.told(&snapshot, s.attempt, &id.into(), PAUSE, &DatabaseResponse::Alive, now);
+            s.told(&snapshot, s.attempt, &id.into(), PAUSE, &DatabaseResponse::NoDescription, now);
         }
         s.told(
             &snapshot,
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -587,7 +587,7 @@
     fn lose_primary(&mut self, conn: u64) {
         let (instance, why) = ("a".into(), SuspicionReason::ConnectionsBroken);
         self.hear(conn, ToController::Suspect { service: service(), instance, why });
-        self.answer("a", |ask| *ask == DatabaseRequest::Describe, DatabaseResponse::Lost);
+        self.answer("a", |ask| *ask == DatabaseRequest::Describe, DatabaseResponse::Unavailable);
     }
     fn lead(&self) -> &PrimaryRecord {
         &self.controller.state_machine().leads[&service()]
