--- a/src/controller/controller.rs
+++ b/src/controller/controller.rs
@@ -313,7 +313,7 @@
         effects: E,
         now: Tick,
     ) -> Result<Self, Fatal> {
-        info!(target: "raft", "member {} starts at term {}, entry {}", kept.me, kept.term,
+        info!(target: "raft", "member {} starts at term {}, entry {}", kept.member_id, kept.term,
             kept.log.last().map_or(kept.snapshot.last.1, |e| e.index));
         let state_machine = read_kept(&kept)?;
         let applied = kept.snapshot.last.1;
@@ -351,7 +351,7 @@
             questions: VecDeque::new(),
             unreadable: None,
         };
-        controller.raft.vet = readable;
+        controller.raft.message_validator = readable;
         controller.configure(config);
         Ok(controller)
     }
@@ -362,7 +362,7 @@
         let wait = if busy { 25 } else { 200 };
         let gathers = self.moved_since.is_some() || self.renew_due;
         let wait = if gathers { wait.min(GATHER_MS) } else { wait };
-        self.raft.due().since(now).clamp(1, wait)
+        self.raft.next_tick_at().since(now).clamp(1, wait)
     }
     /// Does what is due, after inputs were taken.
     ///
@@ -382,7 +382,7 @@
     }
     /// Going on beside what can't be read would be with an old state.
     fn still_readable(&self) -> Result<(), Fatal> {
-        match (&self.unreadable, &self.raft.refused) {
+        match (&self.unreadable, &self.raft.unreadable_message) {
             (Some(why), _) => Err(Fatal::State(format!("left as it is: {why}"))),
             (_, Some(why)) => Err(Fatal::State(format!("not taken from the leader: {why}"))),
             _ => Ok(()),
@@ -390,7 +390,7 @@
     }
     /// Asked to stop: another is to lead.
     pub fn leave(&mut self, now: Tick) {
-        self.raft.hand_over(now);
+        self.raft.transfer_leadership(now);
         self.flush(now);
     }
     pub fn raft(&self) -> &RaftNode {
@@ -407,13 +407,13 @@
     /// Lets the messages leave that may, starts the next write, and applies what was agreed.
     fn flush(&mut self, now: Tick) {
         let troubled = self.persister.troubled(now);
-        if troubled != self.raft.ailing {
+        if troubled != self.raft.storage_failing {
             match troubled {
                 true => warn!(target: "disk", "in trouble, another is to lead"),
                 false => info!(target: "disk", "well again"),
             }
         }
-        self.raft.set_ailing(troubled, now);
+        self.raft.set_storage_failing(troubled, now);
         loop {
             for (to, message) in self.persister.leaving(&mut self.raft) {
                 self.send_raft(to, message, now);
@@ -425,7 +425,7 @@
             }
             self.apply(now);
             self.change_leader_state(now);
-            if self.raft.out.is_empty() {
+            if self.raft.outbox.is_empty() {
                 return;
             }
         }
@@ -434,7 +434,7 @@
     fn saved(&mut self, saved: Result<(), String>, now: Tick) {
         // Tried again until it works; one line for the first failure is enough.
         if let Err(e) = &saved
-            && !self.raft.ailing
+            && !self.raft.storage_failing
         {
             error!(target: "disk", "cannot write: {e}");
         }
@@ -471,14 +471,14 @@
                     info!(target: "poolers", "{node} lost");
                 }
             }
-            Input::PeerLayout(member, layout) => self.raft.reads(member, layout),
+            Input::PeerLayout(member, layout) => self.raft.record_peer_layout(member, layout),
             Input::Frame(_, Frame::Raft { to, message }) => {
-                if to == self.raft.kept.me {
+                if to == self.raft.state.member_id {
                     self.raft.step(*message, now);
                 }
             }
             Input::Frame(conn, Frame::Join { member, was }) => {
-                let mut answer = self.raft.standing(&member, was, now);
+                let mut answer = self.raft.answer_join(&member, was, now);
                 if self.names(&member, now) {
                     answer = JoinResponse::FoundCluster;
                 }
@@ -517,11 +517,11 @@
     // -- state ---------------------------------------------------------------------------------
 
     fn apply(&mut self, now: Tick) {
-        if self.raft.commit <= self.applied || self.unreadable.is_some() {
+        if self.raft.commit_index <= self.applied || self.unreadable.is_some() {
             return;
         }
-        if self.raft.kept.snapshot.last.1 > self.applied {
-            match read_state(&self.raft.kept.snapshot) {
+        if self.raft.state.snapshot.last.1 > self.applied {
+            match read_state(&self.raft.state.snapshot) {
                 Ok(state_machine) => self.state_machine = state_machine,
                 Err(why) => {
                     self.unreadable = Some(why);
@@ -529,10 +529,10 @@
                 }
             }
             self.listing = None;
-            self.applied = self.raft.kept.snapshot.last.1;
+            self.applied = self.raft.state.snapshot.last.1;
         }
         let mut relisted = None;
-        for entry in self.raft.committed(self.applied) {
+        for entry in self.raft.committed_entries_after(self.applied) {
             let change = match &entry.body {
                 EntryPayload::Command(bytes) => match read_change(entry.index, bytes) {
                     Ok(change) => Some(change),
@@ -584,7 +584,7 @@
             }
         }
         let state_machine = &self.state_machine;
-        self.raft.compact(self.applied, || state_machine.write());
+        self.raft.compact_log(self.applied, || state_machine.write());
     }
 
     fn configure(&mut self, config: Option<Configuration>) {
@@ -675,9 +675,9 @@
             self.known_leader = self.raft.leader;
             match self.leader() {
                 Some(m) => {
-                    info!(target: "raft", "{} leads term {}", m.node, self.raft.kept.term)
+                    info!(target: "raft", "{} leads term {}", m.node, self.raft.state.term)
                 }
-                None => info!(target: "raft", "no leader in term {}", self.raft.kept.term),
+                None => info!(target: "raft", "no leader in term {}", self.raft.state.term),
             }
         }
         match (self.raft.is_leader(), self.leader_state.is_some()) {
@@ -730,18 +730,20 @@
     fn reconcile(&mut self, now: Tick) {
         self.answer_reads(now);
         self.ask_to_join(now);
-        if !self.early.is_empty() && (self.leader_state.is_none() || self.raft.granting(now)) {
+        if !self.early.is_empty()
+            && (self.leader_state.is_none() || self.raft.holds_leader_lease(now))
+        {
             for (conn, message) in std::mem::take(&mut self.early) {
                 self.handle_pooler_message(conn, message, now);
             }
         }
-        if !self.raft.granting(now) {
+        if !self.raft.holds_leader_lease(now) {
             return;
         }
         self.joining.retain(|_, (_, asked)| now.since(*asked) < JOIN_KEPT_MS);
         let (tolerated, silent) = (self.settings.tolerated(), self.settings.given_up_ms());
         let joining = self.joining.values().map(|(member, _)| member);
-        if let Some(members) = self.raft.wanted_members(joining, tolerated, silent, now) {
+        if let Some(members) = self.raft.next_membership_change(joining, tolerated, silent, now) {
             self.raft.propose(EntryPayload::Membership(members), now);
         }
         let Some(leader_state) = &mut self.leader_state else {
@@ -793,11 +795,11 @@
     /// A controller that is in no list asks to be taken in; one that hears no leader, whether it
     /// still belongs.
     fn ask_to_join(&mut self, now: Tick) {
-        let me = self.raft.kept.me;
+        let me = self.raft.state.member_id;
         let was = self.raft.members().iter().any(|m| m.id == me);
         // Of a leader that is in no list here, only its messages come: it is found by asking.
         let unknown = self.raft.leader.is_some() && self.leader().is_none();
-        let lost = self.raft.lonely(now, LONELY_MS) || unknown;
+        let lost = self.raft.leader_silent_longer_than(now, LONELY_MS) || unknown;
         let idle = was && (self.raft.is_leader() || !lost);
         if idle || now < self.next_join {
             return;
@@ -819,7 +821,7 @@
     }
 
     fn stand(&mut self, asked: MemberId, at: SocketAddr, answer: Option<JoinResponse>, now: Tick) {
-        let me = self.raft.kept.me;
+        let me = self.raft.state.member_id;
         if asked != me {
             return;
         }
@@ -871,14 +873,14 @@
         members.iter_mut().for_each(|m| m.id = me);
         let snapshot = Snapshot { members, ..Snapshot::default() };
         let kept = PersistentState {
-            me,
-            term: self.raft.kept.term,
+            member_id: me,
+            term: self.raft.state.term,
             snapshot,
             ..PersistentState::default()
         };
         self.raft = RaftNode::new(kept, false, now, self.random);
-        self.raft.vet = readable;
-        self.raft.dirty = UnsavedChanges::all();
+        self.raft.message_validator = readable;
+        self.raft.unsaved = UnsavedChanges::all();
         self.persister.forget();
         self.state_machine = StateMachine::default();
         self.applied = LogIndex(0);
@@ -914,7 +916,7 @@
         let patience = MISSED_BEATS * self.settings.heartbeat_ms;
         let mut snapshot = ServiceSnapshot {
             service: service.clone(),
-            raft_term: self.raft.kept.term,
+            raft_term: self.raft.state.term,
             databases: self
                 .state_machine
                 .of_service(service)
@@ -959,11 +961,11 @@
         step: impl FnOnce(&mut Failover, &ServiceSnapshot) -> Vec<FailoverAction>,
     ) {
         // The databases of a gateway are alike: none of them leads.
-        if !self.raft.granting(now) || self.settings.rollout == Rollout::Api {
+        if !self.raft.holds_leader_lease(now) || self.settings.rollout == Rollout::Api {
             return;
         }
         let snapshot = self.snapshot(service, now);
-        let behind = self.applied < self.raft.commit;
+        let behind = self.applied < self.raft.commit_index;
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
@@ -1013,7 +1015,7 @@
         match action {
             FailoverAction::Propose(
                 Command::ForgetDeparted { .. } | Command::PrimaryReturned { .. },
-            ) if !self.raft.all_read(LAYOUT) => {
+            ) if !self.raft.all_peers_read_layout(LAYOUT) => {
                 debug!(target: "failover", "{service}: waits until all controllers are exchanged");
             }
             FailoverAction::Propose(change) => {
@@ -1163,7 +1165,7 @@
             return self.send_conn(conn, &Frame::Controller(ToPooler::NotLeader(leader)));
         }
         if let ToController::Hello { node, incarnation, revision, zone } = message {
-            if !self.raft.granting(now) || self.applied < self.raft.commit {
+            if !self.raft.holds_leader_lease(now) || self.applied < self.raft.commit_index {
                 // What this leader has may be older than what the pooler already heard.
                 self.early.push((conn, ToController::Hello { node, incarnation, revision, zone }));
                 return;
@@ -1266,7 +1268,7 @@
     /// Answers a renewal: all that was told on this connection is granted again, and what is new
     /// is told.
     fn grant(&mut self, conn: u64, seq: u64, asks: &[ServiceName], now: Tick) {
-        if !self.raft.granting(now) {
+        if !self.raft.holds_leader_lease(now) {
             return;
         }
         let Some(leader_state) = &mut self.leader_state else { return };
@@ -1365,7 +1367,7 @@
         }
         // Without a quorum nothing can be confirmed, and a new leader may not have applied yet what
         // the one before acknowledged.
-        if !self.raft.granting(now) {
+        if !self.raft.holds_leader_lease(now) {
             return say(Response::refusal(503, "no quorum"));
         }
         self.apply(now);
@@ -1375,7 +1377,7 @@
         let tolerated = self.settings.tolerated();
         if parsed.is_some() && !self.state_machine.begun() {
             let (voters, needed) = (self.raft.voters().len(), 2 * tolerated + 1);
-            if !self.raft.may_begin(tolerated, now) {
+            if !self.raft.may_bootstrap(tolerated, now) {
                 let why = format!("being founded: {voters} of {needed} controllers vote");
                 return say(Response::refusal(503, &why));
             }
@@ -1459,7 +1461,7 @@
     /// Proposes what a caller asked for; it is answered when that is committed and applied.
     fn await_change(&mut self, change: &Command, reply: SyncSender<Response>, now: Tick) {
         match self.propose(change, now) {
-            Some(index) => self.proposed.add(self.raft.kept.term, index, reply),
+            Some(index) => self.proposed.add(self.raft.state.term, index, reply),
             // A caller that no longer waits is none of our business.
             None => drop(reply.try_send(Response::refusal(503, "no leader"))),
         }
@@ -1505,13 +1507,13 @@
         serde_json::json!({
             "node": self.settings.node_name,
             "role": "controller",
-            "member": self.raft.kept.me.0,
+            "member": self.raft.state.member_id.0,
             "leader": self.leader().map(|m| m.node.0.clone()),
             "leader_admin": self.leads_at().map(|l| l.1),
-            "leads": self.raft.granting(now),
-            "epoch": self.raft.kept.term,
-            "entry": self.raft.last().1,
-            "committed": self.raft.commit,
+            "leads": self.raft.holds_leader_lease(now),
+            "epoch": self.raft.state.term,
+            "entry": self.raft.last_position().1,
+            "committed": self.raft.commit_index,
             "members": members,
             "revision": self.state_machine.revision,
             "databases": databases,
--- a/src/controller/linearizable_reads.rs
+++ b/src/controller/linearizable_reads.rs
@@ -51,10 +51,12 @@
         let mut settled = Vec::new();
         let unclear = |why| CallDecision::Answer(Response::refusal(503, why));
         for (read, call, from) in std::mem::take(&mut self.waiting) {
-            match raft.confirmed(&read) {
+            match raft.read_confirmation(&read) {
                 Some(false) => settled.push((from, unclear("no longer the leader"))),
-                _ if now.since(read.asked) > READ_MS => settled.push((from, unclear("no quorum"))),
-                Some(true) if applied >= read.upto => {
+                _ if now.since(read.requested_at) > READ_MS => {
+                    settled.push((from, unclear("no quorum")))
+                }
+                Some(true) if applied >= read.index => {
                     settled.push((from, call.judge(state_machine)))
                 }
                 _ => self.waiting.push((read, call, from)),
--- a/src/controller/process.rs
+++ b/src/controller/process.rs
@@ -77,9 +77,10 @@
 /// The first state of an empty disk. When the system starts for the first time, the first of the
 /// seeds begins alone, and all others ask it to be taken in. Ids are drawn anew for each disk.
 pub fn first_state(settings: &Settings, admin: SocketAddr, random: fn() -> u64) -> PersistentState {
-    let mut kept = PersistentState { me: fresh_id(random), ..PersistentState::default() };
+    let mut kept = PersistentState { member_id: fresh_id(random), ..PersistentState::default() };
     if settings.can_vote() && settings.founder() == Some(admin) {
-        kept.snapshot.members = vec![Member { voter: true, ..as_member(settings, admin, kept.me) }];
+        kept.snapshot.members =
+            vec![Member { voter: true, ..as_member(settings, admin, kept.member_id) }];
     }
     kept
 }
--- a/src/raft/node.rs
+++ b/src/raft/node.rs
@@ -113,8 +113,8 @@
 pub struct ReadIndex {
     term: Term,
     /// All that any leader had acknowledged when it came is at or below this.
-    pub upto: LogIndex,
-    pub asked: Tick,
+    pub index: LogIndex,
+    pub requested_at: Tick,
 }
 
 impl Progress {
@@ -131,7 +131,7 @@
         }
     }
     /// Goes on from here; whatever was under way has arrived or is lost.
-    fn go_on(&mut self, next: LogIndex) {
+    fn resume_from(&mut self, next: LogIndex) {
         (self.next, self.flying) = (next, next);
     }
 }
@@ -170,20 +170,20 @@
 /// What differs from the disk.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct UnsavedChanges {
-    pub hard: bool,
+    pub hard_state: bool,
     pub log_from: Option<LogIndex>,
     pub snapshot: bool,
 }
 
 impl UnsavedChanges {
     pub fn all() -> Self {
-        Self { hard: true, log_from: Some(LogIndex(0)), snapshot: true }
+        Self { hard_state: true, log_from: Some(LogIndex(0)), snapshot: true }
     }
     fn mark_log(&mut self, from: LogIndex) {
         self.log_from = Some(self.log_from.map_or(from, |old| old.min(from)));
     }
     pub(crate) fn add(&mut self, other: UnsavedChanges) {
-        self.hard |= other.hard;
+        self.hard_state |= other.hard_state;
         self.snapshot |= other.snapshot;
         if let Some(from) = other.log_from {
             self.mark_log(from);
@@ -194,11 +194,11 @@
 /// What a controller keeps on disk.
 #[derive(Clone, Debug, Default)]
 pub struct PersistentState {
-    pub me: MemberId,
+    pub member_id: MemberId,
     pub term: Term,
-    pub voted: Option<MemberId>,
+    pub voted_for: Option<MemberId>,
     /// The last term that this controller led.
-    pub led: Option<Term>,
+    pub last_led_term: Option<Term>,
     pub log: Vec<LogEntry>,
     pub snapshot: Snapshot,
 }
@@ -223,8 +223,8 @@
 /// and one change of members at a time.
 #[derive(Clone)]
 pub struct RaftNode {
-    pub kept: PersistentState,
-    pub commit: LogIndex,
+    pub state: PersistentState,
+    pub commit_index: LogIndex,
     pub leader: Option<MemberId>,
     role: RaftRole,
     heard: Option<Tick>,
@@ -250,13 +250,13 @@
     /// Since when this leader knows the list of members as it is.
     relisted: Tick,
     /// The disk is in trouble: this controller does not lead.
-    pub(crate) ailing: bool,
+    pub(crate) storage_failing: bool,
     /// Everything up to here is on this controller's disk.
     durable: LogIndex,
     /// An acknowledgement that waits for the disk: to whom, up to where, and the message's time.
     owed: Option<(MemberId, LogIndex, u64)>,
-    pub dirty: UnsavedChanges,
-    pub out: Vec<(MemberId, RaftMessage)>,
+    pub unsaved: UnsavedChanges,
+    pub outbox: Vec<(MemberId, RaftMessage)>,
     spread: fn() -> u64,
     /// The newest time that was passed in.
     clock: Tick,
@@ -266,20 +266,20 @@
     /// The layouts that other members read, as their newest frames say.
     layouts: BTreeMap<MemberId, u8>,
     /// Looks at what a leader sends before any of it is taken.
-    pub vet: MessageValidator,
+    pub message_validator: MessageValidator,
     /// The leader has something that this program can't read: it was neither taken nor acknowledged,
     /// and there is no going on.
-    pub refused: Option<String>,
+    pub unreadable_message: Option<String>,
 }
 
 impl RaftNode {
     pub fn new(kept: PersistentState, restarted: bool, now: Tick, spread: fn() -> u64) -> Self {
         let commit = kept.snapshot.last.1;
-        let returning = restarted && kept.led == Some(kept.term);
+        let returning = restarted && kept.last_led_term == Some(kept.term);
         let quiet = restarted && !returning;
         let mut raft = Self {
-            kept,
-            commit,
+            state: kept,
+            commit_index: commit,
             leader: None,
             role: RaftRole::LeaderSubscriber,
             heard: None,
@@ -295,61 +295,61 @@
             leaving: None,
             asked: false,
             relisted: now,
-            ailing: false,
+            storage_failing: false,
             durable: LogIndex(0),
             owed: None,
-            dirty: UnsavedChanges::default(),
-            out: Vec::new(),
+            unsaved: UnsavedChanges::default(),
+            outbox: Vec::new(),
             spread,
             clock: now,
             transfers: 0,
             arriving: None,
             layouts: BTreeMap::new(),
-            vet: |_| Ok(()),
-            refused: None,
+            message_validator: |_| Ok(()),
+            unreadable_message: None,
         };
-        raft.durable = raft.last().1;
-        raft.recall_members();
-        raft.rest(now);
+        raft.durable = raft.last_position().1;
+        raft.reload_members();
+        raft.reset_election_timeout(now);
         if quiet {
             raft.deadline = raft.quiet_until.plus(1 + spread() % AFTER_QUIET_MS);
         }
-        if raft.voters() == [raft.kept.me] {
+        if raft.voters() == [raft.state.member_id] {
             // Nobody else can lead, so there is nobody to wait for.
             raft.deadline = now;
         }
         raft
     }
 
-    pub fn last(&self) -> (Term, LogIndex) {
-        self.kept.log.last().map_or(self.kept.snapshot.last, |e| (e.term, e.index))
+    pub fn last_position(&self) -> (Term, LogIndex) {
+        self.state.log.last().map_or(self.state.snapshot.last, |e| (e.term, e.index))
     }
-    fn epoch_at(&self, index: LogIndex) -> Option<Term> {
-        let base = self.kept.snapshot.last;
+    fn term_at(&self, index: LogIndex) -> Option<Term> {
+        let base = self.state.snapshot.last;
         if index == base.1 {
             return Some(base.0);
         }
-        self.position(index).map(|at| self.kept.log[at].term)
+        self.offset_of(index).map(|at| self.state.log[at].term)
     }
-    fn position(&self, index: LogIndex) -> Option<usize> {
-        let at = index.0.checked_sub(self.kept.snapshot.last.1.0 + 1)? as usize;
-        (at < self.kept.log.len()).then_some(at)
+    fn offset_of(&self, index: LogIndex) -> Option<usize> {
+        let at = index.0.checked_sub(self.state.snapshot.last.1.0 + 1)? as usize;
+        (at < self.state.log.len()).then_some(at)
     }
     pub fn members(&self) -> &[Member] {
         &self.members
     }
-    fn recall_members(&mut self) {
-        let newest = self.kept.log.iter().rev().find_map(listed);
-        self.members = newest.unwrap_or(&self.kept.snapshot.members).clone();
+    fn reload_members(&mut self) {
+        let newest = self.state.log.iter().rev().find_map(listed);
+        self.members = newest.unwrap_or(&self.state.snapshot.members).clone();
     }
     fn members_pending(&self) -> bool {
-        self.kept.log.iter().any(|e| e.index > self.commit && listed(e).is_some())
+        self.state.log.iter().any(|e| e.index > self.commit_index && listed(e).is_some())
     }
     pub(crate) fn voters(&self) -> Vec<MemberId> {
         self.members().iter().filter(|m| m.voter).map(|m| m.id).collect()
     }
     fn is_voter(&self) -> bool {
-        self.voters().contains(&self.kept.me)
+        self.voters().contains(&self.state.member_id)
     }
     pub fn is_leader(&self) -> bool {
         matches!(self.role, RaftRole::Leader { .. })
@@ -357,7 +357,7 @@
     fn quorum(&self) -> usize {
         self.voters().len() / 2 + 1
     }
-    fn rest(&mut self, now: Tick) {
+    fn reset_election_timeout(&mut self, now: Tick) {
         let (least, spread) = match self.returning {
             true => (RETURN_MS, RETURN_MS),
             false => (ELECTION_MIN_MS, ELECTION_SPREAD_MS),
@@ -366,18 +366,20 @@
     }
 
     /// Whether no leader was heard for so long.
-    pub fn lonely(&self, now: Tick, for_ms: u64) -> bool {
+    pub fn leader_silent_longer_than(&self, now: Tick, for_ms: u64) -> bool {
         self.heard.is_none_or(|t| now.since(t) > for_ms)
     }
     /// True while this controller may act as the only leader: a quorum is with it, its first entry
     /// is committed, and it has not asked another to take over.
-    pub fn granting(&self, now: Tick) -> bool {
+    pub fn holds_leader_lease(&self, now: Tick) -> bool {
         let RaftRole::Leader { opened, .. } = self.role else {
             return false;
         };
-        self.leaving.is_none() && self.commit >= opened && self.fresh(now, QUORUM_FRESH_MS)
+        self.leaving.is_none()
+            && self.commit_index >= opened
+            && self.quorum_answered_within(now, QUORUM_FRESH_MS)
     }
-    fn fresh(&self, now: Tick, within: u64) -> bool {
+    fn quorum_answered_within(&self, now: Tick, within: u64) -> bool {
         self.quorum_answered(|sent| now.since(sent) < within)
     }
     /// Whether a quorum answered messages that were sent when `counts` says.
@@ -386,7 +388,7 @@
             .voters()
             .iter()
             .filter(|id| {
-                **id == self.kept.me || self.peers.get(id).is_some_and(|p| counts(p.acked))
+                **id == self.state.member_id || self.peers.get(id).is_some_and(|p| counts(p.acked))
             })
             .count();
         count >= self.quorum()
@@ -398,56 +400,56 @@
         let RaftRole::Leader { opened, .. } = self.role else {
             return None;
         };
-        if self.commit < opened {
+        if self.commit_index < opened {
             return None;
         }
-        let read = ReadIndex { term: self.kept.term, upto: self.commit, asked: now };
-        if self.confirmed(&read) != Some(true) {
+        let read = ReadIndex { term: self.state.term, index: self.commit_index, requested_at: now };
+        if self.read_confirmation(&read) != Some(true) {
             self.uncovered = Some(now);
         }
         Some(read)
     }
     /// Whether this controller still led after the question came: a quorum answered, in its term,
     /// what was sent later. `None` while that is open, `Some(false)` if it will never be known.
-    pub fn confirmed(&self, read: &ReadIndex) -> Option<bool> {
-        if !self.is_leader() || self.kept.term != read.term {
+    pub fn read_confirmation(&self, read: &ReadIndex) -> Option<bool> {
+        if !self.is_leader() || self.state.term != read.term {
             return Some(false);
         }
         // In the same millisecond it may have been sent before the question came.
-        self.quorum_answered(|sent| sent > read.asked).then_some(true)
+        self.quorum_answered(|sent| sent > read.requested_at).then_some(true)
     }
     /// When a round is to begin for the reads that wait for one. One that is under way is waited
     /// for: all that come meanwhile share the next.
-    fn round_due(&self) -> Option<Tick> {
+    fn next_read_round(&self) -> Option<Tick> {
         let next = self.uncovered?.plus(1);
         let free = self.quorum_answered(|sent| sent >= self.round);
         Some(if free { next } else { next.max(self.round.plus(ROUND_MS)) })
     }
 
-    fn say(&mut self, to: MemberId, kind: RaftMessageKind) {
-        let message = RaftMessage { from: self.kept.me, term: self.kept.term, kind };
-        self.out.push((to, message));
+    fn send(&mut self, to: MemberId, kind: RaftMessageKind) {
+        let message = RaftMessage { from: self.state.member_id, term: self.state.term, kind };
+        self.outbox.push((to, message));
     }
-    fn others(&self) -> Vec<MemberId> {
-        self.members().iter().map(|m| m.id).filter(|id| *id != self.kept.me).collect()
+    fn other_members(&self) -> Vec<MemberId> {
+        self.members().iter().map(|m| m.id).filter(|id| *id != self.state.member_id).collect()
     }
-    fn set_epoch(&mut self, term: Term) {
-        if term > self.kept.term {
-            self.kept.term = term;
-            self.kept.voted = None;
-            self.dirty.hard = true;
+    fn advance_term(&mut self, term: Term) {
+        if term > self.state.term {
+            self.state.term = term;
+            self.state.voted_for = None;
+            self.unsaved.hard_state = true;
             self.owed = None;
             self.arriving = None;
             self.returning = false;
         }
     }
-    fn follow(&mut self, leader: Option<MemberId>, now: Tick) {
+    fn become_follower(&mut self, leader: Option<MemberId>, now: Tick) {
         self.role = RaftRole::LeaderSubscriber;
         self.leader = leader;
         self.peers.clear();
         self.removed.clear();
         self.uncovered = None;
-        self.rest(now);
+        self.reset_election_timeout(now);
     }
 
     pub fn tick(&mut self, now: Tick) {
@@ -455,25 +457,26 @@
         match &self.role {
             RaftRole::Leader { since, .. } => {
                 let patience = ELECTION_MIN_MS + ELECTION_SPREAD_MS;
-                let deserted = now.since(*since) > patience && !self.fresh(now, patience);
+                let deserted =
+                    now.since(*since) > patience && !self.quorum_answered_within(now, patience);
                 // Whoever was asked to take over may do so no more: it would be in this term.
                 let declined = self.leaving.is_some_and(|t| now.since(t) > HAND_OVER_MS);
                 if deserted || declined {
-                    return self.follow(None, now);
+                    return self.become_follower(None, now);
                 }
-                if now >= self.due() {
+                if now >= self.next_tick_at() {
                     self.next_beat = now.plus(HEARTBEAT_MS);
                     self.round = now;
                     self.uncovered = self.uncovered.filter(|asked| *asked >= now);
-                    for id in self.others() {
-                        self.append_to(id, true, now);
+                    for id in self.other_members() {
+                        self.send_append(id, true, now);
                     }
                 }
-                self.pass_on(now);
+                self.try_leadership_transfer(now);
             }
             _ if now >= self.deadline => {
-                self.rest(now);
-                if self.is_voter() && now >= self.quiet_until && !self.ailing {
+                self.reset_election_timeout(now);
+                if self.is_voter() && now >= self.quiet_until && !self.storage_failing {
                     self.leader = None;
                     self.campaign(true, false, now);
                 }
@@ -482,30 +485,32 @@
         }
     }
     /// When `tick` next has something to do.
-    pub fn due(&self) -> Tick {
+    pub fn next_tick_at(&self) -> Tick {
         match self.is_leader() {
-            true => self.round_due().map_or(self.next_beat, |round| round.min(self.next_beat)),
+            true => {
+                self.next_read_round().map_or(self.next_beat, |round| round.min(self.next_beat))
+            }
             false => self.deadline,
         }
     }
 
     fn campaign(&mut self, trial: bool, handover: bool, now: Tick) {
-        let term = Term(self.kept.term.0 + 1);
+        let term = Term(self.state.term.0 + 1);
         if !trial {
-            self.set_epoch(term);
-            self.kept.voted = Some(self.kept.me);
-            self.dirty.hard = true;
+            self.advance_term(term);
+            self.state.voted_for = Some(self.state.member_id);
+            self.unsaved.hard_state = true;
         }
-        let votes = BTreeSet::from([self.kept.me]);
+        let votes = BTreeSet::from([self.state.member_id]);
         self.role = RaftRole::Candidate { trial, handover, votes };
-        self.rest(now);
-        let last = self.last();
+        self.reset_election_timeout(now);
+        let last = self.last_position();
         // True only for one that does not lead any more, since a leader never asks.
-        let led = self.kept.led.is_some_and(|l| l.0 + 1 == term.0);
+        let led = self.state.last_led_term.is_some_and(|l| l.0 + 1 == term.0);
         for id in self.voters() {
-            if id != self.kept.me {
+            if id != self.state.member_id {
                 let kind = RaftMessageKind::RequestVote { trial, handover, led, last };
-                self.out.push((id, RaftMessage { from: self.kept.me, term, kind }));
+                self.outbox.push((id, RaftMessage { from: self.state.member_id, term, kind }));
             }
         }
         self.count_votes(now);
@@ -521,17 +526,20 @@
         if trial {
             return self.campaign(false, handover, now);
         }
-        let (_, last) = self.last();
+        let (_, last) = self.last_position();
         let opened = LogIndex(last.0 + 1);
         self.role = RaftRole::Leader { opened, since: now };
-        self.leader = Some(self.kept.me);
-        self.kept.led = Some(self.kept.term);
-        self.dirty.hard = true;
+        self.leader = Some(self.state.member_id);
+        self.state.last_led_term = Some(self.state.term);
+        self.unsaved.hard_state = true;
         self.leaving = None;
         self.relisted = now;
-        self.peers =
-            self.others().into_iter().map(|id| (id, Progress::new(opened, opened, now))).collect();
-        self.push(EntryPayload::NoOp, now);
+        self.peers = self
+            .other_members()
+            .into_iter()
+            .map(|id| (id, Progress::new(opened, opened, now)))
+            .collect();
+        self.append_entry(EntryPayload::NoOp, now);
     }
 
     /// Appends to the log if this controller leads; tells where.
@@ -539,17 +547,17 @@
         if !self.is_leader() || self.leaving.is_some() {
             return None;
         }
-        Some(self.push(body, now))
+        Some(self.append_entry(body, now))
     }
-    fn push(&mut self, body: EntryPayload, now: Tick) -> LogIndex {
-        let index = LogIndex(self.last().1.0 + 1);
+    fn append_entry(&mut self, body: EntryPayload, now: Tick) -> LogIndex {
+        let index = LogIndex(self.last_position().1.0 + 1);
         if let EntryPayload::Membership(members) = &body {
             self.members = members.clone();
             self.relisted = now;
         }
-        self.kept.log.push(LogEntry { term: self.kept.term, index, body });
-        self.dirty.mark_log(index);
-        let others = self.others();
+        self.state.log.push(LogEntry { term: self.state.term, index, body });
+        self.unsaved.mark_log(index);
+        let others = self.other_members();
         let gone = self.peers.iter().filter(|(id, _)| !others.contains(id));
         self.removed.extend(gone.map(|(id, p)| (*id, p.matched)));
         self.peers.retain(|id, _| others.contains(id));
@@ -559,12 +567,12 @@
             let held = self.removed.remove(&id).unwrap_or_default();
             let next = LogIndex(held.0 + 1);
             self.peers.entry(id).or_insert_with(|| Progress::new(next, index, now));
-            self.append_to(id, false, now);
+            self.send_append(id, false, now);
         }
         index
     }
     /// What a member's newest frame says of the layout it reads.
-    pub fn reads(&mut self, id: MemberId, layout: u8) {
+    pub fn record_peer_layout(&mut self, id: MemberId, layout: u8) {
         // Ids of what never was a member are forgotten again.
         if self.layouts.len() > LAYOUTS_KEPT {
             self.layouts.retain(|id, _| self.members.iter().any(|m| m.id == *id));
@@ -575,20 +583,20 @@
             && progress.transfer.take().is_some()
         {
             // It went back to the program before, which can't read parts.
-            progress.go_on(LogIndex(progress.matched.0 + 1));
+            progress.resume_from(LogIndex(progress.matched.0 + 1));
         }
     }
 
     /// Whether no other member is known not to read this layout. One that has not been heard of is
     /// taken for dark rather than old: what waits for this keeps failovers from going on.
-    pub fn all_read(&self, layout: u8) -> bool {
-        self.others().iter().all(|id| self.layouts.get(id).is_none_or(|l| *l >= layout))
+    pub fn all_peers_read_layout(&self, layout: u8) -> bool {
+        self.other_members().iter().all(|id| self.layouts.get(id).is_none_or(|l| *l >= layout))
     }
 
     /// Sends a member what it lacks, as far as it may be under way at once; a heartbeat goes in any
     /// case.
-    fn append_to(&mut self, id: MemberId, heartbeat: bool, now: Tick) {
-        let (base, sent, commit) = (self.kept.snapshot.last, now.0, self.commit);
+    fn send_append(&mut self, id: MemberId, heartbeat: bool, now: Tick) {
+        let (base, sent, commit) = (self.state.snapshot.last, now.0, self.commit_index);
         let Some(progress) = self.peers.get_mut(&id) else {
             return;
         };
@@ -605,40 +613,40 @@
             RaftMessageKind::AppendEntries { previous, entries: Vec::new(), commit, sent };
         if progress.transfer.is_some() {
             if heartbeat {
-                self.say(id, only_heartbeat);
+                self.send(id, only_heartbeat);
             }
             return;
         }
         if progress.next <= base.1 {
             // Of an older program it is not known what it would do with a state that it can't read:
             // it gets what is in the log, and this once it is exchanged.
-            let newer = self.kept.snapshot.state.first() == Some(&STATE_LAYOUT);
+            let newer = self.state.snapshot.state.first() == Some(&STATE_LAYOUT);
             match layout {
                 // Its answer says first how it can be sent.
-                None => return self.say(id, only_heartbeat),
+                None => return self.send(id, only_heartbeat),
                 Some(layout) if newer && layout < STATE_LAYOUT => {
                     if heartbeat {
-                        self.say(id, only_heartbeat);
+                        self.send(id, only_heartbeat);
                     }
                     return;
                 }
                 Some(_) => {}
             }
-            progress.go_on(LogIndex(base.1.0 + 1));
-            let snapshot = self.kept.snapshot.clone();
+            progress.resume_from(LogIndex(base.1.0 + 1));
+            let snapshot = self.state.snapshot.clone();
             let kind = RaftMessageKind::InstallSnapshot { snapshot, sent };
             return match parts {
-                true => self.transfer_to(id, &kind, Some(base.1), now),
-                false => self.say(id, kind),
+                true => self.start_chunked_send(id, &kind, Some(base.1), now),
+                false => self.send(id, kind),
             };
         }
         let (next, flying) = (progress.next, progress.flying);
         let before = LogIndex(next.0 - 1);
-        let Some(term) = self.epoch_at(before) else {
+        let Some(term) = self.term_at(before) else {
             return;
         };
         let at = |index: LogIndex| (index.0.saturating_sub(base.1.0 + 1)) as usize;
-        let under_way = self.kept.log.get(at(flying)..at(next)).unwrap_or_default();
+        let under_way = self.state.log.get(at(flying)..at(next)).unwrap_or_default();
         let taken: usize = under_way.iter().map(size).sum();
         let mut room = FLIGHT_BYTES.saturating_sub(taken);
         // One goes by itself, however large it is.
@@ -648,7 +656,7 @@
             room = room.saturating_sub(size(e));
             goes
         };
-        let waiting = self.kept.log.iter().skip(at(next)).take(BATCH);
+        let waiting = self.state.log.iter().skip(at(next)).take(BATCH);
         let entries: Vec<LogEntry> = waiting.take_while(fits).cloned().collect();
         if entries.is_empty() && !heartbeat {
             return;
@@ -656,7 +664,7 @@
         let next = LogIndex(next.0 + entries.len() as u64);
         let large = entries.iter().map(size).sum::<usize>() > FLIGHT_BYTES;
         if large && layout.is_none() {
-            return self.say(id, only_heartbeat);
+            return self.send(id, only_heartbeat);
         }
         let kind =
             RaftMessageKind::AppendEntries { previous: (term, before), entries, commit, sent };
@@ -664,11 +672,11 @@
             progress.next = next;
         }
         match large && parts {
-            true => self.transfer_to(id, &kind, None, now),
-            false => self.say(id, kind),
+            true => self.start_chunked_send(id, &kind, None, now),
+            false => self.send(id, kind),
         }
     }
-    fn transfer_to(
+    fn start_chunked_send(
         &mut self,
         id: MemberId,
         kind: &RaftMessageKind,
@@ -687,9 +695,9 @@
                 ChunkedSend { id: transfer, bytes, snapshot, then, offset, part, sent: now };
             progress.transfer = Some(begun);
         }
-        self.send_part(id, now);
+        self.send_chunk(id, now);
     }
-    fn send_part(&mut self, id: MemberId, now: Tick) {
+    fn send_chunk(&mut self, id: MemberId, now: Tick) {
         let Some(transfer) = self.peers.get_mut(&id).and_then(|p| p.transfer.as_mut()) else {
             return;
         };
@@ -703,10 +711,17 @@
             bytes: ByteBuf::from(part),
             sent: now.0,
         };
-        self.say(id, kind);
+        self.send(id, kind);
     }
     /// The next part, once the member has answered the one before; then the entries after it.
-    fn part_taken(&mut self, id: MemberId, transfer: u64, upto: u64, sent: u64, now: Tick) {
+    fn handle_chunk_response(
+        &mut self,
+        id: MemberId,
+        transfer: u64,
+        upto: u64,
+        sent: u64,
+        now: Tick,
+    ) {
         let Some(progress) = self.peers.get_mut(&id) else {
             return;
         };
@@ -724,22 +739,22 @@
                 _ => under_way.part,
             };
             under_way.part = part.min(MOST_PART);
-            return self.send_part(id, now);
+            return self.send_chunk(id, now);
         }
         let then = under_way.then;
         progress.transfer = None;
-        progress.go_on(then);
-        self.append_to(id, false, now);
+        progress.resume_from(then);
+        self.send_append(id, false, now);
     }
     /// Gathers the parts of a message, and gives it once it is whole.
-    fn take_part(
+    fn receive_chunk(
         &mut self,
         from: MemberId,
         (transfer, size, offset): (u64, u64, u64),
         bytes: &[u8],
         sent: u64,
     ) -> Option<RaftMessageKind> {
-        let term = self.kept.term;
+        let term = self.state.term;
         let same = |a: &ChunkedReceive| (a.leader, a.term, a.transfer) == (from, term, transfer);
         if !self.arriving.as_ref().is_some_and(same) {
             let size = usize::try_from(size).ok().filter(|s| *s <= TRANSFER_BYTES)?;
@@ -757,7 +772,7 @@
         // Known to be taken from here on, but not kept any longer.
         let whole =
             (fits && arriving.upto == arriving.size).then(|| std::mem::take(&mut arriving.bytes));
-        self.say(from, RaftMessageKind::ChunkResponse { transfer, upto, sent });
+        self.send(from, RaftMessageKind::ChunkResponse { transfer, upto, sent });
         match unpack::<RaftMessageKind>(&whole?) {
             Ok(
                 kind @ (RaftMessageKind::AppendEntries { .. }
@@ -765,7 +780,7 @@
             ) => Some(kind),
             Ok(_) => None,
             Err(e) => {
-                self.refused = Some(format!("the leader's message can't be read: {e}"));
+                self.unreadable_message = Some(format!("the leader's message can't be read: {e}"));
                 None
             }
         }
@@ -784,15 +799,15 @@
             RaftMessageKind::RequestVote { trial, handover, led, last } => {
                 // One that led the newest term known here leads no more: there is nobody left
                 // that a vote could harm. Leaders before it lost their quorum when it won.
-                let free = handover || (led && term > self.kept.term);
-                self.asked_vote(from, term, trial, free, last, now)
+                let free = handover || (led && term > self.state.term);
+                self.handle_request_vote(from, term, trial, free, last, now)
             }
             RaftMessageKind::VoteResponse { trial, granted } => {
-                if !granted && term > self.kept.term {
-                    self.set_epoch(term);
-                    return self.follow(None, now);
+                if !granted && term > self.state.term {
+                    self.advance_term(term);
+                    return self.become_follower(None, now);
                 }
-                let asked_for = self.kept.term.0 + u64::from(trial);
+                let asked_for = self.state.term.0 + u64::from(trial);
                 if let RaftRole::Candidate { trial: mine, votes, .. } = &mut self.role
                     && *mine == trial
                     && granted
@@ -803,58 +818,58 @@
                 }
             }
             RaftMessageKind::AppendEntries { previous, entries, commit, sent } => {
-                if !self.led_by(from, term, now) {
-                    return self.say(from, OUTDATED);
+                if !self.accept_leader(from, term, now) {
+                    return self.send(from, OUTDATED);
                 }
                 let heartbeat = entries.is_empty();
                 let kind = RaftMessageKind::AppendEntries { previous, entries, commit, sent };
-                if self.refuses(&kind) {
+                if self.is_unreadable(&kind) {
                     return;
                 }
                 let RaftMessageKind::AppendEntries { entries, .. } = kind else { return };
-                let (ok, upto) = self.take_entries(previous, entries);
+                let (ok, upto) = self.append_to_log(previous, entries);
                 if ok {
-                    self.commit = self.commit.max(commit.min(upto));
+                    self.commit_index = self.commit_index.max(commit.min(upto));
                     self.acknowledge(from, upto, sent, heartbeat);
                 } else {
-                    self.say(from, RaftMessageKind::AppendResponse { upto, ok, sent });
+                    self.send(from, RaftMessageKind::AppendResponse { upto, ok, sent });
                 }
             }
             RaftMessageKind::InstallSnapshot { snapshot, sent } => {
-                if !self.led_by(from, term, now) {
-                    return self.say(from, OUTDATED);
+                if !self.accept_leader(from, term, now) {
+                    return self.send(from, OUTDATED);
                 }
                 let upto = snapshot.last.1;
                 let kind = RaftMessageKind::InstallSnapshot { snapshot, sent };
-                if self.refuses(&kind) {
+                if self.is_unreadable(&kind) {
                     return;
                 }
                 let RaftMessageKind::InstallSnapshot { snapshot, .. } = kind else { return };
-                if upto > self.commit {
-                    if self.epoch_at(upto) == Some(snapshot.last.0) {
-                        self.kept.log.retain(|e| e.index > upto);
+                if upto > self.commit_index {
+                    if self.term_at(upto) == Some(snapshot.last.0) {
+                        self.state.log.retain(|e| e.index > upto);
                     } else {
-                        self.kept.log.clear();
+                        self.state.log.clear();
                     }
-                    self.kept.snapshot = snapshot;
-                    self.commit = upto;
+                    self.state.snapshot = snapshot;
+                    self.commit_index = upto;
                     self.durable = LogIndex(0);
-                    self.recall_members();
-                    self.dirty.snapshot = true;
-                    self.dirty.mark_log(LogIndex(0));
+                    self.reload_members();
+                    self.unsaved.snapshot = true;
+                    self.unsaved.mark_log(LogIndex(0));
                 }
                 self.acknowledge(from, upto, sent, false);
             }
             RaftMessageKind::AppendResponse { upto, ok, sent } => {
-                if term > self.kept.term {
-                    self.set_epoch(term);
-                    return self.follow(None, now);
+                if term > self.state.term {
+                    self.advance_term(term);
+                    return self.become_follower(None, now);
                 }
-                if !self.is_leader() || term < self.kept.term {
+                if !self.is_leader() || term < self.state.term {
                     return;
                 }
                 self.layouts.entry(from).or_insert(FIRST_LAYOUT);
-                let last = self.last().1;
+                let last = self.last_position().1;
                 let Some(progress) = self.peers.get_mut(&from) else {
                     return;
                 };
@@ -871,10 +886,10 @@
                     }
                     if ok {
                         progress.matched = progress.matched.max(upto);
-                        self.advance();
+                        self.advance_commit_index();
                     }
                     if lost {
-                        self.send_part(from, now);
+                        self.send_chunk(from, now);
                     }
                 } else if ok {
                     progress.matched = progress.matched.max(upto);
@@ -887,33 +902,33 @@
                         progress.round = (last, now);
                     }
                     let behind = progress.next <= last;
-                    self.advance();
+                    self.advance_commit_index();
                     if behind {
-                        self.append_to(from, false, now);
+                        self.send_append(from, false, now);
                     }
-                    self.pass_on(now);
+                    self.try_leadership_transfer(now);
                 } else {
-                    progress.go_on(LogIndex(progress.matched.max(upto).0 + 1));
-                    self.append_to(from, true, now);
+                    progress.resume_from(LogIndex(progress.matched.max(upto).0 + 1));
+                    self.send_append(from, true, now);
                 }
             }
             RaftMessageKind::Chunk { transfer, size, offset, bytes, sent } => {
-                if !self.led_by(from, term, now) {
-                    return self.say(from, OUTDATED);
+                if !self.accept_leader(from, term, now) {
+                    return self.send(from, OUTDATED);
                 }
                 let place = (transfer, size, offset);
-                if let Some(kind) = self.take_part(from, place, &bytes, sent) {
+                if let Some(kind) = self.receive_chunk(from, place, &bytes, sent) {
                     self.step(RaftMessage { from, term, kind }, now);
                 }
             }
             RaftMessageKind::ChunkResponse { transfer, upto, sent } => {
-                if self.is_leader() && term == self.kept.term {
-                    self.part_taken(from, transfer, upto, sent, now);
+                if self.is_leader() && term == self.state.term {
+                    self.handle_chunk_response(from, transfer, upto, sent, now);
                 }
             }
             RaftMessageKind::TimeoutNow => {
-                let mine = term == self.kept.term && self.leader == Some(from);
-                if mine && self.is_voter() && !self.ailing {
+                let mine = term == self.state.term && self.leader == Some(from);
+                if mine && self.is_voter() && !self.storage_failing {
                     self.campaign(false, true, now);
                 }
             }
@@ -922,11 +937,11 @@
 
     /// Whether a leader's message holds what this program can't read. Looked at before any of it is
     /// taken, so that the state on disk stays one that it can.
-    fn refuses(&mut self, kind: &RaftMessageKind) -> bool {
-        if let Err(why) = (self.vet)(kind) {
-            self.refused = Some(why);
+    fn is_unreadable(&mut self, kind: &RaftMessageKind) -> bool {
+        if let Err(why) = (self.message_validator)(kind) {
+            self.unreadable_message = Some(why);
         }
-        self.refused.is_some()
+        self.unreadable_message.is_some()
     }
 
     /// Only what is on disk is acknowledged. New entries wait for it; a heartbeat is answered at
@@ -939,14 +954,14 @@
             }
         }
         let upto = upto.min(self.durable);
-        self.say(leader, RaftMessageKind::AppendResponse { upto, ok: true, sent });
+        self.send(leader, RaftMessageKind::AppendResponse { upto, ok: true, sent });
     }
     /// The disk has everything up to this entry, if it is still the one in the log.
-    pub fn stored(&mut self, last: (Term, LogIndex)) {
-        if self.epoch_at(last.1) == Some(last.0) {
+    pub fn log_persisted(&mut self, last: (Term, LogIndex)) {
+        if self.term_at(last.1) == Some(last.0) {
             self.durable = self.durable.max(last.1);
         }
-        self.advance();
+        self.advance_commit_index();
         if let Some((leader, upto, sent)) = self.owed
             && self.leader == Some(leader)
         {
@@ -954,29 +969,29 @@
                 self.owed = None;
             }
             let upto = upto.min(self.durable);
-            self.say(leader, RaftMessageKind::AppendResponse { upto, ok: true, sent });
+            self.send(leader, RaftMessageKind::AppendResponse { upto, ok: true, sent });
         }
     }
     /// While the disk is in trouble, another should lead.
-    pub fn set_ailing(&mut self, ailing: bool, now: Tick) {
-        self.ailing = ailing;
+    pub fn set_storage_failing(&mut self, ailing: bool, now: Tick) {
+        self.storage_failing = ailing;
         if ailing {
-            self.hand_over(now);
+            self.transfer_leadership(now);
         }
     }
 
     /// Accepts the sender as leader of its term, unless that term has passed.
-    fn led_by(&mut self, from: MemberId, term: Term, now: Tick) -> bool {
-        if term < self.kept.term {
+    fn accept_leader(&mut self, from: MemberId, term: Term, now: Tick) -> bool {
+        if term < self.state.term {
             return false;
         }
-        self.set_epoch(term);
-        self.follow(Some(from), now);
+        self.advance_term(term);
+        self.become_follower(Some(from), now);
         self.heard = Some(now);
         true
     }
 
-    fn asked_vote(
+    fn handle_request_vote(
         &mut self,
         from: MemberId,
         term: Term,
@@ -986,46 +1001,48 @@
         now: Tick,
     ) {
         let followed = self.heard.is_some_and(|t| now.since(t) < ELECTION_MIN_MS)
-            || (self.is_leader() && self.fresh(now, ELECTION_MIN_MS));
+            || (self.is_leader() && self.quorum_answered_within(now, ELECTION_MIN_MS));
         if (followed || now < self.quiet_until) && !free {
             return;
         }
-        if term < self.kept.term || (trial && term <= self.kept.term) {
-            return self.say(from, RaftMessageKind::VoteResponse { trial, granted: false });
+        if term < self.state.term || (trial && term <= self.state.term) {
+            return self.send(from, RaftMessageKind::VoteResponse { trial, granted: false });
         }
-        let current = last >= self.last();
+        let current = last >= self.last_position();
         if trial {
             if current {
                 let kind = RaftMessageKind::VoteResponse { trial, granted: true };
-                self.out.push((from, RaftMessage { from: self.kept.me, term, kind }));
+                self.outbox.push((from, RaftMessage { from: self.state.member_id, term, kind }));
             } else {
-                self.say(from, RaftMessageKind::VoteResponse { trial, granted: false });
+                self.send(from, RaftMessageKind::VoteResponse { trial, granted: false });
             }
             return;
         }
-        if term > self.kept.term {
-            self.set_epoch(term);
-            self.follow(None, now);
+        if term > self.state.term {
+            self.advance_term(term);
+            self.become_follower(None, now);
         }
-        let free = self.kept.voted.is_none_or(|v| v == from);
+        let free = self.state.voted_for.is_none_or(|v| v == from);
         let granted = current && free && self.leader.is_none();
         if granted {
-            self.kept.voted = Some(from);
-            self.dirty.hard = true;
-            self.rest(now);
+            self.state.voted_for = Some(from);
+            self.unsaved.hard_state = true;
+            self.reset_election_timeout(now);
         }
-        self.say(from, RaftMessageKind::VoteResponse { trial, granted });
+        self.send(from, RaftMessageKind::VoteResponse { trial, granted });
     }
 
-    fn take_entries(
+    fn append_to_log(
         &mut self,
         previous: (Term, LogIndex),
         entries: Vec<LogEntry>,
     ) -> (bool, LogIndex) {
-        let base = self.kept.snapshot.last.1;
-        let agreed = previous.1 < base || self.epoch_at(previous.1) == Some(previous.0);
+        let base = self.state.snapshot.last.1;
+        let agreed = previous.1 < base || self.term_at(previous.1) == Some(previous.0);
         if !agreed {
-            let hint = LogIndex(previous.1.0.saturating_sub(1)).min(self.last().1).max(self.commit);
+            let hint = LogIndex(previous.1.0.saturating_sub(1))
+                .min(self.last_position().1)
+                .max(self.commit_index);
             return (false, hint);
         }
         let upto = LogIndex(previous.1.0 + entries.len() as u64);
@@ -1034,28 +1051,28 @@
             if entry.index <= base {
                 continue;
             }
-            match self.epoch_at(entry.index) {
+            match self.term_at(entry.index) {
                 Some(term) if term == entry.term => continue,
                 Some(_) => {
                     let keep = (entry.index.0 - base.0 - 1) as usize;
                     relisted = true;
-                    self.kept.log.truncate(keep);
+                    self.state.log.truncate(keep);
                     self.durable = self.durable.min(LogIndex(entry.index.0 - 1));
                 }
                 None => {}
             }
-            self.dirty.mark_log(entry.index);
+            self.unsaved.mark_log(entry.index);
             relisted |= listed(&entry).is_some();
-            self.kept.log.push(entry);
+            self.state.log.push(entry);
         }
         if relisted {
-            self.recall_members();
+            self.reload_members();
         }
         (true, upto.max(base))
     }
 
     /// Commits what a quorum has on disk; the leader's own copy counts like any other.
-    fn advance(&mut self) {
+    fn advance_commit_index(&mut self) {
         if !self.is_leader() {
             return;
         }
@@ -1063,7 +1080,7 @@
             .voters()
             .iter()
             .map(|id| {
-                if *id == self.kept.me {
+                if *id == self.state.member_id {
                     self.durable
                 } else {
                     self.peers.get(id).map_or(LogIndex(0), |p| p.matched)
@@ -1075,72 +1092,72 @@
             return;
         };
         // Only entries of the own term are committed by counting.
-        if agreed > self.commit && self.epoch_at(agreed) == Some(self.kept.term) {
-            self.commit = agreed;
+        if agreed > self.commit_index && self.term_at(agreed) == Some(self.state.term) {
+            self.commit_index = agreed;
         }
     }
 
     /// Committed entries after `applied`.
-    pub fn committed(&self, applied: LogIndex) -> Vec<LogEntry> {
-        self.kept
+    pub fn committed_entries_after(&self, applied: LogIndex) -> Vec<LogEntry> {
+        self.state
             .log
             .iter()
-            .filter(|e| e.index > applied && e.index <= self.commit)
+            .filter(|e| e.index > applied && e.index <= self.commit_index)
             .cloned()
             .collect()
     }
 
     /// Folds everything up to `applied` into a snapshot when the log has grown long.
-    pub fn compact(&mut self, applied: LogIndex, state: impl FnOnce() -> Vec<u8>) {
-        let Some(at) = self.position(applied) else {
+    pub fn compact_log(&mut self, applied: LogIndex, state: impl FnOnce() -> Vec<u8>) {
+        let Some(at) = self.offset_of(applied) else {
             return;
         };
-        let bytes: usize = self.kept.log[..=at].iter().map(size).sum();
+        let bytes: usize = self.state.log[..=at].iter().map(size).sum();
         if at < COMPACT_AFTER && bytes < COMPACT_BYTES {
             return;
         }
         // A snapshot under way is of use only with the log from there on, and a member that is there
         // gets what it lacks sooner without another one.
-        if at < KEEP_AFTER && bytes < KEEP_BYTES && self.awaited(applied) {
+        if at < KEEP_AFTER && bytes < KEEP_BYTES && self.snapshot_would_be_needed(applied) {
             return;
         }
-        let members = self.kept.log[..=at]
+        let members = self.state.log[..=at]
             .iter()
             .rev()
             .find_map(listed)
-            .unwrap_or(&self.kept.snapshot.members)
+            .unwrap_or(&self.state.snapshot.members)
             .clone();
-        let last = (self.kept.log[at].term, applied);
-        self.kept.snapshot = Snapshot { last, members, state: ByteBuf::from(state()) };
-        self.kept.log.drain(..=at);
-        self.dirty.snapshot = true;
-        self.dirty.mark_log(LogIndex(0));
+        let last = (self.state.log[at].term, applied);
+        self.state.snapshot = Snapshot { last, members, state: ByteBuf::from(state()) };
+        self.state.log.drain(..=at);
+        self.unsaved.snapshot = true;
+        self.unsaved.mark_log(LogIndex(0));
     }
 
     /// Whether a member that is there would have to get a snapshot if the log began after this entry.
-    fn awaited(&self, applied: LogIndex) -> bool {
+    fn snapshot_would_be_needed(&self, applied: LogIndex) -> bool {
         let lacks = |p: &Progress| p.transfer.is_some() || p.next <= applied;
         let there = |p: &Progress| self.clock.since(p.acked) < PRESENT_MS;
         self.peers.values().any(|p| there(p) && lacks(p))
     }
 
     /// Another is to lead. No lease is given from here on, and nothing is added to the log.
-    pub fn hand_over(&mut self, now: Tick) {
+    pub fn transfer_leadership(&mut self, now: Tick) {
         if !self.is_leader() || self.leaving.is_some() {
             return;
         }
         self.leaving = Some(now);
         self.asked = false;
-        self.pass_on(now);
+        self.try_leadership_transfer(now);
     }
     /// Asks a voter that has answered lately and holds the whole log to lead, as soon as there is
     /// one. After half of the time it is enough that it holds all that is committed.
-    fn pass_on(&mut self, now: Tick) {
+    fn try_leadership_transfer(&mut self, now: Tick) {
         let Some(since) = self.leaving.filter(|_| self.is_leader() && !self.asked) else {
             return;
         };
         let late = now.since(since) >= HAND_OVER_MS / 2;
-        let least = if late { self.commit } else { self.last().1 };
+        let least = if late { self.commit_index } else { self.last_position().1 };
         let fits = |p: &Progress| p.matched >= least && now.since(p.acked) < QUORUM_FRESH_MS;
         let voters = self.voters();
         let best = self
@@ -1151,12 +1168,12 @@
             .map(|(id, _)| *id);
         if let Some(id) = best {
             self.asked = true;
-            self.say(id, RaftMessageKind::TimeoutNow);
+            self.send(id, RaftMessageKind::TimeoutNow);
         }
     }
 
     /// For how long a member has said nothing to this leader.
-    fn silence(&self, id: MemberId, now: Tick) -> u64 {
+    fn silence_ms(&self, id: MemberId, now: Tick) -> u64 {
         self.peers.get(&id).map_or(0, |p| now.since(p.acked.max(p.since)))
     }
 
@@ -1164,7 +1181,7 @@
     /// asks to join learns first and votes once it keeps up. If the voters that are there would
     /// not bear its loss, the one that has been silent longest goes before. Of more voters than
     /// are needed to bear the loss of `tolerated`, the one that has been silent too long goes too.
-    pub fn wanted_members<'a>(
+    pub fn next_membership_change<'a>(
         &self,
         joining: impl Iterator<Item = &'a Member>,
         tolerated: usize,
@@ -1178,8 +1195,9 @@
         let without = |gone: MemberId| -> Option<Vec<Member>> {
             let rest: Vec<Member> = members.iter().filter(|m| m.id != gone).cloned().collect();
             let voters: Vec<MemberId> = rest.iter().filter(|m| m.voter).map(|m| m.id).collect();
-            let present =
-                |id: &&MemberId| **id == self.kept.me || self.silence(**id, now) < PRESENT_MS;
+            let present = |id: &&MemberId| {
+                **id == self.state.member_id || self.silence_ms(**id, now) < PRESENT_MS
+            };
             // Those who stay must be able to agree on it.
             (voters.iter().filter(present).count() > voters.len() / 2).then_some(rest)
         };
@@ -1190,7 +1208,7 @@
             if let Some(old) = members.iter().find(|m| m.admin == joiner.admin) {
                 // The same machine under an older id has lost its disk: the old id goes first. If
                 // that one still speaks, the wish to join is an old one.
-                if old.id == self.kept.me || self.silence(old.id, now) < PRESENT_MS {
+                if old.id == self.state.member_id || self.silence_ms(old.id, now) < PRESENT_MS {
                     continue;
                 }
                 return without(old.id);
@@ -1200,19 +1218,19 @@
         }
         let voters = self.voters();
         let silent = |voter: bool, for_ms: u64| {
-            let others = members.iter().filter(move |m| m.id != self.kept.me);
+            let others = members.iter().filter(move |m| m.id != self.state.member_id);
             let told = others.filter(move |m| m.voter == voter).map(|m| m.id);
-            told.map(|id| (self.silence(id, now), id)).filter(|s| s.0 > for_ms).max()
+            told.map(|id| (self.silence_ms(id, now), id)).filter(|s| s.0 > for_ms).max()
         };
         let ready = members.iter().filter(|m| !m.voter).find_map(|m| {
-            let there = self.silence(m.id, now) < PRESENT_MS;
+            let there = self.silence_ms(m.id, now) < PRESENT_MS;
             self.peers.get(&m.id).filter(|p| p.keeps_up && there).map(|p| (m.id, p.since))
         });
         if let Some((id, since)) = ready {
             // One that has answered since the newcomer is known is not the one that it replaces.
             let there = |v: &&MemberId| {
                 let answered = self.peers.get(v).is_some_and(|p| p.acked >= since);
-                **v == self.kept.me || (answered && self.silence(**v, now) < PRESENT_MS)
+                **v == self.state.member_id || (answered && self.silence_ms(**v, now) < PRESENT_MS)
             };
             let there = voters.iter().filter(there).count();
             // The newcomer may be lost again at once, and counts as one of those to be borne: the
@@ -1232,7 +1250,7 @@
     /// loss of `tolerated`. Fewer will do once nobody has come for a while, so that a deployment
     /// with few disks works at all. Those who are missing then are among the lost ones, unless
     /// more are missing than may be: then this controller itself may be the one that is cut off.
-    pub fn may_begin(&self, tolerated: usize, now: Tick) -> bool {
+    pub fn may_bootstrap(&self, tolerated: usize, now: Tick) -> bool {
         let voters = self.voters().len();
         let patience = if voters > tolerated { YOUNG_MS } else { SPARSE_MS };
         let all_vote = self.members().iter().all(|m| m.voter);
@@ -1240,9 +1258,9 @@
         self.is_leader() && (voters > 2 * tolerated || waited)
     }
     /// How a process that asks to join, or whether it still belongs, stands with this controller.
-    pub fn standing(&self, member: &Member, was: bool, now: Tick) -> JoinResponse {
-        if !self.granting(now) {
-            let leader = self.leader.filter(|l| *l != self.kept.me);
+    pub fn answer_join(&self, member: &Member, was: bool, now: Tick) -> JoinResponse {
+        if !self.holds_leader_lease(now) {
+            let leader = self.leader.filter(|l| *l != self.state.member_id);
             let at = |l| self.members.iter().find(|m| m.id == l).map(|m| m.peer);
             return JoinResponse::NotLeader(leader.and_then(at));
         }
--- a/src/raft/persister.rs
+++ b/src/raft/persister.rs
@@ -33,13 +33,13 @@
     /// The messages that may leave now. An term or a vote that is not on disk holds all of them
     /// back but trial votes, which promise nothing; what entries they tell of is the Raft group's care.
     pub fn leaving(&mut self, raft: &mut RaftNode) -> Vec<(MemberId, RaftMessage)> {
-        let behind = if raft.dirty.hard {
+        let behind = if raft.unsaved.hard_state {
             Some(self.started + 1)
         } else {
-            self.under_way.as_ref().filter(|w| w.dirty.hard).map(|_| self.started)
+            self.under_way.as_ref().filter(|w| w.dirty.hard_state).map(|_| self.started)
         };
         let mut free = Vec::new();
-        for (to, message) in raft.out.drain(..) {
+        for (to, message) in raft.outbox.drain(..) {
             let trial = matches!(
                 message.kind,
                 RaftMessageKind::RequestVote { trial: true, .. }
@@ -55,13 +55,13 @@
     /// The next write, if there is one to be started now.
     pub fn start(&mut self, raft: &mut RaftNode, now: Tick) -> Option<WriteBatch> {
         let waits = self.under_way.is_some() || self.retry.is_some_and(|t| now < t);
-        if waits || raft.dirty == UnsavedChanges::default() {
+        if waits || raft.unsaved == UnsavedChanges::default() {
             return None;
         }
-        let dirty = std::mem::take(&mut raft.dirty);
-        let batch = WriteBatch::of(&raft.kept, &dirty);
+        let dirty = std::mem::take(&mut raft.unsaved);
+        let batch = WriteBatch::of(&raft.state, &dirty);
         self.started += 1;
-        self.under_way = Some(UnderWay { dirty, last: raft.last(), since: now });
+        self.under_way = Some(UnderWay { dirty, last: raft.last_position(), since: now });
         Some(batch)
     }
     /// The write under way has ended; gives the messages that waited for it.
@@ -75,12 +75,12 @@
             return Vec::new();
         };
         if !well {
-            raft.dirty.add(dirty);
+            raft.unsaved.add(dirty);
             self.retry = Some(now.plus(WRITE_AGAIN_MS));
             return Vec::new();
         }
         self.retry = None;
-        raft.stored(last);
+        raft.log_persisted(last);
         let mut free = Vec::new();
         while self.held.front().is_some_and(|(number, ..)| *number <= self.started) {
             free.extend(self.held.pop_front().map(|(_, to, message)| (to, message)));
--- a/src/raft/storage.rs
+++ b/src/raft/storage.rs
@@ -132,14 +132,14 @@
         }
         let mut marked = marks(folder)?;
         if let Some(kept) = &kept {
-            if !marked.is_empty() && !marked.contains(&kept.me) {
+            if !marked.is_empty() && !marked.contains(&kept.member_id) {
                 return Err(Fatal::State(format!(
                     "of member {}, in a folder of {}; left as it is",
-                    kept.me,
+                    kept.member_id,
                     marked.iter().map(MemberId::to_string).collect::<Vec<_>>().join(", ")
                 )));
             }
-            if marked.insert(kept.me) {
+            if marked.insert(kept.member_id) {
                 mark(folder, &marked).map_err(|e| Fatal::Disk(e.to_string()))?;
             }
         }
@@ -157,7 +157,7 @@
         }
         let kept = first();
         storage.save(&WriteBatch::of(&kept, &UnsavedChanges::all())).map_err(disk)?;
-        storage.marked.insert(kept.me);
+        storage.marked.insert(kept.member_id);
         mark(folder, &storage.marked).map_err(|e| Fatal::Disk(e.to_string()))?;
         Ok((storage, kept, false))
     }
@@ -214,10 +214,10 @@
             }
         }
         Ok(Some(PersistentState {
-            me: MemberId(me as u64),
+            member_id: MemberId(me as u64),
             term: Term(term as u64),
-            voted: voted.map(|v| MemberId(v as u64)),
-            led: led.map(|e| Term(e as u64)),
+            voted_for: voted.map(|v| MemberId(v as u64)),
+            last_led_term: led.map(|e| Term(e as u64)),
             log,
             snapshot,
         }))
@@ -276,7 +276,12 @@
             (from, after.map(|e| (e.index, pack(e))).collect::<Rows>())
         };
         Self {
-            hard: dirty.hard.then_some((kept.me, kept.term, kept.voted, kept.led)),
+            hard: dirty.hard_state.then_some((
+                kept.member_id,
+                kept.term,
+                kept.voted_for,
+                kept.last_led_term,
+            )),
             snapshot: dirty.snapshot.then(|| pack(&kept.snapshot)),
             log: dirty.log_from.map(entries),
         }
--- a/src/simulation/world.rs
+++ b/src/simulation/world.rs
@@ -351,7 +351,7 @@
         };
         let tick = Tick(now + machine.ahead);
         let started = kept.and_then(|(kept, again)| {
-            machine.me = kept.me;
+            machine.me = kept.member_id;
             (machine.checked, machine.applied) = (kept.snapshot.last.1, kept.snapshot.last.1);
             let settings = machine.settings.clone();
             Controller::new(settings, kept, again, draw, Queue::default(), tick)
@@ -504,19 +504,19 @@
         let machine = &mut self.machines[number];
         let Some(controller) = &machine.controller else { return };
         let (raft, state_machine) = (controller.raft(), controller.state_machine());
-        if raft.kept.me != machine.me {
-            machine.me = raft.kept.me;
+        if raft.state.member_id != machine.me {
+            machine.me = raft.state.member_id;
             (machine.checked, machine.applied) = (LogIndex(0), LogIndex(0));
         }
         let mut wrong = None;
         if raft.is_leader() {
-            let (raft_term, me) = (raft.kept.term, raft.kept.me);
+            let (raft_term, me) = (raft.state.term, raft.state.member_id);
             let first = *self.leaders.entry(raft_term).or_insert(me);
             if first != me {
                 wrong = Some(format!("two led term {raft_term}: {first} and {me}"));
             }
         }
-        for entry in raft.committed(machine.checked) {
+        for entry in raft.committed_entries_after(machine.checked) {
             machine.checked = entry.index;
             let first = self.entries.entry(entry.index).or_insert_with(|| entry.clone());
             if *first != entry {
@@ -1294,7 +1294,7 @@
         let here = |m: &Machine| !m.gone && m.controller.is_some();
         let leads = |m: &Machine| {
             let now = Tick(self.now + m.ahead);
-            m.controller.as_ref().is_some_and(|s| s.raft().granting(now))
+            m.controller.as_ref().is_some_and(|s| s.raft().holds_leader_lease(now))
         };
         let all: Vec<usize> =
             (0..self.machines.len()).filter(|m| here(&self.machines[*m])).collect();
@@ -1474,7 +1474,7 @@
             .filter(|m| {
                 let machine = &self.machines[*m];
                 let now = Tick(self.now + machine.ahead);
-                machine.controller.as_ref().is_some_and(|s| s.raft().granting(now))
+                machine.controller.as_ref().is_some_and(|s| s.raft().holds_leader_lease(now))
             })
             .collect();
         let [leader] = leading[..] else {
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -655,10 +655,10 @@
     let numbered = (233..).zip(bodies).map(|(index, body)| entry(232, index, body));
     let log = numbered.collect();
     PersistentState {
-        me: MemberId(5),
+        member_id: MemberId(5),
         term: Term(234),
-        voted: Some(MemberId(6)),
-        led: Some(Term(230)),
+        voted_for: Some(MemberId(6)),
+        last_led_term: Some(Term(230)),
         log,
         snapshot: Snapshot {
             last: (Term(231), LogIndex(232)),
@@ -697,8 +697,8 @@
     let (storage, read) = RaftStorage::open(&old).expect("opened");
     drop(storage);
     let (read, made) = (read.expect("a state"), kept());
-    assert_eq!((read.me, read.term), (made.me, made.term));
-    assert_eq!((read.voted, read.led), (made.voted, made.led));
+    assert_eq!((read.member_id, read.term), (made.member_id, made.term));
+    assert_eq!((read.voted_for, read.last_led_term), (made.voted_for, made.last_led_term));
     assert_eq!(read.log, made.log);
     assert_eq!(read.snapshot, made.snapshot);
 
--- a/tests/configuration_changes.rs
+++ b/tests/configuration_changes.rs
@@ -25,7 +25,7 @@
     };
     let members = (1..=of).map(member).collect();
     let snapshot = Snapshot { members, ..Snapshot::default() };
-    PersistentState { me: MemberId(id), snapshot, ..PersistentState::default() }
+    PersistentState { member_id: MemberId(id), snapshot, ..PersistentState::default() }
 }
 fn body(revision: u64, of: char) -> ByteBuf {
     ByteBuf::from(format!("{{\"revision\":{revision},\"by\":\"{of}\"}}"))
@@ -66,7 +66,7 @@
 }
 impl Node {
     fn new(kept: PersistentState, restarted: bool, now: Tick) -> Self {
-        let spread = SPREADS[kept.me.0 as usize - 1];
+        let spread = SPREADS[kept.member_id.0 as usize - 1];
         let state = &kept.snapshot.state;
         let state_machine = match state.is_empty() {
             true => StateMachine::default(),
@@ -89,7 +89,7 @@
                 let index =
                     self.raft.propose(EntryPayload::Command(ByteBuf::from(pack(&change))), now);
                 let Some(index) = index else { return Some((from, 503, Vec::new())) };
-                self.proposed.add(self.raft.kept.term, index, from);
+                self.proposed.add(self.raft.state.term, index, from);
                 None
             }
         }
@@ -97,11 +97,12 @@
     /// Applies what is committed and gives the answers that are due.
     fn turn(&mut self, now: Tick) -> Vec<(u32, u16, Vec<u8>)> {
         let mut answers = Vec::new();
-        if self.raft.kept.snapshot.last.1 > self.applied {
-            self.state_machine = StateMachine::read(&self.raft.kept.snapshot.state).expect("state");
-            self.applied = self.raft.kept.snapshot.last.1;
+        if self.raft.state.snapshot.last.1 > self.applied {
+            self.state_machine =
+                StateMachine::read(&self.raft.state.snapshot.state).expect("state");
+            self.applied = self.raft.state.snapshot.last.1;
         }
-        for entry in self.raft.committed(self.applied) {
+        for entry in self.raft.committed_entries_after(self.applied) {
             self.applied = entry.index;
             let caller = self.proposed.take(&entry);
             if let EntryPayload::Command(bytes) = &entry.body {
@@ -116,7 +117,7 @@
             }
         }
         let state_machine = &self.state_machine;
-        self.raft.compact(self.applied, || pack(state_machine));
+        self.raft.compact_log(self.applied, || pack(state_machine));
         if !self.raft.is_leader() {
             answers.extend(self.proposed.give_up().map(|from| (from, 503, Vec::new())));
         }
@@ -166,11 +167,11 @@
                 for (from, status, body) in node.turn(self.now) {
                     assert!(self.answers.insert(from, (status, body)).is_none(), "once");
                 }
-                if std::mem::take(&mut node.raft.dirty) != UnsavedChanges::default() {
-                    self.disks.insert(*id, node.raft.kept.clone());
-                    node.raft.stored(node.raft.last());
+                if std::mem::take(&mut node.raft.unsaved) != UnsavedChanges::default() {
+                    self.disks.insert(*id, node.raft.state.clone());
+                    node.raft.log_persisted(node.raft.last_position());
                 }
-                for (to, message) in node.raft.out.drain(..) {
+                for (to, message) in node.raft.outbox.drain(..) {
                     let append = matches!(message.kind, RaftMessageKind::AppendEntries { .. });
                     self.appends += usize::from(append);
                     let at = self.now.plus(self.delay);
@@ -200,7 +201,7 @@
             self.now = self.now.plus(1);
             self.settle();
             for (_, node) in self.nodes.iter_mut().filter(|(id, _)| !self.frozen.contains(id)) {
-                if self.now >= node.raft.due() {
+                if self.now >= node.raft.next_tick_at() {
                     node.raft.tick(self.now);
                 }
             }
@@ -209,7 +210,7 @@
     }
     fn lead(&mut self) -> u64 {
         self.run(3_000);
-        let granting = |(id, n): (&u64, &Node)| n.raft.granting(self.now).then_some(*id);
+        let granting = |(id, n): (&u64, &Node)| n.raft.holds_leader_lease(self.now).then_some(*id);
         let leaders: Vec<u64> = self.nodes.iter().filter_map(granting).collect();
         assert_eq!(leaders.len(), 1, "{leaders:?}");
         leaders[0]
@@ -218,7 +219,7 @@
     fn call_at(&mut self, to: u64, call: AdminCall, at: Tick) -> u32 {
         self.calls += 1;
         let (from, node) = (self.calls, self.nodes.get_mut(&to).expect("node"));
-        let answer = match node.raft.granting(at) {
+        let answer = match node.raft.holds_leader_lease(at) {
             false => Some((from, 503, Vec::new())),
             true => node
                 .reads
@@ -272,7 +273,10 @@
             let early = taken_in.then(|| site.call(old, call.clone()));
             site.frozen.insert(old);
             site.run(3_000);
-            let live = site.nodes.iter().find(|(id, n)| **id != old && n.raft.granting(site.now));
+            let live = site
+                .nodes
+                .iter()
+                .find(|(id, n)| **id != old && n.raft.holds_leader_lease(site.now));
             let new = *live.expect("another leads").0;
             assert_eq!(site.ask(new, put(3, 5, 'b')).0, 200);
             assert_eq!(site.ask(new, AdminCall::Command(heartbeat("late"))).0, 200);
@@ -297,16 +301,16 @@
     let leader = site.lead();
     assert_eq!(site.ask(leader, put(0, 3, 'a')).0, 200);
     // The heartbeat of this very millisecond left before the call came.
-    let due = site.nodes[&leader].raft.due();
+    let due = site.nodes[&leader].raft.next_tick_at();
     site.run(due.since(site.now) - 1);
     site.now = due;
     let node = site.nodes.get_mut(&leader).expect("leader");
     node.raft.tick(due);
     let read = node.raft.read_index(due).expect("leads");
     site.settle();
-    assert_eq!(site.nodes[&leader].raft.confirmed(&read), None, "it tells of before");
+    assert_eq!(site.nodes[&leader].raft.read_confirmation(&read), None, "it tells of before");
     site.run(1);
-    assert_eq!(site.nodes[&leader].raft.confirmed(&read), Some(true), "one round later");
+    assert_eq!(site.nodes[&leader].raft.read_confirmation(&read), Some(true), "one round later");
     // One voter of two answers: enough. None: the caller is told so before it goes on.
     let others: Vec<u64> = (1..=3).filter(|id| *id != leader).collect();
     site.cut.insert(others[0]);
@@ -324,7 +328,8 @@
         site.cut.remove(&others[1]);
         site.run(3_000);
         let now = site.now;
-        let back = site.nodes.iter().find(|(_, n)| n.raft.granting(now)).map(|(id, _)| *id);
+        let back =
+            site.nodes.iter().find(|(_, n)| n.raft.holds_leader_lease(now)).map(|(id, _)| *id);
         assert_eq!(back, Some(leader), "the same goes on to lead in this test");
         site.cut.insert(others[1]);
     }
@@ -338,7 +343,7 @@
     // Asked to go, it may still answer what came before, as long as nobody else leads.
     let asked = site.call(old, AdminCall::ReadConfiguration);
     let now = site.now;
-    site.nodes.get_mut(&old).expect("leader").raft.hand_over(now);
+    site.nodes.get_mut(&old).expect("leader").raft.transfer_leadership(now);
     let late = site.call(old, AdminCall::ReadConfiguration);
     assert_eq!(site.status(late), 503, "nothing new from then on");
     site.run(1_000);
@@ -348,9 +353,9 @@
     let raft = &mut site.nodes.get_mut(&leader).expect("leader").raft;
     let read = raft.read_index(now).expect("leads");
     site.restart(&[leader]);
-    assert_eq!(site.nodes[&leader].raft.confirmed(&read), Some(false));
+    assert_eq!(site.nodes[&leader].raft.read_confirmation(&read), Some(false));
     site.lead();
-    assert_eq!(site.nodes[&leader].raft.confirmed(&read), Some(false));
+    assert_eq!(site.nodes[&leader].raft.read_confirmation(&read), Some(false));
     // One that is alone has nobody to ask.
     let mut site = Site::new(1);
     let leader = site.lead();
@@ -406,7 +411,7 @@
         sent: now.0 + 600_000,
     };
     raft.step(RaftMessage { from: MemberId(leader), term: Term(0), kind: late }, now);
-    let (_, answer) = raft.out.pop().expect("it is told that it is late");
+    let (_, answer) = raft.outbox.pop().expect("it is told that it is late");
     assert!(
         matches!(answer.kind, RaftMessageKind::AppendResponse { ok: false, sent: 0, .. }),
         "{answer:?}"
@@ -415,11 +420,11 @@
     let raft = &mut site.nodes.get_mut(&leader).expect("leader").raft;
     let kind =
         RaftMessageKind::AppendResponse { upto: LogIndex(0), ok: false, sent: now.0 + 600_000 };
-    let term = raft.kept.term;
+    let term = raft.state.term;
     raft.step(RaftMessage { from: MemberId(follower), term, kind }, now);
     site.cut.extend((1..=3).filter(|id| *id != leader));
     site.run(500);
-    assert!(!site.nodes[&leader].raft.granting(site.now), "cut off for half a second");
+    assert!(!site.nodes[&leader].raft.holds_leader_lease(site.now), "cut off for half a second");
 }
 
 #[test]
@@ -438,7 +443,7 @@
             "another leads" => {
                 site.run(1_000);
                 let now = site.now;
-                site.nodes.get_mut(&leader).expect("leader").raft.hand_over(now);
+                site.nodes.get_mut(&leader).expect("leader").raft.transfer_leadership(now);
                 leader = site.lead();
             }
             "taken by the next" | "before anybody had it" => {
@@ -447,7 +452,8 @@
                 site.run(3_000);
                 assert_eq!(site.status(first), 0);
                 let old = leader;
-                let live = |(id, n): &(&u64, &Node)| **id != old && n.raft.granting(site.now);
+                let live =
+                    |(id, n): &(&u64, &Node)| **id != old && n.raft.holds_leader_lease(site.now);
                 leader = *site.nodes.iter().find(live).expect("another").0;
                 let has = site.nodes[&leader].state_machine.revision == Revision(5);
                 assert_eq!(has, what != nobody, "{what}");
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -465,7 +465,7 @@
             state: serde_bytes::ByteBuf::from(state_machine.write()),
         };
         let kept = |id| PersistentState {
-            me: MemberId(id),
+            member_id: MemberId(id),
             term: Term(1),
             snapshot: snapshot.clone(),
             ..PersistentState::default()
@@ -477,7 +477,7 @@
         let controller = controller.expect("starts");
         let mut this = Self { controller, followers, cut: false, now: START };
         this.run(10_000);
-        assert!(this.controller.raft().granting(this.now), "it leads");
+        assert!(this.controller.raft().holds_leader_lease(this.now), "it leads");
         this
     }
     fn turn(&mut self) {
@@ -497,12 +497,12 @@
                 return;
             }
             for (to, message) in messages {
-                let follower = self.followers.iter_mut().find(|f| f.kept.me == to);
+                let follower = self.followers.iter_mut().find(|f| f.state.member_id == to);
                 let follower = follower.expect("a follower");
                 follower.step(message, self.now);
-                follower.dirty = UnsavedChanges::default();
-                follower.stored(follower.last());
-                for (to, answer) in follower.out.drain(..) {
+                follower.unsaved = UnsavedChanges::default();
+                follower.log_persisted(follower.last_position());
+                for (to, answer) in follower.outbox.drain(..) {
                     let message = Box::new(answer);
                     self.controller.take(Input::Frame(0, Frame::Raft { to, message }), self.now);
                 }
@@ -810,7 +810,7 @@
     leader.hello(1, "n1");
     assert_eq!(leader.standing(1), Some(led(1)));
     leader.cut = true;
-    while leader.controller.raft().granting(leader.now) {
+    while leader.controller.raft().holds_leader_lease(leader.now) {
         leader.run(10);
     }
     assert!(leader.controller.raft().is_leader(), "for a moment it leads all the same");
@@ -825,7 +825,7 @@
     // Heard again in time, it goes on.
     leader.cut = false;
     leader.run(500);
-    assert!(leader.controller.raft().granting(leader.now));
+    assert!(leader.controller.raft().holds_leader_lease(leader.now));
     assert!(leader.controller.effects.sent.iter().any(|(to, _)| *to == 2), "now it is welcome");
     assert_eq!(leader.standing(2), Some(led(1)));
 }
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -154,7 +154,8 @@
     fn new(voters: u64) -> Self {
         let members = (1..=voters).map(|i| member(i, i, true)).collect();
         let snapshot = Snapshot { members, ..Snapshot::default() };
-        let kept = PersistentState { me: MemberId(1), snapshot, ..PersistentState::default() };
+        let kept =
+            PersistentState { member_id: MemberId(1), snapshot, ..PersistentState::default() };
         let mut this =
             Self { raft: RaftNode::new(kept, false, Tick(1_000), || 0), now: Tick(2_000) };
         this.raft.tick(this.now);
@@ -168,12 +169,12 @@
         this
     }
     fn store(&mut self) {
-        self.raft.dirty = UnsavedChanges::default();
-        self.raft.stored(self.raft.last());
+        self.raft.unsaved = UnsavedChanges::default();
+        self.raft.log_persisted(self.raft.last_position());
     }
     fn hear(&mut self, from: u64, kind: RaftMessageKind) {
         let trial = matches!(kind, RaftMessageKind::VoteResponse { trial: true, .. });
-        let term = Term(self.raft.kept.term.0 + u64::from(trial));
+        let term = Term(self.raft.state.term.0 + u64::from(trial));
         self.raft.step(RaftMessage { from: MemberId(from), term, kind }, self.now);
     }
     /// One says that it holds everything up to here, in answer to what was sent just now.
@@ -191,7 +192,7 @@
     }
     /// Who was asked to take over.
     fn asked(&mut self) -> Vec<u64> {
-        let out = self.raft.out.drain(..);
+        let out = self.raft.outbox.drain(..);
         out.filter(|(_, m)| m.kind == RaftMessageKind::TimeoutNow).map(|(to, _)| to.0).collect()
     }
 }
@@ -219,7 +220,7 @@
             led.holds(3, third);
         }
         led.asked();
-        led.raft.hand_over(led.now);
+        led.raft.transfer_leadership(led.now);
         assert_eq!(led.asked(), at_once, "{what}");
         led.wait(after);
         if let Some(upto) = then {
@@ -241,8 +242,8 @@
         for _ in 0..400 {
             led.wait(10);
             led.propose();
-            led.raft.out.clear();
-            answers.push_back((led.now.plus(late), led.raft.last().1.0, led.now));
+            led.raft.outbox.clear();
+            answers.push_back((led.now.plus(late), led.raft.last_position().1.0, led.now));
             while let Some((due, upto, sent)) = answers.front().copied()
                 && due <= led.now
             {
@@ -256,7 +257,7 @@
                     },
                 );
             }
-            let wanted = led.raft.wanted_members([&joiner].into_iter(), 0, 4_000, led.now);
+            let wanted = led.raft.next_membership_change([&joiner].into_iter(), 0, 4_000, led.now);
             if let Some(list) = wanted {
                 led.raft.propose(EntryPayload::Membership(list), led.now);
                 led.store();
@@ -290,13 +291,13 @@
         led.raft.propose(EntryPayload::Membership(list), led.now);
         for waited in [0, 4_900, 5_100, 59_900, 60_100, 600_000] {
             let now = led.now.plus(waited);
-            let may = led.raft.may_begin(bears, now);
+            let may = led.raft.may_bootstrap(bears, now);
             assert_eq!(may, waited >= after, "{voters} voters, {bears} lost, {waited} ms");
         }
         // A restart waits anew; whoever does not lead never says so.
-        let kept = led.raft.kept.clone();
+        let kept = led.raft.state.clone();
         let again = RaftNode::new(kept, true, led.now.plus(600_000), || 0);
-        assert!(!again.may_begin(bears, led.now.plus(600_000)));
+        assert!(!again.may_bootstrap(bears, led.now.plus(600_000)));
     }
 }
 
@@ -327,14 +328,14 @@
     upstreams.lose(at, State::Cut);
     run(&mut upstreams, 20_000);
     assert_eq!(upstreams.members().len(), 3, "a spare one that is silent goes");
-    let last = upstreams.machines[at].raft.last();
+    let last = upstreams.machines[at].raft.last_position();
     assert!((0..5).all(|_| upstreams.order()));
     upstreams.back(at, false);
     upstreams.sent_to = (upstreams.machines[at].id, 0);
     run(&mut upstreams, SYNC_MS);
     assert!(upstreams.members().iter().any(|m| m.id.0 == upstreams.sent_to.0 && m.voter));
     let raft = &upstreams.machines[at].raft;
-    let missing = raft.last().1.0 - last.1.0;
+    let missing = raft.last_position().1.0 - last.1.0;
     assert!(missing < 20, "it has missed a little: {missing}");
     let sent = upstreams.sent_to.1 as u64;
     assert!(sent <= 2 * missing, "{sent} entries for {missing} that it had missed");
@@ -364,23 +365,23 @@
     for (what, before, (voters, learners), acknowledge, commits) in cases {
         let mut led = Led::new(before);
         for id in 2..=before {
-            led.holds(id, led.raft.last().1.0);
+            led.holds(id, led.raft.last_position().1.0);
         }
-        assert!(led.raft.granting(led.now), "{what}");
+        assert!(led.raft.holds_leader_lease(led.now), "{what}");
         led.wait(500);
-        let commit = led.raft.commit;
+        let commit = led.raft.commit_index;
         led.raft.propose(EntryPayload::Membership(list(voters, learners)), led.now);
         led.store();
-        assert_eq!(led.raft.commit, commit, "{what}: its own disk alone");
-        let last = led.raft.last().1;
+        assert_eq!(led.raft.commit_index, commit, "{what}: its own disk alone");
+        let last = led.raft.last_position().1;
         let read = led.raft.read_index(led.now).expect("it leads");
         led.wait(1);
         for id in acknowledge {
             led.holds(*id, last.0);
         }
-        assert_eq!(led.raft.commit == last, commits, "{what}");
-        assert_eq!(led.raft.granting(led.now), commits, "{what}: a quorum answered");
-        assert_eq!(led.raft.confirmed(&read), commits.then_some(true), "{what}: ReadIndex");
+        assert_eq!(led.raft.commit_index == last, commits, "{what}");
+        assert_eq!(led.raft.holds_leader_lease(led.now), commits, "{what}: a quorum answered");
+        assert_eq!(led.raft.read_confirmation(&read), commits.then_some(true), "{what}: ReadIndex");
     }
 }
 
@@ -397,7 +398,8 @@
     for (voters, learners, grant, leads) in cases {
         for trial in [true, false] {
             let snapshot = Snapshot { members: list(voters, learners), ..Snapshot::default() };
-            let kept = PersistentState { me: MemberId(1), snapshot, ..PersistentState::default() };
+            let kept =
+                PersistentState { member_id: MemberId(1), snapshot, ..PersistentState::default() };
             let mut raft = RaftNode::new(kept, false, Tick(1_000), || 0);
             let now = Tick(2_000);
             raft.tick(now);
@@ -408,9 +410,9 @@
             if !trial {
                 (2..=voters).for_each(|id| vote(&mut raft, id, true));
             }
-            let before = raft.kept.term;
+            let before = raft.state.term;
             grant.iter().for_each(|id| vote(&mut raft, *id, trial));
-            let won = if trial { raft.kept.term > before } else { raft.is_leader() };
+            let won = if trial { raft.state.term > before } else { raft.is_leader() };
             assert_eq!(won, leads, "{voters} voters, {learners} learners, {grant:?}, {trial}");
         }
     }
@@ -422,21 +424,21 @@
     let (first, second) = (member(4, 4, false), member(5, 5, false));
     let wanted = |led: &Led| {
         let joining = [&first, &second].into_iter();
-        led.raft.wanted_members(joining, 1, 4_000, led.now).map(|list| list.len())
+        led.raft.next_membership_change(joining, 1, 4_000, led.now).map(|list| list.len())
     };
     assert_eq!(wanted(&led), Some(4));
     led.raft.propose(EntryPayload::Membership(list(3, 1)), led.now);
     led.store();
     assert_eq!(wanted(&led), None, "the change is on one disk of three");
-    led.holds(4, led.raft.last().1.0);
+    led.holds(4, led.raft.last_position().1.0);
     assert_eq!(wanted(&led), None, "and on a learner's");
-    led.holds(2, led.raft.last().1.0);
+    led.holds(2, led.raft.last_position().1.0);
     assert_eq!(wanted(&led), Some(5));
     // One that hands over adds nothing to its log any more.
-    led.raft.hand_over(led.now);
-    let last = led.raft.last();
+    led.raft.transfer_leadership(led.now);
+    let last = led.raft.last_position();
     assert_eq!(led.raft.propose(EntryPayload::Membership(list(3, 2)), led.now), None);
-    assert_eq!(led.raft.last(), last);
+    assert_eq!(led.raft.last_position(), last);
 }
 
 #[test]
@@ -444,11 +446,11 @@
     let mut led = Led::new(3);
     led.raft.propose(EntryPayload::Membership(list(3, 1)), led.now);
     led.store();
-    let last = led.raft.last().1.0;
+    let last = led.raft.last_position().1.0;
     led.holds(4, last);
     led.holds(2, last - 1);
     led.asked();
-    led.raft.hand_over(led.now);
+    led.raft.transfer_leadership(led.now);
     assert!(led.asked().is_empty(), "only the learner holds the whole log");
     led.holds(2, last);
     assert_eq!(led.asked(), [2]);
--- a/tests/power_loss.rs
+++ b/tests/power_loss.rs
@@ -19,10 +19,10 @@
     };
     let snapshot = Snapshot { members: vec![member], ..Snapshot::default() };
     PersistentState {
-        me: MemberId(1),
+        member_id: MemberId(1),
         term: Term(1),
-        voted: None,
-        led: None,
+        voted_for: None,
+        last_led_term: None,
         log: Vec::new(),
         snapshot,
     }
@@ -212,11 +212,11 @@
             let why = format!("{what}: {:?}", shape(&files));
             match (RaftStorage::found(&at, first), founded) {
                 (Ok((storage, kept, was)), Some(founded)) => {
-                    assert_eq!((kept.me, !was), (MemberId(1), founded), "{why}");
+                    assert_eq!((kept.member_id, !was), (MemberId(1), founded), "{why}");
                     drop(storage);
                     let (_, found) =
                         RaftStorage::open(&at).unwrap_or_else(|e| panic!("{why}: {e}"));
-                    assert_eq!(found.map(|f| f.me), Some(MemberId(1)), "{why}, then");
+                    assert_eq!(found.map(|f| f.member_id), Some(MemberId(1)), "{why}, then");
                 }
                 (Err(e), None) => assert!(e.to_string().contains("is gone"), "{why}: {e}"),
                 (Err(e), Some(_)) => panic!("{why}: {e}"),
--- a/tests/raft.rs
+++ b/tests/raft.rs
@@ -26,7 +26,7 @@
 fn founder(id: u64, of: u64) -> PersistentState {
     let members = (1..=of).map(|i| member(i, true)).collect();
     PersistentState {
-        me: MemberId(id),
+        member_id: MemberId(id),
         snapshot: Snapshot { members, ..Snapshot::default() },
         ..PersistentState::default()
     }
@@ -66,14 +66,14 @@
     fn settle(&mut self) {
         for _ in 0..10_000 {
             for (id, raft) in &mut self.hedges {
-                if std::mem::take(&mut raft.dirty) != UnsavedChanges::default()
+                if std::mem::take(&mut raft.unsaved) != UnsavedChanges::default()
                     || !self.disks.contains_key(id)
                 {
-                    self.disks.insert(*id, raft.kept.clone());
-                    raft.stored(raft.last());
+                    self.disks.insert(*id, raft.state.clone());
+                    raft.log_persisted(raft.last_position());
                 }
                 let from_cut = self.cut.contains(id);
-                self.wire.extend(raft.out.drain(..).filter(|_| !from_cut));
+                self.wire.extend(raft.outbox.drain(..).filter(|_| !from_cut));
             }
             let Some((to, message)) = self.wire.pop_front() else {
                 return;
@@ -97,7 +97,7 @@
     }
     fn leaders(&self) -> Vec<u64> {
         let now = self.now;
-        self.hedges.iter().filter(|(_, h)| h.granting(now)).map(|(id, _)| *id).collect()
+        self.hedges.iter().filter(|(_, h)| h.holds_leader_lease(now)).map(|(id, _)| *id).collect()
     }
     fn lead(&mut self) -> u64 {
         self.run(3_000);
@@ -117,7 +117,7 @@
     }
     fn changes(&self, id: u64) -> Vec<u8> {
         self.hedges[&id]
-            .committed(LogIndex(0))
+            .committed_entries_after(LogIndex(0))
             .iter()
             .filter_map(|e| match &e.body {
                 EntryPayload::Command(bytes) => bytes.first().copied(),
@@ -205,7 +205,7 @@
     let leader = controllers.lead();
     let (voter, other) = if leader == 1 { (2, 3) } else { (1, if leader == 2 { 3 } else { 2 }) };
     controllers.restart(voter);
-    let last = controllers.hedges[&other].last();
+    let last = controllers.hedges[&other].last_position();
     let ask = |term| RaftMessage {
         from: MemberId(other),
         term: Term(term),
@@ -214,9 +214,9 @@
     let now = controllers.now;
     let raft = controllers.hedges.get_mut(&voter).expect("voter");
     raft.step(ask(50), now);
-    assert!(raft.out.is_empty(), "silent at first");
+    assert!(raft.outbox.is_empty(), "silent at first");
     raft.step(ask(50), now.plus(ELECTION_MIN_MS + 1));
-    assert!(matches!(raft.out[0].1.kind, RaftMessageKind::VoteResponse { granted: true, .. }));
+    assert!(matches!(raft.outbox[0].1.kind, RaftMessageKind::VoteResponse { granted: true, .. }));
 }
 
 #[test]
@@ -225,8 +225,8 @@
     let old = controllers.lead();
     let now = controllers.now;
     let raft = controllers.hedges.get_mut(&old).expect("leader");
-    raft.hand_over(now);
-    assert!(!raft.granting(now), "no lease from the moment it asks");
+    raft.transfer_leadership(now);
+    assert!(!raft.holds_leader_lease(now), "no lease from the moment it asks");
     controllers.settle();
     controllers.run(300);
     let new = controllers.leaders();
@@ -250,7 +250,7 @@
         // So that the one that is lost does not lead.
         while controllers.lead() == 3 {
             let now = controllers.now;
-            controllers.hedges.get_mut(&3).expect("leader").hand_over(now);
+            controllers.hedges.get_mut(&3).expect("leader").transfer_leadership(now);
             controllers.settle();
         }
         let leader = controllers.lead();
@@ -262,7 +262,7 @@
             controllers.disks.remove(&3);
         }
         if there {
-            let kept = PersistentState { me: joiner.id, ..PersistentState::default() };
+            let kept = PersistentState { member_id: joiner.id, ..PersistentState::default() };
             let raft = RaftNode::new(kept, false, controllers.now, || 20);
             controllers.hedges.insert(new, raft);
         }
@@ -270,7 +270,7 @@
         for _ in 0..50 {
             let now = controllers.now;
             let raft = &controllers.hedges[&leader];
-            if let Some(list) = raft.wanted_members([&joiner].into_iter(), 1, 8_000, now) {
+            if let Some(list) = raft.next_membership_change([&joiner].into_iter(), 1, 8_000, now) {
                 changes += 1;
                 let voters = list.iter().filter(|m| m.voter && (m.id.0 != 3 || !lost)).count();
                 assert!(voters >= 2, "{what}: {list:?}");
@@ -302,13 +302,15 @@
     controllers.hedges.remove(&others[0]);
     controllers.disks.remove(&others[0]);
     controllers.run(1_200);
-    let kept = PersistentState { me: joiner.id, ..PersistentState::default() };
+    let kept = PersistentState { member_id: joiner.id, ..PersistentState::default() };
     controllers.hedges.insert(901, RaftNode::new(kept, false, controllers.now, || 20));
     let counts_from = controllers.now.plus(6_000);
     while controllers.now < counts_from {
         let (raft, now) = (&controllers.hedges[&leader], controllers.now);
         let (tolerated, silent) = (settings.tolerated(), settings.given_up_ms());
-        if let Some(list) = raft.wanted_members([&joiner].into_iter(), tolerated, silent, now) {
+        if let Some(list) =
+            raft.next_membership_change([&joiner].into_iter(), tolerated, silent, now)
+        {
             controllers.propose(leader, EntryPayload::Membership(list));
         }
         controllers.run(300);
@@ -328,22 +330,22 @@
     let raft = &controllers.hedges[&leader];
     let old = member(77, true);
     let listed = raft.members()[0].clone();
-    assert_eq!(raft.standing(&listed, true, now), JoinResponse::Current);
-    assert_eq!(raft.standing(&old, true, now), JoinResponse::Removed);
-    assert_eq!(raft.standing(&old, false, now), JoinResponse::Accepted);
+    assert_eq!(raft.answer_join(&listed, true, now), JoinResponse::Current);
+    assert_eq!(raft.answer_join(&old, true, now), JoinResponse::Removed);
+    assert_eq!(raft.answer_join(&old, false, now), JoinResponse::Accepted);
     // One without a disk is in no list; it only learns who leads.
     let diskless = Member { can_vote: false, ..old.clone() };
-    assert_eq!(raft.standing(&diskless, false, now), JoinResponse::Current);
+    assert_eq!(raft.answer_join(&diskless, false, now), JoinResponse::Current);
     let follower = (1..=4).find(|i| *i != leader).expect("another");
     let at = member(leader, true).peer;
     assert_eq!(
-        controllers.hedges[&follower].standing(&old, true, now),
+        controllers.hedges[&follower].answer_join(&old, true, now),
         JoinResponse::NotLeader(Some(at))
     );
     // Cut off, it may have been the one that was replaced.
     let later = now.plus(ELECTION_MIN_MS);
     assert_eq!(
-        controllers.hedges[&leader].standing(&old, true, later),
+        controllers.hedges[&leader].answer_join(&old, true, later),
         JoinResponse::NotLeader(None)
     );
     // And whoever is in no list is not voted for.
@@ -354,9 +356,9 @@
         last: (Term(90), LogIndex(900)),
     };
     let raft = controllers.hedges.get_mut(&follower).expect("follower");
-    let term = raft.kept.term;
+    let term = raft.state.term;
     raft.step(RaftMessage { from: old.id, term: Term(91), kind: ask }, now.plus(5_000));
-    assert!(raft.out.is_empty() && raft.kept.term == term);
+    assert!(raft.outbox.is_empty() && raft.state.term == term);
 }
 
 #[test]
@@ -371,13 +373,13 @@
     controllers.propose(leader, change(1));
     controllers.run(300);
     let raft = controllers.hedges.get_mut(&leader).expect("leader");
-    let commit = raft.commit;
-    raft.compact(commit, || vec![42]);
-    assert!(raft.kept.log.is_empty());
+    let commit = raft.commit_index;
+    raft.compact_log(commit, || vec![42]);
+    assert!(raft.state.log.is_empty());
     controllers.cut.clear();
     controllers.run(2_000);
-    assert_eq!(controllers.hedges[&late].kept.snapshot.state.as_ref(), [42]);
-    assert!(controllers.hedges[&late].commit >= commit);
+    assert_eq!(controllers.hedges[&late].state.snapshot.state.as_ref(), [42]);
+    assert!(controllers.hedges[&late].commit_index >= commit);
 }
 
 #[test]
@@ -388,7 +390,7 @@
     assert!(kept.is_none());
     let entry =
         |index, term, n| LogEntry { term: Term(term), index: LogIndex(index), body: change(n) };
-    let mut kept = PersistentState { term: Term(3), voted: Some(MemberId(2)), ..founder(1, 3) };
+    let mut kept = PersistentState { term: Term(3), voted_for: Some(MemberId(2)), ..founder(1, 3) };
     kept.log = vec![entry(1, 1, 1), entry(2, 1, 2), entry(3, 1, 3)];
     storage.save(&WriteBatch::of(&kept, &UnsavedChanges::all())).expect("saved");
     // A conflicting tail is replaced.
@@ -399,7 +401,10 @@
     drop(storage);
     let (storage, found) = RaftStorage::open(&folder).expect("again");
     let found = found.expect("kept");
-    assert_eq!((found.me, found.term, found.voted), (MemberId(1), Term(3), Some(MemberId(2))));
+    assert_eq!(
+        (found.member_id, found.term, found.voted_for),
+        (MemberId(1), Term(3), Some(MemberId(2)))
+    );
     assert_eq!(found.log, kept.log);
     assert_eq!(found.snapshot, kept.snapshot);
     drop(storage);
@@ -419,7 +424,8 @@
         let _ = std::fs::remove_dir_all(&folder);
         let (mut storage, _) = RaftStorage::open(&folder).expect("a new file");
         let snapshot = Snapshot { members: wrong, ..Snapshot::default() };
-        let kept = PersistentState { me: MemberId(1), snapshot, ..PersistentState::default() };
+        let kept =
+            PersistentState { member_id: MemberId(1), snapshot, ..PersistentState::default() };
         storage.save(&WriteBatch::of(&kept, &UnsavedChanges::all())).expect("saved");
         drop(storage);
         let refused = RaftStorage::open(&folder).err().expect("refused").to_string();
@@ -428,10 +434,10 @@
     // A member's state that is gone is not taken for a new disk; an empty folder is.
     let _ = std::fs::remove_dir_all(&folder);
     let (storage, first, old) = RaftStorage::found(&folder, || founder(1, 3)).expect("founded");
-    assert!(!old && first.me == MemberId(1));
+    assert!(!old && first.member_id == MemberId(1));
     drop(storage);
     let (storage, again, old) = RaftStorage::found(&folder, || founder(2, 3)).expect("again");
-    assert!(old && again.me == MemberId(1), "what is on disk wins");
+    assert!(old && again.member_id == MemberId(1), "what is on disk wins");
     drop(storage);
     for name in ["hedge.sqlite", "hedge.sqlite-wal"] {
         let _ = std::fs::remove_file(folder.join(name));
@@ -507,7 +513,7 @@
     let mut controllers = Orchard::new(4);
     let old = controllers.lead();
     let now = controllers.now;
-    controllers.hedges.get_mut(&old).expect("leader").set_ailing(true, now);
+    controllers.hedges.get_mut(&old).expect("leader").set_storage_failing(true, now);
     controllers.settle();
     for _ in 0..60 {
         controllers.run(10);
@@ -527,14 +533,14 @@
     let leader = controllers.lead();
     let others: Vec<u64> = (1..=3).filter(|i| *i != leader).collect();
     let (now, raft) = (controllers.now, controllers.hedges.get_mut(&leader).expect("leader"));
-    let before = raft.commit;
+    let before = raft.commit_index;
     let index = raft.propose(change(1), now).expect("taken");
-    let term = raft.kept.term;
+    let term = raft.state.term;
     let kind = RaftMessageKind::AppendResponse { upto: index, ok: true, sent: now.0 };
     raft.step(RaftMessage { from: MemberId(others[0]), term, kind: kind.clone() }, now);
-    assert_eq!(raft.commit, before, "one disk of three");
+    assert_eq!(raft.commit_index, before, "one disk of three");
     raft.step(RaftMessage { from: MemberId(others[1]), term, kind }, now);
-    assert_eq!(raft.commit, index, "two of three, though not its own");
+    assert_eq!(raft.commit_index, index, "two of three, though not its own");
 }
 
 #[test]
@@ -567,9 +573,9 @@
     controllers.run(1_000);
     // One that led an term before the newest has nothing to go by.
     let old = new[0];
-    let term = controllers.hedges[&old].kept.term;
+    let term = controllers.hedges[&old].state.term;
     let voter = (1..=4).find(|i| *i != old).expect("another");
-    let (now, last) = (controllers.now, controllers.hedges[&old].last());
+    let (now, last) = (controllers.now, controllers.hedges[&old].last_position());
     for (asked, led, answered) in
         [(term.0, true, false), (term.0 + 1, false, false), (term.0 + 1, true, true)]
     {
@@ -577,7 +583,7 @@
         let raft = controllers.hedges.get_mut(&voter).expect("voter");
         let kind = RaftMessageKind::RequestVote { trial: true, handover: false, led, last };
         raft.step(RaftMessage { from: MemberId(old), term: Term(asked), kind }, now);
-        assert_eq!(!raft.out.is_empty(), answered, "{asked} {led}");
+        assert_eq!(!raft.outbox.is_empty(), answered, "{asked} {led}");
     }
 }
 
@@ -664,8 +670,8 @@
     RaftMessage { from: MemberId(id), term: Term(term), kind }
 }
 fn store(raft: &mut RaftNode) {
-    raft.dirty = UnsavedChanges::default();
-    raft.stored(raft.last());
+    raft.unsaved = UnsavedChanges::default();
+    raft.log_persisted(raft.last_position());
 }
 /// When member 1 was elected by `elected`.
 const ELECTED: Tick = Tick(2_000);
@@ -681,9 +687,9 @@
             );
         }
     }
-    assert!(raft.is_leader() && raft.kept.term == Term(term));
+    assert!(raft.is_leader() && raft.state.term == Term(term));
     store(&mut raft);
-    raft.out.clear();
+    raft.outbox.clear();
     raft
 }
 fn appended(upto: u64) -> RaftMessageKind {
@@ -705,14 +711,14 @@
         let mut leader = elected(voters, term, terms);
         for (id, (upto, commit)) in (2..).zip(acknowledged.iter().zip(commits)) {
             leader.step(message(id, term, appended(*upto)), ELECTED);
-            assert_eq!(leader.commit, LogIndex(*commit), "{what}: member {id} has {upto}");
+            assert_eq!(leader.commit_index, LogIndex(*commit), "{what}: member {id} has {upto}");
         }
     }
 }
 
 /// The answers to candidates that leave: of a pre-vote or not, granted or not, and their term.
 fn votes_of(raft: &mut RaftNode) -> Vec<(bool, bool, u64)> {
-    let out = raft.out.drain(..);
+    let out = raft.outbox.drain(..);
     out.filter_map(|(_, m)| match m.kind {
         RaftMessageKind::VoteResponse { trial, granted } => Some((trial, granted, m.term.0)),
         _ => None,
@@ -741,31 +747,31 @@
     ];
     for (what, voted, term, last, granted, after) in cases {
         let mut voter = replica(3, 5, log);
-        voter.kept.voted = voted.map(MemberId);
+        voter.state.voted_for = voted.map(MemberId);
         let last = (Term(last.0), LogIndex(last.1));
         let ask = |trial| RaftMessageKind::RequestVote { trial, handover: false, led: false, last };
         voter.step(message(2, term, ask(false)), ELECTED);
         assert_eq!(votes_of(&mut voter), [(false, granted, after)], "{what}");
-        assert_eq!(voter.kept.term, Term(after), "{what}");
+        assert_eq!(voter.state.term, Term(after), "{what}");
         if granted {
-            assert_eq!(voter.kept.voted, Some(MemberId(2)), "{what}");
+            assert_eq!(voter.state.voted_for, Some(MemberId(2)), "{what}");
             let new = voted != Some(2) || after > 5;
-            assert!(voter.dirty.hard || !new, "{what}: the vote goes to the disk");
+            assert!(voter.unsaved.hard_state || !new, "{what}: the vote goes to the disk");
             // From now on this term's vote is spent.
             voter.step(message(3, term, ask(false)), ELECTED);
             assert_eq!(votes_of(&mut voter), [(false, false, after)], "{what}: a second one");
         }
         // A pre-vote goes by the log alone, spends nothing, and is for a later term only.
         let mut voter = replica(3, 5, log);
-        voter.kept.voted = voted.map(MemberId);
+        voter.state.voted_for = voted.map(MemberId);
         voter.step(message(2, 5, ask(true)), ELECTED);
         assert_eq!(votes_of(&mut voter), [(true, false, 5)], "{what}: pre-vote of this term");
         voter.step(message(2, 6, ask(true)), ELECTED);
         let current = last >= (Term(3), LogIndex(3));
         let at = if current { 6 } else { 5 };
         assert_eq!(votes_of(&mut voter), [(true, current, at)], "{what}: pre-vote");
-        assert_eq!((voter.kept.term.0, voter.kept.voted), (5, voted.map(MemberId)), "{what}");
-        assert!(!voter.dirty.hard, "{what}");
+        assert_eq!((voter.state.term.0, voter.state.voted_for), (5, voted.map(MemberId)), "{what}");
+        assert!(!voter.unsaved.hard_state, "{what}");
     }
 }
 
@@ -791,14 +797,14 @@
             let mut follower = replica(3, 5, &[1]);
             follower.step(message(2, 5, heartbeat.clone()), ELECTED);
             store(&mut follower);
-            follower.out.clear();
+            follower.outbox.clear();
             let last = (Term(5), LogIndex(9));
             let ask = RaftMessageKind::RequestVote { trial, handover, led: false, last };
             follower.step(message(3, 6, ask.clone()), ELECTED.plus(since));
             let expected = if answers { vec![(trial, true, 6)] } else { vec![] };
             assert_eq!(votes_of(&mut follower), expected, "{what}");
             let moved = answers && !trial;
-            assert_eq!(follower.kept.term, Term(if moved { 6 } else { 5 }), "{what}");
+            assert_eq!(follower.state.term, Term(if moved { 6 } else { 5 }), "{what}");
             // A leader answers so too, by when a quorum last answered it.
             let mut leader = elected(3, 5, &[1]);
             leader.step(message(2, 5, appended(2)), ELECTED);
@@ -810,12 +816,12 @@
     // In a term whose leader it knows it votes no more, however long that one has been silent.
     let mut follower = replica(3, 5, &[1]);
     follower.step(message(2, 5, heartbeat), ELECTED);
-    follower.out.clear();
+    follower.outbox.clear();
     let last = (Term(4), LogIndex(9));
     let ask = RaftMessageKind::RequestVote { trial: false, handover: false, led: false, last };
     follower.step(message(3, 5, ask), ELECTED.plus(60_000));
     assert_eq!(votes_of(&mut follower), [(false, false, 5)]);
-    assert_eq!((follower.leader, follower.kept.voted), (Some(MemberId(2)), None));
+    assert_eq!((follower.leader, follower.state.voted_for), (Some(MemberId(2)), None));
 }
 
 #[test]
@@ -833,19 +839,22 @@
     for (what, trial, granted, term, leads) in cases {
         let mut candidate = replica(3, 5, &[1]);
         candidate.tick(ELECTED);
-        assert_eq!(candidate.kept.term, Term(5), "a pre-vote moves no term");
+        assert_eq!(candidate.state.term, Term(5), "a pre-vote moves no term");
         // Nothing but a granted pre-vote for the next term moves it.
         for (trial, granted, term) in [(true, true, 5), (true, false, 5), (false, true, 6)] {
             candidate
                 .step(message(2, term, RaftMessageKind::VoteResponse { trial, granted }), ELECTED);
-            assert_eq!(candidate.kept.term, Term(5), "{trial} {granted} {term}");
+            assert_eq!(candidate.state.term, Term(5), "{trial} {granted} {term}");
         }
         candidate.step(
             message(2, 6, RaftMessageKind::VoteResponse { trial: true, granted: true }),
             ELECTED,
         );
-        assert_eq!((candidate.kept.term, candidate.kept.voted), (Term(6), Some(MemberId(1))));
-        assert!(candidate.dirty.hard && !candidate.is_leader(), "{what}: its own vote is kept");
+        assert_eq!((candidate.state.term, candidate.state.voted_for), (Term(6), Some(MemberId(1))));
+        assert!(
+            candidate.unsaved.hard_state && !candidate.is_leader(),
+            "{what}: its own vote is kept"
+        );
         candidate.step(message(3, term, RaftMessageKind::VoteResponse { trial, granted }), ELECTED);
         assert_eq!(candidate.is_leader(), leads, "{what}");
     }
@@ -858,18 +867,18 @@
             ELECTED,
         );
         assert!(!raft.is_leader());
-        assert_eq!((raft.kept.term, raft.kept.voted), (Term(9), None), "leads: {leads}");
+        assert_eq!((raft.state.term, raft.state.voted_for), (Term(9), None), "leads: {leads}");
         raft.step(
             message(2, 6, RaftMessageKind::VoteResponse { trial: true, granted: true }),
             ELECTED,
         );
-        assert_eq!(raft.kept.term, Term(9), "it is no candidate any more");
+        assert_eq!(raft.state.term, Term(9), "it is no candidate any more");
     }
 }
 
 /// The terms of the entries that a member holds in its log.
 fn terms_of(raft: &RaftNode) -> Vec<u64> {
-    raft.kept.log.iter().map(|e| e.term.0).collect()
+    raft.state.log.iter().map(|e| e.term.0).collect()
 }
 
 #[test]
@@ -917,12 +926,12 @@
             RaftMessageKind::AppendEntries { previous, entries, commit, sent: 7 }
         };
         follower.step(message(3, 4, append((1, 1), &[], 1)), ELECTED);
-        follower.out.clear();
+        follower.outbox.clear();
         follower.step(message(2, term, append(previous, terms, commit)), ELECTED);
         store(&mut follower);
         assert_eq!(terms_of(&follower), log, "{what}");
-        assert_eq!(follower.commit, LogIndex(committed), "{what}");
-        let last = follower.out.pop().map(|(to, m)| (to, m.term, m.kind));
+        assert_eq!(follower.commit_index, LogIndex(committed), "{what}");
+        let last = follower.outbox.pop().map(|(to, m)| (to, m.term, m.kind));
         let sent = if term < 4 { 0 } else { 7 };
         let kind = RaftMessageKind::AppendResponse { upto: LogIndex(answer.1), ok: answer.0, sent };
         assert_eq!(last, Some((MemberId(2), Term(4), kind)), "{what}");
@@ -944,7 +953,7 @@
         sent: 7,
     };
     let acknowledged = |raft: &mut RaftNode| -> Vec<(u64, u64)> {
-        let out = raft.out.drain(..);
+        let out = raft.outbox.drain(..);
         out.filter_map(|(to, m)| match m.kind {
             RaftMessageKind::AppendResponse { upto, ok: true, .. } => Some((to.0, upto.0)),
             _ => None,
@@ -959,18 +968,18 @@
     follower.step(message(2, 4, append((1, 2), entries(3, &[4, 4]))), ELECTED);
     assert_eq!(acknowledged(&mut follower), []);
     // Nor when a write of the old suffix ends; and as soon as its own write does.
-    follower.stored((Term(2), LogIndex(4)));
+    follower.log_persisted((Term(2), LogIndex(4)));
     assert_eq!(acknowledged(&mut follower), [(2, 2)]);
-    follower.stored((Term(4), LogIndex(3)));
+    follower.log_persisted((Term(4), LogIndex(3)));
     assert_eq!(acknowledged(&mut follower), [(2, 3)]);
-    follower.stored((Term(4), LogIndex(4)));
+    follower.log_persisted((Term(4), LogIndex(4)));
     assert_eq!(acknowledged(&mut follower), [(2, 4)]);
     // What an earlier term's leader still waits for is not told to anyone in the next.
     follower.step(message(2, 4, append((4, 4), entries(5, &[4]))), ELECTED);
     acknowledged(&mut follower);
     follower.step(message(2, 5, append((4, 2), vec![])), ELECTED);
     acknowledged(&mut follower);
-    follower.stored((Term(4), LogIndex(5)));
+    follower.log_persisted((Term(4), LogIndex(5)));
     assert_eq!(acknowledged(&mut follower), [], "nothing is owed in the new term");
 }
 
@@ -989,10 +998,10 @@
         let mut leader = elected(3, 5, &[1]);
         let answer = RaftMessageKind::AppendResponse { upto: LogIndex(upto), ok, sent: ELECTED.0 };
         leader.step(message(2, term, answer), ELECTED);
-        assert_eq!((leader.commit, leader.is_leader()), (LogIndex(commit), leads), "{what}");
+        assert_eq!((leader.commit_index, leader.is_leader()), (LogIndex(commit), leads), "{what}");
         let fresh = leads && term == 5;
-        assert_eq!(leader.granting(ELECTED.plus(10)), fresh && commit == 2, "{what}");
-        assert_eq!(leader.kept.term, Term(term.max(5)), "{what}");
+        assert_eq!(leader.holds_leader_lease(ELECTED.plus(10)), fresh && commit == 2, "{what}");
+        assert_eq!(leader.state.term, Term(term.max(5)), "{what}");
     }
     // What answers a part keeps a leader's quorum fresh in its own term only.
     for (term, fresh) in [(5, true), (4, false)] {
@@ -1001,22 +1010,22 @@
         let later = ELECTED.plus(440);
         let taken = RaftMessageKind::ChunkResponse { transfer: 1, upto: 0, sent: later.0 };
         leader.step(message(2, term, taken), later);
-        assert!(leader.granting(later));
-        assert_eq!(leader.granting(ELECTED.plus(500)), fresh, "a part of term {term}");
+        assert!(leader.holds_leader_lease(later));
+        assert_eq!(leader.holds_leader_lease(ELECTED.plus(500)), fresh, "a part of term {term}");
     }
     // An answer that comes late takes back nothing that was acknowledged before it.
     let mut leader = elected(5, 5, &[1]);
     for (id, upto, commit) in [(2, 2, 0), (2, 1, 0), (3, 2, 2)] {
         leader.step(message(id, 5, appended(upto)), ELECTED);
-        assert_eq!(leader.commit, LogIndex(commit), "member {id} has {upto}");
+        assert_eq!(leader.commit_index, LogIndex(commit), "member {id} has {upto}");
     }
     // One from a time to come is of another life's clock, and makes no quorum fresh.
     let mut leader = elected(3, 5, &[1]);
     let answer =
         RaftMessageKind::AppendResponse { upto: LogIndex(2), ok: true, sent: ELECTED.0 + 5_000 };
     leader.step(message(2, 5, answer), ELECTED);
-    assert_eq!(leader.commit, LogIndex(2));
-    assert!(!leader.granting(ELECTED.plus(4_900)));
+    assert_eq!(leader.commit_index, LogIndex(2));
+    assert!(!leader.holds_leader_lease(ELECTED.plus(4_900)));
 }
 
 #[test]
@@ -1041,7 +1050,7 @@
         let heartbeat =
             RaftMessageKind::AppendEntries { previous, entries, commit: committed, sent: 1 };
         follower.step(message(2, 4, heartbeat), ELECTED);
-        follower.out.clear();
+        follower.outbox.clear();
         let members: Vec<Member> = (1..=4).map(|id| member(id, true)).collect();
         let state = ByteBuf::from(vec![42]);
         let upto = LogIndex(last.1);
@@ -1050,16 +1059,20 @@
             message(2, term, RaftMessageKind::InstallSnapshot { snapshot, sent: 7 }),
             ELECTED,
         );
-        assert_eq!(follower.out.is_empty(), taken, "{what}: not acknowledged before it is on disk");
-        assert_eq!(follower.dirty.snapshot, taken, "{what}");
+        assert_eq!(
+            follower.outbox.is_empty(),
+            taken,
+            "{what}: not acknowledged before it is on disk"
+        );
+        assert_eq!(follower.unsaved.snapshot, taken, "{what}");
         store(&mut follower);
         let (ok, sent) = if term == 4 { (true, 7) } else { (false, 0) };
         let kind =
             RaftMessageKind::AppendResponse { upto: if ok { upto } else { LogIndex(0) }, ok, sent };
-        assert_eq!(follower.out.pop().map(|(_, m)| m.kind), Some(kind), "{what}");
+        assert_eq!(follower.outbox.pop().map(|(_, m)| m.kind), Some(kind), "{what}");
         assert_eq!(terms_of(&follower), log, "{what}");
-        assert_eq!(follower.commit, LogIndex(commit), "{what}");
-        assert_eq!(follower.kept.snapshot.state.len(), usize::from(taken), "{what}");
+        assert_eq!(follower.commit_index, LogIndex(commit), "{what}");
+        assert_eq!(follower.state.snapshot.state.len(), usize::from(taken), "{what}");
         assert_eq!(follower.members().len(), if taken { 4 } else { 3 }, "{what}: members");
     }
 }
@@ -1088,11 +1101,11 @@
     let mut leader = elected(1, 5, &[]);
     leader.propose(EntryPayload::Command(ByteBuf::from(vec![0; 2 << 20])), ELECTED);
     store(&mut leader);
-    let commit = leader.commit;
+    let commit = leader.commit_index;
     leader.propose(EntryPayload::Membership((1..=2).map(|id| member(id, true)).collect()), ELECTED);
-    leader.compact(commit, || vec![42]);
-    assert_eq!(leader.kept.snapshot.last, (Term(5), commit));
-    assert_eq!((leader.kept.snapshot.members.len(), leader.members().len()), (1, 2));
+    leader.compact_log(commit, || vec![42]);
+    assert_eq!(leader.state.snapshot.last, (Term(5), commit));
+    assert_eq!((leader.state.snapshot.members.len(), leader.members().len()), (1, 2));
 }
 
 #[test]
@@ -1110,7 +1123,7 @@
         let members: Vec<Member> = (1..=4).map(|id| member(id, id != 1 || votes)).collect();
         let snapshot = Snapshot { members, ..Snapshot::default() };
         let kept = PersistentState {
-            me: MemberId(1),
+            member_id: MemberId(1),
             term: Term(5),
             snapshot,
             ..PersistentState::default()
@@ -1120,16 +1133,18 @@
         let heartbeat =
             RaftMessageKind::AppendEntries { previous, entries: Vec::new(), commit, sent: 1 };
         raft.step(message(2, 5, heartbeat), ELECTED);
-        raft.out.clear();
+        raft.outbox.clear();
         raft.step(message(from, term, RaftMessageKind::TimeoutNow), ELECTED);
-        let asked =
-            raft.out.iter().filter(|(_, m)| matches!(m.kind, RaftMessageKind::RequestVote { .. }));
+        let asked = raft
+            .outbox
+            .iter()
+            .filter(|(_, m)| matches!(m.kind, RaftMessageKind::RequestVote { .. }));
         assert_eq!(asked.count(), if stands { 3 } else { 0 }, "{what}");
-        assert_eq!(raft.kept.term, Term(if stands { 6 } else { 5 }), "{what}");
+        assert_eq!(raft.state.term, Term(if stands { 6 } else { 5 }), "{what}");
         // Nor does a learner when it has heard of no leader for long.
-        raft.out.clear();
+        raft.outbox.clear();
         raft.tick(ELECTED.plus(60_000));
-        assert_eq!(raft.out.is_empty(), !votes, "{what}: after a silence");
+        assert_eq!(raft.outbox.is_empty(), !votes, "{what}: after a silence");
     }
 }
 
@@ -1150,9 +1165,9 @@
             leader.step(message(2, 5, appended(upto)), ELECTED);
         }
         let now = ELECTED.plus(10);
-        assert_eq!(leader.granting(now), may, "{what}");
+        assert_eq!(leader.holds_leader_lease(now), may, "{what}");
         let read = leader.read_index(now);
-        assert_eq!(read.map(|r| r.upto), may.then_some(leader.commit), "{what}");
+        assert_eq!(read.map(|r| r.index), may.then_some(leader.commit_index), "{what}");
     }
 }
 
@@ -1181,7 +1196,7 @@
             persister.ended(&mut voter, true, now).into_iter().map(|(_, m)| m.kind).collect();
         assert_eq!(left, [RaftMessageKind::VoteResponse { trial: false, granted: true }]);
         let on_disk = storage.kept().expect("read").expect("kept");
-        assert_eq!((on_disk.term, on_disk.voted), (Term(6), Some(MemberId(2))));
+        assert_eq!((on_disk.term, on_disk.voted_for), (Term(6), Some(MemberId(2))));
     }
 }
 
@@ -1190,7 +1205,12 @@
     // (the last term that it led, whether it tells voters that nobody leads the term before 6)
     for (led, says) in [(None, false), (Some(3), false), (Some(4), false), (Some(5), true)] {
         let led = led.map(Term);
-        let kept = PersistentState { term: Term(5), led, log: log_of(&[1, 5]), ..founder(1, 3) };
+        let kept = PersistentState {
+            term: Term(5),
+            last_led_term: led,
+            log: log_of(&[1, 5]),
+            ..founder(1, 3)
+        };
         let mut candidate = RaftNode::new(kept, false, Tick(1_000), || 0);
         candidate.tick(ELECTED);
         candidate.step(
@@ -1200,7 +1220,7 @@
         let last = (Term(5), LogIndex(2));
         let ask = |trial| RaftMessageKind::RequestVote { trial, handover: false, led: says, last };
         let asked: Vec<(u64, RaftMessage)> =
-            candidate.out.drain(..).map(|(to, m)| (to.0, m)).collect();
+            candidate.outbox.drain(..).map(|(to, m)| (to.0, m)).collect();
         let expected = [(2, true), (3, true), (2, false), (3, false)];
         assert_eq!(asked, expected.map(|(to, trial)| (to, message(1, 6, ask(trial)))), "{led:?}");
     }
@@ -1219,12 +1239,12 @@
     for (what, term, other, before, follows) in cases {
         let mut leader = elected(3, 5, &[]);
         leader.step(message(2, 5, appended(1)), ELECTED);
-        leader.reads(MemberId(2), LAYOUT);
-        leader.out.clear();
+        leader.record_peer_layout(MemberId(2), LAYOUT);
+        leader.outbox.clear();
         let now = ELECTED.plus(10);
         leader.propose(EntryPayload::Command(ByteBuf::from(vec![0; 100_000])), now);
         let parts = |leader: &mut RaftNode| -> Vec<(u64, u64, u64)> {
-            let out = leader.out.drain(..).filter(|(to, _)| *to == MemberId(2));
+            let out = leader.outbox.drain(..).filter(|(to, _)| *to == MemberId(2));
             out.filter_map(|(_, m)| match m.kind {
                 RaftMessageKind::Chunk { transfer, offset, bytes, .. } => {
                     Some((transfer, offset, bytes.len() as u64))
@@ -1267,7 +1287,7 @@
         candidate
             .step(message(3, 6, RaftMessageKind::VoteResponse { trial, granted: true }), ELECTED);
         assert_eq!(candidate.is_leader(), counts && !trial, "{what}");
-        assert_eq!(candidate.kept.term, Term(after), "{what}");
+        assert_eq!(candidate.state.term, Term(after), "{what}");
     }
 }
 
@@ -1294,7 +1314,7 @@
             assert_eq!(leader.is_leader(), leads, "{voters} voters, {answer:?}, {after} ms");
         }
         assert_eq!(leader.propose(change(9), ELECTED.plus(1_010)).is_some(), leads[1]);
-        assert_eq!(leader.kept.term, Term(5), "{voters} voters, {answer:?}");
+        assert_eq!(leader.state.term, Term(5), "{voters} voters, {answer:?}");
     }
 }
 
@@ -1311,14 +1331,18 @@
         sent: 1,
     };
     follower.step(message(2, 4, append((3, 3))), ELECTED);
-    follower.compact(follower.commit, || vec![42]);
-    assert_eq!(follower.kept.snapshot.last, (Term(1), LogIndex(1)));
-    assert_eq!((terms_of(&follower), follower.last()), (vec![3, 3], (Term(3), LogIndex(3))));
+    follower.compact_log(follower.commit_index, || vec![42]);
+    assert_eq!(follower.state.snapshot.last, (Term(1), LogIndex(1)));
+    assert_eq!(
+        (terms_of(&follower), follower.last_position()),
+        (vec![3, 3], (Term(3), LogIndex(3)))
+    );
     // The entry that the snapshot ends with is agreed on by its term like any other.
     for (previous, agrees) in [((1, 1), true), ((3, 2), true), ((4, 1), false), ((1, 2), false)] {
-        follower.out.clear();
+        follower.outbox.clear();
         follower.step(message(2, 4, append(previous)), ELECTED);
-        let ok = matches!(follower.out[0].1.kind, RaftMessageKind::AppendResponse { ok: true, .. });
+        let ok =
+            matches!(follower.outbox[0].1.kind, RaftMessageKind::AppendResponse { ok: true, .. });
         assert_eq!(ok, agrees, "{previous:?}");
     }
 }
@@ -1351,11 +1375,11 @@
         follower.step(message(2, 4, append), ELECTED);
         store(&mut follower);
         assert_eq!(terms_of(&follower), log, "{what}");
-        let places = follower.kept.log.iter().map(|e| e.index.0);
-        assert!(places.eq(4..4 + log.len() as u64), "{what}: {:?}", follower.kept.log);
+        let places = follower.state.log.iter().map(|e| e.index.0);
+        assert!(places.eq(4..4 + log.len() as u64), "{what}: {:?}", follower.state.log);
         let kind = RaftMessageKind::AppendResponse { upto: LogIndex(upto), ok: true, sent: 7 };
-        assert_eq!(follower.out.pop().map(|(_, m)| m.kind), Some(kind), "{what}");
-        assert_eq!(follower.commit, LogIndex(3), "{what}");
+        assert_eq!(follower.outbox.pop().map(|(_, m)| m.kind), Some(kind), "{what}");
+        assert_eq!(follower.commit_index, LogIndex(3), "{what}");
     }
 }
 
@@ -1370,12 +1394,17 @@
     // (the last term that it led, the term whose leader it hears, whether it may ask sooner then)
     for (led, term, sooner) in [(5, None, true), (5, Some(6), false), (4, Some(5), false)] {
         let led = Some(Term(led));
-        let kept = PersistentState { term: Term(5), led, log: log_of(&[5]), ..founder(1, 3) };
+        let kept = PersistentState {
+            term: Term(5),
+            last_led_term: led,
+            log: log_of(&[5]),
+            ..founder(1, 3)
+        };
         let mut raft = RaftNode::new(kept, true, ELECTED, || 0);
         if let Some(term) = term {
             raft.step(message(2, term, heartbeat.clone()), ELECTED);
         }
-        let soon = raft.due() < ELECTED.plus(ELECTION_MIN_MS);
+        let soon = raft.next_tick_at() < ELECTED.plus(ELECTION_MIN_MS);
         assert_eq!(soon, sooner, "it led {led:?} and hears of {term:?}");
     }
 }
--- a/tests/storage.rs
+++ b/tests/storage.rs
@@ -93,8 +93,8 @@
     let (_, kept) = RaftStorage::open(&folder).expect("opened");
     let kept = kept.expect("a state");
     let voted = Some(MemberId(1));
-    assert_eq!((kept.me, kept.term, kept.voted), (MemberId(1), Term(3), voted));
-    assert_eq!((kept.led, kept.snapshot.last), (Some(Term(3)), (Term(2), LogIndex(8))));
+    assert_eq!((kept.member_id, kept.term, kept.voted_for), (MemberId(1), Term(3), voted));
+    assert_eq!((kept.last_led_term, kept.snapshot.last), (Some(Term(3)), (Term(2), LogIndex(8))));
     let members = [member(1, true), member(2, true), member(3, false)];
     assert_eq!(kept.snapshot.members, members);
     // The same but for what that program did not keep: another digest of the order, and who departed.
@@ -219,7 +219,8 @@
         let start = Tick(10_000);
         let raft = |id: u64| {
             let snapshot = Snapshot { members: members.clone(), ..Snapshot::default() };
-            let kept = PersistentState { me: MemberId(id), snapshot, ..PersistentState::default() };
+            let kept =
+                PersistentState { member_id: MemberId(id), snapshot, ..PersistentState::default() };
             (id, RaftNode::new(kept, false, start, spreads[id as usize - 1]))
         };
         let mut this = Self {
@@ -243,7 +244,7 @@
         this
     }
     fn leader(&self) -> Option<u64> {
-        let mut all = self.hedges.iter().filter(|(_, h)| h.granting(self.now));
+        let mut all = self.hedges.iter().filter(|(_, h)| h.holds_leader_lease(self.now));
         let leader = all.next().map(|(id, _)| *id);
         assert!(all.next().is_none(), "two lead");
         leader
@@ -282,7 +283,10 @@
                 let Some(raft) = self.hedges.get_mut(to).filter(|_| !self.down.contains(to)) else {
                     continue;
                 };
-                raft.reads(MemberId(*from), if self.old.contains(from) { 1 } else { layout });
+                raft.record_peer_layout(
+                    MemberId(*from),
+                    if self.old.contains(from) { 1 } else { layout },
+                );
                 raft.step(*message, now);
             }
         }
@@ -295,9 +299,9 @@
         match self.leader() {
             Some(id) => {
                 let raft = &self.hedges[&id];
-                self.led.insert((id, raft.kept.term));
+                self.led.insert((id, raft.state.term));
                 let newest = self.truth.keys().next_back().copied().unwrap_or_default();
-                assert!(raft.commit >= newest, "{id} leads without all that was committed");
+                assert!(raft.commit_index >= newest, "{id} leads without all that was committed");
             }
             None => self.unled += STEP_MS,
         }
@@ -305,15 +309,15 @@
     /// The disk, what is applied, and what is to be sent.
     fn settle(&mut self, id: u64) {
         let raft = self.hedges.get_mut(&id).expect("there");
-        if std::mem::take(&mut raft.dirty) != Default::default() {
-            raft.stored(raft.last());
+        if std::mem::take(&mut raft.unsaved) != Default::default() {
+            raft.log_persisted(raft.last_position());
         }
         let (applied, sum) = self.sums.entry(id).or_default();
-        if raft.kept.snapshot.last.1 > *applied {
-            *applied = raft.kept.snapshot.last.1;
-            *sum = Sum::read(&raft.kept.snapshot.state);
+        if raft.state.snapshot.last.1 > *applied {
+            *applied = raft.state.snapshot.last.1;
+            *sum = Sum::read(&raft.state.snapshot.state);
         }
-        for entry in raft.committed(*applied) {
+        for entry in raft.committed_entries_after(*applied) {
             *applied = entry.index;
             if let EntryPayload::Command(bytes) = &entry.body {
                 sum.add(bytes);
@@ -321,17 +325,17 @@
             let same = *self.truth.entry(entry.index).or_insert((sum.count, sum.digest));
             assert_eq!(same, (sum.count, sum.digest), "{id} at {}", entry.index);
         }
-        raft.compact(*applied, || sum.bytes());
+        raft.compact_log(*applied, || sum.bytes());
         let bytes = |e: &LogEntry| match &e.body {
             EntryPayload::Command(bytes) => bytes.len(),
             _ => 0,
         };
-        let log = &raft.kept.log;
+        let log = &raft.state.log;
         if log.len() != self.lengths.insert(id, log.len()).unwrap_or_default() {
             let (entries, most) = self.largest;
             self.largest = (entries.max(log.len()), most.max(log.iter().map(bytes).sum()));
         }
-        for (to, message) in raft.out.drain(..) {
+        for (to, message) in raft.outbox.drain(..) {
             let line = self.lines.entry((id, to.0)).or_default();
             let gone = self.down.contains(&to.0);
             if gone || left_out(&message.kind, line.waiting.saturating_sub(self.road.kernel)) {
@@ -358,10 +362,10 @@
     }
     fn restart(&mut self, id: u64, empty: bool) {
         self.lines.retain(|(from, to), _| *from != id && *to != id);
-        let mut kept = self.hedges[&id].kept.clone();
+        let mut kept = self.hedges[&id].state.clone();
         self.sums.remove(&id);
         if empty {
-            kept = PersistentState { me: MemberId(id), ..PersistentState::default() };
+            kept = PersistentState { member_id: MemberId(id), ..PersistentState::default() };
         }
         self.hedges.insert(id, RaftNode::new(kept, !empty, self.now, || 200));
         self.down.remove(&id);
@@ -465,12 +469,12 @@
     let mut country = Country::new(THIN);
     country.load(300, 50, 250_000);
     country.run(10_000);
-    let kept = PersistentState { me: MemberId(4), ..PersistentState::default() };
+    let kept = PersistentState { member_id: MemberId(4), ..PersistentState::default() };
     country.hedges.insert(4, RaftNode::new(kept, false, country.now, || 70));
     let members = (1..=4).map(|id| member(id, id < 4)).collect();
     let (leader, now) = (country.leader().expect("a leader"), country.now);
     let raft = country.hedges.get_mut(&leader).expect("there");
-    assert!(raft.kept.snapshot.last.1 > LogIndex(0), "it needs a snapshot");
+    assert!(raft.state.snapshot.last.1 > LogIndex(0), "it needs a snapshot");
     raft.propose(EntryPayload::Membership(members), now).expect("taken");
     country.catches_up(4, 5_000);
     assert_eq!((country.led.len(), country.unled), (1, 0), "{:?}", country.led);
@@ -521,7 +525,7 @@
             }
             if at == leader_goes && at > 0 {
                 let now = country.now;
-                country.hedges.get_mut(&leader).expect("leader").hand_over(now);
+                country.hedges.get_mut(&leader).expect("leader").transfer_leadership(now);
                 country.settle(leader);
             }
             if at == restarts && at > 0 {
@@ -595,18 +599,18 @@
         ("more than it said", vec![part(1, 4, 1, 10, 0, 1_000)], vec![Some(0)], false),
     ];
     for (what, parts, answers, taken) in cases {
-        let kept = PersistentState { me: MemberId(2), ..PersistentState::default() };
+        let kept = PersistentState { member_id: MemberId(2), ..PersistentState::default() };
         let mut raft = RaftNode::new(kept, false, Tick(9_000), || 10);
         for (message, answer) in parts.into_iter().zip(answers) {
             raft.step(message, Tick(9_010));
-            let told = raft.out.drain(..).find_map(|(_, m)| match m.kind {
+            let told = raft.outbox.drain(..).find_map(|(_, m)| match m.kind {
                 RaftMessageKind::ChunkResponse { upto, .. } => Some(upto),
                 _ => None,
             });
             assert_eq!(told, answer, "{what}");
         }
-        assert_eq!(raft.last().1 == LogIndex(9), taken, "{what}");
-        assert!(raft.refused.is_none(), "{what}");
+        assert_eq!(raft.last_position().1 == LogIndex(9), taken, "{what}");
+        assert!(raft.unreadable_message.is_none(), "{what}");
     }
 }
 
@@ -723,21 +727,21 @@
     std::fs::write(folder.join("member"), "77").expect("mark");
     let (mut storage, kept) = RaftStorage::open(&folder).expect("not relied on");
     assert_eq!(marked(), "members 1\n");
-    let mut kept = PersistentState { me: MemberId(5), ..kept.expect("a state") };
+    let mut kept = PersistentState { member_id: MemberId(5), ..kept.expect("a state") };
     storage.save(&WriteBatch::of(&kept, &UnsavedChanges::all())).expect("saved");
     drop(storage);
     assert_eq!(marked(), "members 1 5\n");
     // As if the machine had stopped between the mark and the state.
     std::fs::write(folder.join("member"), "members 1 5 6\n").expect("mark");
     let (mut storage, found) = RaftStorage::open(&folder).expect("again");
-    assert_eq!(found.expect("a state").me, MemberId(5));
+    assert_eq!(found.expect("a state").member_id, MemberId(5));
     // Where the mark can't be written, neither is the state.
     std::fs::create_dir_all(folder.join("member.new")).expect("in the way");
-    kept.me = MemberId(7);
+    kept.member_id = MemberId(7);
     assert!(storage.save(&WriteBatch::of(&kept, &UnsavedChanges::all())).is_err());
     drop(storage);
     let (_, found) = RaftStorage::open(&folder).expect("again");
-    assert_eq!(found.expect("a state").me, MemberId(5));
+    assert_eq!(found.expect("a state").member_id, MemberId(5));
     let _ = std::fs::remove_dir_all(&folder);
 }
 
@@ -783,27 +787,31 @@
         let state = ByteBuf::from(pack(&old_state()));
         let before = Snapshot { last: base, members, state };
         let kept = PersistentState {
-            me: MemberId(2),
+            member_id: MemberId(2),
             term: Term(3),
             snapshot: before.clone(),
             ..PersistentState::default()
         };
         let mut raft = RaftNode::new(kept, true, Tick(9_000), || 10);
-        raft.vet = readable;
+        raft.message_validator = readable;
         raft.step(RaftMessage { from: MemberId(1), term: Term(3), kind }, Tick(9_500));
-        raft.stored(raft.last());
+        raft.log_persisted(raft.last_position());
         let acked = raft
-            .out
+            .outbox
             .iter()
             .any(|(_, m)| matches!(m.kind, RaftMessageKind::AppendResponse { ok: true, .. }));
-        let refused = raft.refused.clone().unwrap_or_default();
+        let refused = raft.unreadable_message.clone().unwrap_or_default();
         assert!(
             refused.contains(said) && refused.is_empty() == said.is_empty(),
             "{what}: {refused}"
         );
-        let untouched = raft.kept.log.is_empty() && raft.kept.snapshot == before;
+        let untouched = raft.state.log.is_empty() && raft.state.snapshot == before;
         assert_eq!((acked, untouched), (said.is_empty(), !said.is_empty()), "{what}");
-        assert!(untouched != (raft.dirty != UnsavedChanges::default()), "{what}: {:?}", raft.dirty);
+        assert!(
+            untouched != (raft.unsaved != UnsavedChanges::default()),
+            "{what}: {:?}",
+            raft.unsaved
+        );
     }
 }
 
@@ -864,16 +872,16 @@
     let mut country = Country::new(Road { rate: WIDE, ..THIN });
     let leader = country.leader().expect("a leader");
     let (now, raft) = (country.now, country.hedges.get_mut(&leader).expect("leader"));
-    assert!(raft.all_read(LAYOUT), "the others said so");
-    raft.reads(MemberId(if leader == 1 { 2 } else { 1 }), FIRST_LAYOUT);
-    assert!(!raft.all_read(LAYOUT));
+    assert!(raft.all_peers_read_layout(LAYOUT), "the others said so");
+    raft.record_peer_layout(MemberId(if leader == 1 { 2 } else { 1 }), FIRST_LAYOUT);
+    assert!(!raft.all_peers_read_layout(LAYOUT));
     for kind in [
         RaftMessageKind::AppendResponse { upto: LogIndex(0), ok: false, sent: 1 },
         RaftMessageKind::VoteResponse { trial: false, granted: false },
         RaftMessageKind::ChunkResponse { transfer: 1, upto: 1, sent: 1 },
     ] {
         raft.step(RaftMessage { from: MemberId(77), term: Term(90), kind }, now);
-        assert!(raft.is_leader() && raft.kept.term < Term(90));
+        assert!(raft.is_leader() && raft.state.term < Term(90));
     }
 }
 
@@ -951,8 +959,13 @@
         let members = (1..=voters).map(|id| member(id, true)).collect();
         let snapshot = Snapshot { members, ..Snapshot::default() };
         let term = Term(3);
-        let kept =
-            PersistentState { me: MemberId(1), term, log, snapshot, ..PersistentState::default() };
+        let kept = PersistentState {
+            member_id: MemberId(1),
+            term,
+            log,
+            snapshot,
+            ..PersistentState::default()
+        };
         let (storage, ..) = RaftStorage::found(&folder, || kept).expect("founded");
         drop(storage);
         folder
@@ -1060,7 +1073,7 @@
         let folder = folder(&format!("list{id}"));
         let snapshot = Snapshot { members, ..Snapshot::default() };
         let kept = PersistentState {
-            me: MemberId(id),
+            member_id: MemberId(id),
             term: Term(1),
             snapshot,
             ..PersistentState::default()
--- a/tests/support/controllers.rs
+++ b/tests/support/controllers.rs
@@ -46,7 +46,7 @@
 fn controller(id: u64, members: Vec<Member>, now: Tick) -> RaftNode {
     const SPREADS: [fn() -> u64; 5] = [|| 10, || 130, || 250, || 370, || 70];
     let snapshot = Snapshot { members, ..Snapshot::default() };
-    let kept = PersistentState { me: MemberId(id), snapshot, ..PersistentState::default() };
+    let kept = PersistentState { member_id: MemberId(id), snapshot, ..PersistentState::default() };
     RaftNode::new(kept, false, now, SPREADS[id as usize % 5])
 }
 
@@ -84,13 +84,13 @@
         (0..self.machines.len()).filter(|i| !self.settled(*i)).count()
     }
     pub fn leader(&self) -> Option<usize> {
-        let leads = |m: &Machine| m.state == State::Up && m.raft.granting(self.now);
+        let leads = |m: &Machine| m.state == State::Up && m.raft.holds_leader_lease(self.now);
         self.machines.iter().position(leads)
     }
     /// The members, as the one with the newest log among those that can be reached has them.
     pub fn members(&self) -> &[Member] {
         let there = self.machines.iter().filter(|m| m.state == State::Up);
-        there.map(|m| &m.raft).max_by_key(|h| h.last()).map_or(&[], |h| h.members())
+        there.map(|m| &m.raft).max_by_key(|h| h.last_position()).map_or(&[], |h| h.members())
     }
 
     pub fn lose(&mut self, at: usize, state: State) {
@@ -115,14 +115,14 @@
         for _ in 0..10_000 {
             for machine in &mut self.machines {
                 let raft = &mut machine.raft;
-                if std::mem::take(&mut raft.dirty) != UnsavedChanges::default() {
-                    raft.stored(raft.last());
+                if std::mem::take(&mut raft.unsaved) != UnsavedChanges::default() {
+                    raft.log_persisted(raft.last_position());
                 }
                 let up = machine.state == State::Up;
                 let list = raft.members().to_vec();
                 // Whoever is not in its list has no address that it knows.
                 let knows = |to: MemberId| list.iter().any(|m| m.id == to);
-                wire.extend(raft.out.drain(..).filter(|(to, _)| up && knows(*to)));
+                wire.extend(raft.outbox.drain(..).filter(|(to, _)| up && knows(*to)));
             }
             let Some((to, message)) = wire.pop_front() else { return };
             let now = self.now;
@@ -157,7 +157,7 @@
             .map(|m| member(m.id, m.place, false))
             .collect();
         let raft = &mut self.machines[leader].raft;
-        if let Some(list) = raft.wanted_members(asks.iter(), self.bears, GIVEN_UP_MS, now) {
+        if let Some(list) = raft.next_membership_change(asks.iter(), self.bears, GIVEN_UP_MS, now) {
             raft.propose(EntryPayload::Membership(list), now);
         }
     }
@@ -178,7 +178,7 @@
         let body = EntryPayload::Command(serde_bytes::ByteBuf::from(vec![number]));
         let index = self.machines[leader].raft.propose(body, now);
         self.settle();
-        let Some(index) = index.filter(|i| *i <= self.machines[leader].raft.commit) else {
+        let Some(index) = index.filter(|i| *i <= self.machines[leader].raft.commit_index) else {
             return false;
         };
         self.acked.push((index, number));
@@ -187,6 +187,6 @@
     /// What stands at this place of a controller's log.
     pub fn holds(&self, at: usize, (index, number): (LogIndex, u8)) -> bool {
         let body = EntryPayload::Command(serde_bytes::ByteBuf::from(vec![number]));
-        self.machines[at].raft.kept.log.iter().any(|e| e.index == index && e.body == body)
+        self.machines[at].raft.state.log.iter().any(|e| e.index == index && e.body == body)
     }
 }
