--- a/src/controller/controller.rs
+++ b/src/controller/controller.rs
@@ -9,9 +9,10 @@
 use crate::config::settings::{Rollout, Settings, Watched};
 use crate::controller::admin_api::{AdminCall, CallDecision, is_word, judged, read_configuration};
 use crate::controller::linearizable_reads::{LinearizableReads, PendingProposals};
+use crate::controller::peer_connections::PeerConnection;
 use crate::controller::pending_updates::PendingUpdates;
 use crate::controller::process::{as_member, fresh_id};
-use crate::controller::transport::{Event, PeerConnection, SocketTransport};
+use crate::controller::transport::{Event, SocketTransport};
 use crate::failover::{
     Attempt, DatabaseRequest, DatabaseResponse, Failover, FailoverAction, FailoverState,
     PromotionResponse, ServiceSnapshot, stage_name,
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -4,5 +4,6 @@
 pub mod leader_connection;
 pub mod leader_discovery;
 pub mod rpc;
+pub mod send_queue;
 pub mod sockets;
 pub mod statement_protocol;
--- a/tests/raft.rs
+++ b/tests/raft.rs
@@ -3,11 +3,11 @@
 use silvertack::base::ids::{LogIndex, MemberId, NodeName, Term};
 use silvertack::base::time::Tick;
 use silvertack::config::settings::Settings;
-use silvertack::controller::transport::SendQueue;
 use silvertack::net::rpc::LAYOUT;
 use silvertack::net::rpc::raft_messages::{
     EntryPayload, JoinResponse, LogEntry, Member, RaftMessage, RaftMessageKind, Snapshot,
 };
+use silvertack::net::send_queue::SendQueue;
 use silvertack::raft::node::{ELECTION_MIN_MS, PersistentState, RaftNode, UnsavedChanges};
 use silvertack::raft::persister::LogPersister;
 use silvertack::raft::storage::{RaftStorage, WriteBatch};
--- a/tests/storage.rs
+++ b/tests/storage.rs
@@ -8,7 +8,7 @@
 };
 use silvertack::base::time::Tick;
 use silvertack::config::directory::{Instance, Lifecycle, Role};
-use silvertack::controller::transport::left_out;
+use silvertack::controller::peer_connections::left_out;
 use silvertack::net::rpc::raft_messages::{
     EntryPayload, LogEntry, Member, RaftMessage, RaftMessageKind, Snapshot,
 };
