--- a/src/controller/controller.rs
+++ b/src/controller/controller.rs
@@ -15,7 +15,7 @@
 use crate::controller::transport::{Event, SocketTransport};
 use crate::failover::{
     Attempt, DatabaseRequest, DatabaseResponse, Failover, FailoverAction, FailoverState,
-    PromotionResponse, ServiceSnapshot, stage_name,
+    LeaseStatus, PromotionResponse, ServiceSnapshot,
 };
 use crate::leases::lease_table::{LEASE_MS, LeaseTable, SHARE_HELD_MS};
 use crate::leases::subset_assignments::SubsetAssignments;
@@ -502,14 +502,14 @@
                     info!(target: "failover", "{service}: {id} on {ask:?}: {told:?}");
                 }
                 self.move_on(&service, now, |s, snapshot| {
-                    s.told(snapshot, attempt, &id, ask, &told, now)
+                    s.handle_response(snapshot, attempt, &id, ask, &told, now)
                 });
             }
             Input::Saved(saved) => self.saved(saved, now),
             Input::PromotionResponse(service, id, attempt, posted) => {
                 info!(target: "failover", "{service}: promote of {id}: {posted:?}");
                 self.move_on(&service, now, |s, snapshot| {
-                    s.posted(snapshot, attempt, &id, posted, now)
+                    s.handle_promotion_response(snapshot, attempt, &id, posted, now)
                 });
             }
         }
@@ -624,7 +624,9 @@
                 info!(target: "state", "{id} of {}: {:?}, {:?}", instance.target_service,
                     instance.database_role, instance.lifecycle_state);
                 let (service, role) = (&instance.target_service, instance.database_role);
-                self.move_on(service, now, |s, snapshot| s.heartbeat(snapshot, id, role, now));
+                self.move_on(service, now, |s, snapshot| {
+                    s.handle_heartbeat(snapshot, id, role, now)
+                });
                 self.move_on(service, now, |s, snapshot| s.tick(snapshot, now));
             }
             Command::RemoveInstance { id, .. } => {
@@ -913,7 +915,7 @@
     }
 
     fn snapshot(&self, service: &ServiceName, now: Tick) -> ServiceSnapshot {
-        let lead = self.state_machine.leads.get(service).cloned();
+        let primary_record = self.state_machine.leads.get(service).cloned();
         let patience = MISSED_BEATS * self.settings.heartbeat_ms;
         let mut snapshot = ServiceSnapshot {
             service: service.clone(),
@@ -924,11 +926,11 @@
                 .map(|(id, i)| (id.clone(), i.clone()))
                 .collect(),
             departed: BTreeMap::new(),
-            beating: BTreeSet::new(),
+            alive: BTreeSet::new(),
             sync_replicas: self.services.get(service).map_or(0, |s| s.sync_replicas),
-            leases_gone: false,
-            given_back: None,
-            lead,
+            leases_expired: false,
+            released_up_to: None,
+            primary_record,
         };
         // Without synchronous replicas no copy is counted on.
         if snapshot.sync_replicas > 0 {
@@ -938,16 +940,16 @@
             let heartbeats = |id: &&InstanceId| {
                 leader_state.heartbeats.get(*id).is_some_and(|(at, _)| now.since(*at) < patience)
             };
-            snapshot.beating =
+            snapshot.alive =
                 snapshot.databases.iter().map(|(id, _)| id).filter(heartbeats).cloned().collect();
-            let steady = |s: &Failover| s.stage == FailoverState::Steady;
-            if let Some(lead) = &snapshot.lead
+            let steady = |s: &Failover| s.state == FailoverState::Steady;
+            if let Some(lead) = &snapshot.primary_record
                 && !leader_state.failovers.get(service).is_some_and(steady)
             {
-                snapshot.leases_gone = leader_state.leases.gone(service, lead.term, now);
+                snapshot.leases_expired = leader_state.leases.gone(service, lead.term, now);
                 let (seen, trusting) =
                     (leader_state.watermarks.newest(service), snapshot.sync_replicas == 0);
-                snapshot.given_back =
+                snapshot.released_up_to =
                     leader_state.leases.given_back(service, lead.term, seen, trusting, now);
             }
         }
@@ -975,30 +977,32 @@
             return;
         }
         let mut actions = Vec::new();
-        let known = leader_state.failovers.get(service).map(Failover::standing);
+        let known = leader_state.failovers.get(service).map(Failover::lease_status);
         let failover = leader_state.failovers.entry(service.clone()).or_insert_with(|| {
             let (begun, first) = Failover::begin(&snapshot, now);
             actions = first;
             begun
         });
-        let before = std::mem::discriminant(&failover.stage);
+        let before = std::mem::discriminant(&failover.state);
         actions.extend(step(failover, &snapshot));
-        let standing = failover.standing();
-        if known != Some(standing) {
+        let lease_status = failover.lease_status();
+        if known != Some(lease_status) {
             leader_state.pending_updates.stir(service);
             // A sealed position is true for the moment it is told in, so it is told each time.
-            match standing {
-                (true, Some(_)) => leader_state.sealed.insert(service.clone()),
+            match lease_status {
+                LeaseStatus { revoking: true, sealed: Some(_) } => {
+                    leader_state.sealed.insert(service.clone())
+                }
                 _ => leader_state.sealed.remove(service),
             };
         }
-        let stirs = failover.stage != FailoverState::Steady || !actions.is_empty();
+        let stirs = failover.state != FailoverState::Steady || !actions.is_empty();
         match stirs {
             true => leader_state.stirred.insert(service.clone()),
             false => leader_state.stirred.remove(service),
         };
-        if before != std::mem::discriminant(&failover.stage) {
-            info!(target: "failover", "{service}: now {}", stage_name(&failover.stage));
+        if before != std::mem::discriminant(&failover.state) {
+            info!(target: "failover", "{service}: now {}", failover.state.status_text());
         }
         let attempt = failover.attempt;
         for action in actions {
@@ -1235,7 +1239,7 @@
             ToController::Suspect { service, instance, why } => {
                 debug!(target: "failover", "{service}: {node} doubts {instance} ({why:?})");
                 self.move_on(&service, now, |s, snapshot| {
-                    s.suspect(snapshot, &node, &instance, why, now)
+                    s.report_suspicion(snapshot, &node, &instance, why, now)
                 });
             }
             ToController::RevokeAck { service, term, highest } => {
@@ -1454,7 +1458,9 @@
             // A replica, or the primary that is known, says nothing new by this.
             let known = self.state_machine.leads.get(&service).is_some_and(|l| l.primary == id);
             if newest && role == Role::Primary && !known {
-                self.move_on(&service, now, |s, snapshot| s.heartbeat(snapshot, &id, role, now));
+                self.move_on(&service, now, |s, snapshot| {
+                    s.handle_heartbeat(snapshot, &id, role, now)
+                });
             }
         }
     }
@@ -1501,7 +1507,7 @@
                 let stage = self.leader_state.as_ref().and_then(|o| o.failovers.get(service));
                 serde_json::json!({
                     "service": service, "term": lead.term, "primary": lead.primary,
-                    "intent": lead.intent, "stage": stage.map(|s| stage_name(&s.stage)),
+                    "intent": lead.intent, "stage": stage.map(|s| s.state.status_text()),
                 })
             })
             .collect();
--- a/src/failover/mod.rs
+++ b/src/failover/mod.rs
@@ -72,19 +72,19 @@
     pub service: ServiceName,
     /// The term in which this leader was elected.
     pub raft_term: Term,
-    pub lead: Option<PrimaryRecord>,
+    pub primary_record: Option<PrimaryRecord>,
     /// Every listed database of the service.
     pub databases: Vec<(InstanceId, Instance)>,
     /// Replicas that left and may hold the only copy of a commit; see `StateMachine::departed`.
     pub departed: BTreeMap<InstanceId, u64>,
     /// Those whose heartbeats came lately.
-    pub beating: BTreeSet<InstanceId>,
+    pub alive: BTreeSet<InstanceId>,
     pub sync_replicas: u32,
     /// No lease on the present term can be in use any more.
-    pub leases_gone: bool,
+    pub leases_expired: bool,
     /// Every pooler that could have used the present term has given it back and said how far it
     /// saw, or is covered by what was seen later: the furthest position passed on.
-    pub given_back: Option<Option<Position>>,
+    pub released_up_to: Option<Option<Position>>,
 }
 
 impl ServiceSnapshot {
@@ -92,7 +92,7 @@
         self.databases.iter().find(|(id, _)| id == wanted)
     }
     fn replicas(&self) -> impl Iterator<Item = &(InstanceId, Instance)> {
-        let primary = self.lead.as_ref().map(|l| l.primary.clone());
+        let primary = self.primary_record.as_ref().map(|l| l.primary.clone());
         self.databases.iter().filter(move |(id, _)| Some(id) != primary.as_ref())
     }
     /// All that a commit may have been acknowledged for, besides the primary.
@@ -226,7 +226,7 @@
 impl DepartedReplicaCheck {
     fn ask(&self, snapshot: &ServiceSnapshot) -> Vec<FailoverAction> {
         let living =
-            snapshot.replicas().map(|(id, _)| id).filter(|id| snapshot.beating.contains(*id));
+            snapshot.replicas().map(|(id, _)| id).filter(|id| snapshot.alive.contains(*id));
         let missing = living.filter(|id| !self.holders.contains(*id));
         missing
             .map(|id| FailoverAction::SendRequest(id.clone(), DatabaseRequest::Describe))
@@ -256,10 +256,19 @@
     }
 }
 
+/// What poolers are told about the leases of a service while its primary changes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LeaseStatus {
+    /// Leases on the present term are being revoked, and none is granted.
+    pub revoking: bool,
+    /// With the replicas fenced, every acknowledged commit lies at or before this position.
+    pub sealed: Option<Position>,
+}
+
 /// Brings one service from primary to primary. Every step is safe to take again.
 #[derive(Clone, Debug)]
 pub struct Failover {
-    pub stage: FailoverState,
+    pub state: FailoverState,
     /// The attempt under way, or the last one.
     pub attempt: Attempt,
     /// The term whose leases are being taken back; none is granted meanwhile.
@@ -295,7 +304,7 @@
     /// replicas that an earlier leader paused are let go.
     pub fn begin(snapshot: &ServiceSnapshot, now: Tick) -> (Self, Vec<FailoverAction>) {
         let mut this = Self {
-            stage: FailoverState::Steady,
+            state: FailoverState::Steady,
             attempt: Attempt { raft_term: snapshot.raft_term, number: 0 },
             revoking: false,
             sealed: None,
@@ -318,9 +327,13 @@
             breaks: VecDeque::new(),
         };
         let mut actions = Vec::new();
-        match snapshot.lead.as_ref().and_then(|l| l.intent.clone().map(|target| (l.term, target))) {
+        match snapshot
+            .primary_record
+            .as_ref()
+            .and_then(|l| l.intent.clone().map(|target| (l.term, target)))
+        {
             Some((term, target)) => actions = this.take_up(snapshot, term, target, now),
-            None if snapshot.lead.is_some() => {
+            None if snapshot.primary_record.is_some() => {
                 this.paused = snapshot.replicas().map(|(id, _)| id.clone()).collect();
                 actions.extend(this.let_go(now));
             }
@@ -353,9 +366,9 @@
         term: DbTerm,
         now: Tick,
     ) -> Vec<FailoverAction> {
-        self.stage = FailoverState::AwaitingLeaseExpiry { target, term, recorded: false };
+        self.state = FailoverState::AwaitingLeaseExpiry { target, term, recorded: false };
         let mut actions = Vec::new();
-        if let Some(lead) = &snapshot.lead {
+        if let Some(lead) = &snapshot.primary_record {
             if !self.revoking {
                 self.revoking = true;
                 actions.push(FailoverAction::RevokeLeases(lead.term));
@@ -369,9 +382,9 @@
         actions
     }
 
-    /// What poolers are to know: whether leases are being taken back, and what is sealed.
-    pub fn standing(&self) -> (bool, Option<Position>) {
-        (self.revoking, self.sealed)
+    /// What poolers are told about the leases of the service.
+    pub fn lease_status(&self) -> LeaseStatus {
+        LeaseStatus { revoking: self.revoking, sealed: self.sealed }
     }
 
     fn renumber(&mut self) {
@@ -381,7 +394,7 @@
     fn post(&mut self, target: InstanceId, now: Tick, actions: &mut Vec<FailoverAction>) {
         self.renumber();
         actions.push(FailoverAction::Promote(target.clone()));
-        self.stage = FailoverState::Promoting {
+        self.state = FailoverState::Promoting {
             target,
             tried: now,
             in_flight: true,
@@ -391,7 +404,7 @@
     }
 
     fn settle(&mut self, now: Tick) {
-        self.stage = FailoverState::Steady;
+        self.state = FailoverState::Steady;
         self.revoking = false;
         self.sealed = None;
         self.suspects.clear();
@@ -419,7 +432,7 @@
             .collect()
     }
 
-    pub fn suspect(
+    pub fn report_suspicion(
         &mut self,
         snapshot: &ServiceSnapshot,
         who: &NodeName,
@@ -427,7 +440,7 @@
         why: SuspicionReason,
         now: Tick,
     ) -> Vec<FailoverAction> {
-        let Some(lead) = &snapshot.lead else {
+        let Some(lead) = &snapshot.primary_record else {
             return Vec::new();
         };
         if lead.primary != *of {
@@ -445,8 +458,8 @@
         if why == SuspicionReason::NoResponse {
             self.suspects.insert(who.clone());
         }
-        let planned = matches!(self.stage, FailoverState::Fencing { target: Some(_), .. });
-        match self.stage {
+        let planned = matches!(self.state, FailoverState::Fencing { target: Some(_), .. });
+        match self.state {
             FailoverState::Suspected { .. } => self.tick(snapshot, now),
             FailoverState::Steady => self.doubt(&lead.primary, now),
             _ if planned => {
@@ -458,21 +471,21 @@
 
     fn doubt(&mut self, primary: &InstanceId, now: Tick) -> Vec<FailoverAction> {
         self.renumber();
-        self.stage = FailoverState::Suspected { asked: now, reached: false };
+        self.state = FailoverState::Suspected { asked: now, reached: false };
         vec![FailoverAction::SendRequest(primary.clone(), DatabaseRequest::Describe)]
     }
 
     fn fence(&mut self, snapshot: &ServiceSnapshot, now: Tick) -> Vec<FailoverAction> {
-        let Some(lead) = &snapshot.lead else {
+        let Some(lead) = &snapshot.primary_record else {
             return Vec::new();
         };
         // The doubt before it asked for no pause, and its question still counts.
-        if !matches!(self.stage, FailoverState::Suspected { .. }) {
+        if !matches!(self.state, FailoverState::Suspected { .. }) {
             self.renumber();
         }
         self.revoking = true;
         self.suspects.clear();
-        self.stage = FailoverState::Fencing {
+        self.state = FailoverState::Fencing {
             target: None,
             slow: false,
             since: now,
@@ -513,7 +526,7 @@
         target: &InstanceId,
         now: Tick,
     ) -> Vec<FailoverAction> {
-        let Some(lead) = &snapshot.lead else { return Vec::new() };
+        let Some(lead) = &snapshot.primary_record else { return Vec::new() };
         let new = |id: &&InstanceId| *id != target && !self.paused.contains(*id);
         let newcomers = snapshot.replicas().map(|(id, _)| id).filter(new).cloned().collect();
         self.pause(newcomers, lead.term, now)
@@ -573,7 +586,7 @@
             actions.push(FailoverAction::SendRequest(target.clone(), DatabaseRequest::Describe));
         }
         actions.extend(self.pause(others, term, now));
-        self.stage = FailoverState::Fencing {
+        self.state = FailoverState::Fencing {
             target: Some(target),
             slow,
             since: now,
@@ -629,7 +642,7 @@
         row: &ServerDescription,
         now: Tick,
     ) -> Vec<FailoverAction> {
-        let (Some(cover), Some(lead)) = (&mut self.cover, &snapshot.lead) else {
+        let (Some(cover), Some(lead)) = (&mut self.cover, &snapshot.primary_record) else {
             return Vec::new();
         };
         if lead.primary == *of {
@@ -657,7 +670,7 @@
         snapshot
             .replicas()
             .filter(|(id, i)| {
-                i.lifecycle_state == Lifecycle::Available && snapshot.beating.contains(id)
+                i.lifecycle_state == Lifecycle::Available && snapshot.alive.contains(id)
             })
             .max_by_key(|(id, i)| {
                 (i.revision.len(), i.revision.clone(), std::cmp::Reverse(id.clone()))
@@ -665,7 +678,7 @@
             .map(|(id, _)| id.clone())
     }
 
-    pub fn told(
+    pub fn handle_response(
         &mut self,
         snapshot: &ServiceSnapshot,
         attempt: Attempt,
@@ -674,7 +687,7 @@
         told: &DatabaseResponse,
         now: Tick,
     ) -> Vec<FailoverAction> {
-        let lead = snapshot.lead.clone();
+        let lead = snapshot.primary_record.clone();
         // Unanswered it may still be carried out; the time says when not.
         match (ask, told) {
             (_, DatabaseResponse::Connected | DatabaseResponse::TimedOut) => {}
@@ -691,7 +704,7 @@
                 _ => Vec::new(),
             };
         }
-        let late = match (&self.stage, ask) {
+        let late = match (&self.state, ask) {
             // Whoever leads a newer term does so whenever it was asked.
             (FailoverState::Promoting { .. }, DatabaseRequest::Describe) => false,
             (_, DatabaseRequest::Pause(_) | DatabaseRequest::Describe) => attempt != self.attempt,
@@ -700,7 +713,7 @@
         if late {
             return Vec::new();
         }
-        match (&mut self.stage, ask, told) {
+        match (&mut self.state, ask, told) {
             (
                 FailoverState::Suspected { reached, .. },
                 DatabaseRequest::Describe,
@@ -718,7 +731,7 @@
                     self.owed.remove(of);
                 }
                 // A pause may have waited for this.
-                match (&self.stage, lead) {
+                match (&self.state, lead) {
                     (FailoverState::Fencing { target, rows, .. }, Some(lead))
                         if target.as_ref() != Some(of)
                             && !rows.contains_key(of)
@@ -735,7 +748,7 @@
                 DatabaseRequest::Describe,
                 DatabaseResponse::Description(row),
             ) if lead.is_none() => {
-                self.stage = FailoverState::Steady;
+                self.state = FailoverState::Steady;
                 if !row.primary {
                     return Vec::new();
                 }
@@ -747,7 +760,7 @@
                 })]
             }
             (FailoverState::DiscoveringFirstPrimary { .. }, ..) => {
-                self.stage = FailoverState::Steady;
+                self.state = FailoverState::Steady;
                 Vec::new()
             }
             (
@@ -762,7 +775,7 @@
                     DatabaseResponse::NoDescription | DatabaseResponse::Connected => true,
                     DatabaseResponse::Unavailable | DatabaseResponse::TimedOut => false,
                 };
-                match (&self.stage, leads) {
+                match (&self.state, leads) {
                     (FailoverState::Suspected { asked, .. }, true) => {
                         // Its own answer was slow, or it turned even this question away.
                         let slow = now.since(*asked) > SLOW_ANSWER_MS
@@ -783,7 +796,7 @@
                             && self.unanswered.is_none_or(|t| now.since(t) > UNANSWERED_MS) =>
                     {
                         self.unanswered = Some(now);
-                        self.stage = FailoverState::Suspected { asked: now, reached: false };
+                        self.state = FailoverState::Suspected { asked: now, reached: false };
                         vec![FailoverAction::SendRequest(of.clone(), DatabaseRequest::Describe)]
                     }
                     // Nothing was posted yet, and the alarm was false.
@@ -824,7 +837,7 @@
             ) => {
                 rows.insert(of.clone(), row.clone());
                 let actions = self.choose(snapshot, now);
-                match &self.stage {
+                match &self.state {
                     // The others are paused: now see how far the target is.
                     FailoverState::Fencing { target: Some(target), rows, .. }
                         if !rows.contains_key(target)
@@ -853,10 +866,10 @@
 
     /// Whether the paused replicas are enough, and which one then takes over.
     fn choose(&mut self, snapshot: &ServiceSnapshot, now: Tick) -> Vec<FailoverAction> {
-        let FailoverState::Fencing { target, rows, since, .. } = &self.stage else {
+        let FailoverState::Fencing { target, rows, since, .. } = &self.state else {
             return Vec::new();
         };
-        let Some(lead) = &snapshot.lead else {
+        let Some(lead) = &snapshot.primary_record else {
             return Vec::new();
         };
         let furthest = rows.values().map(|r| r.received).max();
@@ -864,7 +877,7 @@
             Some(target) => {
                 let fenced = snapshot.holders().all(|id| id == target || rows.contains_key(id));
                 // Commits that no paused replica can vouch for must have been given back.
-                let safe = match (fenced, &snapshot.given_back) {
+                let safe = match (fenced, &snapshot.released_up_to) {
                     (true, _) if snapshot.sync_replicas > 0 => true,
                     (_, Some(highest)) => {
                         rows.get(target).is_some_and(|r| highest.is_none_or(|h| r.received >= h))
@@ -881,11 +894,12 @@
                 let answered = snapshot.holders().filter(|id| rows.contains_key(*id)).count();
                 let fenced = snapshot.sync_replicas > 0 && answered >= needed;
                 let patient = now.since(*since) < VOUCH_AFTER_MS;
-                let vouched =
-                    !patient && answered > 0 && snapshot.given_back.is_some_and(|h| h <= furthest);
+                let vouched = !patient
+                    && answered > 0
+                    && snapshot.released_up_to.is_some_and(|h| h <= furthest);
                 let holds_all = |received: Position| {
                     Some(received) == furthest
-                        || snapshot.given_back.is_some_and(|highest| highest <= Some(received))
+                        || snapshot.released_up_to.is_some_and(|highest| highest <= Some(received))
                 };
                 let best = snapshot
                     .replicas()
@@ -909,12 +923,12 @@
         let Some(target) = chosen else {
             return Vec::new();
         };
-        self.stage = FailoverState::RecordingIntent { target: target.clone(), since: now };
+        self.state = FailoverState::RecordingIntent { target: target.clone(), since: now };
         let (service, term) = (snapshot.service.clone(), lead.term);
         vec![FailoverAction::Propose(Command::BeginFailover { service, term, target })]
     }
 
-    pub fn posted(
+    pub fn handle_promotion_response(
         &mut self,
         snapshot: &ServiceSnapshot,
         attempt: Attempt,
@@ -922,7 +936,7 @@
         posted: PromotionResponse,
         now: Tick,
     ) -> Vec<FailoverAction> {
-        let FailoverState::Promoting { target, in_flight, perhaps, tried, .. } = &mut self.stage
+        let FailoverState::Promoting { target, in_flight, perhaps, tried, .. } = &mut self.state
         else {
             return Vec::new();
         };
@@ -956,8 +970,8 @@
     /// Goes on from what is committed of this service: the stage may wait for just that, and the moment
     /// of its commit may have passed while this leader was not certain of leading.
     fn agreed(&mut self, snapshot: &ServiceSnapshot, now: Tick) -> Option<Vec<FailoverAction>> {
-        let lead = snapshot.lead.as_ref()?;
-        match &self.stage {
+        let lead = snapshot.primary_record.as_ref()?;
+        match &self.state {
             FailoverState::RecordingIntent { target, .. }
                 if lead.intent.as_ref() == Some(target) =>
             {
@@ -989,16 +1003,16 @@
     }
 
     /// A heartbeat came in; `role` is how the database sees itself.
-    pub fn heartbeat(
+    pub fn handle_heartbeat(
         &mut self,
         snapshot: &ServiceSnapshot,
         of: &InstanceId,
         role: Role,
         now: Tick,
     ) -> Vec<FailoverAction> {
-        match (&mut self.stage, &snapshot.lead) {
+        match (&mut self.state, &snapshot.primary_record) {
             (FailoverState::Steady, None) if role == Role::Primary => {
-                self.stage = FailoverState::DiscoveringFirstPrimary { asked: now };
+                self.state = FailoverState::DiscoveringFirstPrimary { asked: now };
                 vec![FailoverAction::SendRequest(of.clone(), DatabaseRequest::Describe)]
             }
             (FailoverState::Steady, Some(lead))
@@ -1020,11 +1034,11 @@
     }
 
     pub fn tick(&mut self, snapshot: &ServiceSnapshot, now: Tick) -> Vec<FailoverAction> {
-        let Some(lead) = &snapshot.lead else {
-            if let FailoverState::DiscoveringFirstPrimary { asked } = self.stage
+        let Some(lead) = &snapshot.primary_record else {
+            if let FailoverState::DiscoveringFirstPrimary { asked } = self.state
                 && now.since(asked) > 2 * ASK_AGAIN_MS
             {
-                self.stage = FailoverState::Steady;
+                self.state = FailoverState::Steady;
             }
             return Vec::new();
         };
@@ -1033,7 +1047,7 @@
         }
         if let FailoverState::Fencing { target: Some(target), .. }
         | FailoverState::RecordingIntent { target, .. }
-        | FailoverState::Promoting { target, .. } = &self.stage
+        | FailoverState::Promoting { target, .. } = &self.state
         {
             let actions = self.pause_newcomers(snapshot, &target.clone(), now);
             if !actions.is_empty() {
@@ -1041,7 +1055,7 @@
             }
         }
         let listed = snapshot.database(&lead.primary);
-        match &mut self.stage {
+        match &mut self.state {
             FailoverState::Steady => {
                 if snapshot.databases.is_empty() {
                     return Vec::new();
@@ -1052,7 +1066,7 @@
                 if !self.owed.is_empty() && now.since(self.owed_asked) > OWED_AGAIN_MS {
                     self.owed_asked = now;
                     self.owed.retain(|id, _| snapshot.replicas().any(|(replica, _)| replica == id));
-                    let living = self.owed.keys().filter(|id| snapshot.beating.contains(*id));
+                    let living = self.owed.keys().filter(|id| snapshot.alive.contains(*id));
                     return self.ask_to_go_on(living.cloned().collect(), now);
                 }
                 let looks = self.cover(snapshot, id, now);
@@ -1064,13 +1078,12 @@
                 if primary.lifecycle_state == Lifecycle::Draining && rested {
                     return self.plan(snapshot, lead.term, false, now);
                 }
-                if !snapshot.beating.contains(id)
-                    && self.trusted.is_none_or(|t| now.since(t) > 2_000)
+                if !snapshot.alive.contains(id) && self.trusted.is_none_or(|t| now.since(t) > 2_000)
                 {
                     return self.doubt(id, now);
                 }
             }
-            FailoverState::DiscoveringFirstPrimary { .. } => self.stage = FailoverState::Steady,
+            FailoverState::DiscoveringFirstPrimary { .. } => self.state = FailoverState::Steady,
             // Several poolers are owed answers. If its machine does not even take a connection, it
             // is lost; if it does, it is slow, and a replica may do better while it still serves.
             FailoverState::Suspected { asked, reached }
@@ -1083,7 +1096,7 @@
                 return self.leave_slow(snapshot, lead.term, now);
             }
             FailoverState::Suspected { asked, .. } if now.since(*asked) > 4 * ASK_AGAIN_MS => {
-                self.stage = FailoverState::Steady;
+                self.state = FailoverState::Steady;
             }
             FailoverState::Fencing { target, slow, since, asked, rows } => {
                 let waited = now.since(*since);
@@ -1098,7 +1111,7 @@
                         .filter(|id| *id != target && !rows.contains_key(id))
                         .collect::<Vec<_>>();
                     let stuck = !others.is_empty() && waited > PAUSE_PATIENCE_MS;
-                    if (others.is_empty() || snapshot.given_back.is_some())
+                    if (others.is_empty() || snapshot.released_up_to.is_some())
                         && now.since(*asked) >= 100
                     {
                         *asked = now;
@@ -1171,7 +1184,7 @@
                 return actions;
             }
             FailoverState::AwaitingLeaseExpiry { target, term, recorded }
-                if snapshot.leases_gone && !*recorded =>
+                if snapshot.leases_expired && !*recorded =>
             {
                 *recorded = true;
                 let (service, term, primary) = (snapshot.service.clone(), *term, target.clone());
@@ -1187,15 +1200,18 @@
     }
 }
 
-pub(crate) fn stage_name(stage: &FailoverState) -> &'static str {
-    match stage {
-        FailoverState::Steady => "steady",
-        FailoverState::DiscoveringFirstPrimary { .. } => "asking the first primary",
-        FailoverState::Suspected { .. } => "doubting the primary",
-        FailoverState::Fencing { target: Some(_), .. } => "fencing for a planned change",
-        FailoverState::Fencing { target: None, .. } => "fencing a lost primary",
-        FailoverState::RecordingIntent { .. } => "writing down the intent",
-        FailoverState::Promoting { .. } => "promoting",
-        FailoverState::AwaitingLeaseExpiry { .. } => "waiting for old leases",
+impl FailoverState {
+    /// The text for the status page and the log; operators search for it.
+    pub(crate) fn status_text(&self) -> &'static str {
+        match self {
+            FailoverState::Steady => "steady",
+            FailoverState::DiscoveringFirstPrimary { .. } => "asking the first primary",
+            FailoverState::Suspected { .. } => "doubting the primary",
+            FailoverState::Fencing { target: Some(_), .. } => "fencing for a planned change",
+            FailoverState::Fencing { target: None, .. } => "fencing a lost primary",
+            FailoverState::RecordingIntent { .. } => "writing down the intent",
+            FailoverState::Promoting { .. } => "promoting",
+            FailoverState::AwaitingLeaseExpiry { .. } => "waiting for old leases",
+        }
     }
 }
--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -37,17 +37,17 @@
     ServiceSnapshot {
         service: "s".into(),
         raft_term: Term(1),
-        lead: Some(PrimaryRecord { term: DbTerm(1), primary: "a".into(), intent: None }),
+        primary_record: Some(PrimaryRecord { term: DbTerm(1), primary: "a".into(), intent: None }),
         databases: vec![
             ("a".into(), database(Lifecycle::Available, Role::Primary, "v1")),
             ("b".into(), replica.clone()),
             ("c".into(), replica),
         ],
-        beating: BTreeSet::from(["a".into(), "b".into(), "c".into()]),
+        alive: BTreeSet::from(["a".into(), "b".into(), "c".into()]),
         departed: BTreeMap::new(),
         sync_replicas: 1,
-        leases_gone: false,
-        given_back: None,
+        leases_expired: false,
+        released_up_to: None,
     }
 }
 fn row(primary: bool, term: u64, received: Position) -> DatabaseResponse {
@@ -104,15 +104,27 @@
 }
 fn went_on(s: &mut Failover, snapshot: &ServiceSnapshot, now: Tick) {
     for (id, _) in &snapshot.databases[1..] {
-        s.told(snapshot, s.attempt, id, DatabaseRequest::Continue, &row(false, 1, at(7)), now);
+        s.handle_response(
+            snapshot,
+            s.attempt,
+            id,
+            DatabaseRequest::Continue,
+            &row(false, 1, at(7)),
+            now,
+        );
     }
 }
 fn fencing(snapshot: &ServiceSnapshot, now: Tick) -> Failover {
     let mut s = begun(snapshot, now);
-    let actions =
-        s.suspect(snapshot, &"n1".into(), &"a".into(), SuspicionReason::ConnectionsBroken, now);
+    let actions = s.report_suspicion(
+        snapshot,
+        &"n1".into(),
+        &"a".into(),
+        SuspicionReason::ConnectionsBroken,
+        now,
+    );
     assert_eq!(actions, [ask("a", DatabaseRequest::Describe)], "it is asked itself first");
-    let actions = s.told(
+    let actions = s.handle_response(
         snapshot,
         s.attempt,
         &"a".into(),
@@ -129,9 +141,12 @@
 /// As far as a call that may be under way.
 fn posting(snapshot: &mut ServiceSnapshot, now: Tick) -> Failover {
     let mut s = fencing(snapshot, now);
-    assert!(s.told(snapshot, s.attempt, &"b".into(), PAUSE, &row(false, 1, at(7)), now).is_empty());
+    assert!(
+        s.handle_response(snapshot, s.attempt, &"b".into(), PAUSE, &row(false, 1, at(7)), now)
+            .is_empty()
+    );
     assert_eq!(
-        s.told(snapshot, s.attempt, &"c".into(), PAUSE, &row(false, 1, at(9)), now),
+        s.handle_response(snapshot, s.attempt, &"c".into(), PAUSE, &row(false, 1, at(9)), now),
         [intend("c")]
     );
     assert!(s.tick(snapshot, now).is_empty(), "not before it is committed");
@@ -141,8 +156,10 @@
 }
 /// The intent is committed.
 fn intended(snapshot: &mut ServiceSnapshot, target: &str) {
-    snapshot.lead =
-        snapshot.lead.take().map(|lead| PrimaryRecord { intent: Some(target.into()), ..lead });
+    snapshot.primary_record = snapshot
+        .primary_record
+        .take()
+        .map(|lead| PrimaryRecord { intent: Some(target.into()), ..lead });
 }
 
 #[test]
@@ -151,13 +168,20 @@
     let mut s = posting(&mut snapshot, now);
     assert_eq!(s.sealed, Some(at(9)), "reads may go on up to there");
     assert!(
-        s.posted(&snapshot, s.attempt, &"c".into(), PromotionResponse::Accepted, now).is_empty()
+        s.handle_promotion_response(
+            &snapshot,
+            s.attempt,
+            &"c".into(),
+            PromotionResponse::Accepted,
+            now
+        )
+        .is_empty()
     );
     assert_eq!(
-        s.heartbeat(&snapshot, &"c".into(), Role::Primary, now.plus(300)),
+        s.handle_heartbeat(&snapshot, &"c".into(), Role::Primary, now.plus(300)),
         [ask("c", DatabaseRequest::Describe)]
     );
-    let actions = s.told(
+    let actions = s.handle_response(
         &snapshot,
         s.attempt,
         &"c".into(),
@@ -167,12 +191,13 @@
     );
     assert_eq!(actions, [ask("a", DatabaseRequest::StepDown(DbTerm(2)))]);
     assert!(s.tick(&snapshot, now.plus(400)).is_empty(), "old leases may still be used");
-    snapshot.leases_gone = true;
+    snapshot.leases_expired = true;
     assert_eq!(s.tick(&snapshot, now.plus(500)), [led("c", 2)]);
     assert!(s.tick(&snapshot, now.plus(510)).is_empty(), "once is enough");
-    snapshot.lead = Some(PrimaryRecord { term: DbTerm(2), primary: "c".into(), intent: None });
+    snapshot.primary_record =
+        Some(PrimaryRecord { term: DbTerm(2), primary: "c".into(), intent: None });
     assert_eq!(s.tick(&snapshot, now.plus(520)), [ask("b", DatabaseRequest::Continue)]);
-    assert!(s.stage == FailoverState::Steady && !s.revoking && s.sealed.is_none());
+    assert!(s.state == FailoverState::Steady && !s.revoking && s.sealed.is_none());
 }
 
 #[test]
@@ -180,16 +205,23 @@
     let (mut snapshot, now) = (snapshot(), Tick(50_000));
     for told in [row(true, 1, at(9)), DatabaseResponse::NoDescription] {
         let (mut s, _) = Failover::begin(&snapshot, now);
-        s.suspect(&snapshot, &"n1".into(), &"a".into(), SuspicionReason::NoResponse, now);
+        s.report_suspicion(&snapshot, &"n1".into(), &"a".into(), SuspicionReason::NoResponse, now);
         assert!(
-            s.told(&snapshot, s.attempt, &"a".into(), DatabaseRequest::Describe, &told, now)
-                .is_empty()
+            s.handle_response(
+                &snapshot,
+                s.attempt,
+                &"a".into(),
+                DatabaseRequest::Describe,
+                &told,
+                now
+            )
+            .is_empty()
         );
-        assert_eq!(s.stage, FailoverState::Steady);
+        assert_eq!(s.state, FailoverState::Steady);
     }
     // Also after the pause, as long as nothing was posted.
     let mut s = fencing(&snapshot, now);
-    let actions = s.told(
+    let actions = s.handle_response(
         &snapshot,
         s.attempt,
         &"a".into(),
@@ -202,7 +234,7 @@
     // Once posted it is too late for that.
     let mut s = posting(&mut snapshot, now);
     assert!(
-        s.told(
+        s.handle_response(
             &snapshot,
             s.attempt,
             &"a".into(),
@@ -212,7 +244,7 @@
         )
         .is_empty()
     );
-    assert!(matches!(s.stage, FailoverState::Promoting { .. }));
+    assert!(matches!(s.state, FailoverState::Promoting { .. }));
 }
 
 #[test]
@@ -220,10 +252,24 @@
     let (snapshot, now) = (snapshot(), Tick(50_000));
     let mut s = fencing(&snapshot, now);
     for id in ["b", "c"] {
-        s.told(&snapshot, s.attempt, &id.into(), PAUSE, &DatabaseResponse::NoDescription, now);
+        s.handle_response(
+            &snapshot,
+            s.attempt,
+            &id.into(),
+            PAUSE,
+            &DatabaseResponse::NoDescription,
+            now,
+        );
     }
-    s.told(&snapshot, s.attempt, &"a".into(), DatabaseRequest::Describe, &row(true, 1, at(9)), now);
-    s.told(
+    s.handle_response(
+        &snapshot,
+        s.attempt,
+        &"a".into(),
+        DatabaseRequest::Describe,
+        &row(true, 1, at(9)),
+        now,
+    );
+    s.handle_response(
         &snapshot,
         s.attempt,
         &"b".into(),
@@ -231,7 +277,7 @@
         &row(false, 1, at(9)),
         now,
     );
-    s.told(
+    s.handle_response(
         &snapshot,
         s.attempt,
         &"c".into(),
@@ -241,7 +287,7 @@
     );
     assert!(s.tick(&snapshot, now.plus(500)).is_empty());
     assert_eq!(s.tick(&snapshot, now.plus(1_100)), [ask("c", DatabaseRequest::Continue)]);
-    s.told(
+    s.handle_response(
         &snapshot,
         s.attempt,
         &"c".into(),
@@ -258,7 +304,7 @@
     for reached in [false, true] {
         let mut s = begun(&snapshot, now);
         for (who, after, actions) in [("n1", 0, 1), ("n1", 5, 0), ("n2", 10, 0), ("n3", 15, 0)] {
-            let done = s.suspect(
+            let done = s.report_suspicion(
                 &snapshot,
                 &who.into(),
                 &"a".into(),
@@ -268,7 +314,7 @@
             assert_eq!(done.len(), actions, "{who}");
         }
         if reached {
-            s.told(
+            s.handle_response(
                 &snapshot,
                 s.attempt,
                 &"a".into(),
@@ -303,9 +349,15 @@
     let (mut s, _) = Failover::begin(&snapshot, now);
     let nine = at(9);
     let mut look = |at: u64, took: u64| {
-        s.suspect(&snapshot, &"n1".into(), &"a".into(), SuspicionReason::NoResponse, now.plus(at));
+        s.report_suspicion(
+            &snapshot,
+            &"n1".into(),
+            &"a".into(),
+            SuspicionReason::NoResponse,
+            now.plus(at),
+        );
         let answer = row(true, 1, nine);
-        s.told(
+        s.handle_response(
             &snapshot,
             s.attempt,
             &"a".into(),
@@ -333,7 +385,7 @@
         for i in 0..poolers * times {
             let who = NodeName(format!("n{}", i % poolers));
             at_ms += apart;
-            s.suspect(
+            s.report_suspicion(
                 &snapshot,
                 &who,
                 &"a".into(),
@@ -342,7 +394,7 @@
             );
         }
         let fine = row(true, 1, at(9));
-        s.told(
+        s.handle_response(
             &snapshot,
             s.attempt,
             &"a".into(),
@@ -350,14 +402,14 @@
             &fine,
             now.plus(at_ms + 5),
         );
-        let doubted = s.suspect(
+        let doubted = s.report_suspicion(
             &snapshot,
             &"n0".into(),
             &"a".into(),
             SuspicionReason::ConnectionsBroken,
             now.plus(at_ms + 400),
         );
-        let actions = s.told(
+        let actions = s.handle_response(
             &snapshot,
             s.attempt,
             &"a".into(),
@@ -365,7 +417,7 @@
             &fine,
             now.plus(at_ms + 410),
         );
-        let planned = matches!(s.stage, FailoverState::Fencing { target: Some(_), .. });
+        let planned = matches!(s.state, FailoverState::Fencing { target: Some(_), .. });
         assert_eq!(planned, left, "{poolers} {times} {apart}: {doubted:?} {actions:?}");
         assert!(!s.revoking);
     }
@@ -379,8 +431,14 @@
         (DatabaseResponse::Unavailable, Vec::new()),
     ] {
         let (mut s, _) = Failover::begin(&snapshot, now);
-        s.suspect(&snapshot, &"n1".into(), &"a".into(), SuspicionReason::ConnectionsBroken, now);
-        let done = s.told(
+        s.report_suspicion(
+            &snapshot,
+            &"n1".into(),
+            &"a".into(),
+            SuspicionReason::ConnectionsBroken,
+            now,
+        );
+        let done = s.handle_response(
             &snapshot,
             s.attempt,
             &"a".into(),
@@ -389,10 +447,10 @@
             now.plus(300),
         );
         if actions.is_empty() {
-            assert!(matches!(s.stage, FailoverState::Fencing { .. }));
+            assert!(matches!(s.state, FailoverState::Fencing { .. }));
         } else {
             assert_eq!(done, actions);
-            s.told(
+            s.handle_response(
                 &snapshot,
                 s.attempt,
                 &"a".into(),
@@ -400,7 +458,7 @@
                 &told,
                 now.plus(600),
             );
-            assert!(matches!(s.stage, FailoverState::Fencing { .. }), "twice is enough");
+            assert!(matches!(s.state, FailoverState::Fencing { .. }), "twice is enough");
         }
     }
 }
@@ -418,18 +476,18 @@
         (None, 0, false),
         (Some(Some(at(7))), 0, true),
     ];
-    for (given_back, sync_replicas, may) in table {
+    for (released_up_to, sync_replicas, may) in table {
         let snapshot = ServiceSnapshot { sync_replicas, ..snapshot() };
         let mut s = fencing(&snapshot, now);
         let mut actions =
-            s.told(&snapshot, s.attempt, &"b".into(), PAUSE, &row(false, 1, at(7)), now);
-        let snapshot = ServiceSnapshot { given_back, ..snapshot };
+            s.handle_response(&snapshot, s.attempt, &"b".into(), PAUSE, &row(false, 1, at(7)), now);
+        let snapshot = ServiceSnapshot { released_up_to, ..snapshot };
         if actions.is_empty() {
             assert!(s.tick(&snapshot, now.plus(20)).is_empty(), "the other may still answer");
             actions = s.tick(&snapshot, now.plus(320));
         }
         let expected = if may { vec![intend("b")] } else { Vec::new() };
-        assert_eq!(actions, expected, "{given_back:?}, sync {sync_replicas}");
+        assert_eq!(actions, expected, "{released_up_to:?}, sync {sync_replicas}");
         if !may {
             let again = s.tick(&snapshot, now.plus(500));
             assert!(again.contains(&ask("c", PAUSE)), "the missing one is asked again");
@@ -444,13 +502,20 @@
     for (other, passed_on, target) in [(9, 9, "c"), (8, 8, "c"), (8, 9, "b"), (7, 8, "b")] {
         let mut snapshot = snapshot();
         snapshot.databases[1].1.lifecycle_state = Lifecycle::Draining;
-        snapshot.given_back = Some(Some(at(passed_on)));
+        snapshot.released_up_to = Some(Some(at(passed_on)));
         let mut s = fencing(&snapshot, now);
         assert!(
-            s.told(&snapshot, s.attempt, &"b".into(), PAUSE, &row(false, 1, at(9)), now).is_empty()
+            s.handle_response(&snapshot, s.attempt, &"b".into(), PAUSE, &row(false, 1, at(9)), now)
+                .is_empty()
+        );
+        let mut actions = s.handle_response(
+            &snapshot,
+            s.attempt,
+            &"c".into(),
+            PAUSE,
+            &row(false, 1, at(other)),
+            now,
         );
-        let mut actions =
-            s.told(&snapshot, s.attempt, &"c".into(), PAUSE, &row(false, 1, at(other)), now);
         if actions.is_empty() {
             actions = s.tick(&snapshot, now.plus(320));
         }
@@ -459,12 +524,23 @@
     // A target that left is settled by the refusal, and the call is made again at once.
     let mut snapshot = snapshot();
     let mut s = posting(&mut snapshot, now);
-    s.posted(&snapshot, s.attempt, &"c".into(), PromotionResponse::Accepted, now);
+    s.handle_promotion_response(
+        &snapshot,
+        s.attempt,
+        &"c".into(),
+        PromotionResponse::Accepted,
+        now,
+    );
     assert!(s.tick(&snapshot, now.plus(100)).is_empty());
     snapshot.databases.pop();
     assert_eq!(s.tick(&snapshot, now.plus(110)), [FailoverAction::Promote("c".into())]);
-    let actions =
-        s.posted(&snapshot, s.attempt, &"c".into(), PromotionResponse::NotRunning, now.plus(120));
+    let actions = s.handle_promotion_response(
+        &snapshot,
+        s.attempt,
+        &"c".into(),
+        PromotionResponse::NotRunning,
+        now.plus(120),
+    );
     assert!(
         matches!(actions.as_slice(), [FailoverAction::Propose(Command::AbandonFailover { .. })]),
         "{actions:?}"
@@ -487,12 +563,16 @@
         (&[PromotionResponse::Unknown], 10_000, true),
     ];
     for (before, later, settled) in table {
-        snapshot.lead = snapshot.lead.take().map(|lead| PrimaryRecord { intent: None, ..lead });
+        snapshot.primary_record =
+            snapshot.primary_record.take().map(|lead| PrimaryRecord { intent: None, ..lead });
         let mut s = posting(&mut snapshot, now);
         for posted in before {
-            assert!(s.posted(&snapshot, s.attempt, &"c".into(), *posted, now).is_empty());
+            assert!(
+                s.handle_promotion_response(&snapshot, s.attempt, &"c".into(), *posted, now)
+                    .is_empty()
+            );
         }
-        let actions = s.posted(
+        let actions = s.handle_promotion_response(
             &snapshot,
             s.attempt,
             &"c".into(),
@@ -506,13 +586,15 @@
         );
     }
     // An unclear call is made again, with the same target.
-    snapshot.lead = snapshot.lead.take().map(|lead| PrimaryRecord { intent: None, ..lead });
+    snapshot.primary_record =
+        snapshot.primary_record.take().map(|lead| PrimaryRecord { intent: None, ..lead });
     let mut s = posting(&mut snapshot, now);
-    s.posted(&snapshot, s.attempt, &"c".into(), PromotionResponse::Unknown, now);
+    s.handle_promotion_response(&snapshot, s.attempt, &"c".into(), PromotionResponse::Unknown, now);
     let actions = s.tick(&snapshot, now.plus(400));
     assert!(actions.contains(&FailoverAction::Promote("c".into())), "{actions:?}");
     // Given up in the log, whenever that is noticed: fenced anew, and nothing is called meanwhile.
-    snapshot.lead = snapshot.lead.take().map(|lead| PrimaryRecord { intent: None, ..lead });
+    snapshot.primary_record =
+        snapshot.primary_record.take().map(|lead| PrimaryRecord { intent: None, ..lead });
     let actions = s.tick(&snapshot, now.plus(3_000));
     assert_eq!(
         actions,
@@ -524,7 +606,7 @@
 fn a_new_leader_finishes_the_intent_it_finds() {
     let now = Tick(50_000);
     let mut snapshot = snapshot();
-    snapshot.lead =
+    snapshot.primary_record =
         Some(PrimaryRecord { term: DbTerm(1), primary: "a".into(), intent: Some("b".into()) });
     let (mut s, actions) = Failover::begin(&snapshot, now);
     assert_eq!(
@@ -537,8 +619,14 @@
     );
     assert!(s.revoking, "nobody uses the old term meanwhile");
     assert!(
-        s.suspect(&snapshot, &"n1".into(), &"a".into(), SuspicionReason::ConnectionsBroken, now)
-            .is_empty()
+        s.report_suspicion(
+            &snapshot,
+            &"n1".into(),
+            &"a".into(),
+            SuspicionReason::ConnectionsBroken,
+            now
+        )
+        .is_empty()
     );
 }
 
@@ -548,7 +636,7 @@
     let mut snapshot = snapshot();
     snapshot.databases[0].1.lifecycle_state = Lifecycle::Draining;
     snapshot.databases.push(("d".into(), database(Lifecycle::Available, Role::Replica, "v2")));
-    snapshot.beating.insert("d".into());
+    snapshot.alive.insert("d".into());
     let mut s = begun(&snapshot, now);
     let actions = s.tick(&snapshot, now);
     assert_eq!(
@@ -558,12 +646,14 @@
     );
     assert!(!s.revoking, "leases go on: every further commit is on the target");
     assert!(
-        s.told(&snapshot, s.attempt, &"b".into(), PAUSE, &row(false, 1, at(7)), now).is_empty()
+        s.handle_response(&snapshot, s.attempt, &"b".into(), PAUSE, &row(false, 1, at(7)), now)
+            .is_empty()
     );
-    let actions = s.told(&snapshot, s.attempt, &"c".into(), PAUSE, &row(false, 1, at(9)), now);
+    let actions =
+        s.handle_response(&snapshot, s.attempt, &"c".into(), PAUSE, &row(false, 1, at(9)), now);
     assert_eq!(actions, [ask("d", DatabaseRequest::Describe)]);
     assert!(
-        s.told(
+        s.handle_response(
             &snapshot,
             s.attempt,
             &"d".into(),
@@ -575,7 +665,7 @@
         "not there yet"
     );
     assert_eq!(s.tick(&snapshot, now.plus(120)), [ask("d", DatabaseRequest::Describe)]);
-    let actions = s.told(
+    let actions = s.handle_response(
         &snapshot,
         s.attempt,
         &"d".into(),
@@ -586,7 +676,7 @@
     assert_eq!(actions, [intend("d")]);
     intended(&mut snapshot, "d");
     s.tick(&snapshot, now.plus(140));
-    let actions = s.told(
+    let actions = s.handle_response(
         &snapshot,
         s.attempt,
         &"d".into(),
@@ -599,7 +689,8 @@
         [FailoverAction::RevokeLeases(DbTerm(1)), ask("a", DatabaseRequest::StepDown(DbTerm(2)))]
     );
     // A target that never catches up: everything is let go.
-    snapshot.lead = snapshot.lead.take().map(|lead| PrimaryRecord { intent: None, ..lead });
+    snapshot.primary_record =
+        snapshot.primary_record.take().map(|lead| PrimaryRecord { intent: None, ..lead });
     let mut s = begun(&snapshot, now);
     s.tick(&snapshot, now);
     assert_eq!(
@@ -611,16 +702,16 @@
 #[test]
 fn the_first_primary_is_believed_once_it_says_its_term() {
     let now = Tick(50_000);
-    let snapshot = ServiceSnapshot { lead: None, ..snapshot() };
+    let snapshot = ServiceSnapshot { primary_record: None, ..snapshot() };
     let (mut s, actions) = Failover::begin(&snapshot, now);
     assert!(actions.is_empty());
-    assert!(s.heartbeat(&snapshot, &"b".into(), Role::Replica, now).is_empty());
+    assert!(s.handle_heartbeat(&snapshot, &"b".into(), Role::Replica, now).is_empty());
     assert_eq!(
-        s.heartbeat(&snapshot, &"a".into(), Role::Primary, now),
+        s.handle_heartbeat(&snapshot, &"a".into(), Role::Primary, now),
         [ask("a", DatabaseRequest::Describe)]
     );
     assert_eq!(
-        s.told(
+        s.handle_response(
             &snapshot,
             s.attempt,
             &"a".into(),
@@ -637,11 +728,11 @@
     let (snapshot, now) = (snapshot(), Tick(50_000));
     let (mut s, _) = Failover::begin(&snapshot, now);
     assert_eq!(
-        s.heartbeat(&snapshot, &"b".into(), Role::Primary, now),
+        s.handle_heartbeat(&snapshot, &"b".into(), Role::Primary, now),
         [ask("b", DatabaseRequest::StepDown(DbTerm(1)))]
     );
     assert!(
-        s.heartbeat(&snapshot, &"b".into(), Role::Primary, now.plus(10)).is_empty(),
+        s.handle_heartbeat(&snapshot, &"b".into(), Role::Primary, now.plus(10)).is_empty(),
         "not at every beat"
     );
 }
@@ -1042,20 +1133,26 @@
         (0, Some(Some(at(7))), Some(9), 8, false),
         (0, Some(None), Some(7), 7, true),
     ];
-    for (sync_replicas, given_back, paused, target, goes_on) in table {
+    for (sync_replicas, released_up_to, paused, target, goes_on) in table {
         let mut snapshot = ServiceSnapshot { sync_replicas, ..snapshot() };
         let mut s = planned(&mut snapshot, now);
-        snapshot.given_back = given_back;
+        snapshot.released_up_to = released_up_to;
         if let Some(number) = paused {
             let answer = row(false, 1, at(number));
-            let actions = s.told(&snapshot, s.attempt, &"c".into(), PAUSE, &answer, now);
+            let actions = s.handle_response(&snapshot, s.attempt, &"c".into(), PAUSE, &answer, now);
             assert_eq!(actions, [ask("b", DatabaseRequest::Describe)], "the target is asked last");
         }
         let answer = row(false, 1, at(target));
-        let actions =
-            s.told(&snapshot, s.attempt, &"b".into(), DatabaseRequest::Describe, &answer, now);
+        let actions = s.handle_response(
+            &snapshot,
+            s.attempt,
+            &"b".into(),
+            DatabaseRequest::Describe,
+            &answer,
+            now,
+        );
         let expected = if goes_on { vec![intend("b")] } else { Vec::new() };
-        assert_eq!(actions, expected, "{sync_replicas} {given_back:?} {paused:?} {target}");
+        assert_eq!(actions, expected, "{sync_replicas} {released_up_to:?} {paused:?} {target}");
     }
 }
 
@@ -1078,7 +1175,7 @@
             let (id, instance) = &mut snapshot.databases[n];
             instance.lifecycle_state = state;
             if !heartbeats {
-                snapshot.beating.remove(id);
+                snapshot.alive.remove(id);
             }
         }
         let mut s = begun(&snapshot, now);
@@ -1104,9 +1201,16 @@
     assert_eq!(s.tick(&snapshot, now.plus(3_000)), []);
     let now = now.plus(3_010);
     assert_eq!(s.tick(&snapshot, now), [ask("c", DatabaseRequest::Continue)]);
-    assert!(s.stage == FailoverState::Steady && !s.revoking);
+    assert!(s.state == FailoverState::Steady && !s.revoking);
     went_on(&mut s, &snapshot, now);
-    s.told(&snapshot, s.attempt, &"c".into(), PAUSE, &DatabaseResponse::Unavailable, now);
+    s.handle_response(
+        &snapshot,
+        s.attempt,
+        &"c".into(),
+        PAUSE,
+        &DatabaseResponse::Unavailable,
+        now,
+    );
     for (after, again) in [(10, false), (1_000, false), (1_010, true)] {
         let expected = if again { vec![ask("c", PAUSE)] } else { Vec::new() };
         assert_eq!(s.tick(&snapshot, now.plus(after)), expected, "after {after}");
@@ -1125,7 +1229,7 @@
     ] {
         let mut snapshot = snapshot();
         let mut s = planned(&mut snapshot, now);
-        let asked = s.suspect(
+        let asked = s.report_suspicion(
             &snapshot,
             &"n1".into(),
             &"a".into(),
@@ -1133,8 +1237,14 @@
             now,
         );
         assert_eq!(asked, [ask("a", DatabaseRequest::Describe)]);
-        let actions =
-            s.told(&snapshot, s.attempt, &"a".into(), DatabaseRequest::Describe, &told, now);
+        let actions = s.handle_response(
+            &snapshot,
+            s.attempt,
+            &"a".into(),
+            DatabaseRequest::Describe,
+            &told,
+            now,
+        );
         let fenced = [FailoverAction::RevokeLeases(DbTerm(1)), ask("b", PAUSE), ask("c", PAUSE)];
         assert_eq!(actions, if lost { &fenced[..] } else { &[] }, "{told:?}");
         assert_eq!(s.revoking, lost, "{told:?}");
@@ -1149,10 +1259,16 @@
         [(true, 1, true), (false, 1, false), (true, 2, false), (true, 0, false), (false, 2, false)]
     {
         let mut s = begun(&snapshot, now);
-        s.suspect(&snapshot, &"n1".into(), &"a".into(), SuspicionReason::ConnectionsBroken, now);
+        s.report_suspicion(
+            &snapshot,
+            &"n1".into(),
+            &"a".into(),
+            SuspicionReason::ConnectionsBroken,
+            now,
+        );
         let told = row(leads, term, at(9));
-        s.told(&snapshot, s.attempt, &"a".into(), DatabaseRequest::Describe, &told, now);
-        assert_eq!(s.stage == FailoverState::Steady, fine, "{leads} {term}");
+        s.handle_response(&snapshot, s.attempt, &"a".into(), DatabaseRequest::Describe, &told, now);
+        assert_eq!(s.state == FailoverState::Steady, fine, "{leads} {term}");
         assert_eq!(s.revoking, !fine, "{leads} {term}");
     }
 }
@@ -1167,8 +1283,14 @@
     {
         let snapshot = snapshot();
         let mut s = begun(&snapshot, now);
-        s.suspect(&snapshot, &"n1".into(), &"a".into(), SuspicionReason::ConnectionsBroken, now);
-        s.told(
+        s.report_suspicion(
+            &snapshot,
+            &"n1".into(),
+            &"a".into(),
+            SuspicionReason::ConnectionsBroken,
+            now,
+        );
+        s.handle_response(
             &snapshot,
             s.attempt,
             &"a".into(),
@@ -1176,7 +1298,7 @@
             &row(true, 1, at(9)),
             now,
         );
-        let actions = s.suspect(
+        let actions = s.report_suspicion(
             &snapshot,
             &"n1".into(),
             &of.into(),
@@ -1209,7 +1331,7 @@
             snapshot.databases.remove(0);
         }
         if !heartbeats {
-            snapshot.beating.remove(&"a".into());
+            snapshot.alive.remove(&"a".into());
         }
         assert_eq!(s.tick(&snapshot, now), actions, "{listed} {heartbeats} {ends} {departed}");
     }
@@ -1221,8 +1343,14 @@
     let mut s = begun(&snapshot, now);
     let mut left = |after: u64| {
         let now = now.plus(after);
-        s.suspect(&snapshot, &"n1".into(), &"a".into(), SuspicionReason::ConnectionsBroken, now);
-        let actions = s.told(
+        s.report_suspicion(
+            &snapshot,
+            &"n1".into(),
+            &"a".into(),
+            SuspicionReason::ConnectionsBroken,
+            now,
+        );
+        let actions = s.handle_response(
             &snapshot,
             s.attempt,
             &"a".into(),
@@ -1232,7 +1360,7 @@
         );
         if !actions.is_empty() {
             let late = now.plus(10 + 700);
-            s.told(
+            s.handle_response(
                 &snapshot,
                 s.attempt,
                 &"c".into(),
@@ -1266,12 +1394,18 @@
         let mut snapshot = snapshot();
         let mut s = posting(&mut snapshot, now);
         let told = row(leads, term, at(9));
-        let actions =
-            s.told(&snapshot, s.attempt, &who.into(), DatabaseRequest::Describe, &told, now);
+        let actions = s.handle_response(
+            &snapshot,
+            s.attempt,
+            &who.into(),
+            DatabaseRequest::Describe,
+            &told,
+            now,
+        );
         let down = [ask("a", DatabaseRequest::StepDown(DbTerm(term)))];
         assert_eq!(actions, if done { &down[..] } else { &[] }, "{who} {leads} {term}");
         assert_eq!(
-            matches!(s.stage, FailoverState::AwaitingLeaseExpiry { .. }),
+            matches!(s.state, FailoverState::AwaitingLeaseExpiry { .. }),
             done,
             "{who} {leads} {term}"
         );
@@ -1279,8 +1413,8 @@
     // In a planned change leases are granted until the target leads, and none from then on.
     let mut snapshot = snapshot();
     let mut s = planned(&mut snapshot, now);
-    s.told(&snapshot, s.attempt, &"c".into(), PAUSE, &row(false, 1, at(7)), now);
-    s.told(
+    s.handle_response(&snapshot, s.attempt, &"c".into(), PAUSE, &row(false, 1, at(7)), now);
+    s.handle_response(
         &snapshot,
         s.attempt,
         &"b".into(),
@@ -1291,7 +1425,14 @@
     intended(&mut snapshot, "b");
     assert_eq!(s.tick(&snapshot, now), [FailoverAction::Promote("b".into())]);
     assert!(!s.revoking);
-    s.told(&snapshot, s.attempt, &"b".into(), DatabaseRequest::Describe, &row(true, 2, at(7)), now);
+    s.handle_response(
+        &snapshot,
+        s.attempt,
+        &"b".into(),
+        DatabaseRequest::Describe,
+        &row(true, 2, at(7)),
+        now,
+    );
     assert!(s.revoking, "no lease on the old term is granted any more");
 }
 
@@ -1309,8 +1450,8 @@
     // The intent that was proposed but not seen committed is proposed again.
     let snapshot = self::snapshot();
     let mut s = fencing(&snapshot, now);
-    s.told(&snapshot, s.attempt, &"b".into(), PAUSE, &row(false, 1, at(7)), now);
-    s.told(&snapshot, s.attempt, &"c".into(), PAUSE, &row(false, 1, at(9)), now);
+    s.handle_response(&snapshot, s.attempt, &"b".into(), PAUSE, &row(false, 1, at(7)), now);
+    s.handle_response(&snapshot, s.attempt, &"c".into(), PAUSE, &row(false, 1, at(9)), now);
     let table = [(1_000, false), (1_010, true), (2_000, false), (2_020, true)];
     for (after, again) in table {
         let expected = if again { vec![intend("c")] } else { Vec::new() };
@@ -1322,17 +1463,18 @@
 fn what_is_sealed_is_the_furthest_that_any_paused_replica_has() {
     let (mut snapshot, now) = (snapshot(), Tick(50_000));
     snapshot.databases[1].1.lifecycle_state = Lifecycle::Draining;
-    snapshot.given_back = Some(Some(at(8)));
+    snapshot.released_up_to = Some(Some(at(8)));
     let mut s = fencing(&snapshot, now);
-    s.told(&snapshot, s.attempt, &"b".into(), PAUSE, &row(false, 1, at(9)), now);
-    let actions = s.told(&snapshot, s.attempt, &"c".into(), PAUSE, &row(false, 1, at(8)), now);
+    s.handle_response(&snapshot, s.attempt, &"b".into(), PAUSE, &row(false, 1, at(9)), now);
+    let actions =
+        s.handle_response(&snapshot, s.attempt, &"c".into(), PAUSE, &row(false, 1, at(8)), now);
     assert_eq!((actions, s.sealed), (vec![intend("c")], Some(at(9))));
 }
 
 #[test]
 fn a_replica_founds_no_service() {
     let now = Tick(50_000);
-    let snapshot = ServiceSnapshot { lead: None, ..snapshot() };
+    let snapshot = ServiceSnapshot { primary_record: None, ..snapshot() };
     for (told, founds) in [
         (row(true, 4, at(2)), true),
         (row(false, 4, at(2)), false),
@@ -1340,9 +1482,15 @@
         (DatabaseResponse::Unavailable, false),
     ] {
         let (mut s, _) = Failover::begin(&snapshot, now);
-        s.heartbeat(&snapshot, &"a".into(), Role::Primary, now);
-        let actions =
-            s.told(&snapshot, s.attempt, &"a".into(), DatabaseRequest::Describe, &told, now);
+        s.handle_heartbeat(&snapshot, &"a".into(), Role::Primary, now);
+        let actions = s.handle_response(
+            &snapshot,
+            s.attempt,
+            &"a".into(),
+            DatabaseRequest::Describe,
+            &told,
+            now,
+        );
         assert_eq!(actions, if founds { vec![led("a", 4)] } else { Vec::new() }, "{told:?}");
     }
 }
@@ -1351,9 +1499,9 @@
 fn the_present_primary_is_told_neither_to_step_down_nor_to_go_on() {
     let (mut snapshot, now) = (snapshot(), Tick(50_000));
     let (mut s, _) = Failover::begin(&snapshot, now);
-    assert_eq!(s.heartbeat(&snapshot, &"a".into(), Role::Primary, now), []);
+    assert_eq!(s.handle_heartbeat(&snapshot, &"a".into(), Role::Primary, now), []);
     // `c` did not say that it goes on, and leads since.
-    s.told(
+    s.handle_response(
         &snapshot,
         s.attempt,
         &"b".into(),
@@ -1361,9 +1509,10 @@
         &row(false, 1, at(7)),
         now,
     );
-    snapshot.lead = Some(PrimaryRecord { term: DbTerm(2), primary: "c".into(), intent: None });
+    snapshot.primary_record =
+        Some(PrimaryRecord { term: DbTerm(2), primary: "c".into(), intent: None });
     assert_eq!(s.tick(&snapshot, now.plus(1_100)), []);
-    assert_eq!(s.heartbeat(&snapshot, &"c".into(), Role::Primary, now), []);
+    assert_eq!(s.handle_heartbeat(&snapshot, &"c".into(), Role::Primary, now), []);
     let down = [ask("a", DatabaseRequest::StepDown(DbTerm(2)))];
-    assert_eq!(s.heartbeat(&snapshot, &"a".into(), Role::Primary, now), down);
+    assert_eq!(s.handle_heartbeat(&snapshot, &"a".into(), Role::Primary, now), down);
 }
--- a/tests/failover_replicas.rs
+++ b/tests/failover_replicas.rs
@@ -31,17 +31,17 @@
     ServiceSnapshot {
         service: "s".into(),
         raft_term: Term(3),
-        lead: Some(PrimaryRecord { term: DbTerm(1), primary: "a".into(), intent: None }),
+        primary_record: Some(PrimaryRecord { term: DbTerm(1), primary: "a".into(), intent: None }),
         databases: vec![
             ("a".into(), database(Role::Primary)),
             ("b".into(), database(Role::Replica)),
             ("c".into(), database(Role::Replica)),
         ],
-        beating: BTreeSet::from(["a".into(), "b".into(), "c".into()]),
+        alive: BTreeSet::from(["a".into(), "b".into(), "c".into()]),
         departed: BTreeMap::new(),
         sync_replicas: 1,
-        leases_gone: false,
-        given_back: None,
+        leases_expired: false,
+        released_up_to: None,
     }
 }
 fn row(primary: bool, received: Position) -> DatabaseResponse {
@@ -54,8 +54,14 @@
 
 /// The primary is doubted and refuses; gives what is asked of the replicas.
 fn lost(s: &mut Failover, snapshot: &ServiceSnapshot, now: Tick) -> Vec<FailoverAction> {
-    s.suspect(snapshot, &"n1".into(), &"a".into(), SuspicionReason::ConnectionsBroken, now);
-    let actions = s.told(
+    s.report_suspicion(
+        snapshot,
+        &"n1".into(),
+        &"a".into(),
+        SuspicionReason::ConnectionsBroken,
+        now,
+    );
+    let actions = s.handle_response(
         snapshot,
         s.attempt,
         &"a".into(),
@@ -74,7 +80,7 @@
     number: u64,
     now: Tick,
 ) -> Vec<FailoverAction> {
-    s.told(snapshot, s.attempt, &id.into(), ask, &row(false, at(number)), now)
+    s.handle_response(snapshot, s.attempt, &id.into(), ask, &row(false, at(number)), now)
 }
 fn begun(snapshot: &ServiceSnapshot, now: Tick) -> Failover {
     let (mut s, _) = Failover::begin(snapshot, now);
@@ -92,16 +98,30 @@
     let first = s.attempt;
     tell(&mut s, &snapshot, "b", PAUSE, 7, now);
     // The alarm was false: both go on, and receive what is committed from here on.
-    s.told(&snapshot, first, &"a".into(), DatabaseRequest::Describe, &row(true, at(7)), now);
-    assert_eq!(s.stage, FailoverState::Steady);
+    s.handle_response(
+        &snapshot,
+        first,
+        &"a".into(),
+        DatabaseRequest::Describe,
+        &row(true, at(7)),
+        now,
+    );
+    assert_eq!(s.state, FailoverState::Steady);
     let later = now.plus(2_000);
     for id in ["b", "c"] {
-        s.told(&snapshot, first, &id.into(), DatabaseRequest::Continue, &row(false, at(7)), later);
+        s.handle_response(
+            &snapshot,
+            first,
+            &id.into(),
+            DatabaseRequest::Continue,
+            &row(false, at(7)),
+            later,
+        );
     }
     assert_eq!(lost(&mut s, &snapshot, later), [ask("b", PAUSE), ask("c", PAUSE)]);
     tell(&mut s, &snapshot, "b", PAUSE, 9, later);
     // The answer of `c` to the first attempt comes now; it may have received more since.
-    let late = s.told(&snapshot, first, &"c".into(), PAUSE, &row(false, at(7)), later);
+    let late = s.handle_response(&snapshot, first, &"c".into(), PAUSE, &row(false, at(7)), later);
     assert_eq!(late, [], "of an attempt that was called off");
     let chosen = tell(&mut s, &snapshot, "c", PAUSE, 11, later);
     let target = InstanceId::from("c");
@@ -131,9 +151,14 @@
     ] {
         let (mut s, now) = (s.clone(), now.plus(after));
         let mut actions = match &told {
-            Some(told) => {
-                s.told(&snapshot, s.attempt, &"c".into(), DatabaseRequest::Continue, told, now)
-            }
+            Some(told) => s.handle_response(
+                &snapshot,
+                s.attempt,
+                &"c".into(),
+                DatabaseRequest::Continue,
+                told,
+                now,
+            ),
             None => s.tick(&snapshot, now),
         };
         actions.retain(|action| {
@@ -143,7 +168,7 @@
     }
     // The other way round: `c` is not taken for let go while its pause may still come.
     tell(&mut s, &snapshot, "c", DatabaseRequest::Continue, 7, now.plus(600));
-    s.told(
+    s.handle_response(
         &snapshot,
         s.attempt,
         &"a".into(),
@@ -167,7 +192,8 @@
     tell(&mut s, &snapshot, "c", PAUSE, 9, now);
     let intend = |snapshot: &mut ServiceSnapshot, target: Option<&str>| {
         let intent = target.map(InstanceId::from);
-        snapshot.lead = Some(PrimaryRecord { term: DbTerm(1), primary: "a".into(), intent });
+        snapshot.primary_record =
+            Some(PrimaryRecord { term: DbTerm(1), primary: "a".into(), intent });
     };
     intend(&mut snapshot, Some("c"));
     assert_eq!(s.tick(&snapshot, now), [FailoverAction::Promote("c".into())]);
@@ -178,7 +204,7 @@
     assert!(s.attempt.fence() > first.fence());
     // The refusal of the first call comes late: the second is under way, and settles nothing yet.
     for (attempt, after) in [(first, 10), (s.attempt, 20), (first, 5_000)] {
-        let actions = s.posted(
+        let actions = s.handle_promotion_response(
             &snapshot,
             attempt,
             &"c".into(),
@@ -187,7 +213,7 @@
         );
         assert_eq!(actions, [], "{attempt:?}");
     }
-    let actions = s.posted(
+    let actions = s.handle_promotion_response(
         &snapshot,
         s.attempt,
         &"c".into(),
@@ -211,7 +237,7 @@
 fn without_c(snapshot: &ServiceSnapshot) -> ServiceSnapshot {
     let mut snapshot = snapshot.clone();
     snapshot.databases.retain(|(id, _)| *id != "c".into());
-    snapshot.beating.remove(&"c".into());
+    snapshot.alive.remove(&"c".into());
     snapshot.departed.insert("c".into(), u64::MAX);
     snapshot
 }
@@ -230,9 +256,9 @@
         (Some(8), None, 1, false),
         (Some(8), Some(Some(at(7))), 1, true),
     ];
-    for (paused, given_back, sync_replicas, may) in table {
+    for (paused, released_up_to, sync_replicas, may) in table {
         let listed = ServiceSnapshot { sync_replicas, ..snapshot() };
-        let left = ServiceSnapshot { given_back, ..without_c(&listed) };
+        let left = ServiceSnapshot { released_up_to, ..without_c(&listed) };
         let mut s = begun(&listed, now);
         let fence = |asked: &[&str]| asked.iter().map(|id| ask(id, PAUSE)).collect::<Vec<_>>();
         match paused {
@@ -247,7 +273,7 @@
             actions = s.tick(&left, now.plus(320));
         }
         let expected = if may { vec![intend("b")] } else { Vec::new() };
-        assert_eq!(actions, expected, "{paused:?} {given_back:?} {sync_replicas}");
+        assert_eq!(actions, expected, "{paused:?} {released_up_to:?} {sync_replicas}");
     }
 }
 
@@ -267,11 +293,18 @@
     let before = Attempt { number: s.attempt.number - 1, ..s.attempt };
     let primary = row(true, at(9));
     assert_eq!(
-        s.told(&snapshot, before, &"a".into(), DatabaseRequest::Describe, &primary, now),
+        s.handle_response(&snapshot, before, &"a".into(), DatabaseRequest::Describe, &primary, now),
         []
     );
     assert_eq!(
-        s.told(&snapshot, s.attempt, &"a".into(), DatabaseRequest::Describe, &primary, now),
+        s.handle_response(
+            &snapshot,
+            s.attempt,
+            &"a".into(),
+            DatabaseRequest::Describe,
+            &primary,
+            now
+        ),
         [describe("b")]
     );
     assert_eq!(tell(&mut s, &snapshot, "b", DatabaseRequest::Describe, 8, now), []);
@@ -287,7 +320,7 @@
         for action in s.tick(&snapshot, now.plus(after)) {
             asked += 1;
             if action == describe("a") {
-                let actions = s.told(
+                let actions = s.handle_response(
                     &snapshot,
                     s.attempt,
                     &"a".into(),
@@ -322,8 +355,9 @@
     assert_eq!(tell(&mut s, &all, "b", DatabaseRequest::Describe, 9, now.plus(240)), [intend("b")]);
     all.databases.push(("d".into(), database(Role::Replica)));
     assert_eq!(s.tick(&all, now.plus(250)), [ask("d", PAUSE)]);
-    let lead = all.lead.take().map(|lead| PrimaryRecord { intent: Some("b".into()), ..lead });
-    all.lead = lead;
+    let lead =
+        all.primary_record.take().map(|lead| PrimaryRecord { intent: Some("b".into()), ..lead });
+    all.primary_record = lead;
     assert_eq!(s.tick(&all, now.plus(260)), [FailoverAction::Promote("b".into())]);
     all.databases.push(("e".into(), database(Role::Replica)));
     assert_eq!(s.tick(&all, now.plus(270)), [ask("e", PAUSE)]);
@@ -336,14 +370,22 @@
 fn an_intent_that_comes_into_force_late_is_finished_by_whoever_leads() {
     let now = Tick(50_000);
     let target = |snapshot: &ServiceSnapshot, id: &str| {
-        let lead =
-            snapshot.lead.clone().map(|lead| PrimaryRecord { intent: Some(id.into()), ..lead });
-        ServiceSnapshot { lead, ..snapshot.clone() }
+        let primary_record = snapshot
+            .primary_record
+            .clone()
+            .map(|lead| PrimaryRecord { intent: Some(id.into()), ..lead });
+        ServiceSnapshot { primary_record, ..snapshot.clone() }
     };
     let snapshot = snapshot();
     let steady = begun(&snapshot, now);
     let mut doubting = steady.clone();
-    doubting.suspect(&snapshot, &"n1".into(), &"a".into(), SuspicionReason::ConnectionsBroken, now);
+    doubting.report_suspicion(
+        &snapshot,
+        &"n1".into(),
+        &"a".into(),
+        SuspicionReason::ConnectionsBroken,
+        now,
+    );
     let mut fencing = steady.clone();
     lost(&mut fencing, &snapshot, now);
     let mut intending = fencing.clone();
@@ -365,9 +407,10 @@
         term: DbTerm(2),
         received: at(9),
     });
-    let actions = fencing.told(&snapshot, fencing.attempt, &"b".into(), PAUSE, &newer, now);
+    let actions =
+        fencing.handle_response(&snapshot, fencing.attempt, &"b".into(), PAUSE, &newer, now);
     assert_eq!(actions, [ask("a", DatabaseRequest::StepDown(DbTerm(2)))]);
-    assert!(matches!(fencing.stage, FailoverState::AwaitingLeaseExpiry { .. }));
+    assert!(matches!(fencing.state, FailoverState::AwaitingLeaseExpiry { .. }));
 }
 
 /// The state with a lead, and how a database comes and goes.
@@ -441,9 +484,17 @@
         })
     };
     // One of an older term has not stepped down yet, and is no copy that a pause holds.
-    let older = s.clone().told(&snapshot, s.attempt, &"d".into(), PAUSE, &answer(0), now.plus(510));
+    let older = s.clone().handle_response(
+        &snapshot,
+        s.attempt,
+        &"d".into(),
+        PAUSE,
+        &answer(0),
+        now.plus(510),
+    );
     assert_eq!(older, [ask("d", DatabaseRequest::StepDown(DbTerm(1)))]);
-    let actions = s.told(&snapshot, s.attempt, &"d".into(), PAUSE, &answer(1), now.plus(510));
+    let actions =
+        s.handle_response(&snapshot, s.attempt, &"d".into(), PAUSE, &answer(1), now.plus(510));
     let (service, primary) = (ServiceName::from("s"), InstanceId::from("d"));
     let returned = Command::PrimaryReturned { service, term: DbTerm(1), primary };
     assert_eq!(actions, [FailoverAction::Propose(returned.clone())]);
@@ -457,10 +508,10 @@
             && !state_machine.instances.contains_key(&"a".into())
     );
     assert_eq!(state_machine.apply(&comes("a", 9)), CommandOutcome::NoChange);
-    snapshot.lead = state_machine.leads.get(&"s".into()).cloned();
+    snapshot.primary_record = state_machine.leads.get(&"s".into()).cloned();
     snapshot.databases.remove(0);
     assert!(s.tick(&snapshot, now.plus(1_000)).contains(&ask("d", DatabaseRequest::Describe)));
-    let actions = s.told(
+    let actions = s.handle_response(
         &snapshot,
         s.attempt,
         &"d".into(),
@@ -469,7 +520,7 @@
         now.plus(1_010),
     );
     assert!(
-        s.stage == FailoverState::Steady && actions.contains(&ask("b", DatabaseRequest::Continue)),
+        s.state == FailoverState::Steady && actions.contains(&ask("b", DatabaseRequest::Continue)),
         "{actions:?}"
     );
 }
@@ -589,7 +640,8 @@
 
 impl Service {
     fn new(seed: u64, sync: usize, replicas: usize) -> Self {
-        let snapshot = ServiceSnapshot { lead: None, databases: Vec::new(), ..snapshot() };
+        let snapshot =
+            ServiceSnapshot { primary_record: None, databases: Vec::new(), ..snapshot() };
         let mut this = Self {
             dice: Dice(seed),
             now: Tick(50_000),
@@ -658,7 +710,7 @@
         self.state_machine.apply(&Command::Heartbeat { id: id.clone(), instance, sequence });
         if leads {
             let now = self.now;
-            self.step(|s, snapshot| s.heartbeat(snapshot, id, Role::Primary, now));
+            self.step(|s, snapshot| s.handle_heartbeat(snapshot, id, Role::Primary, now));
         }
     }
     fn gone(&mut self, id: &InstanceId, sequence: u64) {
@@ -670,12 +722,12 @@
         let listed = self.state_machine.instances.iter();
         ServiceSnapshot {
             raft_term: Term(self.raft_term),
-            lead: self.state_machine.leads.get(&"s".into()).cloned(),
+            primary_record: self.state_machine.leads.get(&"s".into()).cloned(),
             databases: listed.map(|(id, r)| (id.clone(), r.instance.clone())).collect(),
             departed: self.state_machine.departed(&"s".into()),
-            beating: self.state_machine.instances.keys().filter(there).cloned().collect(),
+            alive: self.state_machine.instances.keys().filter(there).cloned().collect(),
             sync_replicas: self.sync as u32,
-            leases_gone: true,
+            leases_expired: true,
             ..snapshot()
         }
     }
@@ -746,7 +798,7 @@
                     .push((now.plus(wait + held), Due::DatabaseResponse(id, ask, attempt, told)));
             }
             Due::DatabaseResponse(id, ask, attempt, told) => {
-                self.step(|s, snapshot| s.told(snapshot, attempt, &id, ask, &told, now));
+                self.step(|s, snapshot| s.handle_response(snapshot, attempt, &id, ask, &told, now));
             }
             Due::Post(id, attempt) => {
                 let posted = match self.nodes[&id].alive {
@@ -759,7 +811,9 @@
                 self.due.push((now.plus(20), Due::PromotionResponse(id, attempt, posted)));
             }
             Due::PromotionResponse(id, attempt, posted) => {
-                self.step(|s, snapshot| s.posted(snapshot, attempt, &id, posted, now));
+                self.step(|s, snapshot| {
+                    s.handle_promotion_response(snapshot, attempt, &id, posted, now)
+                });
             }
         }
     }
@@ -816,7 +870,7 @@
                 let unheard = !self.nodes[&lead].alive || self.nodes[&lead].dark;
                 if unheard {
                     self.step(|s, snapshot| {
-                        s.suspect(
+                        s.report_suspicion(
                             snapshot,
                             &"n".into(),
                             &lead,
@@ -1022,7 +1076,7 @@
     let begin = |sync_replicas: u32| {
         let mut snapshot = ServiceSnapshot { sync_replicas, ..without_c(&snapshot()) };
         snapshot.databases.push(("d".into(), database(Role::Replica)));
-        snapshot.beating.insert("d".into());
+        snapshot.alive.insert("d".into());
         let mut s = begun(&snapshot, now);
         tell(&mut s, &snapshot, "d", DatabaseRequest::Continue, 7, now);
         assert_eq!(s.tick(&snapshot, now), []);
@@ -1041,8 +1095,14 @@
     for (leads, term, mark) in [(true, 1, true), (false, 1, false), (true, 2, false)] {
         let (mut s, snapshot) = begin(1);
         let told = primary(leads, term);
-        let actions =
-            s.told(&snapshot, s.attempt, &"a".into(), DatabaseRequest::Describe, &told, now);
+        let actions = s.handle_response(
+            &snapshot,
+            s.attempt,
+            &"a".into(),
+            DatabaseRequest::Describe,
+            &told,
+            now,
+        );
         let asked = if mark { vec![describe("b"), describe("d")] } else { Vec::new() };
         assert_eq!(actions, asked, "{leads} {term}");
     }
@@ -1065,7 +1125,7 @@
     for (sync_replicas, leaves, answers, covered) in cases {
         let (mut s, mut snapshot) = begin(sync_replicas);
         let told = primary(true, 1);
-        s.told(&snapshot, s.attempt, &"a".into(), DatabaseRequest::Describe, &told, now);
+        s.handle_response(&snapshot, s.attempt, &"a".into(), DatabaseRequest::Describe, &told, now);
         let mut actions = Vec::new();
         for (id, number) in answers {
             assert_eq!(actions, [], "{answers:?}");
@@ -1102,14 +1162,20 @@
     let snapshot = snapshot();
     let steady = begun(&snapshot, now);
     let mut doubting = steady.clone();
-    doubting.suspect(&snapshot, &"n1".into(), &"a".into(), SuspicionReason::ConnectionsBroken, now);
+    doubting.report_suspicion(
+        &snapshot,
+        &"n1".into(),
+        &"a".into(),
+        SuspicionReason::ConnectionsBroken,
+        now,
+    );
     let mut fencing = steady.clone();
     lost(&mut fencing, &snapshot, now);
     let mut chosen = fencing.clone();
     tell(&mut chosen, &snapshot, "b", PAUSE, 7, now);
     tell(&mut chosen, &snapshot, "c", PAUSE, 9, now);
     let lead = PrimaryRecord { term: DbTerm(1), primary: "a".into(), intent: Some("c".into()) };
-    let posting_facts = ServiceSnapshot { lead: Some(lead), ..snapshot.clone() };
+    let posting_facts = ServiceSnapshot { primary_record: Some(lead), ..snapshot.clone() };
     let mut posting = chosen.clone();
     assert_eq!(posting.tick(&posting_facts, now), [FailoverAction::Promote("c".into())]);
     let others = |own: Attempt| {
@@ -1132,16 +1198,16 @@
     for (stage, who, what, told) in &table {
         for attempt in others(stage.attempt) {
             let mut s = (*stage).clone();
-            let actions = s.told(&snapshot, attempt, &(*who).into(), *what, told, now);
+            let actions = s.handle_response(&snapshot, attempt, &(*who).into(), *what, told, now);
             assert_eq!(
-                (actions, &s.stage),
-                (vec![], &stage.stage),
+                (actions, &s.state),
+                (vec![], &stage.state),
                 "{attempt:?} {what:?} {told:?}"
             );
         }
         let mut s = (*stage).clone();
-        s.told(&snapshot, s.attempt, &(*who).into(), *what, told, now);
-        assert_ne!(s.stage, stage.stage, "its own answer counts: {what:?} {told:?}");
+        s.handle_response(&snapshot, s.attempt, &(*who).into(), *what, told, now);
+        assert_ne!(s.state, stage.state, "its own answer counts: {what:?} {told:?}");
     }
     for outcome in [
         PromotionResponse::NotRunning,
@@ -1151,12 +1217,14 @@
     ] {
         for attempt in others(posting.attempt) {
             let mut s = posting.clone();
-            let actions = s.posted(&posting_facts, attempt, &"c".into(), outcome, now);
-            assert_eq!((actions, &s.stage), (vec![], &posting.stage), "{attempt:?} {outcome:?}");
+            let actions =
+                s.handle_promotion_response(&posting_facts, attempt, &"c".into(), outcome, now);
+            assert_eq!((actions, &s.state), (vec![], &posting.state), "{attempt:?} {outcome:?}");
         }
         let mut s = posting.clone();
-        let actions = s.posted(&posting_facts, s.attempt, &"b".into(), outcome, now);
-        assert_eq!((actions, &s.stage), (vec![], &posting.stage), "of another: {outcome:?}");
+        let actions =
+            s.handle_promotion_response(&posting_facts, s.attempt, &"b".into(), outcome, now);
+        assert_eq!((actions, &s.state), (vec![], &posting.state), "of another: {outcome:?}");
     }
 }
 
@@ -1168,7 +1236,14 @@
         let (mut s, _) = Failover::begin(&snapshot, now);
         tell(&mut s, &snapshot, "b", DatabaseRequest::Continue, 7, now);
         let attempt = Attempt { raft_term: Term(raft_term), ..s.attempt };
-        s.told(&snapshot, attempt, &"c".into(), DatabaseRequest::Continue, &row(false, at(7)), now);
+        s.handle_response(
+            &snapshot,
+            attempt,
+            &"c".into(),
+            DatabaseRequest::Continue,
+            &row(false, at(7)),
+            now,
+        );
         let paused = lost(&mut s, &snapshot, now.plus(10));
         assert_eq!(paused.contains(&ask("c", PAUSE)), ended, "term {raft_term}");
     }
@@ -1185,9 +1260,16 @@
         let now = now.plus(3_100);
         assert_eq!(lost(&mut s, &snapshot, now), [ask("b", PAUSE), ask("c", PAUSE)]);
         for id in ["b", "c"] {
-            s.told(&snapshot, s.attempt, &id.into(), PAUSE, &DatabaseResponse::NoDescription, now);
+            s.handle_response(
+                &snapshot,
+                s.attempt,
+                &id.into(),
+                PAUSE,
+                &DatabaseResponse::NoDescription,
+                now,
+            );
         }
-        s.told(
+        s.handle_response(
             &snapshot,
             s.attempt,
             &"a".into(),
@@ -1197,7 +1279,14 @@
         );
         tell(&mut s, &snapshot, "b", DatabaseRequest::Continue, 7, now);
         let attempt = if present { s.attempt } else { first };
-        s.told(&snapshot, attempt, &"c".into(), DatabaseRequest::Continue, &row(false, at(7)), now);
+        s.handle_response(
+            &snapshot,
+            attempt,
+            &"c".into(),
+            DatabaseRequest::Continue,
+            &row(false, at(7)),
+            now,
+        );
         let expected = if again { vec![ask("c", DatabaseRequest::Continue)] } else { Vec::new() };
         assert_eq!(s.tick(&snapshot, now.plus(1_100)), expected, "{present}");
     }
