--- a/src/controller/controller.rs
+++ b/src/controller/controller.rs
@@ -315,9 +315,9 @@
         now: Tick,
     ) -> Result<Self, Fatal> {
         info!(target: "raft", "member {} starts at term {}, entry {}", kept.member_id, kept.term,
-            kept.log.last().map_or(kept.snapshot.last.1, |e| e.index));
+            kept.log.last().map_or(kept.snapshot.last_included.index, |e| e.index));
         let state_machine = read_kept(&kept)?;
-        let applied = kept.snapshot.last.1;
+        let applied = kept.snapshot.last_included.index;
         let config = state_machine.configuration().map_err(Fatal::State)?;
         let mut controller = Self {
             raft: RaftNode::new(kept, restarted, now, random),
@@ -521,7 +521,7 @@
         if self.raft.commit_index <= self.applied || self.unreadable.is_some() {
             return;
         }
-        if self.raft.state.snapshot.last.1 > self.applied {
+        if self.raft.state.snapshot.last_included.index > self.applied {
             match read_state(&self.raft.state.snapshot) {
                 Ok(state_machine) => self.state_machine = state_machine,
                 Err(why) => {
@@ -530,11 +530,11 @@
                 }
             }
             self.listing = None;
-            self.applied = self.raft.state.snapshot.last.1;
+            self.applied = self.raft.state.snapshot.last_included.index;
         }
         let mut relisted = None;
         for entry in self.raft.committed_entries_after(self.applied) {
-            let change = match &entry.body {
+            let change = match &entry.payload {
                 EntryPayload::Command(bytes) => match read_change(entry.index, bytes) {
                     Ok(change) => Some(change),
                     Err(why) => {
@@ -546,7 +546,7 @@
             };
             self.applied = entry.index;
             let waiter = self.proposed.take(&entry);
-            match &entry.body {
+            match &entry.payload {
                 EntryPayload::NoOp => {}
                 EntryPayload::Membership(members) => {
                     relisted = Some(members.clone());
@@ -1519,7 +1519,7 @@
             "leader_admin": self.leads_at().map(|l| l.1),
             "leads": self.raft.holds_leader_lease(now),
             "epoch": self.raft.state.term,
-            "entry": self.raft.last_position().1,
+            "entry": self.raft.last_position().index,
             "committed": self.raft.commit_index,
             "members": members,
             "revision": self.state_machine.revision,
--- a/src/net/rpc/raft_messages.rs
+++ b/src/net/rpc/raft_messages.rs
@@ -40,11 +40,39 @@
     FoundCluster,
 }
 
+/// The position of an entry in the Raft log. Ordered by term, then index: the order in which the
+/// Raft paper, section 5.4.1, compares how up to date two logs are.
+///
+/// Serialized as an array of two numbers, like the tuple `(Term, LogIndex)`.
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
+pub struct LogPosition {
+    /// The term of the leader that created the entry.
+    pub term: Term,
+    /// The entry's index.
+    pub index: LogIndex,
+}
+
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LogEntry {
     pub term: Term,
     pub index: LogIndex,
-    pub body: EntryPayload,
+    pub payload: EntryPayload,
+}
+
+impl LogPosition {
+    /// The position of the entry of this term at this index.
+    pub const fn new(term: Term, index: LogIndex) -> Self {
+        Self { term, index }
+    }
+}
+
+impl LogEntry {
+    /// Where the entry stands in the log.
+    pub fn position(&self) -> LogPosition {
+        LogPosition::new(self.term, self.index)
+    }
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -71,32 +99,32 @@
     #[serde(rename = "AskVote")]
     RequestVote {
         /// A try only: nobody's vote is spent and no term moves.
-        trial: bool,
+        pre_vote: bool,
         /// The old leader itself asked for this election.
-        handover: bool,
+        leadership_transfer: bool,
         /// The asker led the term before this one, and does so no more.
-        led: bool,
-        last: (Term, LogIndex),
+        led_previous_term: bool,
+        last_log: LogPosition,
     },
     #[serde(rename = "Vote")]
-    VoteResponse { trial: bool, granted: bool },
+    VoteResponse { pre_vote: bool, granted: bool },
     #[serde(rename = "Append")]
     AppendEntries {
-        previous: (Term, LogIndex),
+        previous: LogPosition,
         entries: Vec<LogEntry>,
-        commit: LogIndex,
+        commit_index: LogIndex,
         /// The leader's clock when it sent this, handed back by the answer.
-        sent: u64,
+        sent_at: u64,
     },
     #[serde(rename = "Appended")]
     AppendResponse {
         /// The last entry known to agree, or where to look next when `ok` is false.
-        upto: LogIndex,
-        ok: bool,
-        sent: u64,
+        match_index: LogIndex,
+        success: bool,
+        sent_at: u64,
     },
     #[serde(rename = "Snapshot")]
-    InstallSnapshot { snapshot: Snapshot, sent: u64 },
+    InstallSnapshot { snapshot: Snapshot, sent_at: u64 },
     #[serde(rename = "TakeOver")]
     TimeoutNow,
     /// A part of a message too large to go at once: of an `Append` or a `Snapshot`, encoded. Only to
@@ -104,20 +132,20 @@
     #[serde(rename = "Part")]
     Chunk {
         /// Told apart within the sender's term.
-        transfer: u64,
-        size: u64,
+        transfer_id: u64,
+        total_size: u64,
         offset: u64,
         bytes: ByteBuf,
-        sent: u64,
+        sent_at: u64,
     },
     /// So many bytes of that transfer are here without a gap.
     #[serde(rename = "PartTaken")]
-    ChunkResponse { transfer: u64, upto: u64, sent: u64 },
+    ChunkResponse { transfer_id: u64, received: u64, sent_at: u64 },
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    pub last: (Term, LogIndex),
+    pub last_included: LogPosition,
     pub members: Vec<Member>,
     pub state: ByteBuf,
 }
--- a/src/raft/node.rs
+++ b/src/raft/node.rs
@@ -2,7 +2,8 @@
 use crate::base::ids::{LogIndex, MemberId, Term};
 use crate::base::time::Tick;
 use crate::net::rpc::raft_messages::{
-    EntryPayload, JoinResponse, LogEntry, Member, RaftMessage, RaftMessageKind, Snapshot,
+    EntryPayload, JoinResponse, LogEntry, LogPosition, Member, RaftMessage, RaftMessageKind,
+    Snapshot,
 };
 use crate::net::rpc::{FIRST_LAYOUT, PARTS_LAYOUT, pack, unpack};
 use crate::state_machine::STATE_LAYOUT;
@@ -88,7 +89,7 @@
 /// The answer to a leader of an term that has passed. It tells of no time: the asker may lead
 /// this term by now, and may have been started anew since, with another clock.
 const OUTDATED: RaftMessageKind =
-    RaftMessageKind::AppendResponse { upto: LogIndex(0), ok: false, sent: 0 };
+    RaftMessageKind::AppendResponse { match_index: LogIndex(0), success: false, sent_at: 0 };
 
 #[derive(Clone, Debug)]
 struct Progress {
@@ -205,7 +206,7 @@
 
 /// The list of members, if that is what an entry holds.
 pub(crate) fn listed(entry: &LogEntry) -> Option<&Vec<Member>> {
-    match &entry.body {
+    match &entry.payload {
         EntryPayload::Membership(members) => Some(members),
         _ => None,
     }
@@ -213,7 +214,7 @@
 
 /// About how many bytes an entry takes.
 fn size(entry: &LogEntry) -> usize {
-    match &entry.body {
+    match &entry.payload {
         EntryPayload::Command(bytes) => 32 + bytes.len(),
         _ => 512,
     }
@@ -274,7 +275,7 @@
 
 impl RaftNode {
     pub fn new(kept: PersistentState, restarted: bool, now: Tick, spread: fn() -> u64) -> Self {
-        let commit = kept.snapshot.last.1;
+        let commit = kept.snapshot.last_included.index;
         let returning = restarted && kept.last_led_term == Some(kept.term);
         let quiet = restarted && !returning;
         let mut raft = Self {
@@ -308,7 +309,7 @@
             message_validator: |_| Ok(()),
             unreadable_message: None,
         };
-        raft.durable = raft.last_position().1;
+        raft.durable = raft.last_position().index;
         raft.reload_members();
         raft.reset_election_timeout(now);
         if quiet {
@@ -321,18 +322,18 @@
         raft
     }
 
-    pub fn last_position(&self) -> (Term, LogIndex) {
-        self.state.log.last().map_or(self.state.snapshot.last, |e| (e.term, e.index))
+    pub fn last_position(&self) -> LogPosition {
+        self.state.log.last().map_or(self.state.snapshot.last_included, |e| e.position())
     }
     fn term_at(&self, index: LogIndex) -> Option<Term> {
-        let base = self.state.snapshot.last;
-        if index == base.1 {
-            return Some(base.0);
+        let base = self.state.snapshot.last_included;
+        if index == base.index {
+            return Some(base.term);
         }
         self.offset_of(index).map(|at| self.state.log[at].term)
     }
     fn offset_of(&self, index: LogIndex) -> Option<usize> {
-        let at = index.0.checked_sub(self.state.snapshot.last.1.0 + 1)? as usize;
+        let at = index.0.checked_sub(self.state.snapshot.last_included.index.0 + 1)? as usize;
         (at < self.state.log.len()).then_some(at)
     }
     pub fn members(&self) -> &[Member] {
@@ -509,7 +510,12 @@
         let led = self.state.last_led_term.is_some_and(|l| l.0 + 1 == term.0);
         for id in self.voters() {
             if id != self.state.member_id {
-                let kind = RaftMessageKind::RequestVote { trial, handover, led, last };
+                let kind = RaftMessageKind::RequestVote {
+                    pre_vote: trial,
+                    leadership_transfer: handover,
+                    led_previous_term: led,
+                    last_log: last,
+                };
                 self.outbox.push((id, RaftMessage { from: self.state.member_id, term, kind }));
             }
         }
@@ -526,8 +532,7 @@
         if trial {
             return self.campaign(false, handover, now);
         }
-        let (_, last) = self.last_position();
-        let opened = LogIndex(last.0 + 1);
+        let opened = LogIndex(self.last_position().index.0 + 1);
         self.role = RaftRole::Leader { opened, since: now };
         self.leader = Some(self.state.member_id);
         self.state.last_led_term = Some(self.state.term);
@@ -550,12 +555,12 @@
         Some(self.append_entry(body, now))
     }
     fn append_entry(&mut self, body: EntryPayload, now: Tick) -> LogIndex {
-        let index = LogIndex(self.last_position().1.0 + 1);
+        let index = LogIndex(self.last_position().index.0 + 1);
         if let EntryPayload::Membership(members) = &body {
             self.members = members.clone();
             self.relisted = now;
         }
-        self.state.log.push(LogEntry { term: self.state.term, index, body });
+        self.state.log.push(LogEntry { term: self.state.term, index, payload: body });
         self.unsaved.mark_log(index);
         let others = self.other_members();
         let gone = self.peers.iter().filter(|(id, _)| !others.contains(id));
@@ -596,28 +601,32 @@
     /// Sends a member what it lacks, as far as it may be under way at once; a heartbeat goes in any
     /// case.
     fn send_append(&mut self, id: MemberId, heartbeat: bool, now: Tick) {
-        let (base, sent, commit) = (self.state.snapshot.last, now.0, self.commit_index);
+        let (base, sent, commit) = (self.state.snapshot.last_included, now.0, self.commit_index);
         let Some(progress) = self.peers.get_mut(&id) else {
             return;
         };
         let layout = self.layouts.get(&id).copied();
         let parts = layout.is_some_and(|l| l >= PARTS_LAYOUT);
-        if progress.transfer.as_ref().is_some_and(|t| t.then <= base.1) {
+        if progress.transfer.as_ref().is_some_and(|t| t.then <= base.index) {
             // The log has been folded over what comes after it: a newer snapshot is needed anyway.
             progress.transfer = None;
             progress.next = LogIndex(1);
         }
         // The beginning of all logs is agreed on by everybody.
-        let previous = (Term(0), LogIndex(0));
-        let only_heartbeat =
-            RaftMessageKind::AppendEntries { previous, entries: Vec::new(), commit, sent };
+        let previous = LogPosition::default();
+        let only_heartbeat = RaftMessageKind::AppendEntries {
+            previous,
+            entries: Vec::new(),
+            commit_index: commit,
+            sent_at: sent,
+        };
         if progress.transfer.is_some() {
             if heartbeat {
                 self.send(id, only_heartbeat);
             }
             return;
         }
-        if progress.next <= base.1 {
+        if progress.next <= base.index {
             // Of an older program it is not known what it would do with a state that it can't read:
             // it gets what is in the log, and this once it is exchanged.
             let newer = self.state.snapshot.state.first() == Some(&STATE_LAYOUT);
@@ -632,11 +641,11 @@
                 }
                 Some(_) => {}
             }
-            progress.resume_from(LogIndex(base.1.0 + 1));
+            progress.resume_from(LogIndex(base.index.0 + 1));
             let snapshot = self.state.snapshot.clone();
-            let kind = RaftMessageKind::InstallSnapshot { snapshot, sent };
+            let kind = RaftMessageKind::InstallSnapshot { snapshot, sent_at: sent };
             return match parts {
-                true => self.start_chunked_send(id, &kind, Some(base.1), now),
+                true => self.start_chunked_send(id, &kind, Some(base.index), now),
                 false => self.send(id, kind),
             };
         }
@@ -645,7 +654,7 @@
         let Some(term) = self.term_at(before) else {
             return;
         };
-        let at = |index: LogIndex| (index.0.saturating_sub(base.1.0 + 1)) as usize;
+        let at = |index: LogIndex| (index.0.saturating_sub(base.index.0 + 1)) as usize;
         let under_way = self.state.log.get(at(flying)..at(next)).unwrap_or_default();
         let taken: usize = under_way.iter().map(size).sum();
         let mut room = FLIGHT_BYTES.saturating_sub(taken);
@@ -666,8 +675,12 @@
         if large && layout.is_none() {
             return self.send(id, only_heartbeat);
         }
-        let kind =
-            RaftMessageKind::AppendEntries { previous: (term, before), entries, commit, sent };
+        let kind = RaftMessageKind::AppendEntries {
+            previous: LogPosition { term, index: before },
+            entries,
+            commit_index: commit,
+            sent_at: sent,
+        };
         if let Some(progress) = self.peers.get_mut(&id) {
             progress.next = next;
         }
@@ -705,11 +718,11 @@
         let (from, size) = (transfer.offset, transfer.bytes.len());
         let part = &transfer.bytes[from..size.min(from + transfer.part)];
         let kind = RaftMessageKind::Chunk {
-            transfer: transfer.id,
-            size: size as u64,
+            transfer_id: transfer.id,
+            total_size: size as u64,
             offset: from as u64,
             bytes: ByteBuf::from(part),
-            sent: now.0,
+            sent_at: now.0,
         };
         self.send(id, kind);
     }
@@ -772,7 +785,10 @@
         // Known to be taken from here on, but not kept any longer.
         let whole =
             (fits && arriving.upto == arriving.size).then(|| std::mem::take(&mut arriving.bytes));
-        self.send(from, RaftMessageKind::ChunkResponse { transfer, upto, sent });
+        self.send(
+            from,
+            RaftMessageKind::ChunkResponse { transfer_id: transfer, received: upto, sent_at: sent },
+        );
         match unpack::<RaftMessageKind>(&whole?) {
             Ok(
                 kind @ (RaftMessageKind::AppendEntries { .. }
@@ -796,13 +812,18 @@
             | RaftMessageKind::AppendResponse { .. }
             | RaftMessageKind::ChunkResponse { .. }
                 if !self.members.is_empty() && !self.members.iter().any(|m| m.id == from) => {}
-            RaftMessageKind::RequestVote { trial, handover, led, last } => {
+            RaftMessageKind::RequestVote {
+                pre_vote: trial,
+                leadership_transfer: handover,
+                led_previous_term: led,
+                last_log: last,
+            } => {
                 // One that led the newest term known here leads no more: there is nobody left
                 // that a vote could harm. Leaders before it lost their quorum when it won.
                 let free = handover || (led && term > self.state.term);
                 self.handle_request_vote(from, term, trial, free, last, now)
             }
-            RaftMessageKind::VoteResponse { trial, granted } => {
+            RaftMessageKind::VoteResponse { pre_vote: trial, granted } => {
                 if !granted && term > self.state.term {
                     self.advance_term(term);
                     return self.become_follower(None, now);
@@ -817,12 +838,22 @@
                     self.count_votes(now);
                 }
             }
-            RaftMessageKind::AppendEntries { previous, entries, commit, sent } => {
+            RaftMessageKind::AppendEntries {
+                previous,
+                entries,
+                commit_index: commit,
+                sent_at: sent,
+            } => {
                 if !self.accept_leader(from, term, now) {
                     return self.send(from, OUTDATED);
                 }
                 let heartbeat = entries.is_empty();
-                let kind = RaftMessageKind::AppendEntries { previous, entries, commit, sent };
+                let kind = RaftMessageKind::AppendEntries {
+                    previous,
+                    entries,
+                    commit_index: commit,
+                    sent_at: sent,
+                };
                 if self.is_unreadable(&kind) {
                     return;
                 }
@@ -832,21 +863,28 @@
                     self.commit_index = self.commit_index.max(commit.min(upto));
                     self.acknowledge(from, upto, sent, heartbeat);
                 } else {
-                    self.send(from, RaftMessageKind::AppendResponse { upto, ok, sent });
+                    self.send(
+                        from,
+                        RaftMessageKind::AppendResponse {
+                            match_index: upto,
+                            success: ok,
+                            sent_at: sent,
+                        },
+                    );
                 }
             }
-            RaftMessageKind::InstallSnapshot { snapshot, sent } => {
+            RaftMessageKind::InstallSnapshot { snapshot, sent_at: sent } => {
                 if !self.accept_leader(from, term, now) {
                     return self.send(from, OUTDATED);
                 }
-                let upto = snapshot.last.1;
-                let kind = RaftMessageKind::InstallSnapshot { snapshot, sent };
+                let upto = snapshot.last_included.index;
+                let kind = RaftMessageKind::InstallSnapshot { snapshot, sent_at: sent };
                 if self.is_unreadable(&kind) {
                     return;
                 }
                 let RaftMessageKind::InstallSnapshot { snapshot, .. } = kind else { return };
                 if upto > self.commit_index {
-                    if self.term_at(upto) == Some(snapshot.last.0) {
+                    if self.term_at(upto) == Some(snapshot.last_included.term) {
                         self.state.log.retain(|e| e.index > upto);
                     } else {
                         self.state.log.clear();
@@ -860,7 +898,7 @@
                 }
                 self.acknowledge(from, upto, sent, false);
             }
-            RaftMessageKind::AppendResponse { upto, ok, sent } => {
+            RaftMessageKind::AppendResponse { match_index: upto, success: ok, sent_at: sent } => {
                 if term > self.state.term {
                     self.advance_term(term);
                     return self.become_follower(None, now);
@@ -869,7 +907,7 @@
                     return;
                 }
                 self.layouts.entry(from).or_insert(FIRST_LAYOUT);
-                let last = self.last_position().1;
+                let last = self.last_position().index;
                 let Some(progress) = self.peers.get_mut(&from) else {
                     return;
                 };
@@ -912,7 +950,13 @@
                     self.send_append(from, true, now);
                 }
             }
-            RaftMessageKind::Chunk { transfer, size, offset, bytes, sent } => {
+            RaftMessageKind::Chunk {
+                transfer_id: transfer,
+                total_size: size,
+                offset,
+                bytes,
+                sent_at: sent,
+            } => {
                 if !self.accept_leader(from, term, now) {
                     return self.send(from, OUTDATED);
                 }
@@ -921,7 +965,11 @@
                     self.step(RaftMessage { from, term, kind }, now);
                 }
             }
-            RaftMessageKind::ChunkResponse { transfer, upto, sent } => {
+            RaftMessageKind::ChunkResponse {
+                transfer_id: transfer,
+                received: upto,
+                sent_at: sent,
+            } => {
                 if self.is_leader() && term == self.state.term {
                     self.handle_chunk_response(from, transfer, upto, sent, now);
                 }
@@ -954,12 +1002,15 @@
             }
         }
         let upto = upto.min(self.durable);
-        self.send(leader, RaftMessageKind::AppendResponse { upto, ok: true, sent });
+        self.send(
+            leader,
+            RaftMessageKind::AppendResponse { match_index: upto, success: true, sent_at: sent },
+        );
     }
     /// The disk has everything up to this entry, if it is still the one in the log.
-    pub fn log_persisted(&mut self, last: (Term, LogIndex)) {
-        if self.term_at(last.1) == Some(last.0) {
-            self.durable = self.durable.max(last.1);
+    pub fn log_persisted(&mut self, last: LogPosition) {
+        if self.term_at(last.index) == Some(last.term) {
+            self.durable = self.durable.max(last.index);
         }
         self.advance_commit_index();
         if let Some((leader, upto, sent)) = self.owed
@@ -969,7 +1020,10 @@
                 self.owed = None;
             }
             let upto = upto.min(self.durable);
-            self.send(leader, RaftMessageKind::AppendResponse { upto, ok: true, sent });
+            self.send(
+                leader,
+                RaftMessageKind::AppendResponse { match_index: upto, success: true, sent_at: sent },
+            );
         }
     }
     /// While the disk is in trouble, another should lead.
@@ -997,7 +1051,7 @@
         term: Term,
         trial: bool,
         free: bool,
-        last: (Term, LogIndex),
+        last: LogPosition,
         now: Tick,
     ) {
         let followed = self.heard.is_some_and(|t| now.since(t) < ELECTION_MIN_MS)
@@ -1006,15 +1060,16 @@
             return;
         }
         if term < self.state.term || (trial && term <= self.state.term) {
-            return self.send(from, RaftMessageKind::VoteResponse { trial, granted: false });
+            return self
+                .send(from, RaftMessageKind::VoteResponse { pre_vote: trial, granted: false });
         }
         let current = last >= self.last_position();
         if trial {
             if current {
-                let kind = RaftMessageKind::VoteResponse { trial, granted: true };
+                let kind = RaftMessageKind::VoteResponse { pre_vote: trial, granted: true };
                 self.outbox.push((from, RaftMessage { from: self.state.member_id, term, kind }));
             } else {
-                self.send(from, RaftMessageKind::VoteResponse { trial, granted: false });
+                self.send(from, RaftMessageKind::VoteResponse { pre_vote: trial, granted: false });
             }
             return;
         }
@@ -1029,23 +1084,19 @@
             self.unsaved.hard_state = true;
             self.reset_election_timeout(now);
         }
-        self.send(from, RaftMessageKind::VoteResponse { trial, granted });
+        self.send(from, RaftMessageKind::VoteResponse { pre_vote: trial, granted });
     }
 
-    fn append_to_log(
-        &mut self,
-        previous: (Term, LogIndex),
-        entries: Vec<LogEntry>,
-    ) -> (bool, LogIndex) {
-        let base = self.state.snapshot.last.1;
-        let agreed = previous.1 < base || self.term_at(previous.1) == Some(previous.0);
+    fn append_to_log(&mut self, previous: LogPosition, entries: Vec<LogEntry>) -> (bool, LogIndex) {
+        let base = self.state.snapshot.last_included.index;
+        let agreed = previous.index < base || self.term_at(previous.index) == Some(previous.term);
         if !agreed {
-            let hint = LogIndex(previous.1.0.saturating_sub(1))
-                .min(self.last_position().1)
+            let hint = LogIndex(previous.index.0.saturating_sub(1))
+                .min(self.last_position().index)
                 .max(self.commit_index);
             return (false, hint);
         }
-        let upto = LogIndex(previous.1.0 + entries.len() as u64);
+        let upto = LogIndex(previous.index.0 + entries.len() as u64);
         let mut relisted = false;
         for entry in entries {
             if entry.index <= base {
@@ -1127,8 +1178,9 @@
             .find_map(listed)
             .unwrap_or(&self.state.snapshot.members)
             .clone();
-        let last = (self.state.log[at].term, applied);
-        self.state.snapshot = Snapshot { last, members, state: ByteBuf::from(state()) };
+        let last = self.state.log[at].position();
+        self.state.snapshot =
+            Snapshot { last_included: last, members, state: ByteBuf::from(state()) };
         self.state.log.drain(..=at);
         self.unsaved.snapshot = true;
         self.unsaved.mark_log(LogIndex(0));
@@ -1157,7 +1209,7 @@
             return;
         };
         let late = now.since(since) >= HAND_OVER_MS / 2;
-        let least = if late { self.commit_index } else { self.last_position().1 };
+        let least = if late { self.commit_index } else { self.last_position().index };
         let fits = |p: &Progress| p.matched >= least && now.since(p.acked) < QUORUM_FRESH_MS;
         let voters = self.voters();
         let best = self
--- a/src/raft/persister.rs
+++ b/src/raft/persister.rs
@@ -1,7 +1,7 @@
 //! Holds back what must not leave before a write has reached the disk.
-use crate::base::ids::{LogIndex, MemberId, Term};
+use crate::base::ids::MemberId;
 use crate::base::time::Tick;
-use crate::net::rpc::raft_messages::{RaftMessage, RaftMessageKind};
+use crate::net::rpc::raft_messages::{LogPosition, RaftMessage, RaftMessageKind};
 use crate::raft::node::{RaftNode, UnsavedChanges};
 use crate::raft::storage::WriteBatch;
 use std::collections::VecDeque;
@@ -25,7 +25,7 @@
 
 struct UnderWay {
     dirty: UnsavedChanges,
-    last: (Term, LogIndex),
+    last: LogPosition,
     since: Tick,
 }
 
@@ -42,8 +42,8 @@
         for (to, message) in raft.outbox.drain(..) {
             let trial = matches!(
                 message.kind,
-                RaftMessageKind::RequestVote { trial: true, .. }
-                    | RaftMessageKind::VoteResponse { trial: true, .. }
+                RaftMessageKind::RequestVote { pre_vote: true, .. }
+                    | RaftMessageKind::VoteResponse { pre_vote: true, .. }
             );
             match behind {
                 Some(number) if !trial => self.held.push_back((number, to, message)),
--- a/src/raft/storage.rs
+++ b/src/raft/storage.rs
@@ -197,7 +197,7 @@
         let mut rows = db.prepare("SELECT body FROM log ORDER BY place").map_err(disk)?;
         for body in rows.query_map([], |r| r.get::<_, Vec<u8>>(0)).map_err(disk)? {
             let entry: LogEntry = unpack(&body.map_err(disk)?).map_err(broken)?;
-            let expected = log.last().map_or(snapshot.last.1.0, |e| e.index.0) + 1;
+            let expected = log.last().map_or(snapshot.last_included.index.0, |e| e.index.0) + 1;
             if entry.index.0 != expected {
                 return Err(Fatal::State(format!(
                     "damaged, left as it is: entry {expected} is missing"
--- a/src/simulation/world.rs
+++ b/src/simulation/world.rs
@@ -352,7 +352,8 @@
         let tick = Tick(now + machine.ahead);
         let started = kept.and_then(|(kept, again)| {
             machine.me = kept.member_id;
-            (machine.checked, machine.applied) = (kept.snapshot.last.1, kept.snapshot.last.1);
+            (machine.checked, machine.applied) =
+                (kept.snapshot.last_included.index, kept.snapshot.last_included.index);
             let settings = machine.settings.clone();
             Controller::new(settings, kept, again, draw, Queue::default(), tick)
                 .map_err(|e| e.to_string())
--- a/src/state_machine/mod.rs
+++ b/src/state_machine/mod.rs
@@ -97,10 +97,11 @@
 
 /// The state that a snapshot holds; the empty one at the beginning of all logs.
 pub(crate) fn read_state(snapshot: &Snapshot) -> Result<StateMachine, String> {
-    if snapshot.state.is_empty() && snapshot.last.1 == LogIndex(0) {
+    if snapshot.state.is_empty() && snapshot.last_included.index == LogIndex(0) {
         return Ok(StateMachine::default());
     }
-    let unreadable = |e| format!("the snapshot at entry {} can't be read: {e}", snapshot.last.1);
+    let unreadable =
+        |e| format!("the snapshot at entry {} can't be read: {e}", snapshot.last_included.index);
     let state_machine =
         StateMachine::read(&snapshot.state).map_err(|e| unreadable(e.to_string()))?;
     state_machine.configuration().map_err(unreadable)?;
@@ -108,7 +109,7 @@
 }
 
 fn read_entries(entries: &[LogEntry]) -> Result<(), String> {
-    entries.iter().try_for_each(|entry| match &entry.body {
+    entries.iter().try_for_each(|entry| match &entry.payload {
         EntryPayload::Command(bytes) => read_change(entry.index, bytes).map(drop),
         _ => Ok(()),
     })
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -17,7 +17,8 @@
     ToController, ToPooler,
 };
 use silvertack::net::rpc::raft_messages::{
-    EntryPayload, JoinResponse, LogEntry, Member, RaftMessage, RaftMessageKind, Snapshot,
+    EntryPayload, JoinResponse, LogEntry, LogPosition, Member, RaftMessage, RaftMessageKind,
+    Snapshot,
 };
 use silvertack::net::rpc::{Frame, encode, pack, receive_with_layout, unpack};
 use silvertack::raft::node::PersistentState;
@@ -48,7 +49,7 @@
     vec![member(5, true, true), member(6, false, true), member(7, false, false)]
 }
 fn entry(term: u64, index: u64, body: EntryPayload) -> LogEntry {
-    LogEntry { term: Term(term), index: LogIndex(index), body }
+    LogEntry { term: Term(term), index: LogIndex(index), payload: body }
 }
 fn bytes(of: &[u8]) -> ByteBuf {
     ByteBuf::from(of.to_vec())
@@ -117,11 +118,11 @@
 /// Every variant of what is said on the peer port, with other values in each field.
 fn frames() -> Vec<Frame> {
     let (s, t) = (ServiceName::from("s"), ServiceName::from("t"));
-    let ask = |trial, handover, led| RaftMessageKind::RequestVote {
-        trial,
-        handover,
-        led,
-        last: (Term(41), LogIndex(42)),
+    let ask = |pre_vote, leadership_transfer, led_previous_term| RaftMessageKind::RequestVote {
+        pre_vote,
+        leadership_transfer,
+        led_previous_term,
+        last_log: LogPosition::new(Term(41), LogIndex(42)),
     };
     let entries = vec![
         entry(43, 44, EntryPayload::NoOp),
@@ -132,33 +133,33 @@
         ask(true, false, false),
         ask(false, true, false),
         ask(false, false, true),
-        RaftMessageKind::VoteResponse { trial: true, granted: false },
-        RaftMessageKind::VoteResponse { trial: false, granted: true },
+        RaftMessageKind::VoteResponse { pre_vote: true, granted: false },
+        RaftMessageKind::VoteResponse { pre_vote: false, granted: true },
         RaftMessageKind::AppendEntries {
-            previous: (Term(51), LogIndex(52)),
+            previous: LogPosition::new(Term(51), LogIndex(52)),
             entries,
-            commit: LogIndex(53),
-            sent: 1 << 40,
+            commit_index: LogIndex(53),
+            sent_at: 1 << 40,
         },
-        RaftMessageKind::AppendResponse { upto: LogIndex(54), ok: true, sent: 55 },
-        RaftMessageKind::AppendResponse { upto: LogIndex(56), ok: false, sent: 57 },
+        RaftMessageKind::AppendResponse { match_index: LogIndex(54), success: true, sent_at: 55 },
+        RaftMessageKind::AppendResponse { match_index: LogIndex(56), success: false, sent_at: 57 },
         RaftMessageKind::InstallSnapshot {
             snapshot: Snapshot {
-                last: (Term(61), LogIndex(62)),
+                last_included: LogPosition::new(Term(61), LogIndex(62)),
                 members: members(),
                 state: bytes(&[3, 0, 255]),
             },
-            sent: 63,
+            sent_at: 63,
         },
         RaftMessageKind::TimeoutNow,
         RaftMessageKind::Chunk {
-            transfer: 71,
-            size: 72,
+            transfer_id: 71,
+            total_size: 72,
             offset: 73,
             bytes: bytes(&[9, 8]),
-            sent: 74,
+            sent_at: 74,
         },
-        RaftMessageKind::ChunkResponse { transfer: 75, upto: 76, sent: 77 },
+        RaftMessageKind::ChunkResponse { transfer_id: 75, received: 76, sent_at: 77 },
     ];
     let raft = |kind| Frame::Raft {
         to: MemberId(11),
@@ -267,27 +268,39 @@
 /// As `==` has it; only so that each field is named.
 fn same_kind(a: &RaftMessageKind, b: &RaftMessageKind) -> bool {
     let again = match a.clone() {
-        RaftMessageKind::RequestVote { trial, handover, led, last } => {
-            RaftMessageKind::RequestVote { trial, handover, led, last }
-        }
-        RaftMessageKind::VoteResponse { trial, granted } => {
-            RaftMessageKind::VoteResponse { trial, granted }
-        }
-        RaftMessageKind::AppendEntries { previous, entries, commit, sent } => {
-            RaftMessageKind::AppendEntries { previous, entries, commit, sent }
+        RaftMessageKind::RequestVote {
+            pre_vote,
+            leadership_transfer,
+            led_previous_term,
+            last_log,
+        } => RaftMessageKind::RequestVote {
+            pre_vote,
+            leadership_transfer,
+            led_previous_term,
+            last_log,
+        },
+        RaftMessageKind::VoteResponse { pre_vote, granted } => {
+            RaftMessageKind::VoteResponse { pre_vote, granted }
         }
-        RaftMessageKind::AppendResponse { upto, ok, sent } => {
-            RaftMessageKind::AppendResponse { upto, ok, sent }
+        RaftMessageKind::AppendEntries { previous, entries, commit_index, sent_at } => {
+            RaftMessageKind::AppendEntries { previous, entries, commit_index, sent_at }
         }
-        RaftMessageKind::InstallSnapshot { snapshot: Snapshot { last, members, state }, sent } => {
-            RaftMessageKind::InstallSnapshot { snapshot: Snapshot { last, members, state }, sent }
+        RaftMessageKind::AppendResponse { match_index, success, sent_at } => {
+            RaftMessageKind::AppendResponse { match_index, success, sent_at }
         }
+        RaftMessageKind::InstallSnapshot {
+            snapshot: Snapshot { last_included, members, state },
+            sent_at,
+        } => RaftMessageKind::InstallSnapshot {
+            snapshot: Snapshot { last_included, members, state },
+            sent_at,
+        },
         RaftMessageKind::TimeoutNow => RaftMessageKind::TimeoutNow,
-        RaftMessageKind::Chunk { transfer, size, offset, bytes, sent } => {
-            RaftMessageKind::Chunk { transfer, size, offset, bytes, sent }
+        RaftMessageKind::Chunk { transfer_id, total_size, offset, bytes, sent_at } => {
+            RaftMessageKind::Chunk { transfer_id, total_size, offset, bytes, sent_at }
         }
-        RaftMessageKind::ChunkResponse { transfer, upto, sent } => {
-            RaftMessageKind::ChunkResponse { transfer, upto, sent }
+        RaftMessageKind::ChunkResponse { transfer_id, received, sent_at } => {
+            RaftMessageKind::ChunkResponse { transfer_id, received, sent_at }
         }
     };
     again == *b
@@ -661,7 +674,7 @@
         last_led_term: Some(Term(230)),
         log,
         snapshot: Snapshot {
-            last: (Term(231), LogIndex(232)),
+            last_included: LogPosition::new(Term(231), LogIndex(232)),
             members: members(),
             state: ByteBuf::from(state().write()),
         },
@@ -737,7 +750,7 @@
     let mut again = PersistentState { log: Vec::new(), ..read.clone() };
     for (entry, made) in read.log.iter().zip(&made.log) {
         let mut entry = entry.clone();
-        if let EntryPayload::Command(bytes) = &mut entry.body {
+        if let EntryPayload::Command(bytes) = &mut entry.payload {
             let change = unpack::<Command>(bytes).expect("a change");
             assert_eq!(state_machine.apply(&change), CommandOutcome::Applied, "{change:?}");
             *bytes = ByteBuf::from(pack(&change));
@@ -770,7 +783,7 @@
     let mut names = Vec::new();
     for entry in &kept.log {
         found.extend(Names::of(&pack(entry)));
-        if let EntryPayload::Command(bytes) = &entry.body {
+        if let EntryPayload::Command(bytes) = &entry.payload {
             found.extend(Names::of(bytes).into_iter().map(|name| format!("Change {name}")));
             names.push(name(&unpack::<Command>(bytes).expect("a change")));
         }
--- a/tests/configuration_changes.rs
+++ b/tests/configuration_changes.rs
@@ -5,7 +5,7 @@
 use silvertack::controller::admin_api::{AdminCall, CallDecision};
 use silvertack::controller::linearizable_reads::{LinearizableReads, PendingProposals};
 use silvertack::net::rpc::raft_messages::{
-    EntryPayload, Member, RaftMessage, RaftMessageKind, Snapshot,
+    EntryPayload, LogPosition, Member, RaftMessage, RaftMessageKind, Snapshot,
 };
 use silvertack::net::rpc::{pack, unpack};
 use silvertack::raft::node::{PersistentState, RaftNode, UnsavedChanges};
@@ -72,7 +72,7 @@
             true => StateMachine::default(),
             false => StateMachine::read(state).expect("state"),
         };
-        let applied = kept.snapshot.last.1;
+        let applied = kept.snapshot.last_included.index;
         let raft = RaftNode::new(kept, restarted, now, spread);
         let (reads, proposed) = (LinearizableReads::default(), PendingProposals::default());
         Self { raft, state_machine, applied, reads, proposed }
@@ -97,15 +97,15 @@
     /// Applies what is committed and gives the answers that are due.
     fn turn(&mut self, now: Tick) -> Vec<(u32, u16, Vec<u8>)> {
         let mut answers = Vec::new();
-        if self.raft.state.snapshot.last.1 > self.applied {
+        if self.raft.state.snapshot.last_included.index > self.applied {
             self.state_machine =
                 StateMachine::read(&self.raft.state.snapshot.state).expect("state");
-            self.applied = self.raft.state.snapshot.last.1;
+            self.applied = self.raft.state.snapshot.last_included.index;
         }
         for entry in self.raft.committed_entries_after(self.applied) {
             self.applied = entry.index;
             let caller = self.proposed.take(&entry);
-            if let EntryPayload::Command(bytes) = &entry.body {
+            if let EntryPayload::Command(bytes) = &entry.payload {
                 let effect = self.state_machine.apply(&unpack(bytes).expect("change"));
                 let status = match effect {
                     CommandOutcome::Applied | CommandOutcome::NoChange => 200,
@@ -405,21 +405,24 @@
     // The message of an term that has passed comes out of a socket at last.
     let raft = &mut site.nodes.get_mut(&follower).expect("follower").raft;
     let late = RaftMessageKind::AppendEntries {
-        previous: (Term(0), LogIndex(0)),
+        previous: LogPosition::new(Term(0), LogIndex(0)),
         entries: Vec::new(),
-        commit: LogIndex(0),
-        sent: now.0 + 600_000,
+        commit_index: LogIndex(0),
+        sent_at: now.0 + 600_000,
     };
     raft.step(RaftMessage { from: MemberId(leader), term: Term(0), kind: late }, now);
     let (_, answer) = raft.outbox.pop().expect("it is told that it is late");
     assert!(
-        matches!(answer.kind, RaftMessageKind::AppendResponse { ok: false, sent: 0, .. }),
+        matches!(answer.kind, RaftMessageKind::AppendResponse { success: false, sent_at: 0, .. }),
         "{answer:?}"
     );
     // Nor does a leader believe such an answer, whoever gave it.
     let raft = &mut site.nodes.get_mut(&leader).expect("leader").raft;
-    let kind =
-        RaftMessageKind::AppendResponse { upto: LogIndex(0), ok: false, sent: now.0 + 600_000 };
+    let kind = RaftMessageKind::AppendResponse {
+        match_index: LogIndex(0),
+        success: false,
+        sent_at: now.0 + 600_000,
+    };
     let term = raft.state.term;
     raft.step(RaftMessage { from: MemberId(follower), term, kind }, now);
     site.cut.extend((1..=3).filter(|id| *id != leader));
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -13,7 +13,9 @@
     LeaseGrant, ObservedPosition, PositionBound, PrimaryStatus, SuspicionReason, ToController,
     ToPooler,
 };
-use silvertack::net::rpc::raft_messages::{Member, RaftMessage, RaftMessageKind, Snapshot};
+use silvertack::net::rpc::raft_messages::{
+    LogPosition, Member, RaftMessage, RaftMessageKind, Snapshot,
+};
 use silvertack::net::rpc::{Frame, receive};
 use silvertack::net::statement_protocol::ServerDescription;
 use silvertack::raft::node::{PersistentState, RaftNode, UnsavedChanges};
@@ -460,7 +462,7 @@
             can_vote: true,
         };
         let snapshot = Snapshot {
-            last: (Term(1), LogIndex(5)),
+            last_included: LogPosition::new(Term(1), LogIndex(5)),
             members: (1..=voters).map(member).collect(),
             state: serde_bytes::ByteBuf::from(state_machine.write()),
         };
@@ -871,9 +873,14 @@
 #[test]
 fn a_message_counts_only_for_the_member_that_it_is_for() {
     let message = || {
-        let previous = (Term(0), LogIndex(0));
+        let previous = LogPosition::new(Term(0), LogIndex(0));
         let (entries, commit, sent) = (Vec::new(), LogIndex(0), 0);
-        let kind = RaftMessageKind::AppendEntries { previous, entries, commit, sent };
+        let kind = RaftMessageKind::AppendEntries {
+            previous,
+            entries,
+            commit_index: commit,
+            sent_at: sent,
+        };
         Box::new(RaftMessage { from: MemberId(2), term: Term(99), kind })
     };
     for (to, heard) in [(1, true), (2, false), (9, false)] {
@@ -893,9 +900,10 @@
     leader.controller.take(Input::Http(order, reply), leader.now);
     leader.turn();
     assert!(answer.try_recv().is_err(), "it waits for the quorum");
-    let previous = (Term(0), LogIndex(0));
+    let previous = LogPosition::new(Term(0), LogIndex(0));
     let (entries, commit, sent) = (Vec::new(), LogIndex(0), 0);
-    let kind = RaftMessageKind::AppendEntries { previous, entries, commit, sent };
+    let kind =
+        RaftMessageKind::AppendEntries { previous, entries, commit_index: commit, sent_at: sent };
     let message = Box::new(RaftMessage { from: MemberId(2), term: Term(99), kind });
     leader.controller.take(Input::Frame(0, Frame::Raft { to: MemberId(1), message }), leader.now);
     leader.turn();
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -161,7 +161,7 @@
         this.raft.tick(this.now);
         for trial in [true, false] {
             for from in 2..=voters {
-                this.hear(from, RaftMessageKind::VoteResponse { trial, granted: true });
+                this.hear(from, RaftMessageKind::VoteResponse { pre_vote: trial, granted: true });
             }
         }
         assert!(this.raft.is_leader());
@@ -173,14 +173,21 @@
         self.raft.log_persisted(self.raft.last_position());
     }
     fn hear(&mut self, from: u64, kind: RaftMessageKind) {
-        let trial = matches!(kind, RaftMessageKind::VoteResponse { trial: true, .. });
+        let trial = matches!(kind, RaftMessageKind::VoteResponse { pre_vote: true, .. });
         let term = Term(self.raft.state.term.0 + u64::from(trial));
         self.raft.step(RaftMessage { from: MemberId(from), term, kind }, self.now);
     }
     /// One says that it holds everything up to here, in answer to what was sent just now.
     fn holds(&mut self, from: u64, upto: u64) {
         let sent = self.now.0;
-        self.hear(from, RaftMessageKind::AppendResponse { upto: LogIndex(upto), ok: true, sent });
+        self.hear(
+            from,
+            RaftMessageKind::AppendResponse {
+                match_index: LogIndex(upto),
+                success: true,
+                sent_at: sent,
+            },
+        );
     }
     fn propose(&mut self) {
         self.raft.propose(EntryPayload::NoOp, self.now);
@@ -243,7 +250,7 @@
             led.wait(10);
             led.propose();
             led.raft.outbox.clear();
-            answers.push_back((led.now.plus(late), led.raft.last_position().1.0, led.now));
+            answers.push_back((led.now.plus(late), led.raft.last_position().index.0, led.now));
             while let Some((due, upto, sent)) = answers.front().copied()
                 && due <= led.now
             {
@@ -251,9 +258,9 @@
                 led.hear(
                     2,
                     RaftMessageKind::AppendResponse {
-                        upto: LogIndex(upto),
-                        ok: true,
-                        sent: sent.0,
+                        match_index: LogIndex(upto),
+                        success: true,
+                        sent_at: sent.0,
                     },
                 );
             }
@@ -335,7 +342,7 @@
     run(&mut upstreams, SYNC_MS);
     assert!(upstreams.members().iter().any(|m| m.id.0 == upstreams.sent_to.0 && m.voter));
     let raft = &upstreams.machines[at].raft;
-    let missing = raft.last_position().1.0 - last.1.0;
+    let missing = raft.last_position().index.0 - last.index.0;
     assert!(missing < 20, "it has missed a little: {missing}");
     let sent = upstreams.sent_to.1 as u64;
     assert!(sent <= 2 * missing, "{sent} entries for {missing} that it had missed");
@@ -365,7 +372,7 @@
     for (what, before, (voters, learners), acknowledge, commits) in cases {
         let mut led = Led::new(before);
         for id in 2..=before {
-            led.holds(id, led.raft.last_position().1.0);
+            led.holds(id, led.raft.last_position().index.0);
         }
         assert!(led.raft.holds_leader_lease(led.now), "{what}");
         led.wait(500);
@@ -373,7 +380,7 @@
         led.raft.propose(EntryPayload::Membership(list(voters, learners)), led.now);
         led.store();
         assert_eq!(led.raft.commit_index, commit, "{what}: its own disk alone");
-        let last = led.raft.last_position().1;
+        let last = led.raft.last_position().index;
         let read = led.raft.read_index(led.now).expect("it leads");
         led.wait(1);
         for id in acknowledge {
@@ -404,7 +411,7 @@
             let now = Tick(2_000);
             raft.tick(now);
             let vote = |raft: &mut RaftNode, id: u64, trial| {
-                let kind = RaftMessageKind::VoteResponse { trial, granted: true };
+                let kind = RaftMessageKind::VoteResponse { pre_vote: trial, granted: true };
                 raft.step(RaftMessage { from: MemberId(id), term: Term(1), kind }, now);
             };
             if !trial {
@@ -430,9 +437,9 @@
     led.raft.propose(EntryPayload::Membership(list(3, 1)), led.now);
     led.store();
     assert_eq!(wanted(&led), None, "the change is on one disk of three");
-    led.holds(4, led.raft.last_position().1.0);
+    led.holds(4, led.raft.last_position().index.0);
     assert_eq!(wanted(&led), None, "and on a learner's");
-    led.holds(2, led.raft.last_position().1.0);
+    led.holds(2, led.raft.last_position().index.0);
     assert_eq!(wanted(&led), Some(5));
     // One that hands over adds nothing to its log any more.
     led.raft.transfer_leadership(led.now);
@@ -446,7 +453,7 @@
     let mut led = Led::new(3);
     led.raft.propose(EntryPayload::Membership(list(3, 1)), led.now);
     led.store();
-    let last = led.raft.last_position().1.0;
+    let last = led.raft.last_position().index.0;
     led.holds(4, last);
     led.holds(2, last - 1);
     led.asked();
--- a/tests/power_loss.rs
+++ b/tests/power_loss.rs
@@ -40,7 +40,7 @@
         kept.log.push(LogEntry {
             term: Term(1),
             index,
-            body: EntryPayload::Command(vec![0; bytes].into()),
+            payload: EntryPayload::Command(vec![0; bytes].into()),
         });
         let dirty = UnsavedChanges { log_from: Some(index), ..UnsavedChanges::default() };
         storage.save(&WriteBatch::of(kept, &dirty)).expect("saved");
--- a/tests/raft.rs
+++ b/tests/raft.rs
@@ -5,7 +5,8 @@
 use silvertack::config::settings::Settings;
 use silvertack::net::rpc::LAYOUT;
 use silvertack::net::rpc::raft_messages::{
-    EntryPayload, JoinResponse, LogEntry, Member, RaftMessage, RaftMessageKind, Snapshot,
+    EntryPayload, JoinResponse, LogEntry, LogPosition, Member, RaftMessage, RaftMessageKind,
+    Snapshot,
 };
 use silvertack::net::send_queue::SendQueue;
 use silvertack::raft::node::{ELECTION_MIN_MS, PersistentState, RaftNode, UnsavedChanges};
@@ -119,7 +120,7 @@
         self.hedges[&id]
             .committed_entries_after(LogIndex(0))
             .iter()
-            .filter_map(|e| match &e.body {
+            .filter_map(|e| match &e.payload {
                 EntryPayload::Command(bytes) => bytes.first().copied(),
                 _ => None,
             })
@@ -209,7 +210,12 @@
     let ask = |term| RaftMessage {
         from: MemberId(other),
         term: Term(term),
-        kind: RaftMessageKind::RequestVote { trial: false, handover: false, led: false, last },
+        kind: RaftMessageKind::RequestVote {
+            pre_vote: false,
+            leadership_transfer: false,
+            led_previous_term: false,
+            last_log: last,
+        },
     };
     let now = controllers.now;
     let raft = controllers.hedges.get_mut(&voter).expect("voter");
@@ -350,10 +356,10 @@
     );
     // And whoever is in no list is not voted for.
     let ask = RaftMessageKind::RequestVote {
-        trial: false,
-        handover: true,
-        led: true,
-        last: (Term(90), LogIndex(900)),
+        pre_vote: false,
+        leadership_transfer: true,
+        led_previous_term: true,
+        last_log: LogPosition::new(Term(90), LogIndex(900)),
     };
     let raft = controllers.hedges.get_mut(&follower).expect("follower");
     let term = raft.state.term;
@@ -389,7 +395,7 @@
     let (mut storage, kept) = RaftStorage::open(&folder).expect("a new file");
     assert!(kept.is_none());
     let entry =
-        |index, term, n| LogEntry { term: Term(term), index: LogIndex(index), body: change(n) };
+        |index, term, n| LogEntry { term: Term(term), index: LogIndex(index), payload: change(n) };
     let mut kept = PersistentState { term: Term(3), voted_for: Some(MemberId(2)), ..founder(1, 3) };
     kept.log = vec![entry(1, 1, 1), entry(2, 1, 2), entry(3, 1, 3)];
     storage.save(&WriteBatch::of(&kept, &UnsavedChanges::all())).expect("saved");
@@ -454,16 +460,18 @@
     let mut persister = LogPersister::default();
     let message = |term, kind| RaftMessage { from: MemberId(1), term: Term(term), kind };
     let append = |entries, sent| RaftMessageKind::AppendEntries {
-        previous: (Term(0), LogIndex(0)),
+        previous: LogPosition::new(Term(0), LogIndex(0)),
         entries,
-        commit: LogIndex(0),
-        sent,
+        commit_index: LogIndex(0),
+        sent_at: sent,
     };
-    let entry = LogEntry { term: Term(4), index: LogIndex(1), body: change(1) };
+    let entry = LogEntry { term: Term(4), index: LogIndex(1), payload: change(1) };
     let acked = |out: &[(MemberId, RaftMessage)]| -> Vec<u64> {
         out.iter()
             .filter_map(|(_, m)| match m.kind {
-                RaftMessageKind::AppendResponse { upto, ok: true, .. } => Some(upto.0),
+                RaftMessageKind::AppendResponse { match_index: upto, success: true, .. } => {
+                    Some(upto.0)
+                }
                 _ => None,
             })
             .collect()
@@ -484,21 +492,21 @@
     assert_eq!(acked(&freed), [0], "a heartbeat's answer, as of when it came");
     assert_eq!(acked(&persister.leaving(&mut raft)), [1], "and the entry once it is there");
     // From here on only entries wait: a heartbeat is answered while the disk stalls.
-    let second = LogEntry { term: Term(4), index: LogIndex(2), body: change(2) };
-    let previous = (Term(4), LogIndex(1));
+    let second = LogEntry { term: Term(4), index: LogIndex(2), payload: change(2) };
+    let previous = LogPosition::new(Term(4), LogIndex(1));
     let kind = RaftMessageKind::AppendEntries {
         previous,
         entries: vec![second],
-        commit: LogIndex(0),
-        sent: 3,
+        commit_index: LogIndex(0),
+        sent_at: 3,
     };
     raft.step(message(4, kind), now.plus(500));
     assert!(persister.start(&mut raft, now.plus(500)).is_some());
     let kind = RaftMessageKind::AppendEntries {
-        previous: (Term(4), LogIndex(2)),
+        previous: LogPosition::new(Term(4), LogIndex(2)),
         entries: vec![],
-        commit: LogIndex(0),
-        sent: 4,
+        commit_index: LogIndex(0),
+        sent_at: 4,
     };
     raft.step(message(4, kind), now.plus(900));
     assert_eq!(acked(&persister.leaving(&mut raft)), [1]);
@@ -536,7 +544,8 @@
     let before = raft.commit_index;
     let index = raft.propose(change(1), now).expect("taken");
     let term = raft.state.term;
-    let kind = RaftMessageKind::AppendResponse { upto: index, ok: true, sent: now.0 };
+    let kind =
+        RaftMessageKind::AppendResponse { match_index: index, success: true, sent_at: now.0 };
     raft.step(RaftMessage { from: MemberId(others[0]), term, kind: kind.clone() }, now);
     assert_eq!(raft.commit_index, before, "one disk of three");
     raft.step(RaftMessage { from: MemberId(others[1]), term, kind }, now);
@@ -581,7 +590,12 @@
     {
         controllers.restart(voter);
         let raft = controllers.hedges.get_mut(&voter).expect("voter");
-        let kind = RaftMessageKind::RequestVote { trial: true, handover: false, led, last };
+        let kind = RaftMessageKind::RequestVote {
+            pre_vote: true,
+            leadership_transfer: false,
+            led_previous_term: led,
+            last_log: last,
+        };
         raft.step(RaftMessage { from: MemberId(old), term: Term(asked), kind }, now);
         assert_eq!(!raft.outbox.is_empty(), answered, "{asked} {led}");
     }
@@ -618,7 +632,7 @@
     // What the file of the journal held after each write that was confirmed.
     let mut synced = vec![std::fs::metadata(&wal).map_or(0, |m| m.len())];
     for n in 1..=3u64 {
-        kept.log.push(LogEntry { term: Term(1), index: LogIndex(n), body: change(n as u8) });
+        kept.log.push(LogEntry { term: Term(1), index: LogIndex(n), payload: change(n as u8) });
         let dirty = UnsavedChanges { log_from: Some(LogIndex(n)), ..UnsavedChanges::default() };
         storage.save(&WriteBatch::of(&kept, &dirty)).expect("saved");
         synced.push(std::fs::metadata(&wal).expect("journal").len());
@@ -657,7 +671,7 @@
     let entry = |(term, index): (&u64, u64)| LogEntry {
         term: Term(*term),
         index: LogIndex(index),
-        body: change(index as u8),
+        payload: change(index as u8),
     };
     terms.iter().zip(1..).map(entry).collect()
 }
@@ -682,7 +696,7 @@
     for trial in [true, false] {
         for id in 2..=voters {
             raft.step(
-                message(id, term, RaftMessageKind::VoteResponse { trial, granted: true }),
+                message(id, term, RaftMessageKind::VoteResponse { pre_vote: trial, granted: true }),
                 ELECTED,
             );
         }
@@ -693,7 +707,11 @@
     raft
 }
 fn appended(upto: u64) -> RaftMessageKind {
-    RaftMessageKind::AppendResponse { upto: LogIndex(upto), ok: true, sent: ELECTED.0 }
+    RaftMessageKind::AppendResponse {
+        match_index: LogIndex(upto),
+        success: true,
+        sent_at: ELECTED.0,
+    }
 }
 
 #[test]
@@ -720,7 +738,9 @@
 fn votes_of(raft: &mut RaftNode) -> Vec<(bool, bool, u64)> {
     let out = raft.outbox.drain(..);
     out.filter_map(|(_, m)| match m.kind {
-        RaftMessageKind::VoteResponse { trial, granted } => Some((trial, granted, m.term.0)),
+        RaftMessageKind::VoteResponse { pre_vote: trial, granted } => {
+            Some((trial, granted, m.term.0))
+        }
         _ => None,
     })
     .collect()
@@ -748,8 +768,13 @@
     for (what, voted, term, last, granted, after) in cases {
         let mut voter = replica(3, 5, log);
         voter.state.voted_for = voted.map(MemberId);
-        let last = (Term(last.0), LogIndex(last.1));
-        let ask = |trial| RaftMessageKind::RequestVote { trial, handover: false, led: false, last };
+        let last = LogPosition::new(Term(last.0), LogIndex(last.1));
+        let ask = |trial| RaftMessageKind::RequestVote {
+            pre_vote: trial,
+            leadership_transfer: false,
+            led_previous_term: false,
+            last_log: last,
+        };
         voter.step(message(2, term, ask(false)), ELECTED);
         assert_eq!(votes_of(&mut voter), [(false, granted, after)], "{what}");
         assert_eq!(voter.state.term, Term(after), "{what}");
@@ -767,7 +792,7 @@
         voter.step(message(2, 5, ask(true)), ELECTED);
         assert_eq!(votes_of(&mut voter), [(true, false, 5)], "{what}: pre-vote of this term");
         voter.step(message(2, 6, ask(true)), ELECTED);
-        let current = last >= (Term(3), LogIndex(3));
+        let current = last >= LogPosition::new(Term(3), LogIndex(3));
         let at = if current { 6 } else { 5 };
         assert_eq!(votes_of(&mut voter), [(true, current, at)], "{what}: pre-vote");
         assert_eq!((voter.state.term.0, voter.state.voted_for), (5, voted.map(MemberId)), "{what}");
@@ -778,10 +803,10 @@
 #[test]
 fn whoever_has_a_leader_helps_no_candidate() {
     let heartbeat = RaftMessageKind::AppendEntries {
-        previous: (Term(0), LogIndex(0)),
+        previous: LogPosition::new(Term(0), LogIndex(0)),
         entries: Vec::new(),
-        commit: LogIndex(0),
-        sent: 1,
+        commit_index: LogIndex(0),
+        sent_at: 1,
     };
     // (milliseconds since the follower heard its leader, the leader itself asked for the election,
     // whether the follower answers)
@@ -798,8 +823,13 @@
             follower.step(message(2, 5, heartbeat.clone()), ELECTED);
             store(&mut follower);
             follower.outbox.clear();
-            let last = (Term(5), LogIndex(9));
-            let ask = RaftMessageKind::RequestVote { trial, handover, led: false, last };
+            let last = LogPosition::new(Term(5), LogIndex(9));
+            let ask = RaftMessageKind::RequestVote {
+                pre_vote: trial,
+                leadership_transfer: handover,
+                led_previous_term: false,
+                last_log: last,
+            };
             follower.step(message(3, 6, ask.clone()), ELECTED.plus(since));
             let expected = if answers { vec![(trial, true, 6)] } else { vec![] };
             assert_eq!(votes_of(&mut follower), expected, "{what}");
@@ -817,8 +847,13 @@
     let mut follower = replica(3, 5, &[1]);
     follower.step(message(2, 5, heartbeat), ELECTED);
     follower.outbox.clear();
-    let last = (Term(4), LogIndex(9));
-    let ask = RaftMessageKind::RequestVote { trial: false, handover: false, led: false, last };
+    let last = LogPosition::new(Term(4), LogIndex(9));
+    let ask = RaftMessageKind::RequestVote {
+        pre_vote: false,
+        leadership_transfer: false,
+        led_previous_term: false,
+        last_log: last,
+    };
     follower.step(message(3, 5, ask), ELECTED.plus(60_000));
     assert_eq!(votes_of(&mut follower), [(false, false, 5)]);
     assert_eq!((follower.leader, follower.state.voted_for), (Some(MemberId(2)), None));
@@ -842,12 +877,14 @@
         assert_eq!(candidate.state.term, Term(5), "a pre-vote moves no term");
         // Nothing but a granted pre-vote for the next term moves it.
         for (trial, granted, term) in [(true, true, 5), (true, false, 5), (false, true, 6)] {
-            candidate
-                .step(message(2, term, RaftMessageKind::VoteResponse { trial, granted }), ELECTED);
+            candidate.step(
+                message(2, term, RaftMessageKind::VoteResponse { pre_vote: trial, granted }),
+                ELECTED,
+            );
             assert_eq!(candidate.state.term, Term(5), "{trial} {granted} {term}");
         }
         candidate.step(
-            message(2, 6, RaftMessageKind::VoteResponse { trial: true, granted: true }),
+            message(2, 6, RaftMessageKind::VoteResponse { pre_vote: true, granted: true }),
             ELECTED,
         );
         assert_eq!((candidate.state.term, candidate.state.voted_for), (Term(6), Some(MemberId(1))));
@@ -855,7 +892,10 @@
             candidate.unsaved.hard_state && !candidate.is_leader(),
             "{what}: its own vote is kept"
         );
-        candidate.step(message(3, term, RaftMessageKind::VoteResponse { trial, granted }), ELECTED);
+        candidate.step(
+            message(3, term, RaftMessageKind::VoteResponse { pre_vote: trial, granted }),
+            ELECTED,
+        );
         assert_eq!(candidate.is_leader(), leads, "{what}");
     }
     // One that hears of a later term in a refusal goes there as a follower, with its vote unspent.
@@ -863,13 +903,13 @@
         let mut raft = if leads { elected(3, 6, &[1]) } else { replica(3, 5, &[1]) };
         raft.tick(ELECTED);
         raft.step(
-            message(3, 9, RaftMessageKind::VoteResponse { trial: false, granted: false }),
+            message(3, 9, RaftMessageKind::VoteResponse { pre_vote: false, granted: false }),
             ELECTED,
         );
         assert!(!raft.is_leader());
         assert_eq!((raft.state.term, raft.state.voted_for), (Term(9), None), "leads: {leads}");
         raft.step(
-            message(2, 6, RaftMessageKind::VoteResponse { trial: true, granted: true }),
+            message(2, 6, RaftMessageKind::VoteResponse { pre_vote: true, granted: true }),
             ELECTED,
         );
         assert_eq!(raft.state.term, Term(9), "it is no candidate any more");
@@ -917,13 +957,14 @@
     for (what, (term, previous, terms, commit), log, committed, answer) in cases {
         let mut follower = replica(3, 4, &[1, 1, 2, 2]);
         let append = |previous: (u64, u64), terms: &[u64], commit| {
-            let (previous, commit) = ((Term(previous.0), LogIndex(previous.1)), LogIndex(commit));
+            let (previous, commit) =
+                (LogPosition::new(Term(previous.0), LogIndex(previous.1)), LogIndex(commit));
             let place = |entry: LogEntry| LogEntry {
-                index: LogIndex(previous.1.0 + entry.index.0),
+                index: LogIndex(previous.index.0 + entry.index.0),
                 ..entry
             };
             let entries = log_of(terms).into_iter().map(place).collect();
-            RaftMessageKind::AppendEntries { previous, entries, commit, sent: 7 }
+            RaftMessageKind::AppendEntries { previous, entries, commit_index: commit, sent_at: 7 }
         };
         follower.step(message(3, 4, append((1, 1), &[], 1)), ELECTED);
         follower.outbox.clear();
@@ -933,7 +974,11 @@
         assert_eq!(follower.commit_index, LogIndex(committed), "{what}");
         let last = follower.outbox.pop().map(|(to, m)| (to, m.term, m.kind));
         let sent = if term < 4 { 0 } else { 7 };
-        let kind = RaftMessageKind::AppendResponse { upto: LogIndex(answer.1), ok: answer.0, sent };
+        let kind = RaftMessageKind::AppendResponse {
+            match_index: LogIndex(answer.1),
+            success: answer.0,
+            sent_at: sent,
+        };
         assert_eq!(last, Some((MemberId(2), Term(4), kind)), "{what}");
         let leader = if term < 4 { 3 } else { 2 };
         assert_eq!(follower.leader, Some(MemberId(leader)), "{what}");
@@ -947,15 +992,17 @@
         log_of(terms).into_iter().map(place).collect()
     };
     let append = |previous: (u64, u64), entries| RaftMessageKind::AppendEntries {
-        previous: (Term(previous.0), LogIndex(previous.1)),
+        previous: LogPosition::new(Term(previous.0), LogIndex(previous.1)),
         entries,
-        commit: LogIndex(0),
-        sent: 7,
+        commit_index: LogIndex(0),
+        sent_at: 7,
     };
     let acknowledged = |raft: &mut RaftNode| -> Vec<(u64, u64)> {
         let out = raft.outbox.drain(..);
         out.filter_map(|(to, m)| match m.kind {
-            RaftMessageKind::AppendResponse { upto, ok: true, .. } => Some((to.0, upto.0)),
+            RaftMessageKind::AppendResponse { match_index: upto, success: true, .. } => {
+                Some((to.0, upto.0))
+            }
             _ => None,
         })
         .collect()
@@ -968,18 +1015,18 @@
     follower.step(message(2, 4, append((1, 2), entries(3, &[4, 4]))), ELECTED);
     assert_eq!(acknowledged(&mut follower), []);
     // Nor when a write of the old suffix ends; and as soon as its own write does.
-    follower.log_persisted((Term(2), LogIndex(4)));
+    follower.log_persisted(LogPosition::new(Term(2), LogIndex(4)));
     assert_eq!(acknowledged(&mut follower), [(2, 2)]);
-    follower.log_persisted((Term(4), LogIndex(3)));
+    follower.log_persisted(LogPosition::new(Term(4), LogIndex(3)));
     assert_eq!(acknowledged(&mut follower), [(2, 3)]);
-    follower.log_persisted((Term(4), LogIndex(4)));
+    follower.log_persisted(LogPosition::new(Term(4), LogIndex(4)));
     assert_eq!(acknowledged(&mut follower), [(2, 4)]);
     // What an earlier term's leader still waits for is not told to anyone in the next.
     follower.step(message(2, 4, append((4, 4), entries(5, &[4]))), ELECTED);
     acknowledged(&mut follower);
     follower.step(message(2, 5, append((4, 2), vec![])), ELECTED);
     acknowledged(&mut follower);
-    follower.log_persisted((Term(4), LogIndex(5)));
+    follower.log_persisted(LogPosition::new(Term(4), LogIndex(5)));
     assert_eq!(acknowledged(&mut follower), [], "nothing is owed in the new term");
 }
 
@@ -996,7 +1043,11 @@
     ];
     for (what, term, ok, upto, commit, leads) in cases {
         let mut leader = elected(3, 5, &[1]);
-        let answer = RaftMessageKind::AppendResponse { upto: LogIndex(upto), ok, sent: ELECTED.0 };
+        let answer = RaftMessageKind::AppendResponse {
+            match_index: LogIndex(upto),
+            success: ok,
+            sent_at: ELECTED.0,
+        };
         leader.step(message(2, term, answer), ELECTED);
         assert_eq!((leader.commit_index, leader.is_leader()), (LogIndex(commit), leads), "{what}");
         let fresh = leads && term == 5;
@@ -1008,7 +1059,8 @@
         let mut leader = elected(3, 5, &[]);
         leader.step(message(2, 5, appended(1)), ELECTED);
         let later = ELECTED.plus(440);
-        let taken = RaftMessageKind::ChunkResponse { transfer: 1, upto: 0, sent: later.0 };
+        let taken =
+            RaftMessageKind::ChunkResponse { transfer_id: 1, received: 0, sent_at: later.0 };
         leader.step(message(2, term, taken), later);
         assert!(leader.holds_leader_lease(later));
         assert_eq!(leader.holds_leader_lease(ELECTED.plus(500)), fresh, "a part of term {term}");
@@ -1021,8 +1073,11 @@
     }
     // One from a time to come is of another life's clock, and makes no quorum fresh.
     let mut leader = elected(3, 5, &[1]);
-    let answer =
-        RaftMessageKind::AppendResponse { upto: LogIndex(2), ok: true, sent: ELECTED.0 + 5_000 };
+    let answer = RaftMessageKind::AppendResponse {
+        match_index: LogIndex(2),
+        success: true,
+        sent_at: ELECTED.0 + 5_000,
+    };
     leader.step(message(2, 5, answer), ELECTED);
     assert_eq!(leader.commit_index, LogIndex(2));
     assert!(!leader.holds_leader_lease(ELECTED.plus(4_900)));
@@ -1045,18 +1100,23 @@
     ];
     for (what, term, last, log, commit, taken) in cases {
         let mut follower = replica(3, 4, &[1, 1, 2, 2]);
-        let (previous, committed) = ((Term(1), LogIndex(2)), LogIndex(2));
+        let (previous, committed) = (LogPosition::new(Term(1), LogIndex(2)), LogIndex(2));
         let entries = Vec::new();
-        let heartbeat =
-            RaftMessageKind::AppendEntries { previous, entries, commit: committed, sent: 1 };
+        let heartbeat = RaftMessageKind::AppendEntries {
+            previous,
+            entries,
+            commit_index: committed,
+            sent_at: 1,
+        };
         follower.step(message(2, 4, heartbeat), ELECTED);
         follower.outbox.clear();
         let members: Vec<Member> = (1..=4).map(|id| member(id, true)).collect();
         let state = ByteBuf::from(vec![42]);
         let upto = LogIndex(last.1);
-        let snapshot = Snapshot { last: (Term(last.0), upto), members, state };
+        let snapshot =
+            Snapshot { last_included: LogPosition::new(Term(last.0), upto), members, state };
         follower.step(
-            message(2, term, RaftMessageKind::InstallSnapshot { snapshot, sent: 7 }),
+            message(2, term, RaftMessageKind::InstallSnapshot { snapshot, sent_at: 7 }),
             ELECTED,
         );
         assert_eq!(
@@ -1067,8 +1127,11 @@
         assert_eq!(follower.unsaved.snapshot, taken, "{what}");
         store(&mut follower);
         let (ok, sent) = if term == 4 { (true, 7) } else { (false, 0) };
-        let kind =
-            RaftMessageKind::AppendResponse { upto: if ok { upto } else { LogIndex(0) }, ok, sent };
+        let kind = RaftMessageKind::AppendResponse {
+            match_index: if ok { upto } else { LogIndex(0) },
+            success: ok,
+            sent_at: sent,
+        };
         assert_eq!(follower.outbox.pop().map(|(_, m)| m.kind), Some(kind), "{what}");
         assert_eq!(terms_of(&follower), log, "{what}");
         assert_eq!(follower.commit_index, LogIndex(commit), "{what}");
@@ -1082,19 +1145,19 @@
     let listed = |term, index, voters| LogEntry {
         term: Term(term),
         index: LogIndex(index),
-        body: EntryPayload::Membership((1..=voters).map(|id| member(id, true)).collect()),
+        payload: EntryPayload::Membership((1..=voters).map(|id| member(id, true)).collect()),
     };
     let append = |previous: (u64, u64), entries| RaftMessageKind::AppendEntries {
-        previous: (Term(previous.0), LogIndex(previous.1)),
+        previous: LogPosition::new(Term(previous.0), LogIndex(previous.1)),
         entries,
-        commit: LogIndex(0),
-        sent: 1,
+        commit_index: LogIndex(0),
+        sent_at: 1,
     };
     // A list counts from when it is in the log, and no more once another leader replaced it.
     let mut follower = replica(3, 4, &[1, 1]);
     follower.step(message(2, 4, append((1, 2), vec![listed(4, 3, 4)])), ELECTED);
     assert_eq!(follower.members().len(), 4);
-    let other = LogEntry { term: Term(5), index: LogIndex(3), body: EntryPayload::NoOp };
+    let other = LogEntry { term: Term(5), index: LogIndex(3), payload: EntryPayload::NoOp };
     follower.step(message(3, 5, append((1, 2), vec![other])), ELECTED);
     assert_eq!((follower.members().len(), terms_of(&follower)), (3, vec![1, 1, 5]));
     // A snapshot holds the list as of its last entry, not one that came later.
@@ -1104,7 +1167,7 @@
     let commit = leader.commit_index;
     leader.propose(EntryPayload::Membership((1..=2).map(|id| member(id, true)).collect()), ELECTED);
     leader.compact_log(commit, || vec![42]);
-    assert_eq!(leader.state.snapshot.last, (Term(5), commit));
+    assert_eq!(leader.state.snapshot.last_included, LogPosition::new(Term(5), commit));
     assert_eq!((leader.state.snapshot.members.len(), leader.members().len()), (1, 2));
 }
 
@@ -1129,9 +1192,13 @@
             ..PersistentState::default()
         };
         let mut raft = RaftNode::new(kept, false, Tick(1_000), || 0);
-        let (previous, commit) = ((Term(0), LogIndex(0)), LogIndex(0));
-        let heartbeat =
-            RaftMessageKind::AppendEntries { previous, entries: Vec::new(), commit, sent: 1 };
+        let (previous, commit) = (LogPosition::new(Term(0), LogIndex(0)), LogIndex(0));
+        let heartbeat = RaftMessageKind::AppendEntries {
+            previous,
+            entries: Vec::new(),
+            commit_index: commit,
+            sent_at: 1,
+        };
         raft.step(message(2, 5, heartbeat), ELECTED);
         raft.outbox.clear();
         raft.step(message(from, term, RaftMessageKind::TimeoutNow), ELECTED);
@@ -1177,8 +1244,13 @@
         let mut storage = RaftStorage::none().expect("in memory");
         let (mut voter, mut persister, mut now) =
             (replica(3, 5, &[1]), LogPersister::default(), ELECTED);
-        let last = (Term(1), LogIndex(1));
-        let ask = RaftMessageKind::RequestVote { trial: false, handover: false, led: false, last };
+        let last = LogPosition::new(Term(1), LogIndex(1));
+        let ask = RaftMessageKind::RequestVote {
+            pre_vote: false,
+            leadership_transfer: false,
+            led_previous_term: false,
+            last_log: last,
+        };
         voter.step(message(2, 6, ask), now);
         assert!(persister.leaving(&mut voter).is_empty(), "{failed} writes fail");
         for _ in 0..failed {
@@ -1194,7 +1266,7 @@
         storage.save(&batch).expect("saved");
         let left: Vec<RaftMessageKind> =
             persister.ended(&mut voter, true, now).into_iter().map(|(_, m)| m.kind).collect();
-        assert_eq!(left, [RaftMessageKind::VoteResponse { trial: false, granted: true }]);
+        assert_eq!(left, [RaftMessageKind::VoteResponse { pre_vote: false, granted: true }]);
         let on_disk = storage.kept().expect("read").expect("kept");
         assert_eq!((on_disk.term, on_disk.voted_for), (Term(6), Some(MemberId(2))));
     }
@@ -1214,11 +1286,16 @@
         let mut candidate = RaftNode::new(kept, false, Tick(1_000), || 0);
         candidate.tick(ELECTED);
         candidate.step(
-            message(2, 6, RaftMessageKind::VoteResponse { trial: true, granted: true }),
+            message(2, 6, RaftMessageKind::VoteResponse { pre_vote: true, granted: true }),
             ELECTED,
         );
-        let last = (Term(5), LogIndex(2));
-        let ask = |trial| RaftMessageKind::RequestVote { trial, handover: false, led: says, last };
+        let last = LogPosition::new(Term(5), LogIndex(2));
+        let ask = |trial| RaftMessageKind::RequestVote {
+            pre_vote: trial,
+            leadership_transfer: false,
+            led_previous_term: says,
+            last_log: last,
+        };
         let asked: Vec<(u64, RaftMessage)> =
             candidate.outbox.drain(..).map(|(to, m)| (to.0, m)).collect();
         let expected = [(2, true), (3, true), (2, false), (3, false)];
@@ -1246,7 +1323,7 @@
         let parts = |leader: &mut RaftNode| -> Vec<(u64, u64, u64)> {
             let out = leader.outbox.drain(..).filter(|(to, _)| *to == MemberId(2));
             out.filter_map(|(_, m)| match m.kind {
-                RaftMessageKind::Chunk { transfer, offset, bytes, .. } => {
+                RaftMessageKind::Chunk { transfer_id: transfer, offset, bytes, .. } => {
                     Some((transfer, offset, bytes.len() as u64))
                 }
                 _ => None,
@@ -1256,7 +1333,11 @@
         let first = parts(&mut leader);
         let [(transfer, 0, size)] = first[..] else { panic!("{what}: {first:?}") };
         let sent = now.0 - before;
-        let taken = RaftMessageKind::ChunkResponse { transfer: transfer + other, upto: size, sent };
+        let taken = RaftMessageKind::ChunkResponse {
+            transfer_id: transfer + other,
+            received: size,
+            sent_at: sent,
+        };
         leader.step(message(2, term, taken), now.plus(5));
         let next: Vec<(u64, u64)> = parts(&mut leader).iter().map(|p| (p.0, p.1)).collect();
         assert_eq!(next, if follows { vec![(transfer, size)] } else { vec![] }, "{what}");
@@ -1266,10 +1347,10 @@
 #[test]
 fn a_candidate_follows_a_leader_of_its_term_and_counts_no_votes_any_more() {
     let append = RaftMessageKind::AppendEntries {
-        previous: (Term(0), LogIndex(0)),
+        previous: LogPosition::new(Term(0), LogIndex(0)),
         entries: Vec::new(),
-        commit: LogIndex(0),
-        sent: 1,
+        commit_index: LogIndex(0),
+        sent_at: 1,
     };
     // (it still asks for pre-votes, the leader's term, whether the vote after it counts, its term)
     let cases =
@@ -1279,13 +1360,15 @@
         let mut candidate = replica(3, 5, &[1]);
         candidate.tick(ELECTED);
         if !trial {
-            let granted = RaftMessageKind::VoteResponse { trial: true, granted: true };
+            let granted = RaftMessageKind::VoteResponse { pre_vote: true, granted: true };
             candidate.step(message(2, 6, granted), ELECTED);
         }
         candidate.step(message(2, term, append.clone()), ELECTED);
         assert_eq!(candidate.leader, if counts { None } else { Some(MemberId(2)) }, "{what}");
-        candidate
-            .step(message(3, 6, RaftMessageKind::VoteResponse { trial, granted: true }), ELECTED);
+        candidate.step(
+            message(3, 6, RaftMessageKind::VoteResponse { pre_vote: trial, granted: true }),
+            ELECTED,
+        );
         assert_eq!(candidate.is_leader(), counts && !trial, "{what}");
         assert_eq!(candidate.state.term, Term(after), "{what}");
     }
@@ -1306,7 +1389,11 @@
         let mut leader = elected(voters, 5, &[1]);
         for id in answer {
             let sent = ELECTED.0 + 900;
-            let kind = RaftMessageKind::AppendResponse { upto: LogIndex(0), ok: true, sent };
+            let kind = RaftMessageKind::AppendResponse {
+                match_index: LogIndex(0),
+                success: true,
+                sent_at: sent,
+            };
             leader.step(message(*id, 5, kind), ELECTED.plus(900));
         }
         for (after, leads) in [1_000, 1_010].into_iter().zip(leads) {
@@ -1321,28 +1408,30 @@
 #[test]
 fn a_snapshot_has_the_term_of_the_last_entry_that_it_covers() {
     let mut log = log_of(&[1, 3, 3]);
-    log[0].body = EntryPayload::Command(ByteBuf::from(vec![0; 2 << 20]));
+    log[0].payload = EntryPayload::Command(ByteBuf::from(vec![0; 2 << 20]));
     let kept = PersistentState { term: Term(4), log, ..founder(1, 3) };
     let mut follower = RaftNode::new(kept, false, Tick(1_000), || 0);
     let append = |previous: (u64, u64)| RaftMessageKind::AppendEntries {
-        previous: (Term(previous.0), LogIndex(previous.1)),
+        previous: LogPosition::new(Term(previous.0), LogIndex(previous.1)),
         entries: Vec::new(),
-        commit: LogIndex(1),
-        sent: 1,
+        commit_index: LogIndex(1),
+        sent_at: 1,
     };
     follower.step(message(2, 4, append((3, 3))), ELECTED);
     follower.compact_log(follower.commit_index, || vec![42]);
-    assert_eq!(follower.state.snapshot.last, (Term(1), LogIndex(1)));
+    assert_eq!(follower.state.snapshot.last_included, LogPosition::new(Term(1), LogIndex(1)));
     assert_eq!(
         (terms_of(&follower), follower.last_position()),
-        (vec![3, 3], (Term(3), LogIndex(3)))
+        (vec![3, 3], LogPosition::new(Term(3), LogIndex(3)))
     );
     // The entry that the snapshot ends with is agreed on by its term like any other.
     for (previous, agrees) in [((1, 1), true), ((3, 2), true), ((4, 1), false), ((1, 2), false)] {
         follower.outbox.clear();
         follower.step(message(2, 4, append(previous)), ELECTED);
-        let ok =
-            matches!(follower.outbox[0].1.kind, RaftMessageKind::AppendResponse { ok: true, .. });
+        let ok = matches!(
+            follower.outbox[0].1.kind,
+            RaftMessageKind::AppendResponse { success: true, .. }
+        );
         assert_eq!(ok, agrees, "{previous:?}");
     }
 }
@@ -1366,18 +1455,26 @@
             log_of(terms).into_iter().map(place).collect()
         };
         let mut kept = PersistentState { term: Term(4), log: behind(3, &[2, 3]), ..founder(1, 3) };
-        kept.snapshot.last = (Term(2), LogIndex(3));
+        kept.snapshot.last_included = LogPosition::new(Term(2), LogIndex(3));
         let mut follower = RaftNode::new(kept, false, Tick(1_000), || 0);
         let entries = behind(previous.1, terms);
-        let previous = (Term(previous.0), LogIndex(previous.1));
-        let append =
-            RaftMessageKind::AppendEntries { previous, entries, commit: LogIndex(0), sent: 7 };
+        let previous = LogPosition::new(Term(previous.0), LogIndex(previous.1));
+        let append = RaftMessageKind::AppendEntries {
+            previous,
+            entries,
+            commit_index: LogIndex(0),
+            sent_at: 7,
+        };
         follower.step(message(2, 4, append), ELECTED);
         store(&mut follower);
         assert_eq!(terms_of(&follower), log, "{what}");
         let places = follower.state.log.iter().map(|e| e.index.0);
         assert!(places.eq(4..4 + log.len() as u64), "{what}: {:?}", follower.state.log);
-        let kind = RaftMessageKind::AppendResponse { upto: LogIndex(upto), ok: true, sent: 7 };
+        let kind = RaftMessageKind::AppendResponse {
+            match_index: LogIndex(upto),
+            success: true,
+            sent_at: 7,
+        };
         assert_eq!(follower.outbox.pop().map(|(_, m)| m.kind), Some(kind), "{what}");
         assert_eq!(follower.commit_index, LogIndex(3), "{what}");
     }
@@ -1386,10 +1483,10 @@
 #[test]
 fn a_restarted_leader_that_hears_of_a_later_term_waits_as_long_as_any_other() {
     let heartbeat = RaftMessageKind::AppendEntries {
-        previous: (Term(0), LogIndex(0)),
+        previous: LogPosition::new(Term(0), LogIndex(0)),
         entries: Vec::new(),
-        commit: LogIndex(0),
-        sent: 1,
+        commit_index: LogIndex(0),
+        sent_at: 1,
     };
     // (the last term that it led, the term whose leader it hears, whether it may ask sooner then)
     for (led, term, sooner) in [(5, None, true), (5, Some(6), false), (4, Some(5), false)] {
--- a/tests/storage.rs
+++ b/tests/storage.rs
@@ -10,7 +10,7 @@
 use silvertack::config::directory::{Instance, Lifecycle, Role};
 use silvertack::controller::peer_connections::left_out;
 use silvertack::net::rpc::raft_messages::{
-    EntryPayload, LogEntry, Member, RaftMessage, RaftMessageKind, Snapshot,
+    EntryPayload, LogEntry, LogPosition, Member, RaftMessage, RaftMessageKind, Snapshot,
 };
 use silvertack::net::rpc::{
     FIRST_LAYOUT, Frame, LAYOUT, encode, pack, receive, receive_with_layout, send, unpack,
@@ -94,7 +94,10 @@
     let kept = kept.expect("a state");
     let voted = Some(MemberId(1));
     assert_eq!((kept.member_id, kept.term, kept.voted_for), (MemberId(1), Term(3), voted));
-    assert_eq!((kept.last_led_term, kept.snapshot.last), (Some(Term(3)), (Term(2), LogIndex(8))));
+    assert_eq!(
+        (kept.last_led_term, kept.snapshot.last_included),
+        (Some(Term(3)), LogPosition::new(Term(2), LogIndex(8)))
+    );
     let members = [member(1, true), member(2, true), member(3, false)];
     assert_eq!(kept.snapshot.members, members);
     // The same but for what that program did not keep: another digest of the order, and who departed.
@@ -116,7 +119,7 @@
     assert_eq!(made.write()[0], 2);
     assert_eq!(StateMachine::read(&made.write()).expect("a state").write(), made.write());
     assert_eq!(kept.log.iter().map(|e| e.index.0).collect::<Vec<_>>(), [9, 10, 11, 12]);
-    let EntryPayload::Command(bytes) = &kept.log[3].body else { panic!("a change") };
+    let EntryPayload::Command(bytes) = &kept.log[3].payload else { panic!("a change") };
     let led = Command::SetPrimary { service: "s".into(), term: DbTerm(4), primary: "b".into() };
     assert_eq!(unpack::<Command>(bytes).expect("a change"), led);
     let _ = std::fs::remove_dir_all(&folder);
@@ -313,20 +316,20 @@
             raft.log_persisted(raft.last_position());
         }
         let (applied, sum) = self.sums.entry(id).or_default();
-        if raft.state.snapshot.last.1 > *applied {
-            *applied = raft.state.snapshot.last.1;
+        if raft.state.snapshot.last_included.index > *applied {
+            *applied = raft.state.snapshot.last_included.index;
             *sum = Sum::read(&raft.state.snapshot.state);
         }
         for entry in raft.committed_entries_after(*applied) {
             *applied = entry.index;
-            if let EntryPayload::Command(bytes) = &entry.body {
+            if let EntryPayload::Command(bytes) = &entry.payload {
                 sum.add(bytes);
             }
             let same = *self.truth.entry(entry.index).or_insert((sum.count, sum.digest));
             assert_eq!(same, (sum.count, sum.digest), "{id} at {}", entry.index);
         }
         raft.compact_log(*applied, || sum.bytes());
-        let bytes = |e: &LogEntry| match &e.body {
+        let bytes = |e: &LogEntry| match &e.payload {
             EntryPayload::Command(bytes) => bytes.len(),
             _ => 0,
         };
@@ -474,7 +477,7 @@
     let members = (1..=4).map(|id| member(id, id < 4)).collect();
     let (leader, now) = (country.leader().expect("a leader"), country.now);
     let raft = country.hedges.get_mut(&leader).expect("there");
-    assert!(raft.state.snapshot.last.1 > LogIndex(0), "it needs a snapshot");
+    assert!(raft.state.snapshot.last_included.index > LogIndex(0), "it needs a snapshot");
     raft.propose(EntryPayload::Membership(members), now).expect("taken");
     country.catches_up(4, 5_000);
     assert_eq!((country.led.len(), country.unled), (1, 0), "{:?}", country.led);
@@ -546,15 +549,21 @@
 #[test]
 fn parts_that_do_not_belong_are_not_taken() {
     let snapshot = Snapshot {
-        last: (Term(4), LogIndex(9)),
+        last_included: LogPosition::new(Term(4), LogIndex(9)),
         members: vec![member(1, true), member(2, true)],
         state: ByteBuf::from(vec![5; 3_000]),
     };
-    let whole = pack(&RaftMessageKind::InstallSnapshot { snapshot, sent: 1 });
+    let whole = pack(&RaftMessageKind::InstallSnapshot { snapshot, sent_at: 1 });
     let size = whole.len() as u64;
     let part = |leader, term, transfer, size, offset: usize, upto: usize| {
         let bytes = ByteBuf::from(&whole[offset..upto]);
-        let kind = RaftMessageKind::Chunk { transfer, size, offset: offset as u64, bytes, sent: 7 };
+        let kind = RaftMessageKind::Chunk {
+            transfer_id: transfer,
+            total_size: size,
+            offset: offset as u64,
+            bytes,
+            sent_at: 7,
+        };
         RaftMessage { from: MemberId(leader), term: Term(term), kind }
     };
     let end = whole.len();
@@ -604,12 +613,12 @@
         for (message, answer) in parts.into_iter().zip(answers) {
             raft.step(message, Tick(9_010));
             let told = raft.outbox.drain(..).find_map(|(_, m)| match m.kind {
-                RaftMessageKind::ChunkResponse { upto, .. } => Some(upto),
+                RaftMessageKind::ChunkResponse { received: upto, .. } => Some(upto),
                 _ => None,
             });
             assert_eq!(told, answer, "{what}");
         }
-        assert_eq!(raft.last_position().1 == LogIndex(9), taken, "{what}");
+        assert_eq!(raft.last_position().index == LogIndex(9), taken, "{what}");
         assert!(raft.unreadable_message.is_none(), "{what}");
     }
 }
@@ -626,7 +635,7 @@
 }
 fn entry(index: u64, term: u64, bytes: Vec<u8>) -> LogEntry {
     let body = EntryPayload::Command(ByteBuf::from(bytes));
-    LogEntry { term: Term(term), index: LogIndex(index), body }
+    LogEntry { term: Term(term), index: LogIndex(index), payload: body }
 }
 
 #[test]
@@ -748,20 +757,20 @@
 #[test]
 fn what_can_not_be_read_is_neither_taken_nor_acknowledged() {
     let [newer, unknown] = of_later();
-    let base = (Term(2), LogIndex(8));
+    let base = LogPosition::new(Term(2), LogIndex(8));
     let append = |entries| RaftMessageKind::AppendEntries {
         previous: base,
         entries,
-        commit: LogIndex(9),
-        sent: 1,
+        commit_index: LogIndex(9),
+        sent_at: 1,
     };
     let snapshot = |state| RaftMessageKind::InstallSnapshot {
         snapshot: Snapshot {
-            last: (Term(3), LogIndex(20)),
+            last_included: LogPosition::new(Term(3), LogIndex(20)),
             members: vec![member(1, true), member(2, true)],
             state: ByteBuf::from(state),
         },
-        sent: 1,
+        sent_at: 1,
     };
     let good = Command::AbandonFailover { service: "s".into(), target: "b".into() };
     let mut other = old_state();
@@ -785,7 +794,7 @@
     for (what, kind, said) in cases {
         let members = vec![member(1, true), member(2, true)];
         let state = ByteBuf::from(pack(&old_state()));
-        let before = Snapshot { last: base, members, state };
+        let before = Snapshot { last_included: base, members, state };
         let kept = PersistentState {
             member_id: MemberId(2),
             term: Term(3),
@@ -799,7 +808,7 @@
         let acked = raft
             .outbox
             .iter()
-            .any(|(_, m)| matches!(m.kind, RaftMessageKind::AppendResponse { ok: true, .. }));
+            .any(|(_, m)| matches!(m.kind, RaftMessageKind::AppendResponse { success: true, .. }));
         let refused = raft.unreadable_message.clone().unwrap_or_default();
         assert!(
             refused.contains(said) && refused.is_empty() == said.is_empty(),
@@ -817,18 +826,19 @@
 
 #[test]
 fn a_frame_of_another_layout_is_read_or_refused_by_name() {
-    let appended = RaftMessageKind::AppendResponse { upto: LogIndex(3), ok: true, sent: 7 };
+    let appended =
+        RaftMessageKind::AppendResponse { match_index: LogIndex(3), success: true, sent_at: 7 };
     let raft = |kind| Frame::Raft {
         to: MemberId(2),
         message: Box::new(RaftMessage { from: MemberId(1), term: Term(3), kind }),
     };
     let whole = encode(&raft(appended)).to_vec();
     let part = RaftMessageKind::Chunk {
-        transfer: 1,
-        size: 9,
+        transfer_id: 1,
+        total_size: 9,
         offset: 0,
         bytes: ByteBuf::from(vec![1; 9]),
-        sent: 7,
+        sent_at: 7,
     };
     let with = |at: usize, byte: u8| {
         let mut bytes = whole.clone();
@@ -876,9 +886,9 @@
     raft.record_peer_layout(MemberId(if leader == 1 { 2 } else { 1 }), FIRST_LAYOUT);
     assert!(!raft.all_peers_read_layout(LAYOUT));
     for kind in [
-        RaftMessageKind::AppendResponse { upto: LogIndex(0), ok: false, sent: 1 },
-        RaftMessageKind::VoteResponse { trial: false, granted: false },
-        RaftMessageKind::ChunkResponse { transfer: 1, upto: 1, sent: 1 },
+        RaftMessageKind::AppendResponse { match_index: LogIndex(0), success: false, sent_at: 1 },
+        RaftMessageKind::VoteResponse { pre_vote: false, granted: false },
+        RaftMessageKind::ChunkResponse { transfer_id: 1, received: 1, sent_at: 1 },
     ] {
         raft.step(RaftMessage { from: MemberId(77), term: Term(90), kind }, now);
         assert!(raft.is_leader() && raft.state.term < Term(90));
@@ -986,9 +996,10 @@
     eventually("a line", || controller.log().contains(said));
     assert!(controller.answers());
     let mut stream = TcpStream::connect(controller.peer).expect("connected");
-    let previous = (Term(0), LogIndex(0));
+    let previous = LogPosition::new(Term(0), LogIndex(0));
     let entries = vec![entry(1, 9, newer())];
-    let kind = RaftMessageKind::AppendEntries { previous, entries, commit: LogIndex(1), sent: 1 };
+    let kind =
+        RaftMessageKind::AppendEntries { previous, entries, commit_index: LogIndex(1), sent_at: 1 };
     let message = Box::new(RaftMessage { from: MemberId(2), term: Term(9), kind });
     send(&mut stream, &Frame::Raft { to: MemberId(1), message }).expect("sent");
     assert_eq!(controller.ended(), Some(3), "{}", controller.log());
--- a/tests/support/controllers.rs
+++ b/tests/support/controllers.rs
@@ -187,6 +187,6 @@
     /// What stands at this place of a controller's log.
     pub fn holds(&self, at: usize, (index, number): (LogIndex, u8)) -> bool {
         let body = EntryPayload::Command(serde_bytes::ByteBuf::from(vec![number]));
-        self.machines[at].raft.state.log.iter().any(|e| e.index == index && e.body == body)
+        self.machines[at].raft.state.log.iter().any(|e| e.index == index && e.payload == body)
     }
 }
