--- /dev/null
+++ b/src/simulation/checker.rs
@@ -0,0 +1,154 @@
+//! What must hold: the history of all that was seen, and the checks against it.
+use crate::base::ids::{DbTerm, LogIndex, Revision, ServiceName};
+use crate::base::time::Tick;
+use crate::leases::lease_table::LEASE_MS;
+use crate::net::rpc::pack;
+use crate::simulation::databases::Write;
+use crate::simulation::schedule::Kind;
+use crate::simulation::world::{SERVICES, World};
+use std::collections::BTreeSet;
+use std::hash::{DefaultHasher, Hash, Hasher};
+
+/// A commit that a node passed on to its client, and when.
+#[derive(Clone, Copy)]
+pub(super) struct Passed {
+    pub(super) write: Write,
+    pub(super) node: usize,
+    pub(super) at: u64,
+}
+
+/// A configuration that is known to have come into force, in the order in which they did.
+pub(super) struct Forced {
+    pub(super) revision: Revision,
+    pub(super) base: Revision,
+    pub(super) body: Vec<u8>,
+    pub(super) at: u64,
+}
+
+impl World {
+    /// Whether all steady clocks run on, which leases rest on.
+    pub(super) fn clocks_run(&self) -> bool {
+        !self.schedule.troubles.iter().any(|t| matches!(t.kind, Kind::Suspend(_)))
+    }
+
+    pub(super) fn fail(&mut self, why: String) {
+        if self.broken.is_none() {
+            self.broken = Some(format!("at {} ms: {why}", self.now));
+        }
+    }
+
+    /// Checks what this controller holds against what any other ever held.
+    pub(super) fn look(&mut self, number: usize) {
+        let machine = &mut self.machines[number];
+        let Some(controller) = &machine.controller else { return };
+        let (raft, state_machine) = (controller.raft(), controller.state_machine());
+        if raft.state.member_id != machine.me {
+            machine.me = raft.state.member_id;
+            (machine.checked, machine.applied) = (LogIndex(0), LogIndex(0));
+        }
+        let mut wrong = None;
+        if raft.is_leader() {
+            let (raft_term, me) = (raft.state.term, raft.state.member_id);
+            let first = *self.leaders.entry(raft_term).or_insert(me);
+            if first != me {
+                wrong = Some(format!("two led term {raft_term}: {first} and {me}"));
+            }
+        }
+        for entry in raft.committed_entries_after(machine.checked) {
+            machine.checked = entry.index;
+            let first = self.entries.entry(entry.index).or_insert_with(|| entry.clone());
+            if *first != entry {
+                wrong = Some(format!("entry {} differs at n{number}", entry.index));
+            }
+        }
+        let applied = controller.applied();
+        if applied > machine.applied {
+            machine.applied = applied;
+            let mut hasher = DefaultHasher::new();
+            pack(state_machine).hash(&mut hasher);
+            let state = hasher.finish();
+            if *self.states.entry(applied).or_insert(state) != state {
+                wrong = Some(format!("the state at entry {applied} differs at n{number}"));
+            }
+            let newest = self.forced.last().map_or(Revision(0), |f| f.revision);
+            if state_machine.revision > newest {
+                let body = state_machine.body.to_vec();
+                let (revision, at) = (state_machine.revision, self.now);
+                self.forced.push(Forced { revision, base: newest, body, at });
+            }
+        }
+        if let Some(why) = wrong {
+            self.fail(why);
+        }
+    }
+
+    /// How far in `forced` a read that began at `sent` must have come.
+    pub(super) fn floor(&self, sent: u64) -> usize {
+        let before = self.floors.iter().filter(|(at, _)| *at <= sent);
+        before.map(|(_, place)| *place).max().unwrap_or(0)
+    }
+
+    pub(super) fn find(&self, revision: Revision, body: &[u8]) -> Option<usize> {
+        self.forced.iter().position(|f| f.revision == revision && f.body == body).map(|at| at + 1)
+    }
+
+    /// At any time all valid leases on a service are on one term.
+    pub(super) fn one_lease(&mut self) {
+        for service in SERVICES.map(ServiceName::from) {
+            let now = self.now;
+            let held = self.nodes.iter().filter_map(|n| n.leases.get(&service));
+            let terms: BTreeSet<DbTerm> =
+                held.filter(|l| now < l.asked + LEASE_MS).map(|l| l.term).collect();
+            if terms.len() > 1 && self.clocks_run() {
+                self.fail(format!("{service} is leased in two terms at once"));
+            }
+        }
+    }
+
+    /// With everything well for long, all must agree and be served.
+    pub(super) fn look_back(&mut self) {
+        let leading: Vec<usize> = (0..self.machines.len())
+            .filter(|m| {
+                let machine = &self.machines[*m];
+                let now = Tick(self.now + machine.ahead);
+                machine.controller.as_ref().is_some_and(|s| s.raft().holds_leader_lease(now))
+            })
+            .collect();
+        let [leader] = leading[..] else {
+            return self.fail(format!("in the end {} lead", leading.len()));
+        };
+        let Some(controller) = &self.machines[leader].controller else { return };
+        let (revision, applied) = (controller.state_machine().revision, controller.applied());
+        let voters = controller.raft().members().iter().filter(|m| m.voter).count();
+        let listed =
+            controller.state_machine().instances.keys().find(|id| self.goodbyes.contains(*id));
+        let behind = self
+            .machines
+            .iter()
+            .position(|m| m.controller.as_ref().is_some_and(|s| s.applied().0 + 40 < applied.0));
+        let late = self.nodes.iter().position(|n| {
+            let newest = n.config.as_ref().map(|c| c.revision);
+            let old = self.forced.iter().rev().find(|f| f.at + 3_000 < self.now);
+            newest < old.map(|f| f.revision)
+        });
+        let wrong = if self.forced.last().map(|f| f.revision) != Some(revision) {
+            Some("in the end not all that was in force is".to_owned())
+        } else if let Some(number) = behind {
+            Some(format!("n{number} never caught up"))
+        } else if let Some(id) = listed {
+            Some(format!("{id} said goodbye and is listed again"))
+        } else if let Some(number) = late {
+            Some(format!("node{number} has an old configuration"))
+        } else if voters < 2 * self.schedule.tolerated + 1 {
+            Some(format!("in the end {voters} vote"))
+        } else if self.report.acknowledged == 0 {
+            Some("no order was ever acknowledged".to_owned())
+        } else {
+            None
+        };
+        self.report.raft_terms = self.leaders.len() as u64;
+        if let Some(why) = wrong {
+            self.fail(why);
+        }
+    }
+}
--- a/src/simulation/mod.rs
+++ b/src/simulation/mod.rs
@@ -1,5 +1,14 @@
 //! A simulation of the control plane: whole controllers under drawn faults in virtual time.
-pub mod actors;
+mod callers;
+mod checker;
+mod databases;
+mod events;
+mod faults;
+mod machines;
+mod network;
+mod nodes;
+mod operators;
+mod recorded_effects;
 pub mod runner;
 pub mod schedule;
-pub mod world;
+mod world;
--- /dev/null
+++ b/src/simulation/nodes.rs
@@ -0,0 +1,224 @@
+//! Nodes that follow the leader as a pooler does, and write at the primaries they are leased.
+use crate::base::ids::{DbTerm, InstanceId, NodeName, Position, Revision, ServiceName};
+use crate::config::route_table::RouteTable;
+use crate::controller::controller::Input;
+use crate::leases::lease_table::LEASE_MS;
+use crate::net::rpc::Frame;
+use crate::net::rpc::pooler_messages::{PrimaryStatus, ToController, ToPooler};
+use crate::simulation::checker::Passed;
+use crate::simulation::databases::Write;
+use crate::simulation::events::Event;
+use crate::simulation::network::{End, Far};
+use crate::simulation::schedule::chance;
+use crate::simulation::world::{SERVICES, World, machine_at};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+#[derive(Clone)]
+pub(super) struct Lease {
+    pub(super) term: DbTerm,
+    pub(super) primary: InstanceId,
+    pub(super) asked: u64,
+}
+
+/// A hollow node: it follows the leader as a pooler does and writes at the primaries it is leased.
+pub(super) struct Node {
+    pub(super) incarnation: u64,
+    pub(super) conn: Option<(u64, usize)>,
+    pub(super) welcome: bool,
+    pub(super) known: Vec<SocketAddr>,
+    pub(super) next: usize,
+    pub(super) hint: Option<SocketAddr>,
+    pub(super) heard: u64,
+    pub(super) renewed: u64,
+    pub(super) seq: u64,
+    pub(super) sent: BTreeMap<u64, u64>,
+    pub(super) config: Option<RouteTable>,
+    pub(super) leases: BTreeMap<ServiceName, Lease>,
+    pub(super) revoked: BTreeMap<ServiceName, (DbTerm, u64)>,
+    pub(super) highest: BTreeMap<ServiceName, Position>,
+}
+
+impl World {
+    fn tell(&mut self, node: usize, message: ToController) {
+        let Some((conn, at)) = self.nodes[node].conn else { return };
+        let incarnation = self.machines[at].incarnation;
+        match self.arrival(End::Node(node), End::Controller(at), 0) {
+            Some(time) => {
+                self.at(
+                    time,
+                    Event::Input(at, incarnation, Input::Frame(conn, Frame::Pooler(message))),
+                );
+            }
+            // Lost on its way: the connection does not get over it.
+            None => self.close(conn),
+        }
+    }
+
+    pub(super) fn node_turn(&mut self, number: usize, incarnation: u64) {
+        if self.nodes[number].incarnation != incarnation {
+            return;
+        }
+        self.soon(40, Event::Node(number, incarnation));
+        let now = self.now;
+        let node = &mut self.nodes[number];
+        if let Some((conn, _)) = node.conn {
+            if now - node.heard > if node.welcome { 1_200 } else { 400 } {
+                self.close(conn);
+            } else if node.welcome && now - node.renewed >= 450 {
+                self.renew(number);
+            }
+        } else {
+            let to = node.hint.take().unwrap_or_else(|| {
+                node.next += 1;
+                node.known[node.next % node.known.len()]
+            });
+            let at = machine_at(to);
+            if self.machines.get(at).is_some_and(|m| m.controller.is_some()) {
+                self.numbered += 1;
+                let conn = self.numbered;
+                self.conns.insert(conn, (at, Far::Node(number, incarnation)));
+                if let Some(controller) = &mut self.machines[at].controller {
+                    controller.effects.open.insert(conn);
+                }
+                let node = &mut self.nodes[number];
+                (node.conn, node.welcome, node.heard) = (Some((conn, at)), false, now);
+                let revision = node.config.as_ref().map_or(Revision(0), |c| c.revision);
+                let name = NodeName(format!("node{number}"));
+                let zone = "z".to_owned();
+                self.tell(number, ToController::Hello { node: name, incarnation, revision, zone });
+            }
+        }
+        for service in SERVICES.map(ServiceName::from) {
+            let Some(lease) = self.nodes[number].leases.get(&service).cloned() else { continue };
+            let to = self.databases.iter().position(|d| d.id == lease.primary);
+            if now < lease.asked + LEASE_MS
+                && chance(60)
+                && let Some(to) = to
+                && let Some(time) = self.arrival(End::Node(number), End::Database(to), 0)
+            {
+                self.at(time, Event::Write(number, to, incarnation, lease.term));
+            }
+        }
+    }
+
+    fn renew(&mut self, number: usize) {
+        let now = self.now;
+        let node = &mut self.nodes[number];
+        node.renewed = now;
+        node.seq += 1;
+        let seq = node.seq;
+        node.sent.insert(seq, now);
+        if node.sent.len() > 16 {
+            node.sent.pop_first();
+        }
+        let (shares, wants, saw, asks) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
+        let renewal =
+            ToController::RenewLeases { seq, heard: 0, shares, wants, saw, asks, busy: Vec::new() };
+        self.tell(number, renewal);
+    }
+
+    pub(super) fn node_heard(&mut self, number: usize, conn: u64, frame: Frame) {
+        let now = self.now;
+        let node = &mut self.nodes[number];
+        node.heard = now;
+        let Frame::Controller(message) = frame else {
+            return self.fail("a node was sent what is not for it".into());
+        };
+        match message {
+            ToPooler::Welcome { controllers } => {
+                if !controllers.is_empty() {
+                    node.known = controllers;
+                }
+                if !std::mem::replace(&mut node.welcome, true) {
+                    self.renew(number);
+                }
+            }
+            ToPooler::NotLeader(leader) => {
+                node.hint = leader;
+                self.close(conn);
+            }
+            ToPooler::RouteTable(route_table) => self.configured(number, *route_table),
+            ToPooler::RouteTableDelta(changed) => {
+                match node.config.as_ref().and_then(|c| c.with(&changed)) {
+                    Some(route_table) => self.configured(number, route_table),
+                    None => self.tell(number, ToController::RequestFullTable),
+                }
+            }
+            ToPooler::Directory(_) | ToPooler::DirectoryDelta { .. } => {}
+            ToPooler::LeaseGrants { seq, whole, grants, .. } => {
+                let Some(asked) = node.sent.get(&seq).copied() else { return };
+                node.sent.retain(|s, _| *s >= seq);
+                if whole {
+                    node.leases.clear();
+                }
+                for grant in grants {
+                    match grant.standing {
+                        PrimaryStatus::Active { term, primary } => {
+                            let last = node.revoked.get(&grant.service);
+                            if last.is_none_or(|(last, upto)| term > *last || seq > *upto) {
+                                let lease = Lease { term, primary, asked };
+                                node.leases.insert(grant.service, lease);
+                            }
+                        }
+                        _ => drop(node.leases.remove(&grant.service)),
+                    }
+                }
+                node.leases.values_mut().for_each(|l| l.asked = l.asked.max(asked));
+                self.one_lease();
+            }
+            ToPooler::Revoke { service, term } => {
+                node.revoked.insert(service.clone(), (term, node.seq));
+                if node.leases.get(&service).is_some_and(|l| l.term <= term) {
+                    node.leases.remove(&service);
+                }
+                let highest = node.highest.get(&service).copied();
+                self.tell(number, ToController::RevokeAck { service, term, highest });
+            }
+            ToPooler::RenewNow => self.renew(number),
+        }
+    }
+
+    fn configured(&mut self, number: usize, route_table: RouteTable) {
+        if !self.forced.iter().any(|f| f.revision == route_table.revision) {
+            return self.fail(format!("a node has {}, never in force", route_table.revision));
+        }
+        let node = &mut self.nodes[number];
+        if node.config.as_ref().is_none_or(|c| c.revision < route_table.revision) {
+            node.config = Some(route_table);
+        }
+    }
+
+    pub(super) fn committed(
+        &mut self,
+        number: usize,
+        incarnation: u64,
+        service: ServiceName,
+        write: Write,
+        position: Position,
+    ) {
+        let now = self.now;
+        let node = &mut self.nodes[number];
+        let leased = node
+            .leases
+            .get(&service)
+            .is_some_and(|l| l.term == write.term && now < l.asked + LEASE_MS);
+        if node.incarnation != incarnation || !leased {
+            return;
+        }
+        let highest = node.highest.entry(service.clone()).or_insert(position);
+        *highest = position.max(*highest);
+        self.report.passed_on += 1;
+        let newer = self.promoted.get(&service).into_iter().flatten();
+        let lacks =
+            |(term, log): &&(DbTerm, Vec<Write>)| *term > write.term && !log.contains(&write);
+        if let Some((term, _)) = newer.clone().find(lacks)
+            && self.clocks_run()
+        {
+            let why =
+                format!("{service} has a commit of {} passed on that {term} lacks", write.term);
+            return self.fail(why);
+        }
+        self.passed.entry(service).or_default().push(Passed { write, node: number, at: now });
+    }
+}
--- /dev/null
+++ b/src/simulation/recorded_effects.rs
@@ -0,0 +1,72 @@
+//! What a controller wants done, recorded until the world does it.
+use crate::base::ids::{InstanceId, MemberId, ServiceName};
+use crate::base::time::Tick;
+use crate::controller::controller::Effects;
+use crate::failover::{Attempt, DatabaseRequest};
+use crate::net::rpc::raft_messages::{Member, RaftMessage};
+use crate::raft::storage::WriteBatch;
+use std::collections::{BTreeSet, VecDeque};
+use std::net::SocketAddr;
+use std::sync::Arc;
+
+/// What a controller wants done, until the world does it.
+#[derive(Default)]
+pub(super) struct Queue {
+    pub(super) raft: Vec<(SocketAddr, MemberId, RaftMessage)>,
+    pub(super) batch: Option<WriteBatch>,
+    pub(super) standing: Vec<(SocketAddr, Member, bool)>,
+    pub(super) asks: Vec<(ServiceName, InstanceId, DatabaseRequest, Attempt)>,
+    pub(super) posts: Vec<(ServiceName, InstanceId, Attempt)>,
+    pub(super) frames: VecDeque<(u64, Arc<[u8]>)>,
+    pub(super) open: BTreeSet<u64>,
+}
+
+impl Effects for Queue {
+    fn send_raft(&mut self, to: MemberId, address: SocketAddr, message: RaftMessage, _: Tick) {
+        self.raft.push((address, to, message));
+    }
+    fn keep_links(&mut self, _: &[Member]) {}
+    fn write(&mut self, batch: WriteBatch) -> bool {
+        self.batch = Some(batch);
+        true
+    }
+    fn ask_standing(&mut self, at: SocketAddr, member: Member, was: bool) {
+        self.standing.push((at, member, was));
+    }
+    fn ask_database(
+        &mut self,
+        service: &ServiceName,
+        id: &InstanceId,
+        _: SocketAddr,
+        ask: DatabaseRequest,
+        attempt: Attempt,
+    ) -> bool {
+        self.asks.push((service.clone(), id.clone(), ask, attempt));
+        true
+    }
+    fn post_failover(
+        &mut self,
+        _: SocketAddr,
+        _: &str,
+        service: &ServiceName,
+        target: &InstanceId,
+        attempt: Attempt,
+    ) {
+        self.posts.push((service.clone(), target.clone(), attempt));
+    }
+    fn send(&mut self, conn: u64, frame: Arc<[u8]>) {
+        self.frames.push_back((conn, frame));
+    }
+    fn send_first(&mut self, conn: u64, frame: Arc<[u8]>) {
+        self.frames.push_front((conn, frame));
+    }
+    fn waiting(&self, conn: u64) -> Option<usize> {
+        self.open.contains(&conn).then_some(0)
+    }
+    fn pump(&mut self) -> Vec<u64> {
+        Vec::new()
+    }
+    fn peers(&self) -> usize {
+        self.open.len()
+    }
+}
--- a/src/simulation/schedule.rs
+++ b/src/simulation/schedule.rs
@@ -129,18 +129,18 @@
 thread_local! {
     static DRAWS: RefCell<SmallRng> = RefCell::new(SmallRng::seed_from_u64(0));
 }
-pub(crate) fn seed_draws(seed: u64) {
+pub(super) fn seed_draws(seed: u64) {
     DRAWS.with_borrow_mut(|rng| *rng = SmallRng::seed_from_u64(seed));
 }
 
-pub(crate) fn draw() -> u64 {
+pub(super) fn draw() -> u64 {
     DRAWS.with_borrow_mut(|rng| rng.next_u64())
 }
 
-pub(crate) fn upto(n: u64) -> u64 {
+pub(super) fn upto(n: u64) -> u64 {
     draw() % n.max(1)
 }
 
-pub(crate) fn chance(percent: u64) -> bool {
+pub(super) fn chance(percent: u64) -> bool {
     upto(100) < percent
 }
