--- a/src/pooler/client_session.rs
+++ b/src/pooler/client_session.rs
@@ -13,10 +13,10 @@
 use crate::pooler::leases::Seen;
 use crate::pooler::replica_reads::{BEHIND, LAG_SKIPPED_MS};
 use crate::pooler::reroute::{
-    Kind, LossOutcome, SessionReroute, StatementDecision, StatementPlan, shape_id,
+    LossOutcome, SessionReroute, StatementDecision, StatementKind, StatementPlan,
 };
 use crate::pooler::server::{CheckedOutConnection, Pooler};
-use crate::pooler::server_connection::{Loss, SILENT_MS, lay_on};
+use crate::pooler::server_connection::{Loss, SILENT_MS, lay_on, shape_id};
 use log::warn;
 use std::io::{self, Write};
 use std::net::TcpStream;
@@ -33,7 +33,7 @@
     pooler: Arc<Pooler>,
     seen: Arc<Seen>,
     id: u64,
-    graft: SessionReroute,
+    reroute: SessionReroute,
     bound: Option<CheckedOutConnection>,
     database: String,
     config: Arc<RouteTable>,
@@ -125,7 +125,7 @@
             pooler: Arc::clone(&self.pooler),
             seen: Arc::clone(&self.seen),
             id: self.id,
-            graft: SessionReroute::default(),
+            reroute: SessionReroute::default(),
             bound: None,
             database,
             config,
@@ -154,7 +154,7 @@
         let mut client = &seen.stream;
         let mut served = false;
         loop {
-            let state = self.graft.state();
+            let state = self.reroute.state();
             if state == State::Idle
                 && inbox.is_empty()
                 && self.pooler.draining.load(Ordering::Relaxed)
@@ -189,14 +189,14 @@
                         client.write_all(b"ERROR NODATABASE no such database any more\r\n")?;
                         return Ok(Next::End);
                     }
-                    match self.graft.hear(&statement, arrived) {
-                        StatementDecision::Settled => ClientReply::Complete,
+                    match self.reroute.handle_statement(&statement, arrived) {
+                        StatementDecision::Completed => ClientReply::Complete,
                         StatementDecision::RolledBack => {
                             self.unbind();
                             ClientReply::Complete
                         }
-                        StatementDecision::Refused(kind) => {
-                            if self.graft.reusable() {
+                        StatementDecision::Rejected(kind) => {
+                            if self.reroute.reusable() {
                                 self.unbind();
                             }
                             ClientReply::Error(kind, refusal_text(kind).to_owned())
@@ -207,8 +207,8 @@
                     }
                 }
                 Ok(Line::Connect { .. }) | Err(_) => {
-                    if self.graft.state() == State::Open {
-                        self.graft.fail();
+                    if self.reroute.state() == State::Open {
+                        self.reroute.fail();
                         self.unbind();
                     }
                     ClientReply::Error(ErrorKind::Malformed, "not understood".to_owned())
@@ -216,7 +216,7 @@
             };
             let refused = matches!(say, ClientReply::Error(ErrorKind::Throttled, _));
             self.say(&mut client, say)?;
-            let idle = self.graft.state() == State::Idle && inbox.is_empty();
+            let idle = self.reroute.state() == State::Idle && inbox.is_empty();
             if refused && idle && self.pooler.deaf(Tick::now()) {
                 return Ok(Next::End);
             }
@@ -242,12 +242,12 @@
         let position = |p: Option<Position>| p.map_or("-".to_owned(), |p| p.to_string());
         match say {
             ClientReply::Complete => {
-                let state = self.graft.state().letter();
+                let state = self.reroute.state().letter();
                 let position = position(self.last_position);
                 client.write_all(format!("COMPLETE -\r\nREADY {state} {position}\r\n").as_bytes())
             }
             ClientReply::Error(kind, text) => {
-                let state = self.graft.state().letter();
+                let state = self.reroute.state().letter();
                 let position = position(self.last_position);
                 client.write_all(
                     format!("ERROR {kind} {text}\r\nREADY {state} {position}\r\n").as_bytes(),
@@ -260,7 +260,7 @@
                 };
                 let sent = client.write_all(&bound.stock.inbox.pending()[..reply.end]);
                 bound.stock.taken(&reply);
-                if self.graft.reusable() {
+                if self.reroute.reusable() {
                     self.unbind();
                 }
                 sent
@@ -309,8 +309,8 @@
         let mut reruns = 0;
         loop {
             if self.bound.is_none() {
-                if !task.first {
-                    self.graft.give_up();
+                if !task.first_in_transaction {
+                    self.reroute.abandon();
                     return ClientReply::Error(ErrorKind::RolledBack, "connection lost".to_owned());
                 }
                 match self.bind(asked, hold, &mut avoid) {
@@ -335,7 +335,7 @@
                 }
             };
             if let Some(loss) = loss {
-                if let LossOutcome::Tell(kind) = self.graft.lost(task, sent) {
+                if let LossOutcome::Report(kind) = self.reroute.handle_loss(task, sent) {
                     return ClientReply::Error(kind, "connection lost".to_owned());
                 }
                 patient |= matches!(loss, Loss::Overdue);
@@ -356,16 +356,16 @@
 
     /// The statement's time is over; nothing of it can have been kept.
     fn expired(&mut self, task: &StatementPlan) -> ClientReply {
-        if task.alone {
+        if task.autocommit {
             return ClientReply::Error(ErrorKind::TimedOut, "no answer in time".to_owned());
         }
-        self.graft.give_up();
+        self.reroute.abandon();
         ClientReply::Error(ErrorKind::RolledBack, "no answer in time".to_owned())
     }
 
     /// It did not run, and nothing is kept: the client is told when to come back.
     fn refuse(&mut self, kind: ErrorKind) -> ClientReply {
-        self.graft.give_up();
+        self.reroute.abandon();
         self.unbind();
         let after = self.pooler.come_back_ms(&self.service);
         ClientReply::Error(kind, format!("retry_after_ms={after}"))
@@ -381,7 +381,7 @@
         let task = &asked.task;
         let pooler = &self.pooler;
         let service = &self.service;
-        let began = self.graft.began(asked.arrived);
+        let began = self.reroute.started_at(asked.arrived);
         let elsewhere = task.read_only && self.route.route_type != RouteType::Primary;
         let waits = || pooler.ask_now(Tick::now());
         loop {
@@ -392,7 +392,7 @@
                         continue;
                     }
                     let priority = self.route.priority;
-                    if let Ok(stock) = pool.borrow(&self.graft, self.id, priority, hold, waits) {
+                    if let Ok(stock) = pool.borrow(&self.reroute, self.id, priority, hold, waits) {
                         return Ok(CheckedOutConnection { stock, pool, term: None });
                     }
                 }
@@ -401,7 +401,7 @@
                 // Reads that belong on replicas wait behind the work only a primary can do.
                 let behind = if elsewhere { BEHIND } else { 0 };
                 let priority = self.route.priority.saturating_add(behind);
-                match pool.borrow(&self.graft, self.id, priority, hold, waits) {
+                match pool.borrow(&self.reroute, self.id, priority, hold, waits) {
                     // The lease may have run out while waiting.
                     Ok(stock) if pooler.still(service, term, Tick::now()) => {
                         return Ok(CheckedOutConnection { stock, pool, term: Some(term) });
@@ -444,7 +444,7 @@
         patient: bool,
     ) -> Result<Reply, (Loss, bool)> {
         let ClientStatement { id, text, statement, task, arrived } = asked;
-        let began = self.graft.began(*arrived);
+        let began = self.reroute.started_at(*arrived);
         let waits = match &self.bound {
             Some(bound) if bound.term.is_none() => match self.need(began) {
                 Some(position) => format!("WAITFOR {position} "),
@@ -461,8 +461,9 @@
         let term = bound.term;
         // Given up early only where nothing can have been kept: a first read is run again, a
         // transaction under way is rolled back and may be tried again in time.
-        let rerun = task.kind == Kind::Read && task.first;
-        let last_word = task.kind == Kind::Commit || (task.alone && task.kind == Kind::Write);
+        let rerun = task.kind == StatementKind::Read && task.first_in_transaction;
+        let last_word = task.kind == StatementKind::Commit
+            || (task.autocommit && task.kind == StatementKind::Write);
         let early = !(patient || last_word);
         let most = self.route.timeout_ms / if rerun { 4 } else { 3 };
         let kind = self.route.route_type as usize;
@@ -501,10 +502,10 @@
             }
             (loss, sent)
         };
-        lay_on(&mut bound.stock, &self.graft, self.id, &pooler.hasher, look(Tick::now()))
+        lay_on(&mut bound.stock, &self.reroute, self.id, &pooler.hasher, look(Tick::now()))
             .map_err(|loss| broken(loss, false))?;
         let mut waits = waits;
-        if !task.alone && !bound.stock.open {
+        if !task.autocommit && !bound.stock.open {
             let begin = if task.read_only { "BEGIN FETCH" } else { "BEGIN" };
             let line = format!("QUERY - {waits}{begin}\r\n");
             bound.stock.write(line.as_bytes(), 1).map_err(|(l, _)| broken(l, false))?;
@@ -520,10 +521,10 @@
             bound.stock.taken(&reply);
             bound.stock.open = true;
         }
-        if !task.alone {
+        if !task.autocommit {
             waits.clear();
         }
-        let line = match (&task.shape, statement) {
+        let line = match (&task.prepared, statement) {
             (Some(shape), Statement::Execute { rest, .. }) => {
                 let name = shape_id(&pooler.hasher, shape);
                 format!("QUERY {id} {waits}EXECUTE p{name:x} {rest}\r\n")
@@ -560,20 +561,21 @@
     }
 
     fn passed(&mut self, task: &StatementPlan, reply: Reply) -> ClientReply {
-        let state = match (task.alone, task.kind) {
-            (true, _) | (false, Kind::Commit) => State::Idle,
+        let state = match (task.autocommit, task.kind) {
+            (true, _) | (false, StatementKind::Commit) => State::Idle,
             _ => State::Open,
         };
         if reply.state != state {
             // The database sees the transaction otherwise than this session: nothing of it counts.
             warn!(target: "pool", "answered {:?} where {state:?} was due", reply.state);
             self.cut();
-            return match self.graft.lost(task, true) {
-                LossOutcome::Tell(kind) => ClientReply::Error(kind, "out of step".to_owned()),
-                LossOutcome::Rerun => self.refuse(ErrorKind::Throttled),
+            return match self.reroute.handle_loss(task, true) {
+                LossOutcome::Report(kind) => ClientReply::Error(kind, "out of step".to_owned()),
+                LossOutcome::Retry => self.refuse(ErrorKind::Throttled),
             };
         }
-        let kept = task.kind == Kind::Commit || (task.alone && task.kind == Kind::Write);
+        let kept = task.kind == StatementKind::Commit
+            || (task.autocommit && task.kind == StatementKind::Write);
         if kept {
             self.own = self.own.max(reply.position);
         }
@@ -583,7 +585,7 @@
                 bound.stock.inside = false;
             }
         }
-        self.graft.answered(state);
+        self.reroute.handle_reply(state);
         ClientReply::Passed { reply }
     }
 
@@ -597,9 +599,9 @@
     ) -> Option<ClientReply> {
         let ran = matches!(kind, ErrorKind::Failed | ErrorKind::TimedOut | ErrorKind::Unknown);
         let again = if ran {
-            task.alone && task.kind == Kind::Read && avoid.is_empty()
+            task.autocommit && task.kind == StatementKind::Read && avoid.is_empty()
         } else {
-            task.first
+            task.first_in_transaction
         };
         let bound = self.bound.as_mut()?;
         let id = bound.pool.id.clone();
@@ -632,14 +634,14 @@
             avoid.push(id);
             return None;
         }
-        if ran || task.alone {
-            let state = if task.alone { State::Idle } else { State::Failed };
+        if ran || task.autocommit {
+            let state = if task.autocommit { State::Idle } else { State::Failed };
             let (state, same) = match reply.state {
                 State::Open => (State::Failed, false),
                 other => (other, other == state),
             };
             bound.stock.open = reply.state != State::Idle;
-            self.graft.answered(state);
+            self.reroute.handle_reply(state);
             if same {
                 return Some(ClientReply::Passed { reply: reply.clone() });
             }
@@ -651,7 +653,7 @@
         bound.stock.taken(reply);
         bound.stock.open = reply.state != State::Idle;
         self.unbind();
-        self.graft.give_up();
+        self.reroute.abandon();
         Some(ClientReply::Error(ErrorKind::RolledBack, format!("{kind} at the database")))
     }
 }
--- a/src/pooler/pool.rs
+++ b/src/pooler/pool.rs
@@ -280,7 +280,7 @@
 
 /// The idle connection that needs the least work before the session's next statement.
 fn best_fit(idle: &[ServerConnection], graft: &SessionReroute, session: u64) -> Option<usize> {
-    let (values, _) = graft.replay();
+    let values = graft.settings();
     // Later ones were used last, and are the likeliest to live.
     idle.iter()
         .enumerate()
--- a/src/pooler/server_connection.rs
+++ b/src/pooler/server_connection.rs
@@ -1,9 +1,10 @@
 //! One connection to a database.
 use crate::net::idle_connections::has_news;
 use crate::net::statement_protocol::{self, Outcome, ReadBuffer, Reply, State};
-use crate::pooler::reroute::{PreparedStatement, SessionReroute, shape_id};
+use crate::pooler::reroute::{PreparedStatement, SessionReroute};
 use log::warn;
 use std::collections::{BTreeMap, HashSet};
+use std::hash::BuildHasher;
 use std::io::{self, Write};
 use std::net::TcpStream;
 
@@ -140,7 +141,7 @@
     if stock.holds == Some(mark) && (stock.open || !stock.inside) {
         return Ok(());
     }
-    let (values, shapes) = graft.replay();
+    let (values, shapes) = (graft.settings(), graft.prepared_statements());
     let mut lines = String::new();
     let mut count = 0;
     let mut say = |text: std::fmt::Arguments<'_>| {
@@ -184,3 +185,7 @@
     stock.holds = Some(mark);
     Ok(())
 }
+
+pub(crate) fn shape_id(hasher: &std::hash::RandomState, shape: &PreparedStatement) -> u64 {
+    hasher.hash_one(shape)
+}
--- a/tests/reroute.rs
+++ b/tests/reroute.rs
@@ -8,34 +8,34 @@
 use silvertack::pooler::pool::has_left;
 use silvertack::pooler::replica_reads::ReadWatermarks;
 use silvertack::pooler::reroute::{
-    Kind, LossOutcome, SessionReroute, StatementDecision, StatementPlan,
+    LossOutcome, SessionReroute, StatementDecision, StatementKind, StatementPlan,
 };
 
 const NOW: Tick = Tick(10_000);
 
-fn hear(graft: &mut SessionReroute, text: &str) -> StatementDecision {
+fn handle(session: &mut SessionReroute, text: &str) -> StatementDecision {
     let line = format!("QUERY q1 {text}");
     match statement_protocol::parse(line.as_bytes()) {
-        Ok(Line::Query { statement, .. }) => graft.hear(&statement, NOW),
+        Ok(Line::Query { statement, .. }) => session.handle_statement(&statement, NOW),
         other => panic!("{text}: {other:?}"),
     }
 }
 
 /// Says each text; one that a database has to run is answered with success.
 fn after(texts: &[&str]) -> SessionReroute {
-    let mut graft = SessionReroute::default();
+    let mut session = SessionReroute::default();
     for text in texts {
-        if let StatementDecision::Run(task) = hear(&mut graft, text) {
-            let idle = task.alone || task.kind == Kind::Commit;
-            graft.answered(if idle { State::Idle } else { State::Open });
+        if let StatementDecision::Run(plan) = handle(&mut session, text) {
+            let idle = plan.autocommit || plan.kind == StatementKind::Commit;
+            session.handle_reply(if idle { State::Idle } else { State::Open });
         }
     }
-    graft
+    session
 }
 
-fn task(graft: &mut SessionReroute, text: &str) -> StatementPlan {
-    match hear(graft, text) {
-        StatementDecision::Run(task) => task,
+fn plan(session: &mut SessionReroute, text: &str) -> StatementPlan {
+    match handle(session, text) {
+        StatementDecision::Run(plan) => plan,
         other => panic!("{text}: {other:?}"),
     }
 }
@@ -43,110 +43,110 @@
 #[test]
 fn what_a_loss_means() {
     use ErrorKind::{RolledBack, Unknown};
-    use LossOutcome::{Rerun, Tell};
-    // before, the statement that is lost, whether it was sent, its fate, the state afterwards
+    use LossOutcome::{Report, Retry};
+    // before, the statement that is lost, whether it was sent, its outcome, the state afterwards
     let table: &[(&[&str], &str, bool, LossOutcome, State)] = &[
-        // Silent rerun: nothing can have been kept.
-        (&[], "FETCH a", true, Rerun, State::Idle),
-        (&[], "STORE a 1", false, Rerun, State::Idle),
-        (&["BEGIN"], "FETCH a", true, Rerun, State::Open),
-        (&["BEGIN"], "STORE a 1", true, Rerun, State::Open),
-        (&["BEGIN"], "COMMIT", true, Rerun, State::Open),
-        (&["BEGIN FETCH"], "FETCH a", true, Rerun, State::Open),
-        (&["PREPARE p FETCH x"], "EXECUTE p a", true, Rerun, State::Idle),
+        // Retried unseen: nothing can have been kept.
+        (&[], "FETCH a", true, Retry, State::Idle),
+        (&[], "STORE a 1", false, Retry, State::Idle),
+        (&["BEGIN"], "FETCH a", true, Retry, State::Open),
+        (&["BEGIN"], "STORE a 1", true, Retry, State::Open),
+        (&["BEGIN"], "COMMIT", true, Retry, State::Open),
+        (&["BEGIN FETCH"], "FETCH a", true, Retry, State::Open),
+        (&["PREPARE p FETCH x"], "EXECUTE p a", true, Retry, State::Idle),
         // An outcome that can't be known, and no second run.
-        (&[], "STORE a 1", true, Tell(Unknown), State::Idle),
-        (&["PREPARE p STORE x"], "EXECUTE p a 1", true, Tell(Unknown), State::Idle),
-        (&["BEGIN", "STORE a 1"], "COMMIT", true, Tell(Unknown), State::Idle),
+        (&[], "STORE a 1", true, Report(Unknown), State::Idle),
+        (&["PREPARE p STORE x"], "EXECUTE p a 1", true, Report(Unknown), State::Idle),
+        (&["BEGIN", "STORE a 1"], "COMMIT", true, Report(Unknown), State::Idle),
         (
             &["PREPARE p STORE x", "BEGIN", "EXECUTE p a 1"],
             "COMMIT",
             true,
-            Tell(Unknown),
+            Report(Unknown),
             State::Idle,
         ),
         // In mid-transaction: rolled back, with a signal to try again; never seamless.
-        (&["BEGIN", "FETCH a"], "FETCH b", true, Tell(RolledBack), State::Idle),
-        (&["BEGIN", "FETCH a"], "FETCH b", false, Tell(RolledBack), State::Idle),
-        (&["BEGIN", "FETCH a"], "STORE b 1", true, Tell(RolledBack), State::Idle),
-        (&["BEGIN", "STORE a 1"], "COMMIT", false, Tell(RolledBack), State::Idle),
+        (&["BEGIN", "FETCH a"], "FETCH b", true, Report(RolledBack), State::Idle),
+        (&["BEGIN", "FETCH a"], "FETCH b", false, Report(RolledBack), State::Idle),
+        (&["BEGIN", "FETCH a"], "STORE b 1", true, Report(RolledBack), State::Idle),
+        (&["BEGIN", "STORE a 1"], "COMMIT", false, Report(RolledBack), State::Idle),
         // It only read, but the stamp of its commit can be had nowhere else.
-        (&["BEGIN", "FETCH a"], "COMMIT", true, Tell(RolledBack), State::Idle),
-        (&["BEGIN FETCH", "FETCH a"], "COMMIT", true, Tell(RolledBack), State::Idle),
+        (&["BEGIN", "FETCH a"], "COMMIT", true, Report(RolledBack), State::Idle),
+        (&["BEGIN FETCH", "FETCH a"], "COMMIT", true, Report(RolledBack), State::Idle),
     ];
-    for (before, text, sent, fate, state) in table {
-        let mut graft = after(before);
-        let task = task(&mut graft, text);
-        assert_eq!(graft.lost(&task, *sent), *fate, "{before:?} {text} sent={sent}");
-        assert_eq!(graft.state(), *state, "{before:?} {text} sent={sent}");
+    for (before, text, sent, outcome, state) in table {
+        let mut session = after(before);
+        let plan = plan(&mut session, text);
+        assert_eq!(session.handle_loss(&plan, *sent), *outcome, "{before:?} {text} sent={sent}");
+        assert_eq!(session.state(), *state, "{before:?} {text} sent={sent}");
     }
 }
 
 #[test]
-fn a_rerun_first_write_still_counts_at_the_commit() {
-    let mut graft = after(&["BEGIN"]);
-    let first = task(&mut graft, "STORE a 1");
-    assert_eq!(graft.lost(&first, true), LossOutcome::Rerun);
-    graft.answered(State::Open);
-    let commit = task(&mut graft, "COMMIT");
-    assert_eq!(graft.lost(&commit, true), LossOutcome::Tell(ErrorKind::Unknown));
+fn a_retried_first_write_still_counts_at_the_commit() {
+    let mut session = after(&["BEGIN"]);
+    let first = plan(&mut session, "STORE a 1");
+    assert_eq!(session.handle_loss(&first, true), LossOutcome::Retry);
+    session.handle_reply(State::Open);
+    let commit = plan(&mut session, "COMMIT");
+    assert_eq!(session.handle_loss(&commit, true), LossOutcome::Report(ErrorKind::Unknown));
 }
 
 #[test]
 fn the_flag_and_the_replay_set_follow_the_session() {
-    let mut graft = after(&[
+    let mut session = after(&[
         "CONFIGURE tenant a",
         "CONFIGURE tenant b",
         "PREPARE s FETCH x",
         "PREPARE t STORE y",
     ]);
-    assert!(graft.reusable());
-    let version = graft.version();
-    hear(&mut graft, "BEGIN");
-    assert!(!graft.reusable(), "a transaction ties the session to its connection");
-    hear(&mut graft, "CONFIGURE tenant c");
-    assert!(graft.version() > version, "what was acknowledged inside holds too");
+    assert!(session.reusable());
+    let version = session.version();
+    handle(&mut session, "BEGIN");
+    assert!(!session.reusable(), "a transaction ties the session to its connection");
+    handle(&mut session, "CONFIGURE tenant c");
+    assert!(session.version() > version, "what was acknowledged inside holds too");
     // A loss keeps the session's values and names.
-    let lost = task(&mut graft, "FETCH a");
-    graft.answered(State::Open);
-    let second = task(&mut graft, "FETCH b");
-    assert_eq!(graft.lost(&second, true), LossOutcome::Tell(ErrorKind::RolledBack));
-    assert!(lost.first && !second.first);
-    assert!(graft.reusable());
-    let (values, names) = graft.replay();
+    let lost = plan(&mut session, "FETCH a");
+    session.handle_reply(State::Open);
+    let second = plan(&mut session, "FETCH b");
+    assert_eq!(session.handle_loss(&second, true), LossOutcome::Report(ErrorKind::RolledBack));
+    assert!(lost.first_in_transaction && !second.first_in_transaction);
+    assert!(session.reusable());
+    let (values, names) = (session.settings(), session.prepared_statements());
     assert_eq!(values.get("tenant").map(String::as_str), Some("c"));
     assert_eq!(names.count(), 2);
-    assert_eq!(hear(&mut graft, "DEALLOCATE s"), StatementDecision::Settled);
-    assert_eq!(graft.replay().1.count(), 1);
+    assert_eq!(handle(&mut session, "DEALLOCATE s"), StatementDecision::Completed);
+    assert_eq!(session.prepared_statements().count(), 1);
 }
 
 #[test]
 fn what_is_answered_here() {
     use ErrorKind::{Malformed, NotFound, RolledBack};
     let table: &[(&[&str], &str, StatementDecision, State)] = &[
-        (&[], "BEGIN", StatementDecision::Settled, State::Open),
-        (&[], "COMMIT", StatementDecision::Refused(Malformed), State::Idle),
+        (&[], "BEGIN", StatementDecision::Completed, State::Open),
+        (&[], "COMMIT", StatementDecision::Rejected(Malformed), State::Idle),
         (&[], "ABORT", StatementDecision::RolledBack, State::Idle),
         (&["BEGIN", "FETCH a"], "ABORT", StatementDecision::RolledBack, State::Idle),
-        (&["BEGIN"], "BEGIN", StatementDecision::Refused(Malformed), State::Failed),
-        (&["BEGIN", "BEGIN"], "FETCH a", StatementDecision::Refused(Malformed), State::Failed),
-        (&["BEGIN", "BEGIN"], "COMMIT", StatementDecision::Refused(RolledBack), State::Idle),
+        (&["BEGIN"], "BEGIN", StatementDecision::Rejected(Malformed), State::Failed),
+        (&["BEGIN", "BEGIN"], "FETCH a", StatementDecision::Rejected(Malformed), State::Failed),
+        (&["BEGIN", "BEGIN"], "COMMIT", StatementDecision::Rejected(RolledBack), State::Idle),
         (&["BEGIN", "BEGIN"], "ABORT", StatementDecision::RolledBack, State::Idle),
-        (&[], "EXECUTE p a", StatementDecision::Refused(NotFound), State::Idle),
-        (&["BEGIN"], "EXECUTE p a", StatementDecision::Refused(NotFound), State::Failed),
+        (&[], "EXECUTE p a", StatementDecision::Rejected(NotFound), State::Idle),
+        (&["BEGIN"], "EXECUTE p a", StatementDecision::Rejected(NotFound), State::Failed),
         (
             &["PREPARE p FETCH x", "DEALLOCATE p"],
             "EXECUTE p a",
-            StatementDecision::Refused(NotFound),
+            StatementDecision::Rejected(NotFound),
             State::Idle,
         ),
-        (&[], "DEALLOCATE p", StatementDecision::Refused(NotFound), State::Idle),
-        (&["PREPARE p FETCH x"], "DEALLOCATE p", StatementDecision::Settled, State::Idle),
+        (&[], "DEALLOCATE p", StatementDecision::Rejected(NotFound), State::Idle),
+        (&["PREPARE p FETCH x"], "DEALLOCATE p", StatementDecision::Completed, State::Idle),
     ];
-    for (before, text, verdict, state) in table {
-        let mut graft = after(before);
-        assert_eq!(hear(&mut graft, text), *verdict, "{before:?} {text}");
-        assert_eq!(graft.state(), *state, "{before:?} {text}");
+    for (before, text, decision, state) in table {
+        let mut session = after(before);
+        assert_eq!(handle(&mut session, text), *decision, "{before:?} {text}");
+        assert_eq!(session.state(), *state, "{before:?} {text}");
     }
 }
 
