--- a/src/pooler/admission.rs
+++ b/src/pooler/admission.rs
@@ -1,99 +1,92 @@
-//! Who waits for a connection, in which order, and how long that pays.
+//! Admission to a connection pool: how many connections may be open, and who gets the next one.
+//!
+//! `Admission` is a pure value that counts and orders; `pool` owns one per database, guards it by
+//! its lock and does the waiting and the socket work.
 use crate::base::time::Tick;
 use std::collections::BTreeSet;
 
-/// How a connection can be refused.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// Why a pool handed out no connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AcquireError {
     /// The database can't be reached now.
-    Down,
-    /// All connections are in use, and waiting longer makes no sense.
-    Full,
+    #[error("the database can't be reached")]
+    Unavailable,
+    /// All connections are in use, and the time to wait for one is over.
+    #[error("all connections are in use")]
+    Exhausted,
 }
 
-/// The order in which waiters get connections.
-pub type QueueTicket = (u8, Tick, u64);
+/// A waiter's place in the queue; tickets are ordered as they are served.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct QueueTicket {
+    /// The lowest is served first.
+    priority: u8,
+    /// At the same priority, who can wait least is served first.
+    deadline: Tick,
+    /// At the same deadline, who came first is served first.
+    sequence: u64,
+}
 
-/// Who may open or borrow, as a value: the pool puts sockets to it.
+/// The connections that may be open to one database, and the queue for them.
 #[derive(Debug, Default)]
 pub struct Admission {
-    pub cap: u32,
+    /// Connections that may be open at most.
+    pub limit: u32,
+    /// Connections that are open, or being opened.
     pub open: u32,
-    waiting: BTreeSet<QueueTicket>,
-    next: u64,
+    queue: BTreeSet<QueueTicket>,
+    last_sequence: u64,
 }
 
 impl Admission {
-    /// May another connection be opened? If so it counts from now on.
-    pub fn grow(&mut self) -> bool {
-        let room = self.open < self.cap;
-        self.open += u32::from(room);
-        room
+    /// Whether another connection may be opened. If so, it counts as open from now on.
+    pub fn try_open(&mut self) -> bool {
+        let allowed = self.open < self.limit;
+        self.open += u32::from(allowed);
+        allowed
     }
-    pub fn shrink(&mut self) {
+
+    /// A connection was closed, or could not be opened.
+    pub fn close(&mut self) {
         self.open = self.open.saturating_sub(1);
     }
-    pub fn queue(&mut self, priority: u8, deadline: Tick) -> QueueTicket {
-        self.next += 1;
-        let turn = (priority, deadline, self.next);
-        self.waiting.insert(turn);
-        turn
+
+    /// Puts a new waiter into the queue.
+    pub fn enqueue(&mut self, priority: u8, deadline: Tick) -> QueueTicket {
+        self.last_sequence += 1;
+        let ticket = QueueTicket { priority, deadline, sequence: self.last_sequence };
+        self.queue.insert(ticket);
+        ticket
     }
-    pub fn leave(&mut self, turn: &QueueTicket) {
-        self.waiting.remove(turn);
+
+    /// Takes a waiter out of the queue.
+    pub fn dequeue(&mut self, ticket: &QueueTicket) {
+        self.queue.remove(ticket);
     }
-    /// Whether it is this waiter's turn, with `free` connections to hand out. One that does not
-    /// wait yet comes after all who do.
-    pub fn turn(&self, turn: Option<&QueueTicket>, free: usize) -> bool {
-        let ahead = match turn {
-            Some(turn) => self.waiting.range(..turn).count(),
-            None => self.waiting.len(),
+
+    /// Whether it is this waiter's turn, with `idle` connections to hand out. One that has no
+    /// ticket yet comes after all who have.
+    pub fn is_next(&self, ticket: Option<&QueueTicket>, idle: usize) -> bool {
+        let ahead = match ticket {
+            Some(ticket) => self.queue.range(..ticket).count(),
+            None => self.queue.len(),
         };
-        let room = self.cap.saturating_sub(self.open) as usize;
-        ahead < free + room
+        let openable = self.limit.saturating_sub(self.open) as usize;
+        ahead < idle + openable
     }
+
+    /// The length of the queue.
     pub fn waiting(&self) -> usize {
-        self.waiting.len()
-    }
-    /// Waiters that a larger share would serve.
-    pub fn short(&self) -> u32 {
-        if self.open < self.cap { 0 } else { self.waiting.len() as u32 }
+        self.queue.len()
     }
-    pub fn over(&self) -> bool {
-        self.open > self.cap
-    }
-}
-
-/// How long answers take, so that a lost one is told from a slow one: a running mean and how far
-/// answers stray from it.
-#[derive(Clone, Copy, Debug, Default)]
-pub struct LatencyEstimator {
-    mean: f32,
-    stray: f32,
-    seen: u32,
-}
 
-/// Answers before the pace is trusted.
-const PACE_TRUSTED: u32 = 8;
-
-const PATIENCE_MIN_MS: u64 = 40;
-
-impl LatencyEstimator {
-    pub fn learn(&mut self, took_ms: u64) {
-        let took = took_ms as f32;
-        if self.seen == 0 {
-            (self.mean, self.stray) = (took, took / 2.0);
-        } else {
-            self.stray += ((took - self.mean).abs() - self.stray) / 8.0;
-            self.mean += (took - self.mean) / 16.0;
-        }
-        self.seen = self.seen.saturating_add(1);
+    /// Waiters that a higher limit would serve.
+    pub fn unmet_demand(&self) -> u32 {
+        if self.open < self.limit { 0 } else { self.queue.len() as u32 }
     }
-    /// After this long an answer is more likely lost than under way.
-    pub fn patience(&self, most: u64) -> u64 {
-        if self.seen < PACE_TRUSTED {
-            return most;
-        }
-        ((self.mean + 6.0 * self.stray) as u64).max(PATIENCE_MIN_MS).min(most)
+
+    /// Whether more connections are open than are allowed since the limit was lowered.
+    pub fn over_limit(&self) -> bool {
+        self.open > self.limit
     }
 }
--- a/src/pooler/client_session.rs
+++ b/src/pooler/client_session.rs
@@ -11,7 +11,7 @@
 };
 use crate::pooler::admission::AcquireError;
 use crate::pooler::leases::Seen;
-use crate::pooler::replica_reads::{BEHIND, LAG_SKIPPED_MS};
+use crate::pooler::replica_reads::{LAGGING_SKIP_MS, PRIMARY_FALLBACK_PENALTY};
 use crate::pooler::reroute::{
     LossOutcome, SessionReroute, StatementDecision, StatementKind, StatementPlan,
 };
@@ -399,7 +399,7 @@
             }
             if let Some((term, pool)) = pooler.primary(service, now) {
                 // Reads that belong on replicas wait behind the work only a primary can do.
-                let behind = if elsewhere { BEHIND } else { 0 };
+                let behind = if elsewhere { PRIMARY_FALLBACK_PENALTY } else { 0 };
                 let priority = self.route.priority.saturating_add(behind);
                 match pool.borrow(&self.reroute, self.id, priority, hold, waits) {
                     // The lease may have run out while waiting.
@@ -407,8 +407,8 @@
                         return Ok(CheckedOutConnection { stock, pool, term: Some(term) });
                     }
                     Ok(stock) => pool.give_back(stock),
-                    Err(AcquireError::Full) => {}
-                    Err(AcquireError::Down) => {
+                    Err(AcquireError::Exhausted) => {}
+                    Err(AcquireError::Unavailable) => {
                         pooler.doubt(&pool, SuspicionReason::ConnectionsBroken, Tick::now())
                     }
                 }
@@ -467,7 +467,7 @@
         let early = !(patient || last_word);
         let most = self.route.timeout_ms / if rerun { 4 } else { 3 };
         let kind = self.route.route_type as usize;
-        let patience = lock(&pool.paces)[kind].patience(most) * if rerun { 1 } else { 2 };
+        let patience = lock(&pool.paces)[kind].timeout_ms(most) * if rerun { 1 } else { 2 };
         let look = |sent: Tick| {
             let (pooler, pool, service) = (&pooler, &pool, &service);
             move || {
@@ -545,7 +545,7 @@
             return Err(broken(Loss::Broken, true));
         }
         if reply.outcome == Outcome::Complete {
-            lock(&pool.paces)[kind].learn(now.since(sent));
+            lock(&pool.paces)[kind].record(now.since(sent));
         }
         if let Some(term) = term {
             if pooler.still(&service, term, now) {
@@ -621,7 +621,7 @@
                     // A session's own fresh commit may be missing for a moment; the floor may not.
                     let (pool, now) = (Arc::clone(&bound.pool), Tick::now());
                     if self.own.is_none_or(|own| self.need(now).is_some_and(|need| need > own)) {
-                        pool.lags_until.store(now.plus(LAG_SKIPPED_MS).0, Ordering::Relaxed);
+                        pool.lags_until.store(now.plus(LAGGING_SKIP_MS).0, Ordering::Relaxed);
                     }
                     self.unbind();
                 }
--- a/src/pooler/leases.rs
+++ b/src/pooler/leases.rs
@@ -90,7 +90,7 @@
     }
     /// How many more connections sessions wait for that may not be opened.
     pub(crate) fn short(&self) -> u32 {
-        let short = |p: &Arc<Pool>| lock(&p.inner).admission.short();
+        let short = |p: &Arc<Pool>| lock(&p.inner).admission.unmet_demand();
         self.pools.iter().map(short).max().unwrap_or(0)
     }
     /// Has the pools go by the share as it is now. True if that is news to them.
--- a/src/pooler/pool.rs
+++ b/src/pooler/pool.rs
@@ -6,7 +6,8 @@
 use crate::config::directory::DirectoryEntry;
 use crate::net::sockets::dial;
 use crate::net::statement_protocol::{self, State};
-use crate::pooler::admission::{AcquireError, Admission, LatencyEstimator, QueueTicket};
+use crate::pooler::admission::{AcquireError, Admission, QueueTicket};
+use crate::pooler::latency::LatencyEstimator;
 use crate::pooler::reroute::SessionReroute;
 use crate::pooler::server_connection::{
     CONNECT_MS, HANDSHAKE_MS, LEFT_BEFORE_MS, LOOK_MS, ServerConnection,
@@ -89,17 +90,17 @@
     pub(crate) fn load(&self) -> (usize, bool, bool) {
         let inner = lock(&self.inner);
         let busy = (inner.admission.open as usize).saturating_sub(inner.idle.len());
-        let closed = inner.draining || inner.gone || inner.admission.cap == 0;
+        let closed = inner.draining || inner.gone || inner.admission.limit == 0;
         (busy + inner.admission.waiting(), !inner.idle.is_empty(), closed)
     }
     pub(crate) fn set_cap(&self, cap: u32) {
         let mut inner = lock(&self.inner);
-        if inner.admission.cap == cap {
+        if inner.admission.limit == cap {
             return;
         }
-        inner.admission.cap = cap;
-        while inner.admission.over() && inner.idle.pop().is_some() {
-            inner.admission.shrink();
+        inner.admission.limit = cap;
+        while inner.admission.over_limit() && inner.idle.pop().is_some() {
+            inner.admission.close();
         }
         drop(inner);
         self.freed.notify_all();
@@ -119,7 +120,7 @@
             let idle = inner.idle.len();
             inner.idle.clear();
             for _ in 0..idle {
-                inner.admission.shrink();
+                inner.admission.close();
             }
             drop(inner);
             self.freed.notify_all();
@@ -144,23 +145,23 @@
                 break;
             }
             let free = inner.idle.len();
-            if inner.admission.turn(turn.as_ref(), free) {
+            if inner.admission.is_next(turn.as_ref(), free) {
                 if let Some(best) = best_fit(&inner.idle, graft, session) {
                     let stock = inner.idle.swap_remove(best);
                     // Closed while it rested, or an answer too many came: it is of no use, and
                     // nothing is lost with it.
                     if !stock.quiet() {
-                        inner.admission.shrink();
+                        inner.admission.close();
                         continue;
                     }
                     if let Some(turn) = &turn {
-                        inner.admission.leave(turn);
+                        inner.admission.dequeue(turn);
                     }
                     return Ok(stock);
                 }
-                if inner.admission.grow() {
+                if inner.admission.try_open() {
                     if let Some(turn) = &turn {
-                        inner.admission.leave(turn);
+                        inner.admission.dequeue(turn);
                     }
                     drop(inner);
                     return self.open(now, until).inspect_err(|_| self.close_one());
@@ -170,8 +171,8 @@
                 break;
             }
             if turn.is_none() {
-                turn = Some(inner.admission.queue(priority, until));
-                if inner.admission.short() > 0 {
+                turn = Some(inner.admission.enqueue(priority, until));
+                if inner.admission.unmet_demand() > 0 {
                     drop(inner);
                     waits();
                     inner = lock(&self.inner);
@@ -185,13 +186,13 @@
             };
         }
         if let Some(turn) = &turn {
-            inner.admission.leave(turn);
+            inner.admission.dequeue(turn);
         }
         let down = inner.gone || self.is_down(Tick::now());
         drop(inner);
         // The one behind may be next now.
         self.freed.notify_all();
-        Err(if down { AcquireError::Down } else { AcquireError::Full })
+        Err(if down { AcquireError::Unavailable } else { AcquireError::Exhausted })
     }
 
     fn open(&self, now: Tick, until: Tick) -> Result<ServerConnection, AcquireError> {
@@ -244,24 +245,24 @@
                 self.heard(Tick::now());
                 Ok(stock)
             }
-            Ok(Err(ErrorKind::ConnLimit | ErrorKind::Throttled)) => Err(AcquireError::Full),
+            Ok(Err(ErrorKind::ConnLimit | ErrorKind::Throttled)) => Err(AcquireError::Exhausted),
             Ok(Err(_)) | Err(_) => {
                 self.failed(Tick::now());
-                Err(AcquireError::Down)
+                Err(AcquireError::Unavailable)
             }
         }
     }
 
     fn close_one(&self) {
-        lock(&self.inner).admission.shrink();
+        lock(&self.inner).admission.close();
         self.freed.notify_all();
     }
 
     /// Takes a connection back that is at rest.
     pub(crate) fn give_back(&self, stock: ServerConnection) {
         let mut inner = lock(&self.inner);
-        if inner.gone || inner.admission.over() || !stock.settled() {
-            inner.admission.shrink();
+        if inner.gone || inner.admission.over_limit() || !stock.settled() {
+            inner.admission.close();
         } else {
             inner.idle.push(stock);
         }
--- a/src/pooler/replica_reads.rs
+++ b/src/pooler/replica_reads.rs
@@ -1,75 +1,111 @@
-//! How far a replica must be to serve a read, and in which order replicas are tried.
+//! Reads from replicas: how far a replica must be, and in which order replicas are tried.
+//!
+//! Pure; the cluster view keeps one `ReadWatermarks` for each service, and the statements that are
+//! run ask it which position a replica has to wait for.
 use crate::base::ids::Position;
 use crate::base::time::Tick;
-use crate::pooler::server::RENEW_MS;
 use std::collections::VecDeque;
 
-/// Positions seen at the primary: a pair (s, p) says that p covers every commit acknowledged
-/// before s.
+/// How often leases are renewed, in ms.
+pub(crate) const RENEW_INTERVAL_MS: u64 = 450;
+
+/// Watermarks are asked for with each renewal while reads came within this time, in ms.
+pub(crate) const RECENT_READ_MS: u64 = 10_000;
+
+/// A new watermark is asked for when the newest one expires within this time, in ms: it has to
+/// serve until the answer to the next renewal is there.
+pub(crate) const WATERMARK_AHEAD_MS: u64 = 2 * RENEW_INTERVAL_MS;
+
+/// The least time in ms between two renewals that are sent because reads wait for a watermark.
+pub(crate) const URGENT_RENEWAL_INTERVAL_MS: u64 = 200;
+
+/// The time in ms that a replica is left out for after it lacked the position of a read.
+pub(crate) const LAGGING_SKIP_MS: u64 = 100;
+
+/// Added to the priority of a read that goes to the primary only because no replica can serve it,
+/// so that it waits behind the work that only a primary can do.
+pub(crate) const PRIMARY_FALLBACK_PENALTY: u8 = 100;
+
+/// Positions seen at the primary of a service, by age.
 #[derive(Clone, Debug, Default)]
 pub struct ReadWatermarks {
-    kept: VecDeque<(Tick, Position)>,
-    newest: Option<(Tick, Position)>,
+    /// From the oldest to the newest, `MIN_SPACING_MS` apart at least.
+    spaced: VecDeque<Watermark>,
+    newest: Option<Watermark>,
+}
+
+/// A position that covers every commit acknowledged before `sent_at`.
+#[derive(Clone, Copy, Debug)]
+struct Watermark {
+    sent_at: Tick,
+    position: Position,
 }
 
-const FLOORS_KEPT: usize = 64;
+/// Watermarks kept for a service; with their spacing they reach back some 4 s.
+const MAX_WATERMARKS: usize = 64;
+
+/// The least time in ms between two watermarks that are kept.
+const MIN_SPACING_MS: u64 = 60;
 
-const FLOOR_STEP_MS: u64 = 60;
+impl Watermark {
+    /// Whether it shows a read started at `started_at` all that is older than `stale_ms`. One ms is
+    /// added because times are rounded down to whole milliseconds.
+    fn covers(&self, started_at: Tick, stale_ms: u64) -> bool {
+        self.sent_at.plus(stale_ms) > started_at.plus(1)
+    }
+}
 
 impl ReadWatermarks {
-    pub fn learn(&mut self, sent: Tick, position: Position) {
-        if self.newest.is_some_and(|(s, p)| s > sent || p > position) {
+    /// Takes in the position that the primary gave in answer to a statement sent at `sent_at`. One
+    /// that was overtaken by a newer answer changes nothing.
+    pub fn observe(&mut self, sent_at: Tick, position: Position) {
+        if self.newest.is_some_and(|newest| newest.sent_at > sent_at || newest.position > position)
+        {
             return;
         }
-        self.newest = Some((sent, position));
-        if self.kept.back().is_none_or(|(s, _)| sent.since(*s) >= FLOOR_STEP_MS) {
-            if self.kept.len() == FLOORS_KEPT {
-                self.kept.pop_front();
+        let watermark = Watermark { sent_at, position };
+        self.newest = Some(watermark);
+        let last = self.spaced.back();
+        if last.is_none_or(|last| sent_at.since(last.sent_at) >= MIN_SPACING_MS) {
+            if self.spaced.len() == MAX_WATERMARKS {
+                self.spaced.pop_front();
             }
-            self.kept.push_back((sent, position));
+            self.spaced.push_back(watermark);
         }
     }
-    /// Whether reads that begin within `ahead` ms from now will find a floor.
-    pub fn lasts(&self, now: Tick, stale_ms: u64, ahead: u64) -> bool {
-        self.newest.is_some_and(|(s, _)| s.plus(stale_ms) > now.plus(ahead + 1))
+
+    /// Whether reads that start within `ahead_ms` from now will find a watermark no older than
+    /// `stale_ms`.
+    pub fn lasts(&self, now: Tick, stale_ms: u64, ahead_ms: u64) -> bool {
+        self.newest.is_some_and(|newest| newest.covers(now.plus(ahead_ms), stale_ms))
     }
-    /// The least demanding position that is no older than `stale_ms` for a read begun at `began`.
-    pub fn needed(&self, began: Tick, stale_ms: u64) -> Option<Position> {
-        // Times are cut to whole milliseconds, so one is kept in hand.
-        let fresh = |s: Tick| s.plus(stale_ms) > began.plus(1);
-        let old_enough = self.kept.iter().find(|(s, _)| fresh(*s));
-        old_enough.or(self.newest.as_ref().filter(|(s, _)| fresh(*s))).map(|(_, p)| *p)
+
+    /// The lowest position that lets a read started at `started_at` see all that is older than
+    /// `stale_ms`, if any is known.
+    pub fn required_position(&self, started_at: Tick, stale_ms: u64) -> Option<Position> {
+        let covers = |watermark: &&Watermark| watermark.covers(started_at, stale_ms);
+        let found = self.spaced.iter().find(covers).or(self.newest.as_ref().filter(covers));
+        found.map(|watermark| watermark.position)
     }
 }
 
-/// How long after the answer at `heard` something was sent, as the leader may count it from its own
-/// sending of that answer: never more than it was. None for what was sent before.
-pub fn after(heard: Tick, sent: Tick) -> Option<u64> {
-    // Times are cut to whole milliseconds, so one is kept in hand.
-    sent.0.checked_sub(heard.0)?.checked_sub(1)
+/// How many ms after the leader sent the answer that arrived at `answer_received_at` something was
+/// sent at `sent_at`, as a lower bound: the answer took its time, and one ms is subtracted because
+/// times are rounded down to whole milliseconds. None for what was sent before the answer arrived.
+pub fn elapsed_lower_bound_ms(answer_received_at: Tick, sent_at: Tick) -> Option<u64> {
+    sent_at.0.checked_sub(answer_received_at.0)?.checked_sub(1)
 }
 
-/// Fresh floors are asked for with each renewal while reads came within this time.
-pub(crate) const READ_LATELY_MS: u64 = 10_000;
-
-/// A floor should serve until what the next renewal brings is there.
-pub(crate) const FLOOR_AHEAD_MS: u64 = 2 * RENEW_MS;
-
-/// Reads that can be had nowhere ask for floors this often.
-pub(crate) const ASK_MS: u64 = 200;
-
-/// A replica that lacked the floor is asked again after this.
-pub(crate) const LAG_SKIPPED_MS: u64 = 100;
-
-/// Added to the priority of a read that is at the primary only because no replica can have it.
-pub(crate) const BEHIND: u8 = 100;
-
-/// How good a replica is to read from; the least is the best. Where a connection has to be opened,
-/// each pooler has an order of its own: all of them spread over all replicas, and each keeps few.
+/// How good a replica is to read from; the lowest is the best.
+///
+/// Among replicas that need a new connection the tie is broken by an order of this pooler's own, so
+/// that all poolers together use all replicas while each keeps connections to few.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ReplicaRank {
+    /// Statements under way and waiting there, with a penalty for another zone.
     pub(crate) load: usize,
-    /// A connection would have to be opened.
-    pub(crate) fresh: bool,
-    pub(crate) tie: u64,
+    /// No connection is idle: one would have to be opened.
+    pub(crate) needs_connection: bool,
+    /// Orders equals.
+    pub(crate) tie_break: u64,
 }
--- a/src/pooler/server.rs
+++ b/src/pooler/server.rs
@@ -20,7 +20,10 @@
 use crate::pooler::client_session::{Next, Session};
 use crate::pooler::leases::{SHARE_KEPT_MS, Seen, ServiceView, View};
 use crate::pooler::pool::{Held, Pool};
-use crate::pooler::replica_reads::{ASK_MS, FLOOR_AHEAD_MS, READ_LATELY_MS, ReplicaRank, after};
+use crate::pooler::replica_reads::{
+    RECENT_READ_MS, RENEW_INTERVAL_MS, ReplicaRank, URGENT_RENEWAL_INTERVAL_MS, WATERMARK_AHEAD_MS,
+    elapsed_lower_bound_ms,
+};
 use crate::pooler::server_connection::ServerConnection;
 use log::info;
 use std::collections::{BTreeSet, HashMap, VecDeque};
@@ -76,8 +79,6 @@
     pub(crate) term: Option<DbTerm>,
 }
 
-pub(crate) const RENEW_MS: u64 = 450;
-
 impl Pooler {
     pub(crate) fn config(&self) -> Option<Arc<RouteTable>> {
         lock(&self.view).config.clone()
@@ -105,7 +106,7 @@
     ) {
         let mut view = lock(&self.view);
         if let Some(seen) = view.services.get_mut(service) {
-            seen.floors.learn(sent, position);
+            seen.floors.observe(sent, position);
             seen.highest = seen.highest.max(Some(position));
             if seen.news.is_none_or(|(_, s, _)| sent > s) {
                 seen.news = Some((term, sent, position));
@@ -122,13 +123,13 @@
         let seen = view.services.get_mut(service)?;
         let stale = seen.read.map_or(stale_ms, |(_, stale)| stale.min(stale_ms));
         seen.read = Some((Tick::now(), stale));
-        seen.floors.needed(began, stale_ms)
+        seen.floors.required_position(began, stale_ms)
     }
     /// Something waits that the leader may help with, a floor without a primary or a larger share: it
     /// is asked at once, though not more often than makes sense.
     pub(crate) fn ask_now(&self, now: Tick) {
         let last = lock(&self.sent).back().map(|(_, t)| *t);
-        if last.is_none_or(|t| now.since(t) >= ASK_MS) && self.link.is_up() {
+        if last.is_none_or(|t| now.since(t) >= URGENT_RENEWAL_INTERVAL_MS) && self.link.is_up() {
             self.renew();
         }
     }
@@ -151,8 +152,12 @@
                 let (load, idle, closed) = p.load();
                 let far = if p.zone == self.zone { 0 } else { 3 };
                 let tie = if idle { rand::random() } else { self.hasher.hash_one(&p.id) };
-                (!closed)
-                    .then(|| (ReplicaRank { load: load + far, fresh: !idle, tie }, Arc::clone(p)))
+                (!closed).then(|| {
+                    (
+                        ReplicaRank { load: load + far, needs_connection: !idle, tie_break: tie },
+                        Arc::clone(p),
+                    )
+                })
             })
             .collect();
         found.sort_by_key(|(standby, _)| *standby);
@@ -175,7 +180,7 @@
     }
     fn renew_when_due(&self) {
         let last = lock(&self.sent).back().map(|(_, t)| *t);
-        let due = last.is_none_or(|t| Tick::now().since(t) >= RENEW_MS);
+        let due = last.is_none_or(|t| Tick::now().since(t) >= RENEW_INTERVAL_MS);
         if due && self.link.is_up() {
             self.renew();
         }
@@ -197,13 +202,13 @@
                 wants.push((name.clone(), short));
             }
             if let Some((term, sent, position)) = seen.news.take()
-                && let Some(after) = heard.and_then(|(_, at)| after(at, sent))
+                && let Some(after) = heard.and_then(|(_, at)| elapsed_lower_bound_ms(at, sent))
             {
                 saw.push(ObservedPosition { service: name.clone(), term, position, after });
             }
-            let lately = seen.read.filter(|(at, _)| now.since(*at) < READ_LATELY_MS);
+            let lately = seen.read.filter(|(at, _)| now.since(*at) < RECENT_READ_MS);
             match lately {
-                Some((_, stale)) if !seen.floors.lasts(now, stale, FLOOR_AHEAD_MS) => {
+                Some((_, stale)) if !seen.floors.lasts(now, stale, WATERMARK_AHEAD_MS) => {
                     asks.push(name.clone());
                 }
                 Some(_) => {}
@@ -363,7 +368,7 @@
             if let Some(seen) = view.services.get_mut(&service)
                 && let Some(sent) = asked.0.checked_sub(age)
             {
-                seen.floors.learn(Tick(sent), position);
+                seen.floors.observe(Tick(sent), position);
             }
         }
         for grant in grants {
@@ -382,7 +387,7 @@
                 }
                 PrimaryStatus::Sealed(position) => {
                     seen.held = Held::None;
-                    seen.floors.learn(asked, position);
+                    seen.floors.observe(asked, position);
                 }
                 PrimaryStatus::Absent => seen.held = Held::None,
             }
--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -988,7 +988,11 @@
         (10_000, 60_000, 60_020, 60_030, 60_040),
     ];
     for (left, in_hand, sent, asked, answered) in cases {
-        let told = silvertack::pooler::replica_reads::after(one(in_hand), one(sent)).map(|after| {
+        let told = silvertack::pooler::replica_reads::elapsed_lower_bound_ms(
+            one(in_hand),
+            one(sent),
+        )
+        .map(|after| {
             let mut known = ReplicationWatermarks::default();
             let saw =
                 ObservedPosition { service: s.clone(), term: DbTerm(4), position: at(7), after };
@@ -1004,7 +1008,10 @@
         assert!(seen <= sent + 55, "{left} {in_hand} {sent} {asked}");
     }
     // Sent before the answer was in hand: nothing is known of when.
-    assert_eq!(silvertack::pooler::replica_reads::after(Tick(100), Tick(99)), None);
+    assert_eq!(
+        silvertack::pooler::replica_reads::elapsed_lower_bound_ms(Tick(100), Tick(99)),
+        None
+    );
 }
 
 #[test]
--- a/tests/reroute.rs
+++ b/tests/reroute.rs
@@ -3,7 +3,8 @@
 use silvertack::base::ids::{DbTerm, Position};
 use silvertack::base::time::Tick;
 use silvertack::net::statement_protocol::{self, Line, State};
-use silvertack::pooler::admission::{Admission, LatencyEstimator};
+use silvertack::pooler::admission::Admission;
+use silvertack::pooler::latency::LatencyEstimator;
 use silvertack::pooler::leases::ConnectionQuota;
 use silvertack::pooler::pool::has_left;
 use silvertack::pooler::replica_reads::ReadWatermarks;
@@ -162,14 +163,14 @@
 }
 
 #[test]
-fn floors_are_never_older_than_they_say() {
+fn watermarks_are_never_older_than_they_say() {
     let at = |number| Position { term: DbTerm(3), number };
-    let mut floors = ReadWatermarks::default();
+    let mut watermarks = ReadWatermarks::default();
     for step in 0..40 {
-        floors.learn(Tick(1_000 + step * 100), at(step));
+        watermarks.observe(Tick(1_000 + step * 100), at(step));
     }
     // An answer that was overtaken by a newer one changes nothing.
-    floors.learn(Tick(1_500), at(1));
+    watermarks.observe(Tick(1_500), at(1));
     let table = [
         // begun, may be old by, the position a replica needs
         (5_000, 1_500, Some(at(26))),
@@ -179,45 +180,53 @@
         (4_900, 3_000, Some(at(10))),
     ];
     for (began, stale, needed) in table {
-        assert_eq!(floors.needed(Tick(began), stale), needed, "begun {began}, stale {stale}");
+        assert_eq!(
+            watermarks.required_position(Tick(began), stale),
+            needed,
+            "begun {began}, stale {stale}"
+        );
     }
     let mut one = ReadWatermarks::default();
-    one.learn(Tick(1_000), at(5));
-    assert_eq!(one.needed(Tick(1_000), 0), None, "a commit of the same millisecond may be missing");
+    one.observe(Tick(1_000), at(5));
+    assert_eq!(
+        one.required_position(Tick(1_000), 0),
+        None,
+        "a commit of the same millisecond may be missing"
+    );
 }
 
 #[test]
 fn waiters_go_by_priority_then_deadline() {
     let mut admission = Admission::default();
-    admission.cap = 1;
-    assert!(admission.grow());
-    assert!(!admission.grow(), "never more than the share");
-    let late = admission.queue(2, Tick(50));
-    let low = admission.queue(2, Tick(10));
-    let high = admission.queue(1, Tick(90));
-    let turns = |a: &Admission| [&high, &low, &late].map(|turn| a.turn(Some(turn), 1));
+    admission.limit = 1;
+    assert!(admission.try_open());
+    assert!(!admission.try_open(), "never more than the limit");
+    let late = admission.enqueue(2, Tick(50));
+    let low = admission.enqueue(2, Tick(10));
+    let high = admission.enqueue(1, Tick(90));
+    let turns = |a: &Admission| [&high, &low, &late].map(|ticket| a.is_next(Some(ticket), 1));
     assert_eq!(turns(&admission), [true, false, false]);
-    assert!(!admission.turn(None, 3) && admission.turn(None, 4), "a newcomer comes last");
-    admission.leave(&high);
+    assert!(!admission.is_next(None, 3) && admission.is_next(None, 4), "a newcomer comes last");
+    admission.dequeue(&high);
     assert_eq!(turns(&admission)[1..], [true, false]);
-    admission.cap = 0;
-    assert!(admission.over(), "a smaller share takes back what is open");
-    admission.shrink();
-    assert!(!admission.over() && !admission.turn(Some(&low), 0));
+    admission.limit = 0;
+    assert!(admission.over_limit(), "a lower limit takes back what is open");
+    admission.close();
+    assert!(!admission.over_limit() && !admission.is_next(Some(&low), 0));
 }
 
 #[test]
-fn patience_follows_the_pace() {
-    let mut pace = LatencyEstimator::default();
-    assert_eq!(pace.patience(250), 250, "nothing is known yet");
+fn timeouts_follow_the_latency() {
+    let mut latency = LatencyEstimator::default();
+    assert_eq!(latency.timeout_ms(250), 250, "nothing is known yet");
     for took in [8, 9, 8, 10, 8, 9, 12, 8, 9, 8] {
-        pace.learn(took);
+        latency.record(took);
     }
-    assert_eq!(pace.patience(250), 40, "quick answers, short patience");
+    assert_eq!(latency.timeout_ms(250), 40, "quick answers, short timeout");
     for _ in 0..200 {
-        pace.learn(400);
+        latency.record(400);
     }
-    assert_eq!(pace.patience(250), 250, "a slow database is not lost");
+    assert_eq!(latency.timeout_ms(250), 250, "a slow database is not lost");
 }
 
 #[test]
