--- a/src/controller/transport.rs
+++ b/src/controller/transport.rs
@@ -155,7 +155,8 @@
         let (service, target) = (service.clone(), target.clone());
         let again = (self.tx.clone(), service.clone(), target.clone());
         let started = start_thread(move || {
-            let posted = post_failover(provider, &holder, attempt.fence(), &service, &target);
+            let posted =
+                post_failover(provider, &holder, attempt.fencing_token(), &service, &target);
             // The core may have ended meanwhile.
             drop(tx.send(Event::Input(Input::PromotionResponse(service, target, attempt, posted))));
         });
--- /dev/null
+++ b/src/failover/state.rs
@@ -0,0 +1,431 @@
+//! The state of a failover and its step: events come in, actions go out. Each event is dispatched
+//! by the state to a method that handles just that state.
+
+use super::actions::{Attempt, DatabaseRequest, DatabaseResponse, FailoverAction};
+use super::departed::DepartedReplicas;
+use super::fencing::{Fencing, PlannedCause};
+use super::promotion::Promotion;
+use super::resume::PausedReplicas;
+use super::snapshot::ServiceSnapshot;
+use super::suspicion::Suspicion;
+use super::timing::{FIRST_PRIMARY_TIMEOUT_MS, PLANNED_CHANGE_RETRY_MS, STEP_DOWN_RETRY_MS};
+use crate::base::ids::{DbTerm, InstanceId, Position};
+use crate::base::time::Tick;
+use crate::config::directory::{Lifecycle, Role};
+use crate::state_machine::{Command, PrimaryRecord};
+
+/// How far the change of a service's primary is.
+#[derive(Clone, Debug, PartialEq)]
+pub enum FailoverState {
+    /// Nothing is to be changed.
+    Steady,
+    /// The service has no recorded primary. A database reported that it is one, and is asked for
+    /// its term.
+    DiscoveringFirstPrimary {
+        /// When it was asked.
+        since: Tick,
+    },
+    /// The primary is suspected and was asked for its state; its own answer decides.
+    Suspected {
+        /// When it was last asked.
+        since: Tick,
+        /// Its machine accepted the connection, so it is reachable, if perhaps slow.
+        connected: bool,
+    },
+    /// Replicas are being paused, so that the old primary can acknowledge no further commit that
+    /// the next one lacks.
+    Fencing(Fencing),
+    /// The intent to promote this replica was proposed, and isn't seen committed yet.
+    RecordingIntent {
+        /// The replica that was chosen.
+        target: InstanceId,
+        /// When the intent was last proposed.
+        since: Tick,
+    },
+    /// The intent is committed, and the platform is called to promote the target.
+    Promoting(Promotion),
+    /// The target leads; it is recorded as the primary once the leases on the old term have ended.
+    AwaitingLeaseExpiry {
+        /// The new primary.
+        target: InstanceId,
+        /// The term that it leads.
+        term: DbTerm,
+        /// The new primary was proposed to the log.
+        recorded: bool,
+    },
+}
+
+impl FailoverState {
+    /// The text for the status page and the log, as `docs/operations.md` lists it; operators search
+    /// for it.
+    pub(crate) fn status_text(&self) -> &'static str {
+        match self {
+            Self::Steady => "steady",
+            Self::DiscoveringFirstPrimary { .. } => "asking the first primary",
+            Self::Suspected { .. } => "doubting the primary",
+            Self::Fencing(fencing) if fencing.planned.is_some() => "fencing for a planned change",
+            Self::Fencing(_) => "fencing a lost primary",
+            Self::RecordingIntent { .. } => "writing down the intent",
+            Self::Promoting(_) => "promoting",
+            Self::AwaitingLeaseExpiry { .. } => "waiting for old leases",
+        }
+    }
+
+    /// The replica that isn't paused, or was paused as the chosen one, in the states in which
+    /// replicas that are newly listed have to be paused.
+    fn promotion_target(&self) -> Option<&InstanceId> {
+        match self {
+            Self::Fencing(fencing) => fencing.target(),
+            Self::RecordingIntent { target, .. } => Some(target),
+            Self::Promoting(promotion) => Some(&promotion.target),
+            Self::Steady
+            | Self::DiscoveringFirstPrimary { .. }
+            | Self::Suspected { .. }
+            | Self::AwaitingLeaseExpiry { .. } => None,
+        }
+    }
+}
+
+/// What the recorded primary's answer says about it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum PrimaryAnswer {
+    /// It leads the recorded term, as far as it can be told.
+    Leads,
+    /// It can't be reached, doesn't answer, or isn't the primary of the recorded term.
+    DoesNotLead,
+}
+
+impl PrimaryAnswer {
+    pub(super) fn of(response: &DatabaseResponse, record: &PrimaryRecord) -> Self {
+        let leads = match response {
+            DatabaseResponse::Description(description) => {
+                description.primary && description.term == record.term
+            }
+            DatabaseResponse::NoDescription | DatabaseResponse::Connected => true,
+            DatabaseResponse::Unavailable | DatabaseResponse::TimedOut => false,
+        };
+        if leads { Self::Leads } else { Self::DoesNotLead }
+    }
+}
+
+/// What poolers are told about the leases of a service while its primary changes.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct LeaseStatus {
+    /// Leases on the present term are being revoked, and none is granted.
+    pub revoking: bool,
+    /// With the replicas fenced, every acknowledged commit lies at or before this position.
+    pub sealed: Option<Position>,
+}
+
+/// Brings one service from primary to primary. Every step is safe to take again.
+#[derive(Clone, Debug)]
+pub struct Failover {
+    /// How far the change is.
+    pub state: FailoverState,
+    /// The attempt under way, or the last one.
+    pub attempt: Attempt,
+    /// Leases on the present term are being revoked, and none is granted.
+    pub revoking: bool,
+    /// With the replicas fenced, every acknowledged commit lies at or before this position.
+    pub sealed: Option<Position>,
+    pub(super) replicas: PausedReplicas,
+    pub(super) departed: DepartedReplicas,
+    pub(super) suspicion: Suspicion,
+    /// When a change was last called off.
+    pub(super) called_off_at: Option<Tick>,
+    /// When a former primary was last told to step down.
+    stepped_down_at: Option<Tick>,
+}
+
+impl Failover {
+    /// Begins under a new leader. An intent that it finds is finished first, with the same target;
+    /// replicas that an earlier leader may have paused are resumed.
+    pub fn begin(snapshot: &ServiceSnapshot, now: Tick) -> (Self, Vec<FailoverAction>) {
+        let mut failover = Self {
+            state: FailoverState::Steady,
+            attempt: Attempt { raft_term: snapshot.raft_term, number: 0 },
+            revoking: false,
+            sealed: None,
+            replicas: PausedReplicas::new(now),
+            departed: DepartedReplicas::new(now),
+            suspicion: Suspicion::default(),
+            called_off_at: None,
+            stepped_down_at: None,
+        };
+        let actions = match &snapshot.primary_record {
+            None => Vec::new(),
+            Some(PrimaryRecord { term, intent: Some(target), .. }) => {
+                failover.take_over_intent(snapshot, *term, target.clone(), now)
+            }
+            Some(_) => {
+                let replicas = snapshot.replica_ids().cloned();
+                replicas.for_each(|id| failover.replicas.assume_paused(id));
+                failover.resume_replicas(now)
+            }
+        };
+        (failover, actions)
+    }
+
+    /// What poolers are told about the leases of the service.
+    pub fn lease_status(&self) -> LeaseStatus {
+        LeaseStatus { revoking: self.revoking, sealed: self.sealed }
+    }
+
+    /// From here on, answers to earlier requests don't count.
+    pub(super) fn begin_attempt(&mut self) {
+        self.attempt.number += 1;
+    }
+
+    /// Ends the change or the suspicion: the primary is known to be well.
+    pub(super) fn return_to_steady(&mut self, now: Tick) {
+        self.state = FailoverState::Steady;
+        self.revoking = false;
+        self.sealed = None;
+        self.suspicion.record_verified(now);
+    }
+
+    /// Takes what came of a request to a database, made in that attempt.
+    pub fn handle_response(
+        &mut self,
+        snapshot: &ServiceSnapshot,
+        attempt: Attempt,
+        database: &InstanceId,
+        request: DatabaseRequest,
+        response: &DatabaseResponse,
+        now: Tick,
+    ) -> Vec<FailoverAction> {
+        if attempt.raft_term == self.attempt.raft_term {
+            self.replicas.record_response(database, request, response);
+        }
+        if request == DatabaseRequest::Describe && self.departed.is_checked_in(attempt) {
+            return match response {
+                DatabaseResponse::Description(description) => {
+                    self.handle_departed_check_response(snapshot, database, description, now)
+                }
+                _ => Vec::new(),
+            };
+        }
+        if self.is_outdated(attempt, request) {
+            return Vec::new();
+        }
+        if *response == DatabaseResponse::Connected {
+            self.record_connected(request);
+            return Vec::new();
+        }
+        match request {
+            DatabaseRequest::Continue => {
+                self.handle_resume_response(snapshot, attempt, database, response, now)
+            }
+            DatabaseRequest::StepDown(_) => {
+                if let FailoverState::DiscoveringFirstPrimary { .. } = self.state {
+                    self.state = FailoverState::Steady;
+                }
+                Vec::new()
+            }
+            DatabaseRequest::Pause(_) => {
+                self.handle_pause_response(snapshot, database, response, now)
+            }
+            DatabaseRequest::Describe => self.handle_describe(snapshot, database, response, now),
+        }
+    }
+
+    /// Whether an answer belongs to an earlier attempt and says nothing about this one: a replica
+    /// that was paused or described itself then may have received more commits since.
+    fn is_outdated(&self, attempt: Attempt, request: DatabaseRequest) -> bool {
+        match request {
+            // Whoever leads a newer term does so whenever it was asked.
+            DatabaseRequest::Describe if matches!(self.state, FailoverState::Promoting(_)) => false,
+            DatabaseRequest::Pause(_) | DatabaseRequest::Describe => attempt != self.attempt,
+            DatabaseRequest::Continue | DatabaseRequest::StepDown(_) => false,
+        }
+    }
+
+    /// The machine of a database accepted the connection for this request.
+    fn record_connected(&mut self, request: DatabaseRequest) {
+        if let FailoverState::Suspected { connected, .. } = &mut self.state
+            && request == DatabaseRequest::Describe
+        {
+            *connected = true;
+        }
+    }
+
+    fn handle_pause_response(
+        &mut self,
+        snapshot: &ServiceSnapshot,
+        database: &InstanceId,
+        response: &DatabaseResponse,
+        now: Tick,
+    ) -> Vec<FailoverAction> {
+        match &self.state {
+            FailoverState::Fencing(_) => {
+                self.handle_fencing_response(snapshot, database, response, now)
+            }
+            FailoverState::DiscoveringFirstPrimary { .. } => {
+                self.state = FailoverState::Steady;
+                Vec::new()
+            }
+            _ => Vec::new(),
+        }
+    }
+
+    /// A database answered, or didn't answer, a request to describe itself.
+    fn handle_describe(
+        &mut self,
+        snapshot: &ServiceSnapshot,
+        database: &InstanceId,
+        response: &DatabaseResponse,
+        now: Tick,
+    ) -> Vec<FailoverAction> {
+        let primary = snapshot.primary_record.as_ref().filter(|r| r.primary == *database);
+        match (&self.state, response) {
+            (FailoverState::DiscoveringFirstPrimary { .. }, _) => {
+                self.handle_first_primary(snapshot, database, response)
+            }
+            (FailoverState::Suspected { .. }, _) => match primary {
+                Some(record) => self.handle_suspected_primary(snapshot, record, response, now),
+                None => Vec::new(),
+            },
+            (FailoverState::Fencing(_), _) => match primary {
+                Some(record) => {
+                    let answer = PrimaryAnswer::of(response, record);
+                    self.handle_fenced_primary(snapshot, answer, now)
+                }
+                None => self.handle_fencing_response(snapshot, database, response, now),
+            },
+            (FailoverState::Promoting(_), DatabaseResponse::Description(description)) => {
+                self.handle_target_description(snapshot, database, description, now)
+            }
+            _ => Vec::new(),
+        }
+    }
+
+    /// The answer of the database that reported to be the first primary: it is recorded with the
+    /// term that it says it leads.
+    fn handle_first_primary(
+        &mut self,
+        snapshot: &ServiceSnapshot,
+        database: &InstanceId,
+        response: &DatabaseResponse,
+    ) -> Vec<FailoverAction> {
+        self.state = FailoverState::Steady;
+        match response {
+            DatabaseResponse::Description(description)
+                if description.primary && snapshot.primary_record.is_none() =>
+            {
+                let (service, primary) = (snapshot.service.clone(), database.clone());
+                let term = description.term;
+                vec![FailoverAction::Propose(Command::SetPrimary { service, term, primary })]
+            }
+            _ => Vec::new(),
+        }
+    }
+
+    /// A heartbeat came in; `role` is how the database sees itself.
+    pub fn handle_heartbeat(
+        &mut self,
+        snapshot: &ServiceSnapshot,
+        database: &InstanceId,
+        role: Role,
+        now: Tick,
+    ) -> Vec<FailoverAction> {
+        if role != Role::Primary {
+            return Vec::new();
+        }
+        match (&mut self.state, &snapshot.primary_record) {
+            (FailoverState::Steady, None) => {
+                self.state = FailoverState::DiscoveringFirstPrimary { since: now };
+                vec![FailoverAction::SendRequest(database.clone(), DatabaseRequest::Describe)]
+            }
+            (FailoverState::Steady, Some(record)) if record.primary != *database => {
+                if self.stepped_down_at.is_some_and(|at| now.since(at) <= STEP_DOWN_RETRY_MS) {
+                    return Vec::new();
+                }
+                self.stepped_down_at = Some(now);
+                let step_down = DatabaseRequest::StepDown(record.term);
+                vec![FailoverAction::SendRequest(database.clone(), step_down)]
+            }
+            (FailoverState::Promoting(promotion), _) if promotion.target == *database => {
+                vec![promotion.poll(now)]
+            }
+            _ => Vec::new(),
+        }
+    }
+
+    /// Goes on with what is due. The controller calls this at intervals, and at once when
+    /// something of the service was committed or when leases ended.
+    pub fn tick(&mut self, snapshot: &ServiceSnapshot, now: Tick) -> Vec<FailoverAction> {
+        let Some(record) = &snapshot.primary_record else {
+            self.tick_without_primary(now);
+            return Vec::new();
+        };
+        if let Some(actions) = self.follow_record(snapshot, record, now) {
+            return actions;
+        }
+        if let Some(target) = self.state.promotion_target().cloned() {
+            let actions = self.pause_new_replicas(snapshot, &target, now);
+            if !actions.is_empty() {
+                return actions;
+            }
+        }
+        match &self.state {
+            FailoverState::Steady => self.tick_steady(snapshot, record, now),
+            FailoverState::DiscoveringFirstPrimary { .. } => {
+                self.state = FailoverState::Steady;
+                Vec::new()
+            }
+            FailoverState::Suspected { .. } => self.tick_suspected(snapshot, record, now),
+            FailoverState::Fencing(fencing) if fencing.planned.is_some() => {
+                self.tick_planned_change(snapshot, record, now)
+            }
+            FailoverState::Fencing(_) => self.tick_fencing(snapshot, record, now),
+            FailoverState::RecordingIntent { .. } => {
+                self.tick_recording_intent(snapshot, record, now)
+            }
+            FailoverState::Promoting(_) => self.tick_promoting(snapshot, now),
+            FailoverState::AwaitingLeaseExpiry { .. } => self.tick_awaiting_lease_expiry(snapshot),
+        }
+    }
+
+    /// Gives up a first primary that didn't answer; its next heartbeat begins again.
+    fn tick_without_primary(&mut self, now: Tick) {
+        if let FailoverState::DiscoveringFirstPrimary { since } = self.state
+            && now.since(since) > FIRST_PRIMARY_TIMEOUT_MS
+        {
+            self.state = FailoverState::Steady;
+        }
+    }
+
+    /// Looks whether the primary has to be replaced, and finishes what earlier changes left.
+    fn tick_steady(
+        &mut self,
+        snapshot: &ServiceSnapshot,
+        record: &PrimaryRecord,
+        now: Tick,
+    ) -> Vec<FailoverAction> {
+        if snapshot.databases.is_empty() {
+            return Vec::new();
+        }
+        let Some((id, primary)) = snapshot.database(&record.primary) else {
+            return self.fence(snapshot, now);
+        };
+        if let Some(actions) = self.replicas.retry_resume(snapshot, now) {
+            return actions;
+        }
+        let requests = self.check_departed_replicas(snapshot, id, now);
+        if !requests.is_empty() {
+            return requests;
+        }
+        let backed_off =
+            self.called_off_at.is_none_or(|at| now.since(at) > PLANNED_CHANGE_RETRY_MS);
+        if primary.lifecycle_state == Lifecycle::Draining
+            && backed_off
+            && snapshot.departed.is_empty()
+        {
+            return self.plan_change(snapshot, record.term, PlannedCause::Draining, now);
+        }
+        if !snapshot.alive.contains(id) && self.suspicion.missing_heartbeats_count(now) {
+            return self.suspect_primary(id, now);
+        }
+        Vec::new()
+    }
+}
--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -244,7 +244,7 @@
         )
         .is_empty()
     );
-    assert!(matches!(s.state, FailoverState::Promoting { .. }));
+    assert!(matches!(s.state, FailoverState::Promoting(_)));
 }
 
 #[test]
@@ -417,7 +417,7 @@
             &fine,
             now.plus(at_ms + 410),
         );
-        let planned = matches!(s.state, FailoverState::Fencing { target: Some(_), .. });
+        let planned = matches!(&s.state, FailoverState::Fencing(f) if f.planned.is_some());
         assert_eq!(planned, left, "{poolers} {times} {apart}: {doubted:?} {actions:?}");
         assert!(!s.revoking);
     }
@@ -447,7 +447,7 @@
             now.plus(300),
         );
         if actions.is_empty() {
-            assert!(matches!(s.state, FailoverState::Fencing { .. }));
+            assert!(matches!(s.state, FailoverState::Fencing(_)));
         } else {
             assert_eq!(done, actions);
             s.handle_response(
@@ -458,7 +458,7 @@
                 &told,
                 now.plus(600),
             );
-            assert!(matches!(s.state, FailoverState::Fencing { .. }), "twice is enough");
+            assert!(matches!(s.state, FailoverState::Fencing(_)), "twice is enough");
         }
     }
 }
--- a/tests/failover_replicas.rs
+++ b/tests/failover_replicas.rs
@@ -201,7 +201,7 @@
     // Its outcome was never heard here, so it may have taken effect; it is made again.
     let again = now.plus(3_100);
     assert!(s.tick(&snapshot, again).contains(&FailoverAction::Promote("c".into())));
-    assert!(s.attempt.fence() > first.fence());
+    assert!(s.attempt.fencing_token() > first.fencing_token());
     // The refusal of the first call comes late: the second is under way, and settles nothing yet.
     for (attempt, after) in [(first, 10), (s.attempt, 20), (first, 5_000)] {
         let actions = s.handle_promotion_response(
@@ -226,7 +226,10 @@
     s.tick(&snapshot, again.plus(5_010));
     // Another leader's are above all of these.
     let next = Attempt { raft_term: Term(4), number: 0 };
-    assert!(before.fence() < s.attempt.fence() && s.attempt.fence() < next.fence());
+    assert!(
+        before.fencing_token() < s.attempt.fencing_token()
+            && s.attempt.fencing_token() < next.fencing_token()
+    );
 }
 
 fn intend(target: &str) -> FailoverAction {
@@ -1298,12 +1301,12 @@
     // Each is above the one before, but for numbers beyond all that a leader can reach.
     let rising = [(1, 0), (1, 1), (1, 7), (1, (1 << 20) - 1), (2, 0), (2, 1), (9, 0)];
     for pair in rising.windows(2) {
-        let [low, high] =
-            [pair[0], pair[1]].map(|(raft_term, number)| attempt(raft_term, number).fence());
+        let [low, high] = [pair[0], pair[1]]
+            .map(|(raft_term, number)| attempt(raft_term, number).fencing_token());
         assert!(low < high, "{pair:?}");
     }
     for number in [1 << 20, (1 << 20) + 5, 1 << 40, u64::MAX] {
-        assert!(attempt(1, number).fence() < attempt(2, 0).fence(), "{number}");
-        assert!(attempt(1, number).fence() > attempt(1, 7).fence(), "{number}");
+        assert!(attempt(1, number).fencing_token() < attempt(2, 0).fencing_token(), "{number}");
+        assert!(attempt(1, number).fencing_token() > attempt(1, 7).fencing_token(), "{number}");
     }
 }
