--- a/src/controller/controller.rs
+++ b/src/controller/controller.rs
@@ -26,8 +26,9 @@
 };
 use crate::net::rpc::raft_messages::{EntryPayload, JoinResponse, Member, RaftMessage, Snapshot};
 use crate::net::rpc::{Frame, LAYOUT, encode, pack};
-use crate::raft::node::{PersistentState, RaftNode, UnsavedChanges};
+use crate::raft::node::RaftNode;
 use crate::raft::persister::LogPersister;
+use crate::raft::state::{PersistentState, UnsavedChanges};
 use crate::raft::storage::WriteBatch;
 use crate::state_machine::{
     Command, CommandOutcome, StateMachine, read_change, read_kept, read_state, readable,
--- a/src/controller/linearizable_reads.rs
+++ b/src/controller/linearizable_reads.rs
@@ -4,7 +4,8 @@
 use crate::controller::admin_api::{AdminCall, CallDecision};
 use crate::net::http::Response;
 use crate::net::rpc::raft_messages::LogEntry;
-use crate::raft::node::{RaftNode, ReadIndex};
+use crate::raft::node::RaftNode;
+use crate::raft::read_index::{ReadConfirmation, ReadIndex};
 use crate::state_machine::StateMachine;
 use std::collections::BTreeMap;
 
@@ -52,11 +53,13 @@
         let unclear = |why| CallDecision::Answer(Response::refusal(503, why));
         for (read, call, from) in std::mem::take(&mut self.waiting) {
             match raft.read_confirmation(&read) {
-                Some(false) => settled.push((from, unclear("no longer the leader"))),
+                ReadConfirmation::LeadershipLost => {
+                    settled.push((from, unclear("no longer the leader")))
+                }
                 _ if now.since(read.requested_at) > READ_MS => {
                     settled.push((from, unclear("no quorum")))
                 }
-                Some(true) if applied >= read.index => {
+                ReadConfirmation::Confirmed if applied >= read.index => {
                     settled.push((from, call.judge(state_machine)))
                 }
                 _ => self.waiting.push((read, call, from)),
--- a/src/controller/peer_connections.rs
+++ b/src/controller/peer_connections.rs
@@ -3,7 +3,7 @@
 use crate::controller::controller::USELESS_MS;
 use crate::net::rpc::raft_messages::RaftMessageKind;
 use crate::net::send_queue::SendQueue;
-use crate::raft::node::FLIGHT_BYTES;
+use crate::raft::limits::MAX_IN_FLIGHT_BYTES;
 use std::net::TcpStream;
 
 /// A connection of ours to another controller.
@@ -19,7 +19,7 @@
     match kind {
         RaftMessageKind::InstallSnapshot { .. } => waiting > 0,
         RaftMessageKind::AppendEntries { entries, .. } if !entries.is_empty() => {
-            waiting > FLIGHT_BYTES
+            waiting > MAX_IN_FLIGHT_BYTES
         }
         RaftMessageKind::AppendEntries { .. } | RaftMessageKind::Chunk { .. } => {
             waiting > LINK_WAITING
@@ -73,4 +73,4 @@
 }
 
 /// What may wait for a link to another controller before even heartbeats are left out.
-const LINK_WAITING: usize = 4 * FLIGHT_BYTES;
+const LINK_WAITING: usize = 4 * MAX_IN_FLIGHT_BYTES;
--- a/src/controller/process.rs
+++ b/src/controller/process.rs
@@ -11,7 +11,7 @@
 use crate::net::http;
 use crate::net::rpc::raft_messages::Member;
 use crate::net::sockets::listen;
-use crate::raft::node::PersistentState;
+use crate::raft::state::PersistentState;
 use crate::raft::storage::{RaftStorage, WriteBatch};
 use log::warn;
 use std::collections::HashMap;
--- a/src/net/rpc/raft_messages.rs
+++ b/src/net/rpc/raft_messages.rs
@@ -61,6 +61,12 @@
     pub payload: EntryPayload,
 }
 
+/// What an entry takes beside its command, about.
+const ENTRY_OVERHEAD_BYTES: usize = 32;
+
+/// What an entry without a command takes, about.
+const OTHER_ENTRY_BYTES: usize = 512;
+
 impl LogPosition {
     /// The position of the entry of this term at this index.
     pub const fn new(term: Term, index: LogIndex) -> Self {
@@ -73,6 +79,22 @@
     pub fn position(&self) -> LogPosition {
         LogPosition::new(self.term, self.index)
     }
+
+    /// The members, if this entry is a membership change.
+    pub fn membership(&self) -> Option<&Vec<Member>> {
+        match &self.payload {
+            EntryPayload::Membership(members) => Some(members),
+            _ => None,
+        }
+    }
+
+    /// About how many bytes the entry takes.
+    pub(crate) fn approximate_size(&self) -> usize {
+        match &self.payload {
+            EntryPayload::Command(bytes) => ENTRY_OVERHEAD_BYTES + bytes.len(),
+            _ => OTHER_ENTRY_BYTES,
+        }
+    }
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/src/raft/persister.rs
+++ b/src/raft/persister.rs
@@ -2,7 +2,8 @@
 use crate::base::ids::MemberId;
 use crate::base::time::Tick;
 use crate::net::rpc::raft_messages::{LogPosition, RaftMessage, RaftMessageKind};
-use crate::raft::node::{RaftNode, UnsavedChanges};
+use crate::raft::node::RaftNode;
+use crate::raft::state::UnsavedChanges;
 use crate::raft::storage::WriteBatch;
 use std::collections::VecDeque;
 
--- a/src/raft/storage.rs
+++ b/src/raft/storage.rs
@@ -3,7 +3,7 @@
 use crate::base::ids::{LogIndex, MemberId, Term};
 use crate::net::rpc::raft_messages::{LogEntry, Snapshot};
 use crate::net::rpc::{pack, unpack};
-use crate::raft::node::{PersistentState, UnsavedChanges, listed};
+use crate::raft::state::{PersistentState, UnsavedChanges};
 use rusqlite::{Connection, OptionalExtension, params};
 use std::collections::BTreeSet;
 use std::io::Write;
@@ -205,7 +205,7 @@
             }
             log.push(entry);
         }
-        for members in log.iter().filter_map(listed).chain([&snapshot.members]) {
+        for members in log.iter().filter_map(LogEntry::membership).chain([&snapshot.members]) {
             let ids: BTreeSet<MemberId> = members.iter().map(|m| m.id).collect();
             let places: BTreeSet<SocketAddr> = members.iter().map(|m| m.admin).collect();
             let twice = ids.len() < members.len() || places.len() < members.len();
--- a/src/simulation/machines.rs
+++ b/src/simulation/machines.rs
@@ -118,7 +118,7 @@
                 let first = first_state(&machine.settings, place(number, ADMIN), draw);
                 let saved = machine
                     .disk
-                    .save(&WriteBatch::of(&first, &crate::raft::node::UnsavedChanges::all()));
+                    .save(&WriteBatch::of(&first, &crate::raft::state::UnsavedChanges::all()));
                 saved.map(|()| (first, false)).map_err(|e| e.to_string())
             }
             Err(e) => Err(e.to_string()),
--- a/src/state_machine/mod.rs
+++ b/src/state_machine/mod.rs
@@ -5,7 +5,7 @@
 use crate::config::directory::Instance;
 use crate::net::rpc::raft_messages::{EntryPayload, LogEntry, RaftMessageKind, Snapshot};
 use crate::net::rpc::{pack, unpack};
-use crate::raft::node::PersistentState;
+use crate::raft::state::PersistentState;
 use serde::{Deserialize, Serialize};
 use serde_bytes::{ByteArray, ByteBuf};
 use sha2::{Digest as _, Sha256};
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -21,7 +21,7 @@
     Snapshot,
 };
 use silvertack::net::rpc::{Frame, encode, pack, receive_with_layout, unpack};
-use silvertack::raft::node::PersistentState;
+use silvertack::raft::state::PersistentState;
 use silvertack::raft::storage::RaftStorage;
 use silvertack::state_machine::{Command, CommandOutcome, StateMachine, read_kept};
 use std::collections::{BTreeMap, BTreeSet};
--- a/tests/configuration_changes.rs
+++ b/tests/configuration_changes.rs
@@ -8,7 +8,9 @@
     EntryPayload, LogPosition, Member, RaftMessage, RaftMessageKind, Snapshot,
 };
 use silvertack::net::rpc::{pack, unpack};
-use silvertack::raft::node::{PersistentState, RaftNode, UnsavedChanges};
+use silvertack::raft::node::RaftNode;
+use silvertack::raft::read_index::ReadConfirmation;
+use silvertack::raft::state::{PersistentState, UnsavedChanges};
 use silvertack::state_machine::{Command, CommandOutcome, StateMachine};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -308,9 +310,17 @@
     node.raft.tick(due);
     let read = node.raft.read_index(due).expect("leads");
     site.settle();
-    assert_eq!(site.nodes[&leader].raft.read_confirmation(&read), None, "it tells of before");
+    assert_eq!(
+        site.nodes[&leader].raft.read_confirmation(&read),
+        ReadConfirmation::Pending,
+        "it tells of before"
+    );
     site.run(1);
-    assert_eq!(site.nodes[&leader].raft.read_confirmation(&read), Some(true), "one round later");
+    assert_eq!(
+        site.nodes[&leader].raft.read_confirmation(&read),
+        ReadConfirmation::Confirmed,
+        "one round later"
+    );
     // One voter of two answers: enough. None: the caller is told so before it goes on.
     let others: Vec<u64> = (1..=3).filter(|id| *id != leader).collect();
     site.cut.insert(others[0]);
@@ -353,9 +363,9 @@
     let raft = &mut site.nodes.get_mut(&leader).expect("leader").raft;
     let read = raft.read_index(now).expect("leads");
     site.restart(&[leader]);
-    assert_eq!(site.nodes[&leader].raft.read_confirmation(&read), Some(false));
+    assert_eq!(site.nodes[&leader].raft.read_confirmation(&read), ReadConfirmation::LeadershipLost);
     site.lead();
-    assert_eq!(site.nodes[&leader].raft.read_confirmation(&read), Some(false));
+    assert_eq!(site.nodes[&leader].raft.read_confirmation(&read), ReadConfirmation::LeadershipLost);
     // One that is alone has nobody to ask.
     let mut site = Site::new(1);
     let leader = site.lead();
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -18,7 +18,8 @@
 };
 use silvertack::net::rpc::{Frame, receive};
 use silvertack::net::statement_protocol::ServerDescription;
-use silvertack::raft::node::{PersistentState, RaftNode, UnsavedChanges};
+use silvertack::raft::node::RaftNode;
+use silvertack::raft::state::{PersistentState, UnsavedChanges};
 use silvertack::raft::storage::WriteBatch;
 use silvertack::state_machine::{Command, CommandOutcome, PrimaryRecord, StateMachine};
 use std::net::SocketAddr;
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -8,7 +8,9 @@
 use silvertack::net::rpc::raft_messages::{
     EntryPayload, Member, RaftMessage, RaftMessageKind, Snapshot,
 };
-use silvertack::raft::node::{PersistentState, RaftNode, UnsavedChanges};
+use silvertack::raft::node::RaftNode;
+use silvertack::raft::read_index::ReadConfirmation;
+use silvertack::raft::state::{PersistentState, UnsavedChanges};
 use silvertack::state_machine::{Command, StateMachine};
 use std::collections::HashSet;
 
@@ -388,7 +390,9 @@
         }
         assert_eq!(led.raft.commit_index == last, commits, "{what}");
         assert_eq!(led.raft.holds_leader_lease(led.now), commits, "{what}: a quorum answered");
-        assert_eq!(led.raft.read_confirmation(&read), commits.then_some(true), "{what}: ReadIndex");
+        let expected =
+            if commits { ReadConfirmation::Confirmed } else { ReadConfirmation::Pending };
+        assert_eq!(led.raft.read_confirmation(&read), expected, "{what}: ReadIndex");
     }
 }
 
--- a/tests/power_loss.rs
+++ b/tests/power_loss.rs
@@ -2,7 +2,7 @@
 //! there or not, by itself. Tables of what may then lie in a controller's folder, of real SQLite files.
 use silvertack::base::ids::{LogIndex, MemberId, NodeName, Term};
 use silvertack::net::rpc::raft_messages::{EntryPayload, LogEntry, Member, Snapshot};
-use silvertack::raft::node::{PersistentState, UnsavedChanges};
+use silvertack::raft::state::{PersistentState, UnsavedChanges};
 use silvertack::raft::storage::{RaftStorage, WriteBatch};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
--- a/tests/raft.rs
+++ b/tests/raft.rs
@@ -9,8 +9,10 @@
     Snapshot,
 };
 use silvertack::net::send_queue::SendQueue;
-use silvertack::raft::node::{ELECTION_MIN_MS, PersistentState, RaftNode, UnsavedChanges};
+use silvertack::raft::limits::MIN_ELECTION_TIMEOUT_MS;
+use silvertack::raft::node::RaftNode;
 use silvertack::raft::persister::LogPersister;
+use silvertack::raft::state::{PersistentState, UnsavedChanges};
 use silvertack::raft::storage::{RaftStorage, WriteBatch};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -221,7 +223,7 @@
     let raft = controllers.hedges.get_mut(&voter).expect("voter");
     raft.step(ask(50), now);
     assert!(raft.outbox.is_empty(), "silent at first");
-    raft.step(ask(50), now.plus(ELECTION_MIN_MS + 1));
+    raft.step(ask(50), now.plus(MIN_ELECTION_TIMEOUT_MS + 1));
     assert!(matches!(raft.outbox[0].1.kind, RaftMessageKind::VoteResponse { granted: true, .. }));
 }
 
@@ -349,7 +351,7 @@
         JoinResponse::NotLeader(Some(at))
     );
     // Cut off, it may have been the one that was replaced.
-    let later = now.plus(ELECTION_MIN_MS);
+    let later = now.plus(MIN_ELECTION_TIMEOUT_MS);
     assert_eq!(
         controllers.hedges[&leader].answer_join(&old, true, later),
         JoinResponse::NotLeader(None)
@@ -812,9 +814,9 @@
     // whether the follower answers)
     let cases = [
         (0, false, false),
-        (ELECTION_MIN_MS - 1, false, false),
-        (ELECTION_MIN_MS - 1, true, true),
-        (ELECTION_MIN_MS, false, true),
+        (MIN_ELECTION_TIMEOUT_MS - 1, false, false),
+        (MIN_ELECTION_TIMEOUT_MS - 1, true, true),
+        (MIN_ELECTION_TIMEOUT_MS, false, true),
     ];
     for (since, handover, answers) in cases {
         for trial in [true, false] {
@@ -1501,7 +1503,7 @@
         if let Some(term) = term {
             raft.step(message(2, term, heartbeat.clone()), ELECTED);
         }
-        let soon = raft.next_tick_at() < ELECTED.plus(ELECTION_MIN_MS);
+        let soon = raft.next_tick_at() < ELECTED.plus(MIN_ELECTION_TIMEOUT_MS);
         assert_eq!(soon, sooner, "it led {led:?} and hears of {term:?}");
     }
 }
--- a/tests/storage.rs
+++ b/tests/storage.rs
@@ -15,7 +15,8 @@
 use silvertack::net::rpc::{
     FIRST_LAYOUT, Frame, LAYOUT, encode, pack, receive, receive_with_layout, send, unpack,
 };
-use silvertack::raft::node::{PersistentState, RaftNode, UnsavedChanges};
+use silvertack::raft::node::RaftNode;
+use silvertack::raft::state::{PersistentState, UnsavedChanges};
 use silvertack::raft::storage::{RaftStorage, WriteBatch};
 use silvertack::state_machine::{Command, CommandOutcome, StateMachine, read_kept, readable};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
--- a/tests/support/controllers.rs
+++ b/tests/support/controllers.rs
@@ -4,7 +4,8 @@
 use silvertack::net::rpc::raft_messages::{
     EntryPayload, Member, RaftMessage, RaftMessageKind, Snapshot,
 };
-use silvertack::raft::node::{PersistentState, RaftNode, UnsavedChanges};
+use silvertack::raft::node::RaftNode;
+use silvertack::raft::state::{PersistentState, UnsavedChanges};
 use std::collections::VecDeque;
 
 /// How long after its return or its start a machine still counts as lost (`join_sync_s`).
