--- a/src/gateway/forwarding.rs
+++ b/src/gateway/forwarding.rs
@@ -5,7 +5,8 @@
 use crate::config::route_table::RouteEntry;
 use crate::gateway::attempts::AttemptOutcome;
 use crate::gateway::http1::{
-    BodyDecoder, BodyFraming, ParseError, RequestHead, ResponseHead, as_chunk, read_answer,
+    BodyDecoder, BodyFraming, ParseError, ParsedHead, RequestHead, ResponseHead, encode_chunk,
+    parse_response_head,
 };
 use crate::gateway::upstreams::{EndpointConnection, IDLE_MS};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
@@ -113,7 +114,7 @@
         if !chunked {
             return self.stem.stream.write_all(piece);
         }
-        self.stem.stream.write_all(&as_chunk(piece))
+        self.stem.stream.write_all(&encode_chunk(piece))
     }
     /// Reads once; something is there to read.
     pub(crate) fn read(&mut self, asked: &RequestHead) -> Progress {
@@ -122,7 +123,7 @@
         match self.stem.inbox.fill(&mut self.stem.stream) {
             Ok(0) => {
                 self.ended = true;
-                let known = self.head.is_some() && self.body.closed();
+                let known = self.head.is_some() && self.body.finish_at_close();
                 return if known { self.whole() } else { lost };
             }
             Ok(_) => {}
@@ -138,15 +139,15 @@
         let lost = Progress::AttemptOutcome(AttemptOutcome::MayHaveRun);
         loop {
             if self.head.is_none() {
-                match read_answer(self.stem.inbox.pending(), &asked.method) {
+                match parse_response_head(self.stem.inbox.pending(), &asked.method) {
                     Ok(None) => return Progress::Waits,
                     // Only a word in between.
-                    Ok(Some((head, size))) if head.status < 200 => {
-                        self.stem.inbox.use_up(size);
+                    Ok(Some(ParsedHead { head, length })) if head.status < 200 => {
+                        self.stem.inbox.use_up(length);
                         continue;
                     }
-                    Ok(Some((head, size))) => {
-                        self.stem.inbox.use_up(size);
+                    Ok(Some(ParsedHead { head, length })) => {
+                        self.stem.inbox.use_up(length);
                         self.body = BodyDecoder::new(head.framing);
                         self.head = Some(head);
                         self.held.clear();
@@ -154,7 +155,7 @@
                     Err(ParseError) => return lost,
                 }
             }
-            let used = match self.body.take(self.stem.inbox.pending(), &mut self.held) {
+            let used = match self.body.decode(self.stem.inbox.pending(), &mut self.held) {
                 Ok(used) => used,
                 Err(ParseError) => return lost,
             };
@@ -165,17 +166,17 @@
                 if self.stray || !self.reused || head.framing == BodyFraming::UntilClose {
                     return lost;
                 }
-                if !self.body.done() {
+                if !self.body.is_complete() {
                     return Progress::Waits;
                 }
                 self.stray = true;
                 self.head = None;
                 continue;
             }
-            if head.status < 300 && !head.stamped {
+            if head.status < 300 && !head.signed {
                 return lost;
             }
-            if self.body.done() {
+            if self.body.is_complete() {
                 return self.whole();
             }
             if self.held.len() < HELD {
@@ -201,14 +202,15 @@
         let head = self.head.as_ref()?;
         // An answer too many is known by its id; where there is none, nothing may follow.
         let clean = head.id.is_some()
-            && self.body.done()
+            && self.body.is_complete()
             && self.stem.inbox.is_empty()
             && !self.stray
             && !self.ended
             && !head.close
             && head.framing != BodyFraming::UntilClose;
         // Closed by the database when its time is over; a request must not meet that.
-        let keep = head.keep_s.map_or(IDLE_MS, |s| (s * 1_000).saturating_sub(1_000).min(IDLE_MS));
+        let keep =
+            head.keep_alive_s.map_or(IDLE_MS, |s| (s * 1_000).saturating_sub(1_000).min(IDLE_MS));
         let until = Tick::now().plus(keep);
         clean.then(|| EndpointConnection { until, ..self.stem })
     }
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -14,7 +14,8 @@
     RequestContext, TAKES_NOTHING, send_whole, wait_for,
 };
 use crate::gateway::http1::{
-    BodyDecoder, BodyFraming, ParseError, RequestHead, add_line, as_chunk, read_request,
+    BodyDecoder, BodyFraming, ParseError, ParsedHead, RequestHead, append_header, encode_chunk,
+    parse_request_head,
 };
 use crate::gateway::load_balancing::digest;
 use crate::gateway::outlier_detection::OutlierDetector;
@@ -282,25 +283,29 @@
     }
     fn head_for(&self, errand: &RequestContext<'_>, id: &InstanceId, now: Tick) -> Vec<u8> {
         let asked = errand.asked;
-        let mut head = Vec::with_capacity(asked.passed.len() + 256);
+        let mut head = Vec::with_capacity(asked.forwarded_headers.len() + 256);
         head.extend_from_slice(
             format!("{} {} HTTP/1.1\r\n", asked.method, asked.target).as_bytes(),
         );
-        head.extend_from_slice(&asked.passed);
+        head.extend_from_slice(&asked.forwarded_headers);
         let left = errand.limit.since(now).saturating_sub(MARGIN_MS).max(1);
-        add_line(&mut head, "Deadline-Ms", left.to_string().as_bytes());
-        add_line(&mut head, "Target-Instance", id.0.as_bytes());
+        append_header(&mut head, "Deadline-Ms", left.to_string().as_bytes());
+        append_header(&mut head, "Target-Instance", id.0.as_bytes());
         match (&errand.rest, asked.framing) {
             (Some(_), BodyFraming::Length(all)) => {
-                add_line(&mut head, "Content-Length", all.to_string().as_bytes());
+                append_header(&mut head, "Content-Length", all.to_string().as_bytes());
             }
-            (Some(_), _) => add_line(&mut head, "Transfer-Encoding", b"chunked"),
+            (Some(_), _) => append_header(&mut head, "Transfer-Encoding", b"chunked"),
             // A body that was held came whole, and its length is known by now.
             (None, framing) => {
                 let bodiless = framing == BodyFraming::Length(0);
                 let usual = !matches!(asked.method.as_str(), "POST" | "PUT" | "PATCH");
                 if !bodiless || !usual {
-                    add_line(&mut head, "Content-Length", errand.body.len().to_string().as_bytes());
+                    append_header(
+                        &mut head,
+                        "Content-Length",
+                        errand.body.len().to_string().as_bytes(),
+                    );
                 }
             }
         }
@@ -454,7 +459,7 @@
                                 self.judge(leg, ended);
                             }
                             _ if others => self.judge(leg, ended),
-                            Next::Pass if leg.body.done() => {
+                            Next::Pass if leg.body.is_complete() => {
                                 return Ok(ForwardResult::Attempt(Box::new(leg)));
                             }
                             Next::Pass => {
@@ -537,9 +542,9 @@
         let chunked = errand.asked.framing == BodyFraming::Chunked;
         let mut sent = errand.body.len() as u64;
         let mut piece = Vec::new();
-        while !body.done() {
+        while !body.is_complete() {
             piece.clear();
-            let used = match body.take(client.inbox.pending(), &mut piece) {
+            let used = match body.decode(client.inbox.pending(), &mut piece) {
                 Ok(used) => used,
                 Err(ParseError) => return Ok(Some(Refusal::Unreadable)),
             };
@@ -551,7 +556,7 @@
             if !piece.is_empty() && leg.write_piece(&piece, chunked).is_err() {
                 return Ok(Some(Refusal::Lost));
             }
-            if body.done() {
+            if body.is_complete() {
                 break;
             }
             match client.fill(errand.limit)? {
@@ -592,8 +597,8 @@
             let began = Tick::now();
             let head_by = began.plus(limits.header_timeout_ms);
             let asked = loop {
-                match read_request(client.inbox.pending(), limits.max_header_bytes) {
-                    Ok(Some((asked, size))) => {
+                match parse_request_head(client.inbox.pending(), limits.max_header_bytes) {
+                    Ok(Some(ParsedHead { head: asked, length: size })) => {
                         client.inbox.use_up(size);
                         break asked;
                     }
@@ -647,13 +652,16 @@
         };
         let wait = asked.deadline_ms.unwrap_or(DEADLINE_MS).min(route_entry.timeout_ms);
         let limit = arrived.plus(wait);
-        if asked.expects && asked.framing != BodyFraming::Length(0) && client.inbox.is_empty() {
+        if asked.expects_continue
+            && asked.framing != BodyFraming::Length(0)
+            && client.inbox.is_empty()
+        {
             client.write(b"HTTP/1.1 100 Continue\r\n\r\n")?;
         }
         let mut body = BodyDecoder::new(asked.framing);
         let mut held = Vec::new();
-        while !body.done() && held.len() < HELD_BODY {
-            let used = match body.take(client.inbox.pending(), &mut held) {
+        while !body.is_complete() && held.len() < HELD_BODY {
+            let used = match body.decode(client.inbox.pending(), &mut held) {
                 Ok(used) => used,
                 Err(ParseError) => {
                     self.refuse(client, Refusal::Unreadable, 0, true)?;
@@ -665,7 +673,7 @@
                 self.refuse(client, Refusal::TooLarge, 0, true)?;
                 return Ok(false);
             }
-            if body.done() {
+            if body.is_complete() {
                 break;
             }
             match client.fill(limit)? {
@@ -677,9 +685,9 @@
                 }
             }
         }
-        let rest = (!body.done()).then_some(body);
+        let rest = (!body.is_complete()).then_some(body);
         if rest.is_some() && asked.framing == BodyFraming::Chunked {
-            held = as_chunk(&held);
+            held = encode_chunk(&held);
         }
         lock(&self.budget).asked(arrived);
         let mut errand =
@@ -707,28 +715,32 @@
         let Some(head) = leg.head.clone() else {
             return Err(io::ErrorKind::InvalidData.into());
         };
-        let whole = leg.body.done();
+        let whole = leg.body.is_complete();
         let bodiless = asked.method == "HEAD" || head.status == 204 || head.status == 304;
         let mut out = format!("HTTP/1.1 {} {}\r\n", head.status, head.reason).into_bytes();
-        out.extend_from_slice(&head.passed);
+        out.extend_from_slice(&head.forwarded_headers);
         let mut chunked = false;
         if !bodiless {
             match head.framing {
                 BodyFraming::Length(n) => {
-                    add_line(&mut out, "Content-Length", n.to_string().as_bytes())
+                    append_header(&mut out, "Content-Length", n.to_string().as_bytes())
                 }
                 _ if whole => {
-                    add_line(&mut out, "Content-Length", leg.held.len().to_string().as_bytes());
+                    append_header(
+                        &mut out,
+                        "Content-Length",
+                        leg.held.len().to_string().as_bytes(),
+                    );
                 }
-                _ if asked.modern => {
+                _ if asked.accepts_chunked => {
                     chunked = true;
-                    add_line(&mut out, "Transfer-Encoding", b"chunked");
+                    append_header(&mut out, "Transfer-Encoding", b"chunked");
                 }
                 _ => close = true,
             }
         }
         self.end_head(&mut out, close);
-        let frame = |piece: &[u8]| if chunked { as_chunk(piece) } else { piece.to_vec() };
+        let frame = |piece: &[u8]| if chunked { encode_chunk(piece) } else { piece.to_vec() };
         if !bodiless && !leg.held.is_empty() {
             out.extend_from_slice(&frame(&leg.held));
         }
@@ -736,7 +748,7 @@
         let mut sent = client.write(&out);
         let mut broken = None;
         let far = Tick::now().plus(DEADLINE_MS);
-        while sent.is_ok() && !leg.body.done() {
+        while sent.is_ok() && !leg.body.is_complete() {
             // Nothing more is read from the database until the client has taken this.
             let ready = wait_for(std::slice::from_ref(&leg), 1_000)?;
             if !ready[0] {
@@ -749,7 +761,7 @@
             match leg.stem.inbox.fill(&mut leg.stem.stream) {
                 Ok(0) => {
                     leg.ended = true;
-                    if !leg.body.closed() {
+                    if !leg.body.finish_at_close() {
                         broken = Some(());
                     }
                     break;
@@ -762,7 +774,7 @@
                 }
             }
             let mut piece = Vec::new();
-            match leg.body.take(leg.stem.inbox.pending(), &mut piece) {
+            match leg.body.decode(leg.stem.inbox.pending(), &mut piece) {
                 Ok(used) => leg.stem.inbox.use_up(used),
                 Err(ParseError) => {
                     broken = Some(());
@@ -801,10 +813,10 @@
     }
     fn end_head(&self, out: &mut Vec<u8>, close: bool) {
         if close {
-            add_line(out, "Connection", b"close");
+            append_header(out, "Connection", b"close");
         } else if let Some(config) = self.config() {
             let keep = (config.limits.idle_timeout_ms / 1_000).saturating_sub(2).max(1);
-            add_line(out, "Keep-Alive", format!("timeout={keep}").as_bytes());
+            append_header(out, "Keep-Alive", format!("timeout={keep}").as_bytes());
         }
         out.extend_from_slice(b"\r\n");
     }
@@ -817,10 +829,10 @@
     ) -> io::Result<()> {
         let answer = refusal.answer();
         let mut out = format!("HTTP/1.1 {} {}\r\n", answer.status, answer.reason).into_bytes();
-        add_line(&mut out, "Content-Length", b"0");
+        append_header(&mut out, "Content-Length", b"0");
         if refusal == Refusal::Full {
             let after = format!("{:.3}", come_back_ms as f64 / 1_000.0);
-            add_line(&mut out, "Retry-After", after.as_bytes());
+            append_header(&mut out, "Retry-After", after.as_bytes());
         }
         self.end_head(&mut out, close);
         client.write(&out)?;
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -5,6 +5,7 @@
 mod support;
 
 use shed::{How, Shed};
+use silvertack::gateway::http1::{BodyDecoder, ParsedHead, parse_response_head};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::PathBuf;
@@ -133,25 +134,24 @@
         got > 0
     }
     fn answer(&mut self, method: &str) -> Option<Got> {
-        let (told, size) = loop {
-            match silvertack::gateway::http1::read_answer(&self.1, method) {
+        let ParsedHead { head: told, length } = loop {
+            match parse_response_head(&self.1, method) {
                 Ok(Some(found)) => break found,
                 Ok(None) if self.more() => {}
                 _ => return None,
             }
         };
-        let head = String::from_utf8_lossy(&self.1[..size]).into_owned();
-        self.1.drain(..size);
-        let (mut body, mut data) =
-            (silvertack::gateway::http1::BodyDecoder::new(told.framing), Vec::new());
+        let head = String::from_utf8_lossy(&self.1[..length]).into_owned();
+        self.1.drain(..length);
+        let (mut body, mut data) = (BodyDecoder::new(told.framing), Vec::new());
         let whole = loop {
-            let used = body.take(&self.1, &mut data).expect("well formed");
+            let used = body.decode(&self.1, &mut data).expect("well formed");
             self.1.drain(..used);
-            if body.done() {
+            if body.is_complete() {
                 break true;
             }
             if !self.more() {
-                break body.closed();
+                break body.finish_at_close();
             }
         };
         Some(Got { status: told.status, head, body: data, whole })
--- a/tests/gateway_parts.rs
+++ b/tests/gateway_parts.rs
@@ -5,7 +5,9 @@
 use silvertack::config::configuration::Configuration;
 use silvertack::config::route_table::RouteTable;
 use silvertack::gateway::attempts::{AttemptOutcome, AttemptPolicy, Next};
-use silvertack::gateway::http1::{BodyDecoder, BodyFraming, ParseError, read_answer, read_request};
+use silvertack::gateway::http1::{
+    BodyDecoder, BodyFraming, ParseError, ParsedHead, parse_request_head, parse_response_head,
+};
 use silvertack::gateway::load_balancing::{Candidate, Work, choose, homes};
 use silvertack::gateway::outlier_detection::OutlierDetector;
 use silvertack::gateway::retry_budget::RetryBudget;
@@ -39,13 +41,13 @@
         (&format!("GET /a HTTP/1.1\nHost: h\nX: {}", "x".repeat(600)), Some(Refusal::HeadTooLarge)),
     ];
     for (lines, refused) in cases {
-        let got = read_request(&head(lines), 500).map(|found| found.is_some());
+        let got = parse_request_head(&head(lines), 500).map(|found| found.is_some());
         assert_eq!(got, refused.map_or(Ok(true), Err), "{lines}");
     }
     let bare = b"GET /a HTTP/1.1\nHost: h\r\n\r\n";
-    assert_eq!(read_request(bare, 500), Err(BAD), "a bare LF");
-    assert_eq!(read_request(&bare[..16], 500), Err(BAD), "a bare LF, early");
-    assert_eq!(read_request(b"GET /a HT", 500), Ok(None), "half a head");
+    assert_eq!(parse_request_head(bare, 500), Err(BAD), "a bare LF");
+    assert_eq!(parse_request_head(&bare[..16], 500), Err(BAD), "a bare LF, early");
+    assert_eq!(parse_request_head(b"GET /a HT", 500), Ok(None), "half a head");
 }
 
 #[test]
@@ -55,13 +57,14 @@
          Keep-Alive: 5\nTE: trailers\nTransfer-Encoding: chunked\nDeadline-Ms: 40\n\
          Target-Instance: forged\nExpect: 100-continue\nAccept: */*",
     );
-    let (asked, size) = read_request(&bytes, 5_000).expect("readable").expect("whole");
-    assert_eq!(size, bytes.len());
+    let ParsedHead { head: asked, length } =
+        parse_request_head(&bytes, 5_000).expect("readable").expect("whole");
+    assert_eq!(length, bytes.len());
     assert_eq!((asked.host.as_str(), asked.path()), ("h.example", "/a"));
     assert_eq!((asked.target.as_str(), asked.deadline_ms), ("/a?b=c", Some(40)));
-    assert!(asked.close && asked.expects && asked.framing == BodyFraming::Chunked);
+    assert!(asked.close && asked.expects_continue && asked.framing == BodyFraming::Chunked);
     let passed = "Host: H.Example:80\r\nRequest-Id: 7\r\nAccept: */*\r\n";
-    assert_eq!(String::from_utf8_lossy(&asked.passed), passed);
+    assert_eq!(String::from_utf8_lossy(&asked.forwarded_headers), passed);
 }
 
 #[test]
@@ -76,18 +79,22 @@
         ("GET", "200 OK\nContent-Length: x", Err(ParseError)),
     ];
     for (method, lines, framing) in cases {
-        let got = read_answer(&head(&format!("HTTP/1.1 {lines}")), method);
-        assert_eq!(got.map(|found| found.expect("whole").0.framing), framing, "{method} {lines}");
+        let got = parse_response_head(&head(&format!("HTTP/1.1 {lines}")), method);
+        assert_eq!(
+            got.map(|found| found.expect("whole").head.framing),
+            framing,
+            "{method} {lines}"
+        );
     }
-    assert_eq!(read_answer(b"\x00\x01 no answer\r\n\r\n", "GET"), Err(ParseError));
+    assert_eq!(parse_response_head(b"\x00\x01 no answer\r\n\r\n", "GET"), Err(ParseError));
     let told =
         head("HTTP/1.1 503 No\nNot-Executed: 1\nKeep-Alive: timeout=7, max=3\nConnection: close");
-    let (told, _) = read_answer(&told, "GET").expect("readable").expect("whole");
+    let told = parse_response_head(&told, "GET").expect("readable").expect("whole").head;
     assert!(
         told.not_executed
             && told.close
-            && told.keep_s == Some(7)
-            && told.passed.starts_with(b"Not")
+            && told.keep_alive_s == Some(7)
+            && told.forwarded_headers.starts_with(b"Not")
     );
 }
 
@@ -105,11 +112,11 @@
             let (mut body, mut out, mut pending) =
                 (BodyDecoder::new(framing), Vec::new(), Vec::new());
             let mut left = bytes;
-            while !body.done() {
+            while !body.is_complete() {
                 let (piece, more) = left.split_at(step.min(left.len()));
                 left = more;
                 pending.extend_from_slice(piece);
-                let used = body.take(&pending, &mut out).expect("well formed");
+                let used = body.decode(&pending, &mut out).expect("well formed");
                 pending.drain(..used);
             }
             pending.extend_from_slice(left);
@@ -117,13 +124,13 @@
         }
     }
     for bad in ["x\r\n", "3\r\nabcd", "3\nabc", "1\r\na\r\n0\r\nT: 1\n\n"] {
-        let got = BodyDecoder::new(BodyFraming::Chunked).take(bad.as_bytes(), &mut Vec::new());
+        let got = BodyDecoder::new(BodyFraming::Chunked).decode(bad.as_bytes(), &mut Vec::new());
         assert_eq!(got, Err(ParseError), "{bad:?}");
     }
     let mut open = BodyDecoder::new(BodyFraming::UntilClose);
-    assert!(!open.done() && open.closed(), "the end of the connection ends it");
+    assert!(!open.is_complete() && open.finish_at_close(), "the end of the connection ends it");
     assert!(
-        !BodyDecoder::new(BodyFraming::Length(3)).closed(),
+        !BodyDecoder::new(BodyFraming::Length(3)).finish_at_close(),
         "a length that was not reached does not"
     );
 }
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -5,6 +5,7 @@
 mod support;
 
 use shed::{How, Shed};
+use silvertack::gateway::http1::{ParseError, ParsedHead, parse_response_head};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::PathBuf;
@@ -467,10 +468,10 @@
     client.write_all(head.as_bytes()).expect("sent");
     let mut bytes = Vec::new();
     client.read_to_end(&mut bytes).expect("an answer");
-    let (told, size) =
-        silvertack::gateway::http1::read_answer(&bytes, method).expect("read").expect("whole");
-    let head = String::from_utf8_lossy(&bytes[..size]).into_owned();
-    (told.status, head, bytes.split_off(size))
+    let ParsedHead { head: told, length } =
+        parse_response_head(&bytes, method).expect("read").expect("whole");
+    let head = String::from_utf8_lossy(&bytes[..length]).into_owned();
+    (told.status, head, bytes.split_off(length))
 }
 
 #[test]
@@ -610,11 +611,10 @@
 
 #[test]
 fn an_answer_with_two_ids_is_nobodys() {
-    use silvertack::gateway::http1::{ParseError, read_answer};
     let cases = [("a", true), ("b", false), ("", false)];
     for (second, same) in cases {
         let head = format!("HTTP/1.1 200 OK\r\nRequest-Id: a\r\nRequest-Id: {second}\r\n\r\n");
-        let got = read_answer(head.as_bytes(), "GET").map(|found| found.is_some());
+        let got = parse_response_head(head.as_bytes(), "GET").map(|found| found.is_some());
         assert_eq!(got, if same { Ok(true) } else { Err(ParseError) }, "{second:?}");
     }
 }
--- a/tests/support/gateway.rs
+++ b/tests/support/gateway.rs
@@ -1,6 +1,6 @@
 //! Stand-in databases of a gateway's service: they answer requests over HTTP, and misbehave as told.
 #![allow(dead_code)]
-use silvertack::gateway::http1::{BodyDecoder, read_request};
+use silvertack::gateway::http1::{BodyDecoder, ParsedHead, parse_request_head};
 use std::collections::VecDeque;
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -122,8 +122,8 @@
         let mut bytes = Vec::new();
         let mut chunk = [0; 64 << 10];
         loop {
-            let (asked, size) = loop {
-                match read_request(&bytes, 64 << 10) {
+            let ParsedHead { head: asked, length } = loop {
+                match parse_request_head(&bytes, 64 << 10) {
                     Ok(Some(found)) => break found,
                     Ok(None) => {}
                     Err(_) => return Ok(()),
@@ -134,13 +134,13 @@
                 }
                 bytes.extend_from_slice(&chunk[..got]);
             };
-            let head = String::from_utf8_lossy(&bytes[..size]).into_owned();
-            bytes.drain(..size);
+            let head = String::from_utf8_lossy(&bytes[..length]).into_owned();
+            bytes.drain(..length);
             let (mut body, mut data) = (BodyDecoder::new(asked.framing), Vec::new());
             loop {
-                let used = body.take(&bytes, &mut data).unwrap_or(0);
+                let used = body.decode(&bytes, &mut data).unwrap_or(0);
                 bytes.drain(..used);
-                if body.done() {
+                if body.is_complete() {
                     break;
                 }
                 let got = stream.read(&mut chunk)?;
