--- a/src/cli.rs
+++ b/src/cli.rs
@@ -184,7 +184,7 @@
         }
         Command::Gateway(arguments) => {
             let (path, settings) = arguments.load()?;
-            Ok(gateway::server::run(path, settings)?)
+            Ok(gateway::process::run(path, settings)?)
         }
         Command::Controller(arguments) => {
             let (path, settings) = arguments.load()?;
--- a/src/gateway/forwarding.rs
+++ b/src/gateway/forwarding.rs
@@ -1,217 +1,337 @@
-//! One request on its way to a database and back.
+//! Forwards one request to endpoints until there is a response for the client: attempts one after
+//! the other, and a hedged request beside an attempt that is late.
+//!
+//! Request handling calls [`Gateway::forward`]. Whether another attempt is allowed is decided by
+//! the pure [`AttemptPolicy`]; here attempts are started, watched and ended. Each attempt is either
+//! handed out with the result or releases its endpoint.
 use crate::base::errors::Refusal;
-use crate::base::ids::{InstanceId, ServiceName};
+use crate::base::ids::InstanceId;
+use crate::base::sync::lock;
 use crate::base::time::Tick;
-use crate::config::route_table::RouteEntry;
-use crate::gateway::attempts::AttemptOutcome;
-use crate::gateway::http1::{
-    BodyDecoder, BodyFraming, ParseError, ParsedHead, RequestHead, ResponseHead, encode_chunk,
-    parse_response_head,
-};
-use crate::gateway::upstreams::{EndpointConnection, IDLE_MS};
-use rustix::event::{PollFd, PollFlags, Timespec, poll};
-use std::io::{self, Write};
-use std::net::SocketAddr;
-use std::time::Duration;
-
-/// A database is reached within this, or it is dark; longer where this node's own link is crowded.
-pub(crate) const CONNECT_MS: u64 = 250;
-
-pub(crate) const MOST_CONNECT_MS: u64 = 1_000;
-
-/// The part of an answer that is held, so that an idempotent request can still move on.
-const HELD: usize = 64 << 10;
-
-/// The part of a request's body that is held for sending it again.
-pub(crate) const HELD_BODY: usize = 256 << 10;
-
-/// An answer that can't be in time any more is not waited for.
-pub(crate) const MARGIN_MS: u64 = 5;
-
-/// A client that takes nothing for this long is cut off.
-pub(crate) const TAKES_NOTHING: Duration = Duration::from_secs(10);
-
-/// One send of a request to one database.
-pub(crate) struct Attempt {
-    pub(crate) id: InstanceId,
-    pub(crate) address: SocketAddr,
-    pub(crate) stem: EndpointConnection,
-    pub(crate) reused: bool,
-    pub(crate) sent: Tick,
-    pub(crate) head: Option<ResponseHead>,
-    pub(crate) body: BodyDecoder,
-    pub(crate) held: Vec<u8>,
-    /// An answer to another request came first on this connection.
-    pub(crate) stray: bool,
-    /// The connection is at its end.
-    pub(crate) ended: bool,
+use crate::gateway::attempts::{AttemptOutcome, AttemptPolicy, NextStep, RetryConditions};
+use crate::gateway::client_connection::{ClientStream, ReceiveError};
+use crate::gateway::endpoint_access::EndpointFault;
+use crate::gateway::endpoint_attempt::{Attempt, AttemptProgress, wait_readable};
+use crate::gateway::http1::{BodyDecoder, ParseError};
+use crate::gateway::request_context::RequestContext;
+use crate::gateway::server::{Gateway, increment};
+use crate::gateway::upstreams::AcquiredEndpoint;
+use std::io;
+use std::ops::ControlFlow;
+
+/// While a hedged request is due but not affordable, the budget is looked at this often, in
+/// milliseconds.
+const HEDGE_POLL_MS: u64 = 10;
+
+/// The shortest time after which a refused client is asked to retry, in milliseconds.
+const MIN_RETRY_AFTER_MS: u64 = 50;
+
+/// The longest time after which a refused client is asked to retry, in milliseconds.
+const MAX_RETRY_AFTER_MS: u64 = 1_000;
+
+/// What the client of a forwarded request gets.
+pub(super) enum ForwardResult {
+    /// The response of an endpoint, as far as it was read.
+    Response(Box<Attempt>),
+    /// A response of the gateway's own.
+    Refused {
+        refusal: Refusal,
+        /// When the client may come back, in milliseconds.
+        retry_after_ms: u64,
+    },
 }
 
-/// What a leg has come to.
-pub(crate) enum Progress {
-    Waits,
-    /// Whole, or more than is held; the client may have it.
-    Ready,
-    AttemptOutcome(AttemptOutcome),
+/// What forwarding does next.
+enum Step {
+    /// Start one more attempt.
+    StartAttempt,
+    /// Wait for the attempts in flight.
+    AwaitResponses,
 }
 
-/// Everything that is fixed for one request.
-pub(crate) struct RequestContext<'a> {
-    pub(crate) asked: &'a RequestHead,
-    pub(crate) route_entry: &'a RouteEntry,
-    pub(crate) service: &'a ServiceName,
-    pub(crate) arrived: Tick,
-    pub(crate) limit: Tick,
-    pub(crate) body: &'a [u8],
-    /// The rest of a body that is too large to be held.
-    pub(crate) rest: Option<BodyDecoder>,
+/// The next step, or the result that ends forwarding.
+type Flow = ControlFlow<ForwardResult, Step>;
+
+impl Gateway {
+    /// Forwards a request and returns what the client gets. Fails only if the client's own
+    /// connection does, or the attempts can't be watched.
+    pub(super) fn forward(
+        &self,
+        request: &mut RequestContext<'_>,
+        client: &mut ClientStream<'_>,
+    ) -> io::Result<ForwardResult> {
+        let policy = AttemptPolicy::new(request.idempotency(), request.route.max_attempts);
+        let hedge_delay_ms = self.hedge_delay_ms(request);
+        let forwarding = Forwarding {
+            gateway: self,
+            request,
+            policy,
+            tried: Vec::new(),
+            attempts: Vec::new(),
+            hedge_delay_ms,
+            body_streamed: false,
+        };
+        forwarding.run(client)
+    }
+
+    /// After how many milliseconds without a response a hedged request is due.
+    fn hedge_delay_ms(&self, request: &RequestContext<'_>) -> u64 {
+        let target_latency_ms = request.route.target_latency_ms;
+        let upstreams = lock(&self.upstreams);
+        let service = upstreams.services.get(request.service);
+        service.map_or(target_latency_ms / 2, |s| s.latency.hedge_delay_ms(target_latency_ms))
+    }
 }
 
-/// What goes back to the client.
-pub(crate) enum ForwardResult {
-    Own(Refusal, u64),
-    Attempt(Box<Attempt>),
+/// A request that is being forwarded.
+struct Forwarding<'f, 'r> {
+    gateway: &'f Gateway,
+    request: &'f mut RequestContext<'r>,
+    policy: AttemptPolicy,
+    /// Endpoints that got an attempt; each gets one.
+    tried: Vec<InstanceId>,
+    /// The attempts in flight.
+    attempts: Vec<Attempt>,
+    hedge_delay_ms: u64,
+    /// A part of the body went to an endpoint and is not held here.
+    body_streamed: bool,
 }
 
-/// Writes it all. Once a byte has left, the far end may have begun with it.
-pub fn send_whole(to: &mut impl Write, parts: &[&[u8]]) -> Result<(), AttemptOutcome> {
-    let mut begun = false;
-    for part in parts {
-        let mut left = *part;
-        while !left.is_empty() {
-            match to.write(left) {
-                Ok(n) if n > 0 => {
-                    begun = true;
-                    left = &left[n..];
+impl Forwarding<'_, '_> {
+    fn run(mut self, client: &mut ClientStream<'_>) -> io::Result<ForwardResult> {
+        let mut step = Step::StartAttempt;
+        loop {
+            let flow = match step {
+                Step::StartAttempt => self.start_next_attempt(client)?,
+                Step::AwaitResponses => self.await_responses()?,
+            };
+            match flow {
+                ControlFlow::Continue(next) => step = next,
+                ControlFlow::Break(result) => return Ok(result),
+            }
+        }
+    }
+
+    fn start_next_attempt(&mut self, client: &mut ClientStream<'_>) -> io::Result<Flow> {
+        let is_retry = self.policy.is_retry();
+        let Some(endpoint) = self.acquire_next_endpoint(is_retry) else {
+            return Ok(self.no_endpoint());
+        };
+        self.tried.push(endpoint.id.clone());
+        if is_retry {
+            increment(&self.gateway.counters.retries);
+        }
+        match self.gateway.start_attempt(self.request, endpoint) {
+            Ok(attempt) => {
+                self.policy.record_sent();
+                self.stream_body(attempt, client)
+            }
+            Err(outcome) => {
+                if outcome != AttemptOutcome::NotSent {
+                    self.policy.record_sent();
                 }
-                Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                _ if begun => return Err(AttemptOutcome::MayHaveRun),
-                _ => return Err(AttemptOutcome::NotSent),
+                let next = self.next_step(outcome);
+                Ok(self.follow(next, outcome))
             }
         }
     }
-    Ok(())
-}
 
-/// Waits until one of the legs has something to read, or the time is over.
-pub(crate) fn wait_for(legs: &[Attempt], ms: u64) -> io::Result<Vec<bool>> {
-    let mut fds: Vec<PollFd<'_>> =
-        legs.iter().map(|l| PollFd::new(&l.stem.stream, PollFlags::IN)).collect();
-    let wait = Timespec { tv_sec: (ms / 1_000) as i64, tv_nsec: (ms % 1_000 * 1_000_000) as i64 };
-    match poll(&mut fds, Some(&wait)) {
-        Ok(_) => Ok(fds.iter().map(|f| !f.revents().is_empty()).collect()),
-        Err(rustix::io::Errno::INTR) => Ok(vec![false; legs.len()]),
-        Err(e) => Err(e.into()),
+    /// Only the first attempt waits for an endpoint with room; the budget pays for each other one.
+    fn acquire_next_endpoint(&self, is_retry: bool) -> Option<AcquiredEndpoint> {
+        let deadline = self.request.acquire_deadline();
+        if is_retry && !lock(&self.gateway.retry_budget).try_spend(Tick::now()) {
+            return None;
+        }
+        let deadline = if is_retry { Tick(0) } else { deadline };
+        self.gateway.acquire_endpoint(self.request, &self.tried, deadline)
     }
-}
 
-impl Attempt {
-    /// A connection that had rested came to its end before any answer.
-    pub(crate) fn forgotten(&self) -> bool {
-        self.reused && self.ended && self.head.is_none() && self.stem.inbox.is_empty()
-    }
-    pub(crate) fn write_piece(&mut self, piece: &[u8], chunked: bool) -> io::Result<()> {
-        if !chunked {
-            return self.stem.stream.write_all(piece);
-        }
-        self.stem.stream.write_all(&encode_chunk(piece))
-    }
-    /// Reads once; something is there to read.
-    pub(crate) fn read(&mut self, asked: &RequestHead) -> Progress {
-        // What may be lost here may have run, unless the head says otherwise.
-        let lost = Progress::AttemptOutcome(AttemptOutcome::MayHaveRun);
-        match self.stem.inbox.fill(&mut self.stem.stream) {
-            Ok(0) => {
-                self.ended = true;
-                let known = self.head.is_some() && self.body.finish_at_close();
-                return if known { self.whole() } else { lost };
-            }
-            Ok(_) => {}
-            Err(e) if e.kind() == io::ErrorKind::Interrupted => return Progress::Waits,
-            Err(_) => {
-                self.ended = true;
-                return lost;
-            }
+    fn no_endpoint(&self) -> Flow {
+        if !self.attempts.is_empty() {
+            return Flow::Continue(Step::AwaitResponses);
         }
-        self.progress(asked)
+        let may_have_executed = self.policy.may_have_executed();
+        self.refuse(if may_have_executed { Refusal::Lost } else { Refusal::Full })
     }
-    fn progress(&mut self, asked: &RequestHead) -> Progress {
-        let lost = Progress::AttemptOutcome(AttemptOutcome::MayHaveRun);
-        loop {
-            if self.head.is_none() {
-                match parse_response_head(self.stem.inbox.pending(), &asked.method) {
-                    Ok(None) => return Progress::Waits,
-                    // Only a word in between.
-                    Ok(Some(ParsedHead { head, length })) if head.status < 200 => {
-                        self.stem.inbox.use_up(length);
-                        continue;
-                    }
-                    Ok(Some(ParsedHead { head, length })) => {
-                        self.stem.inbox.use_up(length);
-                        self.body = BodyDecoder::new(head.framing);
-                        self.head = Some(head);
-                        self.held.clear();
-                    }
-                    Err(ParseError) => return lost,
+
+    /// Sends the rest of a body that is too large to be held, if there is one, and counts the
+    /// attempt as in flight.
+    fn stream_body(
+        &mut self,
+        mut attempt: Attempt,
+        client: &mut ClientStream<'_>,
+    ) -> io::Result<Flow> {
+        if let Some(mut remaining) = self.request.remaining_body.take() {
+            self.body_streamed = true;
+            self.policy.forbid_retries();
+            match stream_remaining_body(self.request, &mut remaining, &mut attempt, client) {
+                Ok(()) => {}
+                Err(ReceiveError::Refused(refusal)) => {
+                    // The end of the body is still unread on the client's connection.
+                    self.request.remaining_body = Some(remaining);
+                    self.gateway.abandon_attempt(attempt, EndpointFault::Late);
+                    let retry_after_ms = 0;
+                    return Ok(Flow::Break(ForwardResult::Refused { refusal, retry_after_ms }));
                 }
-            }
-            let used = match self.body.decode(self.stem.inbox.pending(), &mut self.held) {
-                Ok(used) => used,
-                Err(ParseError) => return lost,
-            };
-            self.stem.inbox.use_up(used);
-            let Some(head) = &self.head else { return lost };
-            // One answer too many may come where the next is due; it belongs to no request.
-            if head.id != asked.id {
-                if self.stray || !self.reused || head.framing == BodyFraming::UntilClose {
-                    return lost;
+                Err(ReceiveError::Closed) => {
+                    self.gateway.abandon_attempt(attempt, EndpointFault::None);
+                    return Err(io::ErrorKind::UnexpectedEof.into());
                 }
-                if !self.body.is_complete() {
-                    return Progress::Waits;
+                Err(ReceiveError::Connection(e)) => {
+                    self.gateway.abandon_attempt(attempt, EndpointFault::None);
+                    return Err(e);
                 }
-                self.stray = true;
-                self.head = None;
-                continue;
             }
-            if head.status < 300 && !head.signed {
-                return lost;
+        }
+        self.attempts.push(attempt);
+        Ok(Flow::Continue(Step::AwaitResponses))
+    }
+
+    fn await_responses(&mut self) -> io::Result<Flow> {
+        let now = Tick::now();
+        if self.request.is_past_deadline(now) {
+            for attempt in self.attempts.drain(..) {
+                self.gateway.abandon_attempt(attempt, EndpointFault::Late);
             }
-            if self.body.is_complete() {
-                return self.whole();
+            return Ok(self.refuse(Refusal::Late));
+        }
+        let hedge_due = self.hedge_due();
+        if hedge_due.is_some_and(|due| now >= due)
+            && lock(&self.gateway.retry_budget).allows_retry(now)
+        {
+            return Ok(Flow::Continue(Step::StartAttempt));
+        }
+        let mut wait_ms = self.request.time_left_ms(now);
+        if let Some(due) = hedge_due {
+            wait_ms = wait_ms.min(due.since(now).max(HEDGE_POLL_MS));
+        }
+        let readable = wait_readable(&self.attempts, wait_ms)?;
+        for index in (0..self.attempts.len()).rev().filter(|index| readable[*index]) {
+            match self.attempts[index].read(self.request.head) {
+                AttemptProgress::Pending => {}
+                AttemptProgress::Ready => return Ok(self.finish(index)),
+                AttemptProgress::Ended(outcome) => return Ok(self.attempt_ended(index, outcome)),
             }
-            if self.held.len() < HELD {
-                return Progress::Waits;
+        }
+        Ok(Flow::Continue(Step::AwaitResponses))
+    }
+
+    /// When a hedged request is due; `None` if there may be none.
+    fn hedge_due(&self) -> Option<Tick> {
+        match self.attempts.as_slice() {
+            [only] if self.policy.may_hedge() => Some(only.sent.plus(self.hedge_delay_ms)),
+            _ => None,
+        }
+    }
+
+    /// The first attempt with a response wins; the others are abandoned.
+    fn finish(&mut self, winner: usize) -> Flow {
+        let winner = self.attempts.swap_remove(winner);
+        for attempt in self.attempts.drain(..) {
+            // An endpoint is late if it was slower than another that got the request after it.
+            let late = attempt.sent < winner.sent;
+            let fault = if late { EndpointFault::Late } else { EndpointFault::None };
+            self.gateway.abandon_attempt(attempt, fault);
+        }
+        Flow::Break(ForwardResult::Response(Box::new(winner)))
+    }
+
+    fn attempt_ended(&mut self, index: usize, outcome: AttemptOutcome) -> Flow {
+        let attempt = self.attempts.swap_remove(index);
+        let idempotent = self.request.route.route_type.repeatable();
+        if idempotent && !self.body_streamed && attempt.met_stale_connection() {
+            return self.resend(attempt);
+        }
+        let next = self.next_step(outcome);
+        let forward = next == NextStep::ForwardResponse && self.attempts.is_empty();
+        if forward && attempt.body.is_complete() {
+            return Flow::Break(ForwardResult::Response(Box::new(attempt)));
+        }
+        self.gateway.end_failed_attempt(attempt, outcome);
+        self.follow(next, outcome)
+    }
+
+    /// Sends the request to the same endpoint on a new connection: most likely the endpoint had
+    /// closed the old one while it was idle.
+    fn resend(&mut self, attempt: Attempt) -> Flow {
+        self.policy.record_resent();
+        match self.gateway.start_attempt(self.request, attempt.into_endpoint()) {
+            Ok(attempt) => {
+                self.attempts.push(attempt);
+                Flow::Continue(Step::AwaitResponses)
             }
-            // Whether its promise may be passed on is decided with all sends in view.
-            return match head.not_executed {
-                true => Progress::AttemptOutcome(AttemptOutcome::NotRun),
-                false => Progress::Ready,
-            };
+            Err(outcome) => {
+                let next = self.next_step(outcome);
+                self.follow(next, outcome)
+            }
+        }
+    }
+
+    /// What follows an attempt that has ended and is not in flight any more.
+    fn next_step(&mut self, outcome: AttemptOutcome) -> NextStep {
+        let now = Tick::now();
+        let conditions = RetryConditions {
+            others_in_flight: !self.attempts.is_empty(),
+            time_left: !self.request.is_past_deadline(now),
+            budget_left: lock(&self.gateway.retry_budget).allows_retry(now),
+        };
+        self.policy.next_step(outcome, conditions)
+    }
+
+    /// Carries out what follows an ended attempt whose response is not forwarded.
+    fn follow(&self, next: NextStep, outcome: AttemptOutcome) -> Flow {
+        match next {
+            NextStep::Retry => Flow::Continue(Step::StartAttempt),
+            _ if !self.attempts.is_empty() => Flow::Continue(Step::AwaitResponses),
+            NextStep::Refuse(refusal) => self.refuse(refusal),
+            // The endpoint's own response is too large to be held; these say the same.
+            NextStep::ForwardResponse => self.refuse(match outcome {
+                AttemptOutcome::NotExecuted => Refusal::Full,
+                _ => Refusal::Lost,
+            }),
+        }
+    }
+
+    fn refuse(&self, refusal: Refusal) -> Flow {
+        let counters = &self.gateway.counters;
+        match refusal {
+            Refusal::Full => increment(&counters.refused),
+            Refusal::Lost | Refusal::Late => increment(&counters.lost),
+            _ => {}
         }
+        let quarter_ms = self.request.route.target_latency_ms / 4;
+        let retry_after_ms = quarter_ms.clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS);
+        Flow::Break(ForwardResult::Refused { refusal, retry_after_ms })
     }
-    /// The whole answer is there.
-    fn whole(&mut self) -> Progress {
-        match &self.head {
-            Some(head) if head.not_executed => Progress::AttemptOutcome(AttemptOutcome::NotRun),
-            Some(head) if head.status >= 500 => Progress::AttemptOutcome(AttemptOutcome::Failed),
-            _ => Progress::Ready,
-        }
-    }
-    /// The connection, if another request may use it.
-    pub(crate) fn kept(self) -> Option<EndpointConnection> {
-        let head = self.head.as_ref()?;
-        // An answer too many is known by its id; where there is none, nothing may follow.
-        let clean = head.id.is_some()
-            && self.body.is_complete()
-            && self.stem.inbox.is_empty()
-            && !self.stray
-            && !self.ended
-            && !head.close
-            && head.framing != BodyFraming::UntilClose;
-        // Closed by the database when its time is over; a request must not meet that.
-        let keep =
-            head.keep_alive_s.map_or(IDLE_MS, |s| (s * 1_000).saturating_sub(1_000).min(IDLE_MS));
-        let until = Tick::now().plus(keep);
-        clean.then(|| EndpointConnection { until, ..self.stem })
+}
+
+/// Streams the rest of a body from the client to the endpoint as it comes.
+fn stream_remaining_body(
+    request: &RequestContext<'_>,
+    body: &mut BodyDecoder,
+    attempt: &mut Attempt,
+    client: &mut ClientStream<'_>,
+) -> Result<(), ReceiveError> {
+    let lost = |_: io::Error| ReceiveError::Refused(Refusal::Lost);
+    let framing = request.head.framing;
+    let mut length = request.body.len() as u64;
+    let mut data = Vec::new();
+    while !body.is_complete() {
+        data.clear();
+        let consumed = body
+            .decode(client.buffer.pending(), &mut data)
+            .map_err(|ParseError| ReceiveError::Refused(Refusal::Unreadable))?;
+        client.buffer.use_up(consumed);
+        length += data.len() as u64;
+        if length > client.max_body_bytes {
+            return Err(ReceiveError::Refused(Refusal::TooLarge));
+        }
+        if !data.is_empty() {
+            attempt.write_body(&data, framing).map_err(lost)?;
+        }
+        if !body.is_complete() {
+            client.read_more(request.deadline)?;
+        }
     }
+    attempt.write_body_end(framing).map_err(lost)
 }
--- a/src/gateway/load_balancing.rs
+++ b/src/gateway/load_balancing.rs
@@ -1,132 +1,100 @@
-//! Which database gets a request.
-use crate::base::ids::InstanceId;
-use std::collections::HashMap;
+//! Chooses the endpoint that gets a request.
+//!
+//! Pure: the upstreams describe the candidates and hand in random draws.
 
-/// A database that may be taken.
+/// Requests of one node that may wait at an endpoint beyond its capacity.
+const MAX_QUEUED: u32 = 2;
+
+/// How much more a request costs that has to open a connection first.
+const CONNECT_COST: f64 = 1.05;
+
+/// An endpoint that may be chosen.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
-    /// In this node's zone.
-    pub near: bool,
-    pub out: bool,
-    /// This node's requests under way there.
-    pub load: u32,
+    /// It is in this node's zone; traffic between zones costs.
+    pub same_zone: bool,
+    /// Outlier detection has ejected it.
+    pub ejected: bool,
+    /// This node's requests in flight there.
+    pub in_flight: u32,
+    /// How many requests it can execute at once.
     pub capacity: u32,
-    pub pace: f64,
-    /// A connection rests.
-    pub idle: bool,
-    /// What it can work on at once, as far as that is this node's to use first.
-    pub home: f64,
+    /// Moving average of its response times, in milliseconds; 0 before the first response.
+    pub latency_ms: f64,
+    /// An idle connection to it may be used.
+    pub has_idle_connection: bool,
+    /// How much of its capacity is assigned to this node; 0 for none.
+    pub assigned_capacity: f64,
 }
 
-/// The database to take: one at home that has room, or of the best group the better of two drawn
-/// ones. Traffic between zones costs; a database that is out is better than none.
-pub fn choose(of: &[Candidate], draw: impl Fn(usize) -> usize) -> Option<usize> {
-    let pace = |c: &Candidate| if c.pace == 0.0 { 1.0 } else { c.pace };
-    let at_home = |c: &Candidate| !c.out && f64::from(c.load) < c.home.round().max(1.0);
-    let cost = |c: &Candidate| pace(c) * f64::from(c.load + 1) / c.home;
-    let home = (0..of.len()).filter(|at| of[*at].home > 0.0 && at_home(&of[*at]));
-    if let Some(at) = home.min_by(|a, b| cost(&of[*a]).total_cmp(&cost(&of[*b]))) {
-        return Some(at);
+impl Candidate {
+    fn expected_latency_ms(&self) -> f64 {
+        if self.latency_ms == 0.0 { 1.0 } else { self.latency_ms }
     }
-    let room = |c: &Candidate| c.load < c.capacity.max(1);
-    let group = |c: &Candidate| (c.out, !room(c), !c.near);
-    let full = |c: &Candidate| c.load >= c.capacity.max(1) + QUEUED;
-    let best = of.iter().filter(|c| !full(c)).map(group).min()?;
-    let group: Vec<usize> =
-        (0..of.len()).filter(|at| !full(&of[*at]) && group(&of[*at]) == best).collect();
-    let cost = |at: usize| {
-        let c = &of[at];
-        let load = f64::from(c.load) / f64::from(c.capacity.max(1));
-        pace(c) * (1.0 + load) * if c.idle { 1.0 } else { 1.05 }
-    };
-    let (one, two) = (group[draw(group.len())], group[draw(group.len())]);
-    Some(if cost(two) < cost(one) { two } else { one })
-}
 
-/// Requests of one node that may wait at a database.
-const QUEUED: u32 = 2;
+    fn capacity(&self) -> u32 {
+        self.capacity.max(1)
+    }
 
-/// Times of recent answers of a service, and from when on one is late.
-#[derive(Clone, Debug, Default)]
-pub struct LatencyEstimator {
-    mean: f64,
-    spread: f64,
-}
+    fn queue_is_full(&self) -> bool {
+        self.in_flight >= self.capacity() + MAX_QUEUED
+    }
 
-impl LatencyEstimator {
-    pub fn learn(&mut self, ms: u64) {
-        let ms = ms as f64;
-        if self.mean == 0.0 {
-            (self.mean, self.spread) = (ms, ms / 2.0);
-        }
-        self.spread = self.spread * 0.95 + (ms - self.mean).abs() * 0.05;
-        self.mean = self.mean * 0.95 + ms * 0.05;
+    fn has_assigned_capacity_free(&self) -> bool {
+        self.assigned_capacity > 0.0
+            && !self.ejected
+            && f64::from(self.in_flight) < self.assigned_capacity.round().max(1.0)
     }
-    /// When an answer that has not come is unlikely to come soon, within an aim.
-    pub fn patience(&self, aim_ms: u64) -> u64 {
-        self.late(aim_ms / 2).max(20)
+
+    /// The cost of one more request on the capacity that is assigned to this node.
+    fn assigned_cost(&self) -> f64 {
+        self.expected_latency_ms() * f64::from(self.in_flight + 1) / self.assigned_capacity
     }
-    pub fn late(&self, least: u64) -> u64 {
-        ((self.mean + 4.0 * self.spread) as u64).max(least)
+
+    /// The cost of one more request on the capacity that all nodes share.
+    fn shared_cost(&self) -> f64 {
+        let load = f64::from(self.in_flight) / f64::from(self.capacity());
+        let connect_cost = if self.has_idle_connection { 1.0 } else { CONNECT_COST };
+        self.expected_latency_ms() * (1.0 + load) * connect_cost
     }
-}
 
-/// FNV-1a: the same request goes to the same target at every node.
-pub(crate) fn digest(text: &str) -> u64 {
-    text.bytes()
-        .fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
-        >> 16
+    /// Lower is better: an ejected endpoint is better than none, an endpoint in another zone better
+    /// than a queue.
+    fn preference(&self) -> Preference {
+        Preference {
+            ejected: self.ejected,
+            queues: self.in_flight >= self.capacity(),
+            other_zone: !self.same_zone,
+        }
+    }
 }
 
-/// How much is under way at the databases of a service, as the leader is told.
-#[derive(Clone, Debug, Default)]
-pub struct Work {
-    /// Milliseconds of finished sends since the last look.
-    done: u64,
-    mean: f64,
-    pub(crate) told: Option<u32>,
+/// Compared field by field, in this order.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Preference {
+    ejected: bool,
+    queues: bool,
+    other_zone: bool,
 }
 
-impl Work {
-    pub fn add(&mut self, ms: u64) {
-        self.done += ms;
-    }
-    /// After `ms`: what the leader has to be told, in hundredths of a request, if that is news.
-    pub fn news(&mut self, ms: u64) -> Option<u32> {
-        let now = std::mem::take(&mut self.done) as f64 / ms.max(1) as f64;
-        self.mean = if self.told.is_none() { now } else { self.mean * 0.8 + now * 0.2 };
-        let busy = (self.mean * 100.0) as u32;
-        let news = self.told.is_none_or(|t| busy.abs_diff(t) > t / 4 + 10);
-        news.then(|| {
-            self.told = Some(busy);
-            busy
-        })
-    }
+/// The index of the endpoint to use, or `None` if none may take the request: the cheapest with
+/// assigned capacity free, or else the cheaper of two random ones of the most preferred group.
+/// `draw(n)` returns a random number below `n`.
+pub fn choose_endpoint(candidates: &[Candidate], draw: impl Fn(usize) -> usize) -> Option<usize> {
+    cheapest_assigned(candidates).or_else(|| cheaper_of_two(candidates, draw))
 }
 
-/// The databases of a plot, with the part of each that belongs to it. All nodes lay them out in one
-/// order, which a new one changes little.
-pub fn homes<'a>(
-    of: impl Iterator<Item = (&'a InstanceId, u32)>,
-    subset_range: (u32, u32),
-) -> HashMap<InstanceId, f64> {
-    let mut order: Vec<(u64, &InstanceId, f64)> =
-        of.map(|(id, capacity)| (digest(&id.0), id, f64::from(capacity.max(1)))).collect();
-    order.sort_by(|a, b| (a.0, a.1).cmp(&(b.0, b.1)));
-    let all: f64 = order.iter().map(|(_, _, capacity)| capacity).sum();
-    let (from, upto) =
-        (f64::from(subset_range.0) * all / 1e6, f64::from(subset_range.1) * all / 1e6);
-    let mut at = 0.0;
-    let mut found = HashMap::new();
-    for (_, id, capacity) in order {
-        let part = (at + capacity).min(upto) - from.max(at);
-        at += capacity;
-        if part > LEAST_HOME * capacity {
-            found.insert(id.clone(), part);
-        }
-    }
-    found
+fn cheapest_assigned(candidates: &[Candidate]) -> Option<usize> {
+    let free = (0..candidates.len()).filter(|at| candidates[*at].has_assigned_capacity_free());
+    free.min_by(|a, b| candidates[*a].assigned_cost().total_cmp(&candidates[*b].assigned_cost()))
 }
 
-/// A smaller part of a database is nobody's home.
-const LEAST_HOME: f64 = 0.05;
+fn cheaper_of_two(candidates: &[Candidate], draw: impl Fn(usize) -> usize) -> Option<usize> {
+    let available = || (0..candidates.len()).filter(|at| !candidates[*at].queue_is_full());
+    let best = available().map(|at| candidates[at].preference()).min()?;
+    let group: Vec<usize> = available().filter(|at| candidates[*at].preference() == best).collect();
+    let first = group[draw(group.len())];
+    let second = group[draw(group.len())];
+    let second_is_cheaper = candidates[second].shared_cost() < candidates[first].shared_cost();
+    Some(if second_is_cheaper { second } else { first })
+}
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,10 +1,30 @@
-//! The gateway: clients' HTTP requests passed on to databases that are all alike.
+//! The gateway: a reverse proxy that forwards clients' HTTP/1.1 requests to the endpoints of a
+//! service, which are databases that are all alike.
+//!
+//! `main` calls [`process::run`]. The controllers' leader sends the route table, the directory of
+//! endpoints and this node's subset of them. Promises: a request that isn't idempotent is executed
+//! at most once as far as the gateway decides it; a response goes only to the request that it
+//! belongs to; retries and hedged requests stay within a budget.
+//!
+//! Pure parts, which know no socket, thread or clock: `attempts`, `demand`, `http1`, `latency`,
+//! `load_balancing`, `outlier_detection`, `retry_budget` and `subsets`.
 pub mod attempts;
-pub mod client_connection;
-pub mod forwarding;
+mod client_connection;
+pub mod demand;
+mod endpoint_access;
+pub mod endpoint_attempt;
+mod forwarding;
 pub mod http1;
+mod latency;
+mod leader_messages;
 pub mod load_balancing;
 pub mod outlier_detection;
+pub mod process;
+mod request_context;
+mod request_handling;
+mod responses;
 pub mod retry_budget;
-pub mod server;
-pub mod upstreams;
+mod server;
+mod status;
+pub mod subsets;
+mod upstreams;
--- /dev/null
+++ b/src/gateway/request_handling.rs
@@ -0,0 +1,184 @@
+//! Serves a client: receives its requests one after the other, finds the route of each, has it
+//! forwarded, and replies.
+//!
+//! A thread calls [`Gateway::serve_client`] when bytes of a client have come, and leaves when the
+//! client is idle again.
+use crate::base::errors::Refusal;
+use crate::base::ids::ServiceName;
+use crate::base::sync::lock;
+use crate::base::time::Tick;
+use crate::config::configuration::SessionLimits;
+use crate::config::route_table::{RouteEntry, RouteTable};
+use crate::gateway::client_connection::{
+    AfterServing, ClientConnection, ClientStream, ReadResult, ReceiveError,
+};
+use crate::gateway::forwarding::ForwardResult;
+use crate::gateway::http1::{
+    BodyDecoder, BodyFraming, ParseError, ParsedHead, RequestHead, encode_chunk, parse_request_head,
+};
+use crate::gateway::request_context::RequestContext;
+use crate::gateway::responses::AfterResponse;
+use crate::gateway::server::{Gateway, increment};
+use crate::gateway::subsets::stable_hash;
+use std::io;
+use std::sync::atomic::Ordering;
+
+/// The deadline of a request whose client sets none, in milliseconds from its arrival.
+pub(super) const DEFAULT_DEADLINE_MS: u64 = 60_000;
+
+/// How much of a request's body is held for sending it again, in bytes. A larger body is streamed
+/// and sent to one endpoint only.
+const MAX_HELD_BODY: usize = 256 << 10;
+
+/// For how long a thread waits for the next request of the client that it has just served, in
+/// milliseconds.
+const NEXT_REQUEST_MS: u64 = 20;
+
+/// The body of a request as far as it is received before forwarding.
+struct ReceivedBody {
+    held: Vec<u8>,
+    /// Decodes what is still to come, if the body is too large to be held.
+    remaining: Option<BodyDecoder>,
+}
+
+impl Gateway {
+    /// Serves one client until it is idle or its connection ends.
+    pub(super) fn serve_client(&self, connection: &ClientConnection) -> io::Result<AfterServing> {
+        let mut client = ClientStream::new(&connection.stream);
+        loop {
+            let Some(route_table) = self.route_table() else { return Ok(AfterServing::Close) };
+            client.max_body_bytes = route_table.limits.max_body_bytes;
+            if client.buffer.is_empty() {
+                connection.set_idle();
+                if self.closing_idle.load(Ordering::Relaxed) {
+                    return Ok(AfterServing::Close);
+                }
+                match client.read(Tick::now().plus(NEXT_REQUEST_MS))? {
+                    ReadResult::Data => {}
+                    ReadResult::Closed => return Ok(AfterServing::Close),
+                    ReadResult::TimedOut => return Ok(AfterServing::KeepIdle),
+                }
+            }
+            connection.set_busy();
+            let served = receive_head(&mut client, &route_table.limits)
+                .and_then(|head| self.serve_request(&head, &mut client));
+            match served {
+                Ok(AfterResponse::KeepOpen) => {}
+                Ok(AfterResponse::Close) | Err(ReceiveError::Closed) => {
+                    return Ok(AfterServing::Close);
+                }
+                Err(ReceiveError::Refused(refusal)) => {
+                    self.refuse(&mut client, refusal, 0, AfterResponse::Close)?;
+                    return Ok(AfterServing::Close);
+                }
+                Err(ReceiveError::Connection(e)) => return Err(e),
+            }
+        }
+    }
+
+    /// Serves one request whose head was received. The route table of this moment decides all of
+    /// it.
+    fn serve_request(
+        &self,
+        head: &RequestHead,
+        client: &mut ClientStream<'_>,
+    ) -> Result<AfterResponse, ReceiveError> {
+        let Some(route_table) = self.route_table() else { return Ok(AfterResponse::Close) };
+        increment(&self.counters.requests);
+        let arrived = Tick::now();
+        let after = AfterResponse::close_if(head.close || self.draining.load(Ordering::Relaxed));
+        if let BodyFraming::Length(length) = head.framing
+            && length > client.max_body_bytes
+        {
+            return Err(ReceiveError::Refused(Refusal::TooLarge));
+        }
+        let Some((route, service)) = find_route(&route_table, head) else {
+            // A body that nobody reads ends the connection.
+            let after = after.or_close_if(head.framing != BodyFraming::Length(0));
+            self.refuse(client, Refusal::NoRoute, 0, after)?;
+            return Ok(after);
+        };
+        let timeout_ms = head.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS).min(route.timeout_ms);
+        let deadline = arrived.plus(timeout_ms);
+        let ReceivedBody { held, remaining } = receive_body(head, client, deadline)?;
+        lock(&self.retry_budget).record_request(arrived);
+        let mut request = RequestContext {
+            head,
+            route,
+            service,
+            arrived,
+            deadline,
+            body: &held,
+            remaining_body: remaining,
+        };
+        match self.forward(&mut request, client)? {
+            ForwardResult::Refused { refusal, retry_after_ms } => {
+                let is_unread = request.remaining_body.is_some();
+                let after = after.or_close_if(refusal.answer().closes || is_unread);
+                self.refuse(client, refusal, retry_after_ms, after)?;
+                Ok(after)
+            }
+            ForwardResult::Response(attempt) => {
+                Ok(self.relay_response(&request, *attempt, client, after)?)
+            }
+        }
+    }
+}
+
+/// Reads until the head of a request is complete.
+fn receive_head(
+    client: &mut ClientStream<'_>,
+    limits: &SessionLimits,
+) -> Result<RequestHead, ReceiveError> {
+    let deadline = Tick::now().plus(limits.header_timeout_ms);
+    loop {
+        let parsed = parse_request_head(client.buffer.pending(), limits.max_header_bytes);
+        if let Some(ParsedHead { head, length }) = parsed.map_err(ReceiveError::Refused)? {
+            client.buffer.use_up(length);
+            return Ok(head);
+        }
+        client.read_more(deadline)?;
+    }
+}
+
+/// The route of a request and the service that it leads to. The same request leads to the same one
+/// of several weighted services at every node.
+fn find_route<'t>(
+    route_table: &'t RouteTable,
+    head: &RequestHead,
+) -> Option<(&'t RouteEntry, &'t ServiceName)> {
+    let route = route_table.entry_for_path(&head.host, head.path())?;
+    let hash = stable_hash(head.id.as_deref().unwrap_or(&head.target));
+    Some((route, route_table.service(route, hash)?))
+}
+
+/// Reads the body until it is complete or larger than what is held.
+fn receive_body(
+    head: &RequestHead,
+    client: &mut ClientStream<'_>,
+    deadline: Tick,
+) -> Result<ReceivedBody, ReceiveError> {
+    let has_body = head.framing != BodyFraming::Length(0);
+    if head.expects_continue && has_body && client.buffer.is_empty() {
+        client.write(b"HTTP/1.1 100 Continue\r\n\r\n")?;
+    }
+    let mut body = BodyDecoder::new(head.framing);
+    let mut held = Vec::new();
+    while !body.is_complete() && held.len() < MAX_HELD_BODY {
+        let consumed = body
+            .decode(client.buffer.pending(), &mut held)
+            .map_err(|ParseError| ReceiveError::Refused(Refusal::Unreadable))?;
+        client.buffer.use_up(consumed);
+        if held.len() as u64 > client.max_body_bytes {
+            return Err(ReceiveError::Refused(Refusal::TooLarge));
+        }
+        if !body.is_complete() {
+            client.read_more(deadline)?;
+        }
+    }
+    let remaining = (!body.is_complete()).then_some(body);
+    if remaining.is_some() && head.framing == BodyFraming::Chunked {
+        held = encode_chunk(&held);
+    }
+    Ok(ReceivedBody { held, remaining })
+}
--- /dev/null
+++ b/src/gateway/status.rs
@@ -0,0 +1,50 @@
+//! What `status` shows of a gateway. The keys are an interface and stay as they are.
+use crate::base::ids::InstanceId;
+use crate::base::sync::lock;
+use crate::base::time::Tick;
+use crate::gateway::server::Gateway;
+use crate::gateway::upstreams::Endpoint;
+use serde_json::{Value, json};
+use std::sync::atomic::{AtomicU64, Ordering};
+
+impl Gateway {
+    pub(super) fn status(&self) -> Value {
+        let now = Tick::now();
+        let upstreams = lock(&self.upstreams);
+        let databases: Vec<Value> = (upstreams.endpoints.iter())
+            .map(|(id, endpoint)| endpoint_status(id, endpoint, now))
+            .collect();
+        let count = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
+        json!({
+            "node": self.node,
+            "role": "gateway",
+            "ready": self.is_ready(),
+            "draining": self.draining.load(Ordering::Relaxed),
+            "linked": self.leader.is_up(),
+            "revision": upstreams.route_table.as_ref().map(|table| table.revision),
+            "connections": lock(&self.clients).len(),
+            "connections_allowed": self.max_clients,
+            "resting": self.idle_clients.len(),
+            "requests": count(&self.counters.requests),
+            "sent_again": count(&self.counters.retries),
+            "refused": count(&self.counters.refused),
+            "lost": count(&self.counters.lost),
+            "databases": databases,
+        })
+    }
+}
+
+fn endpoint_status(id: &InstanceId, endpoint: &Endpoint, now: Tick) -> Value {
+    json!({
+        "id": id,
+        "service": endpoint.service,
+        "address": endpoint.address,
+        "zone": endpoint.zone,
+        "capacity": endpoint.capacity,
+        "draining": endpoint.draining,
+        "under_way": endpoint.in_flight,
+        "idle": endpoint.idle.len(),
+        "left_out": endpoint.outlier.is_ejected(now),
+        "answers_after_ms": endpoint.outlier.latency_ms().round(),
+    })
+}
--- a/src/gateway/upstreams.rs
+++ b/src/gateway/upstreams.rs
@@ -1,154 +1,269 @@
-//! The databases of each service, with their idle connections and load.
+//! The endpoints of each service, with their idle connections, load and health.
+//!
+//! Owned by the gateway's shared state behind one lock. The leader's messages keep the directory
+//! up to date, and each attempt acquires an endpoint here. Promise: an endpoint that was acquired
+//! counts one request in flight until it is released.
 use crate::base::ids::{InstanceId, ServiceName};
 use crate::base::time::Tick;
 use crate::config::directory::DirectoryEntry;
 use crate::config::route_table::RouteTable;
-use crate::gateway::load_balancing::{Candidate, LatencyEstimator, Work, choose, homes};
+use crate::gateway::demand::DemandMeter;
+use crate::gateway::latency::LatencyEstimator;
+use crate::gateway::load_balancing::{Candidate, choose_endpoint};
 use crate::gateway::outlier_detection::OutlierDetector;
+use crate::gateway::subsets::{CapacityRange, assigned_capacities};
 use crate::net::statement_protocol::ReadBuffer;
 use std::collections::{BTreeMap, HashMap};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
 
-/// A connection to a database.
-pub(crate) struct EndpointConnection {
-    pub(crate) stream: TcpStream,
-    pub(crate) inbox: ReadBuffer,
-    /// Nothing may be sent on it after this.
-    pub(crate) until: Tick,
+/// Idle connections to one endpoint that are kept open.
+const MAX_IDLE: usize = 4;
+
+/// For how long an idle connection may be used where the database does not say, in milliseconds.
+pub(super) const IDLE_MS: u64 = 4_000;
+
+/// A request that must not be repeated goes only on a connection that was idle no longer than
+/// this, in milliseconds: a database closes no connection as soon as that.
+const FRESH_MS: u64 = 20;
+
+/// A connection to an endpoint.
+pub(super) struct EndpointConnection {
+    pub(super) stream: TcpStream,
+    /// Bytes of responses that were read and not parsed yet.
+    pub(super) buffer: ReadBuffer,
+    /// When it was idle for so long that it can't be used any more.
+    pub(super) expires: Tick,
 }
 
-pub(crate) struct Endpoint {
-    pub(crate) service: ServiceName,
-    pub(crate) address: SocketAddr,
-    pub(crate) zone: String,
-    pub(crate) capacity: u32,
-    pub(crate) draining: bool,
-    pub(crate) health: OutlierDetector,
-    pub(crate) load: u32,
-    pub(crate) idle: Vec<EndpointConnection>,
+/// Which idle connections a request may use.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ReusePolicy {
+    /// Any: the request can be sent again if the database has closed the connection.
+    AnyIdle,
+    /// Only those that were idle for a moment.
+    FreshOnly,
 }
 
-/// What this gateway knows.
-#[derive(Default)]
-pub(crate) struct Upstreams {
-    pub(crate) config: Option<Arc<RouteTable>>,
-    pub(crate) listed: bool,
-    pub(crate) trees: BTreeMap<InstanceId, Endpoint>,
-    pub(crate) services: HashMap<ServiceName, UpstreamService>,
-    /// How long connections to databases take.
-    pub(crate) reach: LatencyEstimator,
+/// A running database of a service, and what this node knows of it.
+pub(super) struct Endpoint {
+    pub(super) service: ServiceName,
+    pub(super) address: SocketAddr,
+    pub(super) zone: String,
+    /// How many requests it can execute at once.
+    pub(super) capacity: u32,
+    /// It is shutting down gracefully and gets no new requests.
+    pub(super) draining: bool,
+    pub(super) outlier: OutlierDetector,
+    /// This node's requests in flight there.
+    pub(super) in_flight: u32,
+    pub(super) idle: Vec<EndpointConnection>,
 }
 
+/// One service that requests are routed to.
 #[derive(Default)]
-pub(crate) struct UpstreamService {
-    trees: Vec<InstanceId>,
-    pub(crate) pace: LatencyEstimator,
-    /// The part of the zone's databases that is used first, and what that comes to.
-    pub(crate) subset_range: Option<(u32, u32)>,
-    homes: HashMap<InstanceId, f64>,
-    pub(crate) work: Work,
+pub(super) struct UpstreamService {
+    endpoints: Vec<InstanceId>,
+    pub(super) latency: LatencyEstimator,
+    pub(super) demand: DemandMeter,
+    /// The part of the zone's capacity that this node uses first.
+    subset: Option<CapacityRange>,
+    /// The capacity of endpoints that lies in the subset.
+    assigned: HashMap<InstanceId, f64>,
 }
 
-/// A database that was taken for a request.
-pub(crate) struct EndpointGuard {
-    pub(crate) id: InstanceId,
-    pub(crate) address: SocketAddr,
-    pub(crate) stem: Option<EndpointConnection>,
+/// Everything that this gateway learned from the leader, and of the endpoints.
+#[derive(Default)]
+pub(super) struct Upstreams {
+    pub(super) route_table: Option<Arc<RouteTable>>,
+    /// Whether a whole directory was received since this process started.
+    pub(super) has_directory: bool,
+    pub(super) endpoints: BTreeMap<InstanceId, Endpoint>,
+    pub(super) services: HashMap<ServiceName, UpstreamService>,
+    /// How long connecting to endpoints takes.
+    pub(super) connect_latency: LatencyEstimator,
 }
 
-/// Connections to one database that rest.
-pub(crate) const MAX_IDLE: usize = 4;
+/// An endpoint that was acquired for an attempt; the gateway has to release it.
+pub(super) struct AcquiredEndpoint {
+    pub(super) id: InstanceId,
+    pub(super) address: SocketAddr,
+    /// An idle connection to it.
+    pub(super) connection: Option<EndpointConnection>,
+}
 
-/// A resting connection is used no longer than this where the database does not say.
-pub(crate) const IDLE_MS: u64 = 4_000;
+impl Upstreams {
+    /// Takes over the whole directory; endpoints that are not in it are gone.
+    pub(super) fn replace_directory(&mut self, entries: Vec<DirectoryEntry>, zone: &str) {
+        let is_listed = |id: &InstanceId| entries.iter().any(|entry| entry.id == *id);
+        let removed: Vec<InstanceId> =
+            self.endpoints.keys().filter(|id| !is_listed(id)).cloned().collect();
+        self.update_directory(entries, &removed, zone);
+        self.has_directory = true;
+    }
 
-/// A request that can't be repeated goes only on a connection that rested no longer.
-const FRESH_MS: u64 = 20;
+    /// Takes over a change of the directory.
+    pub(super) fn update_directory(
+        &mut self,
+        entries: Vec<DirectoryEntry>,
+        removed: &[InstanceId],
+        zone: &str,
+    ) {
+        for id in removed {
+            self.remove(id);
+        }
+        for entry in entries {
+            self.upsert(entry);
+        }
+        self.assign_capacities(zone);
+    }
 
-impl Upstreams {
-    pub(crate) fn upsert(&mut self, listed: DirectoryEntry) {
-        let known = self.trees.get_mut(&listed.id);
-        match known.filter(|t| t.address == listed.address && t.service == listed.service) {
-            Some(tree) => {
-                tree.draining = listed.draining;
-                tree.capacity = listed.capacity;
-                tree.health.renewed();
-                if listed.draining {
-                    tree.idle.clear();
+    fn upsert(&mut self, entry: DirectoryEntry) {
+        let known = self.endpoints.get_mut(&entry.id);
+        match known.filter(|e| e.address == entry.address && e.service == entry.service) {
+            Some(endpoint) => {
+                endpoint.draining = entry.draining;
+                endpoint.capacity = entry.capacity;
+                endpoint.outlier.reset();
+                if entry.draining {
+                    endpoint.idle.clear();
                 }
             }
             None => {
-                self.remove(&listed.id);
-                let row = self.services.entry(listed.service.clone()).or_default();
-                row.trees.push(listed.id.clone());
-                let tree = Endpoint {
-                    service: listed.service,
-                    address: listed.address,
-                    zone: listed.zone,
-                    capacity: listed.capacity,
-                    draining: listed.draining,
-                    health: OutlierDetector::default(),
-                    load: 0,
+                self.remove(&entry.id);
+                let service = self.services.entry(entry.service.clone()).or_default();
+                service.endpoints.push(entry.id.clone());
+                let endpoint = Endpoint {
+                    service: entry.service,
+                    address: entry.address,
+                    zone: entry.zone,
+                    capacity: entry.capacity,
+                    draining: entry.draining,
+                    outlier: OutlierDetector::default(),
+                    in_flight: 0,
                     idle: Vec::new(),
                 };
-                self.trees.insert(listed.id, tree);
+                self.endpoints.insert(entry.id, endpoint);
             }
         }
     }
-    pub(crate) fn remove(&mut self, id: &InstanceId) {
-        if let Some(tree) = self.trees.remove(id)
-            && let Some(row) = self.services.get_mut(&tree.service)
+
+    fn remove(&mut self, id: &InstanceId) {
+        if let Some(endpoint) = self.endpoints.remove(id)
+            && let Some(service) = self.services.get_mut(&endpoint.service)
         {
-            row.trees.retain(|i| i != id);
+            service.endpoints.retain(|known| known != id);
+        }
+    }
+
+    /// Takes over the subsets that the leader has assigned to this node.
+    pub(super) fn assign_subsets(
+        &mut self,
+        subsets: impl Iterator<Item = (ServiceName, CapacityRange)>,
+        zone: &str,
+    ) {
+        for (service, range) in subsets {
+            self.services.entry(service).or_default().subset = Some(range);
         }
+        self.assign_capacities(zone);
     }
-    /// The directory or a plot has changed.
-    pub(crate) fn settle(&mut self, zone: &str) {
-        for row in self.services.values_mut() {
-            let near = row.trees.iter().filter_map(|id| Some((id, self.trees.get(id)?)));
-            let near = near.filter(|(_, tree)| tree.zone == zone && !tree.draining);
-            let laid = near.map(|(id, tree)| (id, tree.capacity));
-            row.homes =
-                row.subset_range.map(|subset_range| homes(laid, subset_range)).unwrap_or_default();
+
+    /// Computes anew which capacity is assigned to this node: the directory or a subset changed.
+    fn assign_capacities(&mut self, zone: &str) {
+        for service in self.services.values_mut() {
+            let in_zone = (service.endpoints.iter())
+                .filter_map(|id| Some((id, self.endpoints.get(id)?)))
+                .filter(|(_, endpoint)| endpoint.zone == zone && !endpoint.draining)
+                .map(|(id, endpoint)| (id, endpoint.capacity));
+            service.assigned =
+                service.subset.map(|range| assigned_capacities(in_zone, range)).unwrap_or_default();
         }
     }
-    /// Takes a database of the service that was not tried yet.
-    pub(crate) fn take(
+
+    /// Acquires an endpoint of the service that is not among `excluded`; `None` if there is none
+    /// with room.
+    pub(super) fn acquire(
         &mut self,
         service: &ServiceName,
         zone: &str,
-        tried: &[InstanceId],
-        fresh: bool,
+        excluded: &[InstanceId],
+        reuse: ReusePolicy,
         now: Tick,
-    ) -> Option<EndpointGuard> {
-        let row = self.services.get(service)?;
+    ) -> Option<AcquiredEndpoint> {
+        let service = self.services.get(service)?;
         let (mut ids, mut candidates) = (Vec::new(), Vec::new());
-        for id in &row.trees {
-            let Some(tree) = self.trees.get(id).filter(|t| !t.draining) else { continue };
-            if tried.contains(id) {
+        for id in &service.endpoints {
+            let Some(endpoint) = self.endpoints.get(id).filter(|e| !e.draining) else { continue };
+            if excluded.contains(id) {
                 continue;
             }
             ids.push(id);
-            candidates.push(Candidate {
-                near: tree.zone == zone,
-                out: tree.health.out(now),
-                load: tree.load,
-                capacity: tree.capacity,
-                pace: tree.health.pace,
-                idle: !fresh && !tree.idle.is_empty(),
-                home: row.homes.get(id).copied().unwrap_or(0.0),
-            });
+            let assigned_capacity = service.assigned.get(id).copied().unwrap_or(0.0);
+            candidates.push(endpoint.candidate(zone, reuse, assigned_capacity, now));
+        }
+        let chosen = choose_endpoint(&candidates, |n| rand::random_range(0..n))?;
+        let id = ids[chosen].clone();
+        let endpoint = self.endpoints.get_mut(&id)?;
+        endpoint.in_flight += 1;
+        let connection = endpoint.take_idle_connection(reuse, now);
+        Some(AcquiredEndpoint { address: endpoint.address, id, connection })
+    }
+
+    /// Ends an attempt that took `took_ms` milliseconds: records what was seen of the endpoint,
+    /// and keeps its connection for another request if there is one to keep.
+    pub(super) fn release(
+        &mut self,
+        id: &InstanceId,
+        took_ms: u64,
+        record: impl FnOnce(&mut OutlierDetector),
+        connection: Option<EndpointConnection>,
+    ) {
+        let Some(endpoint) = self.endpoints.get_mut(id) else { return };
+        endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
+        record(&mut endpoint.outlier);
+        if let Some(service) = self.services.get_mut(&endpoint.service) {
+            service.demand.record(took_ms);
+        }
+        if let Some(connection) = connection
+            && !endpoint.draining
+            && endpoint.idle.len() < MAX_IDLE
+        {
+            endpoint.idle.push(connection);
         }
-        let at = choose(&candidates, |n| rand::random_range(0..n))?;
-        let id = ids[at].clone();
-        let tree = self.trees.get_mut(&id)?;
-        tree.load += 1;
-        let need = if fresh { IDLE_MS.saturating_sub(FRESH_MS) } else { 0 };
-        tree.idle.retain(|s| s.until > now);
-        // The one that was used last is the likeliest to live.
-        let usable = tree.idle.last().is_some_and(|s| s.until.since(now) > need);
-        let stem = if usable { tree.idle.pop() } else { None };
-        Some(EndpointGuard { address: tree.address, id, stem })
+    }
+}
+
+impl Endpoint {
+    fn candidate(
+        &self,
+        zone: &str,
+        reuse: ReusePolicy,
+        assigned_capacity: f64,
+        now: Tick,
+    ) -> Candidate {
+        Candidate {
+            same_zone: self.zone == zone,
+            ejected: self.outlier.is_ejected(now),
+            in_flight: self.in_flight,
+            capacity: self.capacity,
+            latency_ms: self.outlier.latency_ms(),
+            has_idle_connection: reuse == ReusePolicy::AnyIdle && !self.idle.is_empty(),
+            assigned_capacity,
+        }
+    }
+
+    fn take_idle_connection(
+        &mut self,
+        reuse: ReusePolicy,
+        now: Tick,
+    ) -> Option<EndpointConnection> {
+        let min_left_ms = match reuse {
+            ReusePolicy::AnyIdle => 0,
+            ReusePolicy::FreshOnly => IDLE_MS.saturating_sub(FRESH_MS),
+        };
+        self.idle.retain(|connection| connection.expires > now);
+        // The one that was used last is the likeliest to be still open.
+        let usable = self.idle.last().is_some_and(|c| c.expires.since(now) > min_left_ms);
+        if usable { self.idle.pop() } else { None }
     }
 }
--- a/tests/gateway_parts.rs
+++ b/tests/gateway_parts.rs
@@ -4,13 +4,17 @@
 use silvertack::base::time::Tick;
 use silvertack::config::configuration::Configuration;
 use silvertack::config::route_table::RouteTable;
-use silvertack::gateway::attempts::{AttemptOutcome, AttemptPolicy, Next};
+use silvertack::gateway::attempts::{
+    AttemptOutcome, AttemptPolicy, Idempotency, NextStep, RetryConditions,
+};
+use silvertack::gateway::demand::DemandMeter;
 use silvertack::gateway::http1::{
     BodyDecoder, BodyFraming, ParseError, ParsedHead, parse_request_head, parse_response_head,
 };
-use silvertack::gateway::load_balancing::{Candidate, Work, choose, homes};
+use silvertack::gateway::load_balancing::{Candidate, choose_endpoint};
 use silvertack::gateway::outlier_detection::OutlierDetector;
 use silvertack::gateway::retry_budget::RetryBudget;
+use silvertack::gateway::subsets::{CapacityRange, assigned_capacities};
 use silvertack::leases::subset_assignments::SubsetAssignments;
 
 fn head(lines: &str) -> Vec<u8> {
@@ -138,39 +142,41 @@
 #[test]
 fn what_cannot_be_repeated_is_never_sent_again_once_it_may_have_run() {
     use AttemptOutcome::*;
-    use Next::*;
-    // Repeatable, sends so far in order, others under way, time, budget: what follows the last.
-    type Case<'a> = (bool, &'a [AttemptOutcome], bool, bool, bool, Next);
+    use Idempotency::*;
+    use NextStep::*;
+    // Attempts so far in order, others in flight, time and budget left: what follows the last.
+    type Case<'a> = (Idempotency, &'a [AttemptOutcome], bool, bool, bool, NextStep);
     let cases: [Case<'_>; 17] = [
-        (false, &[NotSent], false, true, false, Another),
-        (false, &[NotRun], false, true, true, Another),
-        (false, &[MayHaveRun], false, true, true, Refuse(Refusal::Lost)),
-        (false, &[Failed], false, true, true, Pass),
-        (false, &[NotRun, MayHaveRun], false, true, true, Refuse(Refusal::Lost)),
-        (false, &[NotRun, NotRun], false, true, true, Pass),
-        (false, &[NotRun], false, true, false, Pass),
-        (false, &[NotSent, NotSent, NotSent, NotSent], false, true, true, Refuse(Refusal::Full)),
-        (true, &[MayHaveRun], false, true, true, Another),
-        (true, &[MayHaveRun], false, true, false, Refuse(Refusal::Lost)),
-        (true, &[MayHaveRun], false, false, true, Refuse(Refusal::Late)),
-        (true, &[Failed], false, true, true, Another),
-        (true, &[Failed, Failed], false, true, true, Pass),
-        // Its promise would not be true any more.
-        (true, &[MayHaveRun, NotRun], false, true, true, Refuse(Refusal::Lost)),
-        (true, &[NotRun], true, true, false, Refuse(Refusal::Lost)),
-        (true, &[MayHaveRun, NotSent], false, true, false, Refuse(Refusal::Lost)),
-        (true, &[NotSent], false, false, true, Refuse(Refusal::Full)),
+        (NonIdempotent, &[NotSent], false, true, false, Retry),
+        (NonIdempotent, &[NotExecuted], false, true, true, Retry),
+        (NonIdempotent, &[MayHaveExecuted], false, true, true, Refuse(Refusal::Lost)),
+        (NonIdempotent, &[Failed], false, true, true, ForwardResponse),
+        (NonIdempotent, &[NotExecuted, MayHaveExecuted], false, true, true, Refuse(Refusal::Lost)),
+        (NonIdempotent, &[NotExecuted, NotExecuted], false, true, true, ForwardResponse),
+        (NonIdempotent, &[NotExecuted], false, true, false, ForwardResponse),
+        (NonIdempotent, &[NotSent; 4], false, true, true, Refuse(Refusal::Full)),
+        (Idempotent, &[MayHaveExecuted], false, true, true, Retry),
+        (Idempotent, &[MayHaveExecuted], false, true, false, Refuse(Refusal::Lost)),
+        (Idempotent, &[MayHaveExecuted], false, false, true, Refuse(Refusal::Late)),
+        (Idempotent, &[Failed], false, true, true, Retry),
+        (Idempotent, &[Failed, Failed], false, true, true, ForwardResponse),
+        // That it was not executed would not be true any more.
+        (Idempotent, &[MayHaveExecuted, NotExecuted], false, true, true, Refuse(Refusal::Lost)),
+        (Idempotent, &[NotExecuted], true, true, false, Refuse(Refusal::Lost)),
+        (Idempotent, &[MayHaveExecuted, NotSent], false, true, false, Refuse(Refusal::Lost)),
+        (Idempotent, &[NotSent], false, false, true, Refuse(Refusal::Full)),
     ];
-    for (repeatable, ends, others, time, budget, expected) in cases {
-        let mut tries = AttemptPolicy::new(repeatable, 2);
-        let mut last = Another;
-        for ended in ends {
-            if *ended != NotSent {
-                tries.offered();
+    for (idempotency, outcomes, others_in_flight, time_left, budget_left, expected) in cases {
+        let mut policy = AttemptPolicy::new(idempotency, 2);
+        let conditions = RetryConditions { others_in_flight, time_left, budget_left };
+        let mut last = Retry;
+        for outcome in outcomes {
+            if *outcome != NotSent {
+                policy.record_sent();
             }
-            last = tries.after(*ended, others, time, budget);
+            last = policy.next_step(*outcome, conditions);
         }
-        assert_eq!(last, expected, "{repeatable} {ends:?} {others} {time} {budget}");
+        assert_eq!(last, expected, "{idempotency:?} {outcomes:?} {conditions:?}");
     }
 }
 
@@ -178,63 +184,63 @@
 fn repeats_stay_within_the_ratio_of_what_was_asked() {
     let mut budget = RetryBudget::new(0.2, 10_000);
     let start = Tick(100_000);
-    assert!(!budget.spend(start), "nothing earned, nothing spent");
-    (0..10).for_each(|_| budget.asked(start));
-    let spent = (0..10).filter(|_| budget.spend(start.plus(100))).count();
+    assert!(!budget.try_spend(start), "nothing earned, nothing spent");
+    (0..10).for_each(|_| budget.record_request(start));
+    let spent = (0..10).filter(|_| budget.try_spend(start.plus(100))).count();
     assert_eq!(spent, 2);
-    assert!(!budget.has(start.plus(9_000)), "still within the window");
-    (0..5).for_each(|_| budget.asked(start.plus(10_700)));
-    assert!(budget.has(start.plus(10_800)), "what lies before the window is over");
+    assert!(!budget.allows_retry(start.plus(9_000)), "still within the window");
+    (0..5).for_each(|_| budget.record_request(start.plus(10_700)));
+    assert!(budget.allows_retry(start.plus(10_800)), "what lies before the window is over");
 }
 
 #[test]
 fn the_better_of_two_from_the_best_group() {
-    let tree = Candidate {
-        near: true,
-        out: false,
-        load: 0,
+    let near = Candidate {
+        same_zone: true,
+        ejected: false,
+        in_flight: 0,
         capacity: 2,
-        pace: 10.0,
-        idle: true,
-        home: 0.0,
+        latency_ms: 10.0,
+        has_idle_connection: true,
+        assigned_capacity: 0.0,
     };
-    let far = Candidate { near: false, ..tree };
-    let out = Candidate { out: true, ..tree };
-    let busy = Candidate { load: 2, ..tree };
-    let stuffed = Candidate { load: 4, ..tree };
-    let slow = Candidate { pace: 50.0, ..tree };
+    let far = Candidate { same_zone: false, ..near };
+    let ejected = Candidate { ejected: true, ..near };
+    let busy = Candidate { in_flight: 2, ..near };
+    let full = Candidate { in_flight: 4, ..near };
+    let slow = Candidate { latency_ms: 50.0, ..near };
     let cases: [(&str, &[Candidate], Option<usize>); 7] = [
         ("none", &[], None),
-        ("near before far", &[far, tree], Some(1)),
-        ("far before out", &[out, far], Some(1)),
-        ("out before none", &[out], Some(0)),
+        ("near before far", &[far, near], Some(1)),
+        ("far before ejected", &[ejected, far], Some(1)),
+        ("ejected before none", &[ejected], Some(0)),
         ("far before a queue", &[busy, far], Some(1)),
-        ("nothing beyond what may queue", &[stuffed], None),
-        ("the quicker one", &[slow, tree], Some(1)),
+        ("nothing beyond what may queue", &[full], None),
+        ("the quicker one", &[slow, near], Some(1)),
     ];
-    for (what, of, expected) in cases {
+    for (what, candidates, expected) in cases {
         // Drawn in turn, so that each pair is seen.
         let turn = std::cell::Cell::new(0);
         let draw = |n: usize| {
             turn.set(turn.get() + 1);
             turn.get() % n
         };
-        assert_eq!(choose(of, draw), expected, "{what}");
+        assert_eq!(choose_endpoint(candidates, draw), expected, "{what}");
     }
 }
 
 #[test]
 fn a_database_that_fails_is_left_alone_longer_each_time() {
-    let (mut health, now) = (OutlierDetector::default(), Tick(100_000));
-    health.failed(now);
-    assert!(!health.out(now), "one failed answer may be the request's own fault");
-    health.failed(now);
-    assert!(health.out(now.plus(1_900)) && !health.out(now.plus(2_100)));
-    health.broke(now.plus(2_100));
-    assert!(health.out(now.plus(6_000)) && !health.out(now.plus(6_200)));
-    health.served(10);
-    health.broke(now.plus(7_000));
-    assert!(!health.out(now.plus(9_100)), "an answer makes it as good as new");
+    let (mut outlier, now) = (OutlierDetector::default(), Tick(100_000));
+    outlier.record_failed_response(now);
+    assert!(!outlier.is_ejected(now), "one failed answer may be the request's own fault");
+    outlier.record_failed_response(now);
+    assert!(outlier.is_ejected(now.plus(1_900)) && !outlier.is_ejected(now.plus(2_100)));
+    outlier.record_fault(now.plus(2_100));
+    assert!(outlier.is_ejected(now.plus(6_000)) && !outlier.is_ejected(now.plus(6_200)));
+    outlier.record_success(10);
+    outlier.record_fault(now.plus(7_000));
+    assert!(!outlier.is_ejected(now.plus(9_100)), "an answer makes it as good as new");
 }
 
 fn route_table(routes: serde_json::Value) -> Result<RouteTable, String> {
@@ -355,29 +361,30 @@
 #[test]
 fn homes_are_what_overlaps_a_plot() {
     let ids: Vec<InstanceId> = (0..6).map(|n| InstanceId(format!("i{n}"))).collect();
-    let of = || ids.iter().map(|id| (id, 2));
-    let all = homes(of(), (0, 1_000_000));
+    let endpoints = || ids.iter().map(|id| (id, 2));
+    let assigned = |from, to| assigned_capacities(endpoints(), CapacityRange { from, to });
+    let all = assigned(0, 1_000_000);
     assert!(ids.iter().all(|id| all.get(id) == Some(&2.0)));
     // Three plots that cover everything share out each database exactly once.
     let cuts = [0, 250_000, 600_000, 1_000_000];
-    let parts: Vec<_> = cuts.windows(2).map(|c| homes(of(), (c[0], c[1]))).collect();
+    let parts: Vec<_> = cuts.windows(2).map(|c| assigned(c[0], c[1])).collect();
     for id in &ids {
         let sum: f64 = parts.iter().filter_map(|p| p.get(id)).sum();
         assert!((sum - 2.0).abs() < 0.11, "{id}: {sum}");
     }
-    assert!(homes(of(), (500_000, 500_001)).is_empty(), "a sliver is nobody's home");
+    assert!(assigned(500_000, 500_001).is_empty(), "a sliver is nobody's home");
 }
 
 #[test]
 fn demand_is_told_when_it_changed_much() {
-    let mut work = Work::default();
-    work.add(450);
-    assert_eq!(work.news(450), Some(100), "one request under way all the time");
-    work.add(470);
-    assert_eq!(work.news(450), None, "about the same");
+    let mut demand = DemandMeter::default();
+    demand.record(450);
+    assert_eq!(demand.next_report(450), Some(100), "one request under way all the time");
+    demand.record(470);
+    assert_eq!(demand.next_report(450), None, "about the same");
     let told = (0..20).filter_map(|_| {
-        work.add(1_800);
-        work.news(450)
+        demand.record(1_800);
+        demand.next_report(450)
     });
     let told: Vec<u32> = told.collect();
     assert!(told.len() < 8 && told.last().is_some_and(|t| *t > 300), "{told:?}");
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -596,16 +596,20 @@
 #[test]
 fn once_a_byte_has_left_a_request_may_have_run() {
     use silvertack::gateway::attempts::AttemptOutcome;
-    use silvertack::gateway::forwarding::send_whole;
+    use silvertack::gateway::endpoint_attempt::write_request;
     let cases = [
         (0, Err(AttemptOutcome::NotSent)),
-        (1, Err(AttemptOutcome::MayHaveRun)),
-        (9, Err(AttemptOutcome::MayHaveRun)),
-        (10, Err(AttemptOutcome::MayHaveRun)),
+        (1, Err(AttemptOutcome::MayHaveExecuted)),
+        (9, Err(AttemptOutcome::MayHaveExecuted)),
+        (10, Err(AttemptOutcome::MayHaveExecuted)),
         (11, Ok(())),
     ];
     for (takes, ended) in cases {
-        assert_eq!(send_whole(&mut Breaks(takes), &[b"the head", b"row"]), ended, "{takes} bytes");
+        assert_eq!(
+            write_request(&mut Breaks(takes), &[b"the head", b"row"]),
+            ended,
+            "{takes} bytes"
+        );
     }
 }
 
