--- a/src/cli.rs
+++ b/src/cli.rs
@@ -180,7 +180,7 @@
     match command {
         Command::Pooler(arguments) => {
             let (path, settings) = arguments.load()?;
-            Ok(pooler::server::run(path, settings)?)
+            Ok(pooler::process::run(path, settings)?)
         }
         Command::Gateway(arguments) => {
             let (path, settings) = arguments.load()?;
--- /dev/null
+++ b/src/pooler/exchange.rs
@@ -0,0 +1,165 @@
+//! One round of a statement with a connection to a database: what is sent, how long the reply is
+//! waited for, and what its loss says of the database.
+//!
+//! `statement_execution` starts a round for each attempt.
+use crate::base::ids::{DbTerm, Position, ServiceName};
+use crate::base::time::Tick;
+use crate::config::configuration::RouteType;
+use crate::net::rpc::pooler_messages::SuspicionReason;
+use crate::net::statement_protocol::{Outcome, Reply, State, Statement};
+use crate::pooler::client_session::ClientStatement;
+use crate::pooler::pool::ConnectionPool;
+use crate::pooler::server::Pooler;
+use crate::pooler::server_connection::{
+    ExchangeError, Loss, ServerConnection, prepared_statement_id,
+};
+use std::hash::RandomState;
+
+/// A database that owes a reply and has replied to nobody here for this long, in ms, is suspected.
+const SILENCE_MS: u64 = 200;
+
+impl ClientStatement<'_> {
+    /// The statement as it is sent to a database, which first waits for a position if one is given.
+    pub(super) fn line(&self, wait_for: Option<Position>, hasher: &RandomState) -> String {
+        let (id, wait_for) = (self.id, wait_for_prefix(wait_for));
+        match (&self.plan.prepared, &self.statement) {
+            (Some(prepared), Statement::Execute { rest, .. }) => {
+                let name = prepared_statement_id(hasher, prepared);
+                format!("QUERY {id} {wait_for}EXECUTE p{name:x} {rest}\r\n")
+            }
+            _ => format!("QUERY {id} {wait_for}{}\r\n", self.text),
+        }
+    }
+}
+
+/// Has a replica wait until it has a position before it runs the rest of the statement.
+fn wait_for_prefix(position: Option<Position>) -> String {
+    position.map_or_else(String::new, |position| format!("WAITFOR {position} "))
+}
+
+/// One round of a statement with a connection.
+pub(super) struct Exchange<'a> {
+    pub(super) pooler: &'a Pooler,
+    pub(super) service: &'a ServiceName,
+    pub(super) route_type: RouteType,
+    pub(super) pool: &'a ConnectionPool,
+    /// The term under which the primary is used; none at a replica.
+    pub(super) term: Option<DbTerm>,
+    /// The deadline of the statement.
+    pub(super) deadline: Tick,
+    /// The statement only reads, and no database has answered in its transaction yet.
+    pub(super) first_read: bool,
+    /// The time in ms after which a reply counts as lost; none: it is waited for until `deadline`.
+    pub(super) reply_timeout_ms: Option<u64>,
+}
+
+impl Exchange<'_> {
+    /// Opens the transaction at the database. A database that rejects it has its reply returned,
+    /// which stays in the connection's buffer.
+    pub(super) fn begin(
+        &self,
+        connection: &mut ServerConnection,
+        read_only: bool,
+        wait_for: Option<Position>,
+    ) -> Result<Option<Reply>, ExchangeError> {
+        let unsent = |loss| self.fail(ExchangeError::unsent(loss));
+        let begin = if read_only { "BEGIN FETCH" } else { "BEGIN" };
+        let line = format!("QUERY - {}{begin}\r\n", wait_for_prefix(wait_for));
+        connection.send(line.as_bytes(), 1).map_err(|e| unsent(e.loss))?;
+        let reply = connection.receive(self.check_since(Tick::now())).map_err(unsent)?;
+        self.pool.record_reply(Tick::now());
+        if reply.outcome != Outcome::Complete {
+            return Ok(Some(reply));
+        }
+        if reply.state != State::Open {
+            // The reply belongs to something else.
+            return Err(unsent(Loss::Broken));
+        }
+        connection.consume(&reply);
+        connection.in_transaction = true;
+        Ok(None)
+    }
+
+    /// Sends the statement and waits for its reply, which stays in the connection's buffer.
+    pub(super) fn run(
+        &self,
+        connection: &mut ServerConnection,
+        line: &str,
+    ) -> Result<Reply, ExchangeError> {
+        let sent_at = Tick::now();
+        // Checked last before a write can take effect there.
+        if self.lost_lease(sent_at) {
+            return Err(ExchangeError::unsent(Loss::Abandoned));
+        }
+        connection.send(line.as_bytes(), 1).map_err(|e| self.fail(e))?;
+        let reply = connection
+            .receive(self.check_since(sent_at))
+            .map_err(|loss| self.fail(ExchangeError::sent(loss)))?;
+        let now = Tick::now();
+        self.pool.record_reply(now);
+        if reply.outcome == Outcome::Complete {
+            if !reply.stamped {
+                // A reply to one of the session's settings, come a second time.
+                return Err(self.fail(ExchangeError::sent(Loss::Broken)));
+            }
+            self.pool.record_latency(self.route_type, now.since(sent_at));
+        }
+        let Some(term) = self.term else {
+            return Ok(reply);
+        };
+        if self.lost_lease(now) {
+            // Another primary may have been promoted: a success of the old one is not passed on.
+            if reply.outcome == Outcome::Complete {
+                return Err(ExchangeError::sent(Loss::Abandoned));
+            }
+        } else if let Some(position) = reply.position {
+            self.pooler.record_position(self.service, term, sent_at, position);
+        }
+        Ok(reply)
+    }
+
+    /// Whether the exchange is with a primary whose lease is no longer held.
+    fn lost_lease(&self, now: Tick) -> bool {
+        self.term.is_some_and(|term| !self.pooler.holds_lease(self.service, term, now))
+    }
+
+    /// Decides now and then whether to wait on for a reply to what was sent at `sent_at`.
+    pub(super) fn check_since(&self, sent_at: Tick) -> impl Fn() -> Option<Loss> {
+        move || {
+            let now = Tick::now();
+            if now >= self.deadline {
+                return Some(Loss::DeadlineExceeded);
+            }
+            if self.lost_lease(now) {
+                return Some(Loss::Abandoned);
+            }
+            let waited_ms = now.since(sent_at);
+            if waited_ms >= SILENCE_MS && !self.pool.replied_since(sent_at) {
+                self.report_failure(SuspicionReason::NoResponse, now);
+                if self.first_read && self.term.is_none() {
+                    return Some(Loss::Abandoned);
+                }
+            }
+            self.reply_timeout_ms
+                .is_some_and(|timeout_ms| waited_ms >= timeout_ms)
+                .then_some(Loss::Abandoned)
+        }
+    }
+
+    /// Reports a broken connection on its way to the caller.
+    pub(super) fn fail(&self, error: ExchangeError) -> ExchangeError {
+        if error.loss == Loss::Broken {
+            self.report_failure(SuspicionReason::ConnectionsBroken, Tick::now());
+        }
+        error
+    }
+
+    /// A primary's failure is for the controllers to judge; a replica is just left out for a while.
+    fn report_failure(&self, reason: SuspicionReason, now: Tick) {
+        if self.term.is_some() {
+            self.pooler.report_suspicion(self.pool, reason, now);
+        } else {
+            self.pool.record_failure(now);
+        }
+    }
+}
--- /dev/null
+++ b/src/pooler/leader_messages.rs
@@ -0,0 +1,350 @@
+//! What the pooler and the leading controller tell each other: renewals of leases, revocations,
+//! updates of routes and of the directory, and suspicions of databases.
+use crate::base::ids::{DbTerm, Revision, ServiceName};
+use crate::base::sync::lock;
+use crate::base::time::Tick;
+use crate::config::route_table::{RouteTable, RouteTableDelta};
+use crate::net::leader_connection::{LeaderConnection, LeaderSubscriber};
+use crate::net::rpc::pooler_messages::{
+    LeaseGrant, ObservedPosition, PositionBound, PrimaryStatus, SuspicionReason, ToController,
+    ToPooler,
+};
+use crate::pooler::cluster_view::{ClusterView, ServiceView};
+use crate::pooler::leases::{PrimaryLease, QUOTA_VALID_MS, Revocation};
+use crate::pooler::pool::ConnectionPool;
+use crate::pooler::replica_reads::{
+    RENEW_INTERVAL_MS, URGENT_RENEWAL_INTERVAL_MS, elapsed_lower_bound_ms,
+};
+use crate::pooler::server::Pooler;
+use log::info;
+use std::collections::{BTreeSet, VecDeque};
+use std::sync::Mutex;
+use std::sync::atomic::{AtomicU64, Ordering};
+
+/// Renewals whose answers are still told apart.
+const MAX_UNANSWERED_RENEWALS: usize = 16;
+
+/// A database is reported to the leader this often at most, in ms.
+const SUSPICION_INTERVAL_MS: u64 = 250;
+
+/// The renewals that were sent, and their answers.
+#[derive(Default)]
+pub(super) struct Renewals {
+    /// The number of the last renewal.
+    last_number: AtomicU64,
+    /// The renewals that an answer may still come to, from the oldest to the newest.
+    sent: Mutex<VecDeque<NumberedTick>>,
+    /// The last answer on this connection to a leader, and when it arrived.
+    last_answer: Mutex<Option<NumberedTick>>,
+    /// When any leader last answered.
+    answered_at: AtomicU64,
+}
+
+/// The number of a renewal, and when it or its answer was sent or arrived.
+#[derive(Clone, Copy)]
+struct NumberedTick {
+    number: u64,
+    at: Tick,
+}
+
+impl Renewals {
+    /// When a leader last answered a renewal.
+    pub(super) fn last_answered_at(&self) -> Tick {
+        Tick(self.answered_at.load(Ordering::Relaxed))
+    }
+
+    /// Whether the last renewal was sent so many ms ago, or none was.
+    fn is_due(&self, now: Tick, interval_ms: u64) -> bool {
+        let last = lock(&self.sent).back().map(|renewal| renewal.at);
+        last.is_none_or(|at| now.since(at) >= interval_ms)
+    }
+
+    /// Gives the next renewal its number, before it is sent.
+    fn begin(&self, now: Tick) -> u64 {
+        let number = self.last_number.fetch_add(1, Ordering::Relaxed) + 1;
+        let mut sent = lock(&self.sent);
+        sent.push_back(NumberedTick { number, at: now });
+        if sent.len() > MAX_UNANSWERED_RENEWALS {
+            sent.pop_front();
+        }
+        number
+    }
+
+    /// The answer to a renewal arrived. Returns when the renewal was sent; for one that is not known
+    /// any more, the earliest time there is.
+    fn answered(&self, number: u64) -> Tick {
+        *lock(&self.last_answer) = Some(NumberedTick { number, at: Tick::now() });
+        let sent_at = {
+            let mut sent = lock(&self.sent);
+            let found = sent.iter().find(|renewal| renewal.number == number).map(|r| r.at);
+            sent.retain(|renewal| renewal.number >= number);
+            found
+        };
+        self.answered_at.store(Tick::now().0, Ordering::Relaxed);
+        sent_at.unwrap_or(Tick(0))
+    }
+}
+
+impl LeaderSubscriber for Pooler {
+    fn hello(&self) -> ToController {
+        ToController::Hello {
+            node: self.node.clone(),
+            incarnation: self.incarnation,
+            revision: self.route_table().map_or(Revision(0), |table| table.revision),
+            zone: self.zone.clone(),
+        }
+    }
+
+    /// Nothing that was reported on an earlier connection counts on this one.
+    fn linked(&self) {
+        for service in lock(&self.view).services.values_mut() {
+            service.quota.forget_reports();
+        }
+        *lock(&self.renewals.last_answer) = None;
+    }
+
+    fn begin(&self) {
+        self.renew();
+    }
+
+    fn hear(&self, message: ToPooler) {
+        match message {
+            ToPooler::NotLeader(_) | ToPooler::Welcome { .. } => {}
+            ToPooler::RouteTable(table) => self.apply_route_table(*table),
+            ToPooler::RouteTableDelta(delta) => self.apply_route_table_delta(&delta),
+            ToPooler::Directory(entries) => {
+                lock(&self.view).set_directory(entries, Tick::now());
+            }
+            ToPooler::DirectoryDelta { listed, gone } => {
+                let mut view = lock(&self.view);
+                let now = Tick::now();
+                gone.iter().for_each(|id| view.remove_database(id, now));
+                listed.into_iter().for_each(|entry| view.upsert_database(entry, now, now));
+            }
+            ToPooler::LeaseGrants { seq, lease_ms, whole, grants, fresh, .. } => {
+                self.apply_grants(RenewalAnswer { number: seq, lease_ms, whole, grants, fresh });
+            }
+            ToPooler::Revoke { service, term } => self.revoke(service, term),
+            ToPooler::RenewNow => self.renew(),
+        }
+    }
+}
+
+/// The leader's answer to a renewal.
+struct RenewalAnswer {
+    number: u64,
+    /// The duration of a lease, from when its renewal was sent.
+    lease_ms: u64,
+    /// The first answer on a connection: no lease holds that is not in it.
+    whole: bool,
+    /// What has changed. All else that was granted on this connection is renewed.
+    grants: Vec<LeaseGrant>,
+    /// The watermarks that were asked for.
+    fresh: Vec<PositionBound>,
+}
+
+impl Pooler {
+    // -- to the leader ---------------------------------------------------------------------------
+
+    /// Sends the leader a message, if there is one; a message that gets lost is not repeated.
+    pub(super) fn send_to_leader(&self, message: ToController) {
+        self.leader.tell(message);
+    }
+
+    /// Tells the leader that a database may have failed, though not more often than makes sense.
+    pub(crate) fn report_suspicion(
+        &self,
+        pool: &ConnectionPool,
+        reason: SuspicionReason,
+        now: Tick,
+    ) {
+        {
+            let mut suspicions = lock(&self.suspicions);
+            let last = suspicions.get(&pool.id);
+            if last.is_some_and(|at| now.since(*at) < SUSPICION_INTERVAL_MS) {
+                return;
+            }
+            suspicions.insert(pool.id.clone(), now);
+        }
+        let (service, instance) = (pool.service.clone(), pool.id.clone());
+        self.send_to_leader(ToController::Suspect { service, instance, why: reason });
+    }
+
+    /// Renews because a session waits for something that the leader may give, a watermark or a
+    /// larger quota, though not more often than makes sense.
+    pub(crate) fn renew_soon(&self, now: Tick) {
+        self.renew_if_due(now, URGENT_RENEWAL_INTERVAL_MS);
+    }
+
+    /// Renews when the interval for that is over.
+    pub(super) fn renew_when_due(&self) {
+        self.renew_if_due(Tick::now(), RENEW_INTERVAL_MS);
+    }
+
+    fn renew_if_due(&self, now: Tick, interval_ms: u64) {
+        if self.renewals.is_due(now, interval_ms) && self.leader.is_up() {
+            self.renew();
+        }
+    }
+
+    /// Asks for all leases anew, and reports what has changed since the last renewal.
+    fn renew(&self) {
+        // Numbered and sent under the lock of the connection, so that the leader gets a renewal and
+        // a lease given back in the order in which this pooler decided on them.
+        let mut leader = self.leader.held();
+        let now = Tick::now();
+        let last_answer = *lock(&self.renewals.last_answer);
+        let (mut shares, mut wants) = (Vec::new(), Vec::new());
+        let (mut saw, mut asks) = (Vec::new(), Vec::new());
+        for (name, service) in &mut lock(&self.view).services {
+            shares.extend(service.take_quota_report().map(|quota| (name.clone(), quota)));
+            let unmet_demand = service.unmet_demand();
+            if unmet_demand > 0 {
+                wants.push((name.clone(), unmet_demand));
+            }
+            saw.extend(take_observed_position(name, service, last_answer));
+            if service.needs_watermark(now) {
+                asks.push(name.clone());
+            }
+        }
+        let heard = last_answer.map_or(0, |answer| answer.number);
+        // A lease counts from here: before the request leaves, and no later than the look above.
+        let seq = self.renewals.begin(now);
+        let renewal =
+            ToController::RenewLeases { seq, heard, shares, wants, saw, asks, busy: Vec::new() };
+        LeaderConnection::tell_under(&mut leader, renewal);
+    }
+
+    // -- from the leader -------------------------------------------------------------------------
+
+    /// The leader takes a term back: nothing is sent or passed on under it from here on.
+    fn revoke(&self, service: ServiceName, term: DbTerm) {
+        let mut leader = self.leader.held();
+        let highest = {
+            let mut view = lock(&self.view);
+            let service = view.services.entry(service.clone()).or_default();
+            let last_renewal = self.renewals.last_number.load(Ordering::Relaxed);
+            service.revocation = Some(Revocation { term, last_renewal });
+            if service.lease.term().is_some_and(|held| held <= term) {
+                service.lease = PrimaryLease::None;
+                service.lease_lost_at = Some(Tick::now());
+            }
+            service.highest_position
+        };
+        info!(target: "lease", "{service}: term {term} was taken back");
+        let ack = ToController::RevokeAck { service, term, highest };
+        LeaderConnection::tell_under(&mut leader, ack);
+        drop(leader);
+        self.view_changed.notify_all();
+    }
+
+    fn apply_route_table(&self, table: RouteTable) {
+        let revision = table.revision;
+        if lock(&self.view).set_route_table(table) {
+            info!(target: "pooler", "configuration {revision} is in force");
+        }
+    }
+
+    /// Asks for the whole table where the delta is from one that is not known here.
+    fn apply_route_table_delta(&self, delta: &RouteTableDelta) {
+        let table = self.route_table();
+        if table.as_ref().is_some_and(|table| table.revision >= delta.revision) {
+            return;
+        }
+        match table.and_then(|table| table.with(delta)) {
+            Some(table) => self.apply_route_table(table),
+            None => self.send_to_leader(ToController::RequestFullTable),
+        }
+    }
+
+    /// Puts the answer to a renewal in force. Even one to a renewal long forgotten is applied, since
+    /// the leader won't repeat it; its leases are then long over.
+    fn apply_grants(&self, answer: RenewalAnswer) {
+        let requested_at = self.renewals.answered(answer.number);
+        let changed = lock(&self.view).apply_grants(answer, requested_at);
+        if changed {
+            self.view_changed.notify_all();
+        }
+    }
+}
+
+/// The position to report for a service, if there is a new one and it was seen after the last answer
+/// of the leader, which the leader counts its time from.
+fn take_observed_position(
+    name: &ServiceName,
+    service: &mut ServiceView,
+    last_answer: Option<NumberedTick>,
+) -> Option<ObservedPosition> {
+    let seen = service.take_unreported()?;
+    let after = elapsed_lower_bound_ms(last_answer?.at, seen.sent_at)?;
+    let (term, position) = (seen.term, seen.position);
+    Some(ObservedPosition { service: name.clone(), term, position, after })
+}
+
+impl ClusterView {
+    /// Puts the answer to a renewal sent at `requested_at` in force. True if it brings anything that
+    /// sessions may wait for.
+    fn apply_grants(&mut self, answer: RenewalAnswer, requested_at: Tick) -> bool {
+        let RenewalAnswer { number, lease_ms, whole, grants, fresh } = answer;
+        if whole {
+            self.drop_leases_except(&grants);
+        }
+        let mut changed = whole || !fresh.is_empty() || !grants.is_empty();
+        for PositionBound { service, position, age } in fresh {
+            if let Some(service) = self.services.get_mut(&service)
+                && let Some(sent_at) = requested_at.0.checked_sub(age)
+            {
+                service.watermarks.observe(Tick(sent_at), position);
+            }
+        }
+        for grant in grants {
+            let service = self.services.entry(grant.service.clone()).or_default();
+            service.apply_grant(grant, number, requested_at);
+        }
+        // The answer renews all that was granted on this connection.
+        for service in self.services.values_mut() {
+            service.lease.renew(requested_at.plus(lease_ms));
+            service.quota.renew(requested_at.plus(QUOTA_VALID_MS));
+            changed |= service.apply_quota(Tick::now());
+        }
+        changed
+    }
+
+    fn drop_leases_except(&mut self, grants: &[LeaseGrant]) {
+        let granted: BTreeSet<&ServiceName> = grants.iter().map(|grant| &grant.service).collect();
+        for (name, service) in &mut self.services {
+            if !granted.contains(name) {
+                service.lease = PrimaryLease::None;
+            }
+        }
+    }
+}
+
+impl ServiceView {
+    /// Puts a grant in the answer to a renewal in force; the lease in it still has to be renewed.
+    fn apply_grant(&mut self, grant: LeaseGrant, renewal: u64, requested_at: Tick) {
+        let had_lease = self.lease.term().is_some();
+        let name = &grant.service;
+        match grant.standing {
+            PrimaryStatus::Active { term, primary } => {
+                if !self.revocation.is_some_and(|revocation| revocation.covers(term, renewal)) {
+                    if self.lease.term() != Some(term) {
+                        info!(target: "lease", "{name}: {primary} leads term {term}");
+                    }
+                    self.lease = PrimaryLease::Granted { term, primary, expires_at: requested_at };
+                    self.lease_lost_at = None;
+                }
+            }
+            PrimaryStatus::Sealed(position) => {
+                self.lease = PrimaryLease::None;
+                self.watermarks.observe(requested_at, position);
+            }
+            PrimaryStatus::Absent => self.lease = PrimaryLease::None,
+        }
+        if had_lease && self.lease.term().is_none() {
+            self.lease_lost_at = Some(Tick::now());
+            info!(target: "lease", "{name}: none is granted");
+        }
+        self.quota.size = grant.share;
+    }
+}
--- a/src/pooler/leases.rs
+++ b/src/pooler/leases.rs
@@ -1,141 +1,141 @@
-//! What this node may use: leases of primaries and its quota of connections.
-use crate::base::ids::{DbTerm, InstanceId, Position, ServiceName};
-use crate::base::sync::lock;
+//! What the leader lets this pooler use: leases on primaries, and quotas of connections.
+//!
+//! Pure: time is handed in. `cluster_view` holds a lease and a quota for each service, and
+//! `leader_messages` renews them from the leader's answers.
+use crate::base::ids::{DbTerm, InstanceId};
 use crate::base::time::Tick;
-use crate::config::route_table::RouteTable;
-use crate::pooler::pool::{Held, Pool};
-use crate::pooler::replica_reads::ReadWatermarks;
-use std::collections::BTreeMap;
-use std::net::{Shutdown, TcpStream};
-use std::sync::Arc;
-use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+
+/// The time in ms that a quota of connections holds for after the renewal that confirmed it.
+pub(crate) const QUOTA_VALID_MS: u64 = 3_000;
 
 /// The connections that this pooler may have to each database of a service, as long as the leader
-/// keeps saying so.
+/// keeps confirming it.
 #[derive(Debug, Default)]
 pub struct ConnectionQuota {
+    /// The quota as the leader last set it.
     pub size: u32,
-    pub(crate) until: Tick,
-    /// What the pools go by.
-    pub(crate) laid: u32,
-    /// What the leader was last told on this connection.
-    pub(crate) told: Option<u32>,
+    expires_at: Tick,
+    /// The limit that was last given to the pools.
+    applied: u32,
+    /// The quota in force that was last reported on this connection to the leader.
+    reported: Option<u32>,
 }
 
 impl ConnectionQuota {
-    pub fn renew(&mut self, until: Tick) {
-        self.until = self.until.max(until);
+    /// The leader confirmed the quota until `expires_at`.
+    pub fn renew(&mut self, expires_at: Tick) {
+        self.expires_at = self.expires_at.max(expires_at);
     }
-    /// What the pools are to go by from now on, if it is not what they do.
-    pub fn due(&mut self, now: Tick) -> Option<u32> {
-        let wanted = if self.until > now { self.size } else { 0 };
-        (wanted != self.laid).then(|| {
-            self.laid = wanted;
-            wanted
+
+    /// The limit that the pools have to be given now, if it differs from what they were given last:
+    /// the quota, or zero once it has expired.
+    pub fn take_limit_change(&mut self, now: Tick) -> Option<u32> {
+        let limit = if self.is_valid(now) { self.size } else { 0 };
+        (limit != self.applied).then(|| {
+            self.applied = limit;
+            limit
         })
     }
-    /// What the leader has to be told, if it was not told so before. A smaller share is in force only
-    /// once no more connections are open.
-    pub fn news(&mut self, open: impl FnOnce() -> u32) -> Option<u32> {
-        let shrinks = self.told.is_none_or(|told| told > self.size);
-        let held = if shrinks { open().max(self.size) } else { self.size };
-        (self.told != Some(held)).then(|| {
-            self.told = Some(held);
-            held
+
+    /// The quota in force, if the leader has not been told of it. A smaller quota is in force only
+    /// once no more connections than that are open; `open` counts them.
+    pub fn take_report(&mut self, open: impl FnOnce() -> u32) -> Option<u32> {
+        let shrinks = self.reported.is_none_or(|reported| reported > self.size);
+        let in_force = if shrinks { open().max(self.size) } else { self.size };
+        (self.reported != Some(in_force)).then(|| {
+            self.reported = Some(in_force);
+            in_force
         })
     }
+
+    /// Whether the quota has not expired.
+    pub(crate) fn is_valid(&self, now: Tick) -> bool {
+        self.expires_at > now
+    }
+
+    /// The limit that was last given to the pools.
+    pub(crate) fn applied(&self) -> u32 {
+        self.applied
+    }
+
+    /// A connection to a leader began: nothing was reported on it yet.
+    pub(crate) fn forget_reports(&mut self) {
+        self.reported = None;
+    }
 }
 
-pub(crate) struct ServiceView {
-    pub(crate) held: Held,
-    /// Terms up to this were taken back; only a renewal asked for after that one may bring them
-    /// again, when the alarm was false.
-    pub(crate) revoked: Option<(DbTerm, u64)>,
-    pub(crate) floors: ReadWatermarks,
-    /// The furthest position passed on to a client or seen at the primary.
-    pub(crate) highest: Option<Position>,
-    pub(crate) share: ConnectionQuota,
-    /// When the primary was last lost to this pooler, for saying when to come back.
-    pub(crate) unled_since: Option<Tick>,
-    /// The databases of the service.
-    pub(crate) pools: Vec<Arc<Pool>>,
-    /// A newer floor than the leader was told of, and the term of the lease it was seen under.
-    pub(crate) news: Option<(DbTerm, Tick, Position)>,
-    /// When a read last came that replicas may serve, and how old its rows may be.
-    pub(crate) read: Option<(Tick, u64)>,
+/// The lease on a service's primary, as the leader last granted it.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub(crate) enum PrimaryLease {
+    /// None is granted.
+    #[default]
+    None,
+    /// The database `primary` may be used as the primary of `term` until `expires_at`.
+    Granted { term: DbTerm, primary: InstanceId, expires_at: Tick },
 }
 
-impl Default for ServiceView {
-    fn default() -> Self {
-        Self {
-            held: Held::None,
-            revoked: None,
-            floors: ReadWatermarks::default(),
-            highest: None,
-            share: ConnectionQuota::default(),
-            unled_since: None,
-            pools: Vec::new(),
-            news: None,
-            read: None,
-        }
+/// A lease that holds now.
+pub(crate) struct ActiveLease<'a> {
+    pub(crate) term: DbTerm,
+    pub(crate) primary: &'a InstanceId,
+}
+
+/// The leader revoked the leases of a term.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Revocation {
+    /// The leases of this term and of all before it are revoked.
+    pub(crate) term: DbTerm,
+    /// The last renewal that was requested before the revocation. Only the answer to a later one
+    /// may grant a lease on such a term again, where the suspicion proved false.
+    pub(crate) last_renewal: u64,
+}
+
+impl Revocation {
+    /// Whether a lease on `term` in the answer to `renewal` was granted before the revocation.
+    pub(crate) fn covers(&self, term: DbTerm, renewal: u64) -> bool {
+        term <= self.term && renewal <= self.last_renewal
     }
 }
 
-impl ServiceView {
-    pub(crate) fn lease(&self, now: Tick) -> Option<(DbTerm, &InstanceId)> {
-        match &self.held {
-            Held::Led { term, primary, until } if *until > now => Some((*term, primary)),
+impl PrimaryLease {
+    /// The lease, if it holds now.
+    pub(crate) fn active(&self, now: Tick) -> Option<ActiveLease<'_>> {
+        match self {
+            PrimaryLease::Granted { term, primary, expires_at } if *expires_at > now => {
+                Some(ActiveLease { term: *term, primary })
+            }
             _ => None,
         }
     }
-    /// How many more connections sessions wait for that may not be opened.
-    pub(crate) fn short(&self) -> u32 {
-        let short = |p: &Arc<Pool>| lock(&p.inner).admission.unmet_demand();
-        self.pools.iter().map(short).max().unwrap_or(0)
-    }
-    /// Has the pools go by the share as it is now. True if that is news to them.
-    pub(crate) fn lay_share(&mut self) -> bool {
-        let due = self.share.due(Tick::now());
-        if let Some(cap) = due {
-            self.pools.iter().for_each(|pool| pool.set_cap(cap));
+
+    /// The primary that was granted last, though the lease may have expired.
+    pub(crate) fn primary(&self) -> Option<&InstanceId> {
+        match self {
+            PrimaryLease::Granted { primary, .. } => Some(primary),
+            PrimaryLease::None => None,
         }
-        due.is_some()
     }
-}
 
-#[derive(Default)]
-pub(crate) struct View {
-    pub(crate) config: Option<Arc<RouteTable>>,
-    pub(crate) listed: bool,
-    pub(crate) pools: BTreeMap<InstanceId, Arc<Pool>>,
-    pub(crate) services: BTreeMap<ServiceName, ServiceView>,
-}
+    /// The term that was granted last, though the lease may have expired.
+    pub(crate) fn term(&self) -> Option<DbTerm> {
+        match self {
+            PrimaryLease::Granted { term, .. } => Some(*term),
+            PrimaryLease::None => None,
+        }
+    }
 
-/// A session, as others may see and end it.
-pub(crate) struct Seen {
-    pub(crate) stream: TcpStream,
-    pub(crate) came: Tick,
-    /// It stayed, and the kernel looks after its connection.
-    pub(crate) lasting: AtomicBool,
-    /// It has rested before, so that the kernel knows whom to wake.
-    pub(crate) watched: AtomicBool,
-    /// It has said CONNECT.
-    pub(crate) connected: AtomicBool,
-    /// When the session began to wait for its client; 0 while it works.
-    pub(crate) resting: AtomicU64,
-    pub(crate) open: AtomicBool,
-}
+    /// The leader confirmed the lease until `expires_at`, if there is one.
+    pub(crate) fn renew(&mut self, until: Tick) {
+        if let PrimaryLease::Granted { expires_at, .. } = self {
+            *expires_at = until.max(*expires_at);
+        }
+    }
 
-impl Seen {
-    /// Takes nothing more from a client that rests; what was already read is still answered. One
-    /// with a transaction open is left alone unless `open_too`.
-    pub(crate) fn send_off(&self, open_too: bool) {
-        let rests = self.resting.load(Ordering::Relaxed) > 0;
-        if rests && (open_too || !self.open.load(Ordering::Relaxed)) {
-            drop(self.stream.shutdown(Shutdown::Read));
+    /// For so many ms from now it still holds.
+    pub(crate) fn remaining_ms(&self, now: Tick) -> u64 {
+        match self {
+            PrimaryLease::Granted { expires_at, .. } => expires_at.since(now),
+            PrimaryLease::None => 0,
         }
     }
 }
-
-/// With no word from a leader for this long, the share of connections is no longer ours.
-pub(crate) const SHARE_KEPT_MS: u64 = 3_000;
--- a/src/pooler/pool.rs
+++ b/src/pooler/pool.rs
@@ -1,306 +1,409 @@
 //! The connections to one database, lent to sessions for a statement or a transaction.
+//!
+//! A `ConnectionPool` opens connections up to the pooler's quota, keeps idle ones, queues sessions
+//! that wait for one, and remembers when its database failed, lagged or began to drain. The cluster
+//! view owns one for each database in the directory.
 use crate::base::errors::ErrorKind;
-use crate::base::ids::{DbTerm, InstanceId, ServiceName};
+use crate::base::ids::{InstanceId, ServiceName};
 use crate::base::sync::lock;
 use crate::base::time::Tick;
+use crate::config::configuration::RouteType;
 use crate::config::directory::DirectoryEntry;
-use crate::net::sockets::dial;
-use crate::net::statement_protocol::{self, State};
 use crate::pooler::admission::{AcquireError, Admission, QueueTicket};
 use crate::pooler::latency::LatencyEstimator;
 use crate::pooler::reroute::SessionReroute;
-use crate::pooler::server_connection::{
-    CONNECT_MS, HANDSHAKE_MS, LEFT_BEFORE_MS, LOOK_MS, ServerConnection,
-};
-use std::io::{self, Write};
+use crate::pooler::server_connection::{CONNECT_MS, ConnectError, HANDSHAKE_MS, ServerConnection};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::{Condvar, Mutex};
+use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-#[derive(Default)]
-pub(crate) struct PoolInner {
-    pub(crate) admission: Admission,
-    pub(crate) idle: Vec<ServerConnection>,
+/// Waiting for a connection and sending a statement take no longer than this, in ms: a draining
+/// database gets nothing new so long before its drain time is over.
+const DRAIN_MARGIN_MS: u64 = 1_000;
+
+/// The time in ms that a database is left out for after a failure.
+const BACKOFF_MS: u64 = 100;
+
+/// The backoff doubles with each further failure, so many times at most.
+const MAX_BACKOFF_DOUBLINGS: u64 = 4;
+
+/// A thread that waits for a connection looks for itself this often at the latest, in ms.
+const MAX_WAIT_MS: u64 = 500;
+
+/// Whether a database that has been draining since `since` (0: it is not draining) may get nothing
+/// new, even as the primary: where all databases of a service drain, one that drains may have been
+/// promoted.
+pub fn drain_time_over(since: Tick, now: Tick, drain_ms: u64) -> bool {
+    since.0 > 0 && now.plus(DRAIN_MARGIN_MS) > since.plus(drain_ms)
+}
+
+/// A session's wish for a connection.
+pub(crate) struct AcquireRequest<'a> {
+    /// What the connection has to hold, so that the one that needs the least is taken.
+    pub(crate) reroute: &'a SessionReroute,
+    /// The number of the session.
+    pub(crate) session: u64,
+    /// The lowest is served first.
+    pub(crate) priority: u8,
+    /// Waiting ends here.
+    pub(crate) deadline: Tick,
+}
+
+/// How busy a pool is.
+pub(crate) struct PoolLoad {
+    /// Connections in use, and sessions that wait for one.
+    pub(crate) busy: usize,
+    /// A connection is idle.
+    pub(crate) has_idle: bool,
+    /// No connection may be used.
+    pub(crate) closed: bool,
+}
+
+/// What a pool's status shows.
+pub(crate) struct PoolStatus {
+    /// Open connections.
+    pub(crate) open: u32,
+    /// Idle connections.
+    pub(crate) idle: usize,
+    /// Sessions that wait for a connection.
+    pub(crate) waiting: usize,
+    /// The database is draining.
     pub(crate) draining: bool,
-    gone: bool,
 }
 
-/// Whether a database has been leaving since `since` (never if 0) for so long that nothing new may be
-/// sent there, though it leads: where all of a service leave, one that does may have taken over.
-pub fn has_left(since: Tick, now: Tick, drain_ms: u64) -> bool {
-    since.0 > 0 && now.plus(LEFT_BEFORE_MS) > since.plus(drain_ms)
+#[derive(Default)]
+struct PoolState {
+    admission: Admission,
+    idle: Vec<ServerConnection>,
+    draining: bool,
+    /// The database is no longer in the directory.
+    removed: bool,
 }
 
 /// The connections of this pooler to one database.
-pub(crate) struct Pool {
+pub(crate) struct ConnectionPool {
     pub(crate) id: InstanceId,
     pub(crate) service: ServiceName,
     pub(crate) address: SocketAddr,
     pub(crate) zone: String,
-    pub(crate) inner: Mutex<PoolInner>,
-    freed: Condvar,
-    pub(crate) heard: AtomicU64,
-    /// When it was first heard to be leaving; 0 if it stays.
-    leaves: AtomicU64,
-    /// Not to be tried before this.
-    pub(crate) down_until: AtomicU64,
+    state: Mutex<PoolState>,
+    /// Wakes waiters when a connection or a slot for one may be free.
+    available: Condvar,
+    /// The tick of the database's last reply to anyone here.
+    last_reply_at: AtomicU64,
+    /// The tick since which it is known to be draining; 0 if it is not.
+    draining_since: AtomicU64,
+    /// It is not tried before this tick.
+    down_until: AtomicU64,
+    /// Failures since the last success.
     failures: AtomicU64,
-    /// It lacked even the floor; other databases are asked until this.
-    pub(crate) lags_until: AtomicU64,
-    /// By the type of the route: their statements differ in work.
-    pub(crate) paces: Mutex<[LatencyEstimator; 3]>,
+    /// It lacked the position of a read: others are asked until this tick.
+    lagging_until: AtomicU64,
+    /// By the type of the route, since their statements differ in work.
+    latency: Mutex<[LatencyEstimator; 3]>,
+}
+
+/// What a session may take at once.
+enum Slot {
+    /// An idle connection.
+    Idle(ServerConnection),
+    /// A new connection, which already counts as open.
+    Open,
+    /// Nothing, but an idle connection proved unusable and was closed: look again.
+    Closed,
+}
+
+impl PoolState {
+    /// What may be taken by the holder of this ticket, or by a newcomer without one, if it is the
+    /// next in the queue.
+    fn take_slot(
+        &mut self,
+        ticket: Option<&QueueTicket>,
+        request: &AcquireRequest<'_>,
+    ) -> Option<Slot> {
+        if !self.admission.is_next(ticket, self.idle.len()) {
+            return None;
+        }
+        let slot = if let Some(best) = best_fit(&self.idle, request) {
+            let connection = self.idle.swap_remove(best);
+            // Nothing is lost with one that was closed while idle, or got a reply too many.
+            if !connection.is_usable() {
+                self.admission.close();
+                return Some(Slot::Closed);
+            }
+            Slot::Idle(connection)
+        } else if self.admission.try_open() {
+            Slot::Open
+        } else {
+            return None;
+        };
+        if let Some(ticket) = ticket {
+            self.admission.dequeue(ticket);
+        }
+        Some(slot)
+    }
+}
+
+/// The idle connection that needs the least before the session's next statement.
+fn best_fit(idle: &[ServerConnection], request: &AcquireRequest<'_>) -> Option<usize> {
+    // From the last one used on: it is the likeliest to be alive.
+    idle.iter()
+        .enumerate()
+        .rev()
+        .min_by_key(|(_, connection)| connection.sync_cost(request.reroute, request.session))
+        .map(|(at, _)| at)
 }
 
-impl Pool {
-    pub(crate) fn new(listed: &DirectoryEntry) -> Self {
+impl ConnectionPool {
+    /// An empty pool for a database in the directory; none of its connections may be opened before
+    /// `set_limit`.
+    pub(crate) fn new(entry: &DirectoryEntry) -> Self {
         Self {
-            id: listed.id.clone(),
-            service: listed.service.clone(),
-            address: listed.address,
-            zone: listed.zone.clone(),
-            inner: Mutex::default(),
-            freed: Condvar::new(),
-            heard: AtomicU64::new(0),
-            leaves: AtomicU64::new(0),
+            id: entry.id.clone(),
+            service: entry.service.clone(),
+            address: entry.address,
+            zone: entry.zone.clone(),
+            state: Mutex::default(),
+            available: Condvar::new(),
+            last_reply_at: AtomicU64::new(0),
+            draining_since: AtomicU64::new(0),
             down_until: AtomicU64::new(0),
             failures: AtomicU64::new(0),
-            lags_until: AtomicU64::new(0),
-            paces: Mutex::default(),
+            lagging_until: AtomicU64::new(0),
+            latency: Mutex::default(),
         }
     }
+
+    /// Whether this is a pool for the directory's entry, or another one is needed.
+    pub(crate) fn matches(&self, entry: &DirectoryEntry) -> bool {
+        self.address == entry.address && self.zone == entry.zone
+    }
+
+    /// Whether the database is left out after a failure.
     pub(crate) fn is_down(&self, now: Tick) -> bool {
         now.0 < self.down_until.load(Ordering::Relaxed)
     }
-    pub(crate) fn has_left(&self, now: Tick, drain_ms: u64) -> bool {
-        has_left(Tick(self.leaves.load(Ordering::Relaxed)), now, drain_ms)
+
+    /// Ends the backoff after a failure.
+    pub(crate) fn clear_backoff(&self) {
+        self.down_until.store(0, Ordering::Relaxed);
+    }
+
+    /// Whether the database has been draining for so long that it may get nothing new.
+    pub(crate) fn drain_time_over(&self, now: Tick, drain_ms: u64) -> bool {
+        drain_time_over(Tick(self.draining_since.load(Ordering::Relaxed)), now, drain_ms)
+    }
+
+    /// Whether the database lacked the position of a read a moment ago.
+    pub(crate) fn is_lagging(&self, now: Tick) -> bool {
+        now.0 < self.lagging_until.load(Ordering::Relaxed)
     }
-    pub(crate) fn lags(&self, now: Tick) -> bool {
-        now.0 < self.lags_until.load(Ordering::Relaxed)
+
+    /// Leaves the database out for reads until this tick.
+    pub(crate) fn set_lagging_until(&self, until: Tick) {
+        self.lagging_until.store(until.0, Ordering::Relaxed);
     }
-    pub(crate) fn failed(&self, now: Tick) {
-        let failures = self.failures.fetch_add(1, Ordering::Relaxed).min(4);
-        self.down_until.store(now.0 + (100 << failures), Ordering::Relaxed);
+
+    /// The database could not be used: leaves it out, longer with each failure.
+    pub(crate) fn record_failure(&self, now: Tick) {
+        let earlier = self.failures.fetch_add(1, Ordering::Relaxed).min(MAX_BACKOFF_DOUBLINGS);
+        self.down_until.store(now.0 + (BACKOFF_MS << earlier), Ordering::Relaxed);
     }
-    pub(crate) fn heard(&self, now: Tick) {
-        self.heard.store(now.0, Ordering::Relaxed);
+
+    /// The database replied to someone.
+    pub(crate) fn record_reply(&self, now: Tick) {
+        self.last_reply_at.store(now.0, Ordering::Relaxed);
     }
-    /// Work that this pooler has there or holds for it, whether a connection is at rest, and
-    /// whether none may be used.
-    pub(crate) fn load(&self) -> (usize, bool, bool) {
-        let inner = lock(&self.inner);
-        let busy = (inner.admission.open as usize).saturating_sub(inner.idle.len());
-        let closed = inner.draining || inner.gone || inner.admission.limit == 0;
-        (busy + inner.admission.waiting(), !inner.idle.is_empty(), closed)
+
+    /// Whether the database has replied to anyone here at or after this tick.
+    pub(crate) fn replied_since(&self, since: Tick) -> bool {
+        self.last_reply_at.load(Ordering::Relaxed) >= since.0
     }
-    pub(crate) fn set_cap(&self, cap: u32) {
-        let mut inner = lock(&self.inner);
-        if inner.admission.limit == cap {
+
+    /// The time in ms after which a reply on a route of this type counts as lost.
+    pub(crate) fn reply_timeout_ms(&self, route: RouteType, max_ms: u64) -> u64 {
+        lock(&self.latency)[route as usize].timeout_ms(max_ms)
+    }
+
+    /// Takes in how long a reply on a route of this type took.
+    pub(crate) fn record_latency(&self, route: RouteType, latency_ms: u64) {
+        lock(&self.latency)[route as usize].record(latency_ms);
+    }
+
+    /// How busy the pool is.
+    pub(crate) fn load(&self) -> PoolLoad {
+        let state = lock(&self.state);
+        let in_use = (state.admission.open as usize).saturating_sub(state.idle.len());
+        PoolLoad {
+            busy: in_use + state.admission.waiting(),
+            has_idle: !state.idle.is_empty(),
+            closed: state.draining || state.removed || state.admission.limit == 0,
+        }
+    }
+
+    /// What the status shows of the pool.
+    pub(crate) fn status(&self) -> PoolStatus {
+        let state = lock(&self.state);
+        PoolStatus {
+            open: state.admission.open,
+            idle: state.idle.len(),
+            waiting: state.admission.waiting(),
+            draining: state.draining,
+        }
+    }
+
+    /// Connections that are open, or being opened.
+    pub(crate) fn open_connections(&self) -> u32 {
+        lock(&self.state).admission.open
+    }
+
+    /// Sessions that a higher limit would serve.
+    pub(crate) fn unmet_demand(&self) -> u32 {
+        lock(&self.state).admission.unmet_demand()
+    }
+
+    /// Sets how many connections may be open; idle ones beyond that are closed.
+    pub(crate) fn set_limit(&self, limit: u32) {
+        let mut state = lock(&self.state);
+        if state.admission.limit == limit {
             return;
         }
-        inner.admission.limit = cap;
-        while inner.admission.over_limit() && inner.idle.pop().is_some() {
-            inner.admission.close();
+        state.admission.limit = limit;
+        while state.admission.over_limit() && state.idle.pop().is_some() {
+            state.admission.close();
         }
-        drop(inner);
-        self.freed.notify_all();
+        drop(state);
+        self.available.notify_all();
     }
-    pub(crate) fn retire(&self, leaves: Option<Tick>, gone: bool) {
-        match leaves {
-            Some(since) if self.leaves.load(Ordering::Relaxed) == 0 => {
-                self.leaves.store(since.0, Ordering::Relaxed);
+
+    /// Sets since when the database has been draining, if it is. Of several times the first counts.
+    pub(crate) fn set_draining(&self, since: Option<Tick>) {
+        match since {
+            Some(since) if self.draining_since.load(Ordering::Relaxed) == 0 => {
+                self.draining_since.store(since.0, Ordering::Relaxed);
             }
             Some(_) => {}
-            None => self.leaves.store(0, Ordering::Relaxed),
+            None => self.draining_since.store(0, Ordering::Relaxed),
         }
-        let mut inner = lock(&self.inner);
-        inner.draining = leaves.is_some();
-        inner.gone = gone;
-        if gone {
-            let idle = inner.idle.len();
-            inner.idle.clear();
-            for _ in 0..idle {
-                inner.admission.close();
-            }
-            drop(inner);
-            self.freed.notify_all();
+        lock(&self.state).draining = since.is_some();
+    }
+
+    /// The database is no longer in the directory: closes what is idle and sends waiters away.
+    pub(crate) fn remove(&self, now: Tick) {
+        self.set_draining(Some(now));
+        let mut state = lock(&self.state);
+        state.removed = true;
+        for _ in 0..state.idle.drain(..).count() {
+            state.admission.close();
         }
+        drop(state);
+        self.available.notify_all();
     }
 
-    /// Borrows a connection, the one that needs the least to be laid on; opens one if it may. Having to
-    /// wait for one is told by `waits`.
-    pub(crate) fn borrow(
+    /// Takes the idle connection that fits the session best, or opens one if that is allowed, or
+    /// waits for one until the deadline of the request. `on_shortage` is called once when the
+    /// session has to wait and a higher limit would help.
+    pub(crate) fn acquire(
         &self,
-        graft: &SessionReroute,
-        session: u64,
-        priority: u8,
-        until: Tick,
-        waits: impl Fn(),
+        request: &AcquireRequest<'_>,
+        on_shortage: impl Fn(),
     ) -> Result<ServerConnection, AcquireError> {
-        let mut inner = lock(&self.inner);
-        let mut turn: Option<QueueTicket> = None;
+        let mut state = lock(&self.state);
+        let mut ticket: Option<QueueTicket> = None;
         loop {
             let now = Tick::now();
-            if inner.gone || self.is_down(now) {
+            if state.removed || self.is_down(now) {
                 break;
             }
-            let free = inner.idle.len();
-            if inner.admission.is_next(turn.as_ref(), free) {
-                if let Some(best) = best_fit(&inner.idle, graft, session) {
-                    let stock = inner.idle.swap_remove(best);
-                    // Closed while it rested, or an answer too many came: it is of no use, and
-                    // nothing is lost with it.
-                    if !stock.quiet() {
-                        inner.admission.close();
-                        continue;
-                    }
-                    if let Some(turn) = &turn {
-                        inner.admission.dequeue(turn);
-                    }
-                    return Ok(stock);
-                }
-                if inner.admission.try_open() {
-                    if let Some(turn) = &turn {
-                        inner.admission.dequeue(turn);
-                    }
-                    drop(inner);
-                    return self.open(now, until).inspect_err(|_| self.close_one());
+            match state.take_slot(ticket.as_ref(), request) {
+                Some(Slot::Idle(connection)) => return Ok(connection),
+                Some(Slot::Open) => {
+                    drop(state);
+                    let opened = self.open(now, request.deadline);
+                    return opened.inspect_err(|_| self.release_slot());
                 }
+                Some(Slot::Closed) => continue,
+                None => {}
             }
-            if now >= until {
+            if now >= request.deadline {
                 break;
             }
-            if turn.is_none() {
-                turn = Some(inner.admission.enqueue(priority, until));
-                if inner.admission.unmet_demand() > 0 {
-                    drop(inner);
-                    waits();
-                    inner = lock(&self.inner);
+            if ticket.is_none() {
+                ticket = Some(state.admission.enqueue(request.priority, request.deadline));
+                if state.admission.unmet_demand() > 0 {
+                    drop(state);
+                    on_shortage();
+                    state = lock(&self.state);
                     continue;
                 }
             }
-            let wait = Duration::from_millis(until.since(now).clamp(1, 500));
-            inner = match self.freed.wait_timeout(inner, wait) {
-                Ok((guard, _)) => guard,
-                Err(poisoned) => poisoned.into_inner().0,
-            };
+            let wait_ms = request.deadline.since(now).clamp(1, MAX_WAIT_MS);
+            let waited = self.available.wait_timeout(state, Duration::from_millis(wait_ms));
+            state = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
-        if let Some(turn) = &turn {
-            inner.admission.dequeue(turn);
+        Err(self.stop_waiting(state, ticket))
+    }
+
+    /// Leaves the queue; says why no connection was had.
+    fn stop_waiting(
+        &self,
+        mut state: MutexGuard<'_, PoolState>,
+        ticket: Option<QueueTicket>,
+    ) -> AcquireError {
+        if let Some(ticket) = &ticket {
+            state.admission.dequeue(ticket);
         }
-        let down = inner.gone || self.is_down(Tick::now());
-        drop(inner);
-        // The one behind may be next now.
-        self.freed.notify_all();
-        Err(if down { AcquireError::Unavailable } else { AcquireError::Exhausted })
+        let down = state.removed || self.is_down(Tick::now());
+        drop(state);
+        // The next in the queue may be served now.
+        self.available.notify_all();
+        if down { AcquireError::Unavailable } else { AcquireError::Exhausted }
     }
 
-    fn open(&self, now: Tick, until: Tick) -> Result<ServerConnection, AcquireError> {
-        let connect = || -> io::Result<Result<ServerConnection, ErrorKind>> {
-            let stream =
-                dial(self.address, Duration::from_millis(CONNECT_MS), Duration::from_secs(3))?;
-            stream.set_read_timeout(Some(Duration::from_millis(LOOK_MS)))?;
-            stream.set_write_timeout(Some(Duration::from_secs(1)))?;
-            let mut stock = ServerConnection::new(stream);
-            let hello = format!("CONNECT {} stile {}\r\n", self.service, self.id);
-            stock.stream.write_all(hello.as_bytes())?;
-            let limit = now.plus(HANDSHAKE_MS).min(until.plus(CONNECT_MS));
-            loop {
-                if let Some(kind) = statement_protocol::refused_connect(stock.inbox.pending()) {
-                    return Ok(Err(kind));
-                }
-                match statement_protocol::reply(stock.inbox.pending()) {
-                    Ok(Some(reply)) => {
-                        stock.inbox.use_up(reply.end);
-                        if reply.state != State::Idle || !stock.settled() {
-                            return Err(io::ErrorKind::InvalidData.into());
-                        }
-                        return Ok(Ok(stock));
-                    }
-                    Ok(None) => {}
-                    Err(statement_protocol::Garbled) => {
-                        return Err(io::ErrorKind::InvalidData.into());
-                    }
-                }
-                match stock.inbox.fill(&mut stock.stream) {
-                    Ok(0) => return Err(io::ErrorKind::UnexpectedEof.into()),
-                    Ok(_) => {}
-                    Err(e)
-                        if matches!(
-                            e.kind(),
-                            io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
-                        ) =>
-                    {
-                        if Tick::now() >= limit {
-                            return Err(io::ErrorKind::TimedOut.into());
-                        }
-                    }
-                    Err(e) => return Err(e),
-                }
-            }
-        };
-        match connect() {
-            Ok(Ok(stock)) => {
+    /// Opens a connection, in the time for a handshake or a little beyond the session's deadline.
+    fn open(&self, now: Tick, deadline: Tick) -> Result<ServerConnection, AcquireError> {
+        let limit = now.plus(HANDSHAKE_MS).min(deadline.plus(CONNECT_MS));
+        match ServerConnection::connect(self.address, &self.service, &self.id, limit) {
+            Ok(connection) => {
                 self.failures.store(0, Ordering::Relaxed);
-                self.heard(Tick::now());
-                Ok(stock)
+                self.record_reply(Tick::now());
+                Ok(connection)
             }
-            Ok(Err(ErrorKind::ConnLimit | ErrorKind::Throttled)) => Err(AcquireError::Exhausted),
-            Ok(Err(_)) | Err(_) => {
-                self.failed(Tick::now());
+            Err(ConnectError::Rejected(ErrorKind::ConnLimit | ErrorKind::Throttled)) => {
+                Err(AcquireError::Exhausted)
+            }
+            Err(ConnectError::Rejected(_) | ConnectError::Io(_)) => {
+                self.record_failure(Tick::now());
                 Err(AcquireError::Unavailable)
             }
         }
     }
 
-    fn close_one(&self) {
-        lock(&self.inner).admission.close();
-        self.freed.notify_all();
+    /// One connection fewer is open.
+    fn release_slot(&self) {
+        lock(&self.state).admission.close();
+        self.available.notify_all();
     }
 
-    /// Takes a connection back that is at rest.
-    pub(crate) fn give_back(&self, stock: ServerConnection) {
-        let mut inner = lock(&self.inner);
-        if inner.gone || inner.admission.over_limit() || !stock.settled() {
-            inner.admission.close();
+    /// Takes back a connection with no transaction open.
+    pub(crate) fn give_back(&self, connection: ServerConnection) {
+        let mut state = lock(&self.state);
+        if state.removed || state.admission.over_limit() || !connection.is_settled() {
+            state.admission.close();
         } else {
-            inner.idle.push(stock);
+            state.idle.push(connection);
         }
-        let waiting = inner.admission.waiting() > 0;
-        drop(inner);
+        let waiting = state.admission.waiting() > 0;
+        drop(state);
         if waiting {
-            self.freed.notify_all();
+            self.available.notify_all();
         }
     }
-    /// A borrowed connection was lost; dropping it rolls back what it had open.
-    pub(crate) fn lose(&self, stock: ServerConnection) {
-        drop(stock);
-        self.close_one();
-    }
-}
 
-/// The idle connection that needs the least work before the session's next statement.
-fn best_fit(idle: &[ServerConnection], graft: &SessionReroute, session: u64) -> Option<usize> {
-    let values = graft.settings();
-    // Later ones were used last, and are the likeliest to live.
-    idle.iter()
-        .enumerate()
-        .rev()
-        .min_by_key(|(_, stock)| {
-            if stock.holds == Some((session, graft.version())) {
-                0
-            } else if stock.inside || stock.values.keys().any(|k| !values.contains_key(k)) {
-                100
-            } else {
-                1 + values.iter().filter(|(k, v)| stock.values.get(*k) != Some(v)).count()
-            }
-        })
-        .map(|(at, _)| at)
-}
-
-/// Who may be asked for what is only at the primary.
-#[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Held {
-    None,
-    Led { term: DbTerm, primary: InstanceId, until: Tick },
+    /// Closes a connection that was lent out; the database rolls back what it had open.
+    pub(crate) fn discard(&self, connection: ServerConnection) {
+        drop(connection);
+        self.release_slot();
+    }
 }
--- /dev/null
+++ b/src/pooler/statement_execution.rs
@@ -0,0 +1,415 @@
+//! Running a client's statement at a database: choosing one, sending the statement, and retrying it
+//! where the reroute rules allow that.
+use crate::base::errors::ErrorKind;
+use crate::base::ids::{InstanceId, Position};
+use crate::base::time::Tick;
+use crate::config::configuration::RouteType;
+use crate::config::route_table::RouteEntry;
+use crate::net::rpc::pooler_messages::SuspicionReason;
+use crate::net::statement_protocol::{Outcome, Reply, State};
+use crate::pooler::admission::AcquireError;
+use crate::pooler::client_session::{ClientReply, ClientSession, ClientStatement};
+use crate::pooler::exchange::Exchange;
+use crate::pooler::pool::{AcquireRequest, ConnectionPool};
+use crate::pooler::replica_reads::{LAGGING_SKIP_MS, PRIMARY_FALLBACK_PENALTY};
+use crate::pooler::reroute::{LossOutcome, StatementKind, StatementPlan};
+use crate::pooler::server::CheckedOutConnection;
+use crate::pooler::server_connection::{ExchangeError, Loss, ServerConnection};
+use log::warn;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// Retries of one statement that its client doesn't see.
+const MAX_RETRIES: u32 = 4;
+
+/// The pause before a retry, times the number of the retry; the first one has none. In ms.
+const RETRY_BACKOFF_MS: u64 = 15;
+
+/// The part of a statement's time that it may wait for a connection. A longer wait rarely ends
+/// well, and the client still has the time to come back.
+const MAX_QUEUE_PERCENT: u64 = 20;
+
+/// The longest wait in ms for an update of the cluster's state before looking again.
+const MAX_UPDATE_WAIT_MS: u64 = 50;
+
+/// A first read is abandoned after this part of its time at the latest, as it can be run again.
+const FIRST_READ_TIME_PARTS: u64 = 4;
+
+/// Any other statement is abandoned after this part of its time at the latest.
+const STATEMENT_TIME_PARTS: u64 = 3;
+
+/// A statement whose loss costs the client its transaction waits for so many reply time-outs.
+const TRANSACTION_TIMEOUTS: u64 = 2;
+
+/// What the attempts to run one statement have shown so far.
+#[derive(Default)]
+struct Attempts {
+    retries: u32,
+    /// The databases that are not to be tried again for the moment.
+    avoid: Vec<InstanceId>,
+    /// A reply was waited for in vain: the next one may take all of the statement's time.
+    patient: bool,
+}
+
+impl ClientSession {
+    /// Has a database run the statement, with as many retries as the reroute rules allow.
+    pub(super) fn run(&mut self, statement: &ClientStatement<'_>) -> ClientReply {
+        let deadline = statement.arrived_at.plus(self.route.timeout_ms);
+        let mut attempts = Attempts::default();
+        loop {
+            if let Some(reply) = self.attempt(statement, deadline, &mut attempts) {
+                return reply;
+            }
+            attempts.retries += 1;
+            if attempts.retries > MAX_RETRIES || Tick::now() >= deadline {
+                return self.throttle(ErrorKind::Throttled);
+            }
+            if attempts.retries > 1 {
+                let pause_ms = RETRY_BACKOFF_MS * u64::from(attempts.retries);
+                std::thread::sleep(Duration::from_millis(pause_ms));
+            }
+        }
+    }
+
+    /// One attempt, on the connection that the session has or a new one. None: to be retried.
+    fn attempt(
+        &mut self,
+        statement: &ClientStatement<'_>,
+        deadline: Tick,
+        attempts: &mut Attempts,
+    ) -> Option<ClientReply> {
+        let plan = &statement.plan;
+        if self.checked_out.is_none() {
+            if !plan.first_in_transaction {
+                self.reroute.abandon();
+                return Some(ClientReply::error(ErrorKind::RolledBack, "connection lost"));
+            }
+            match self.check_out(statement, &mut attempts.avoid) {
+                Ok(checked_out) => self.checked_out = Some(checked_out),
+                Err(kind) => return Some(self.throttle(kind)),
+            }
+        }
+        let error = match self.exchange(statement, deadline, attempts.patient) {
+            Ok(reply) => {
+                return match reply.outcome {
+                    Outcome::Complete => Some(self.handle_success(plan, reply)),
+                    Outcome::Error(kind) => {
+                        self.handle_error(plan, kind, reply, &mut attempts.avoid)
+                    }
+                };
+            }
+            Err(error) => error,
+        };
+        if let Some(checked_out) = &self.checked_out {
+            attempts.avoid.push(checked_out.pool.id.clone());
+        }
+        self.discard();
+        if let LossOutcome::Report(kind) = self.reroute.handle_loss(plan, error.sent) {
+            return Some(ClientReply::error(kind, "connection lost"));
+        }
+        attempts.patient |= error.loss == Loss::Abandoned;
+        (error.loss == Loss::DeadlineExceeded).then(|| self.expire(plan))
+    }
+
+    /// The statement's time is over; nothing of it can have been committed.
+    fn expire(&mut self, plan: &StatementPlan) -> ClientReply {
+        if plan.autocommit {
+            return ClientReply::error(ErrorKind::TimedOut, "no answer in time");
+        }
+        self.reroute.abandon();
+        ClientReply::error(ErrorKind::RolledBack, "no answer in time")
+    }
+
+    /// The statement did not run and nothing is committed: tells the client when to come back.
+    fn throttle(&mut self, kind: ErrorKind) -> ClientReply {
+        self.reroute.abandon();
+        self.release();
+        let retry_after_ms = self.pooler.retry_after_ms(&self.service);
+        ClientReply::Error { kind, text: format!("retry_after_ms={retry_after_ms}") }
+    }
+
+    /// Chooses a database and takes a connection to it, within the time for that.
+    fn check_out(
+        &self,
+        statement: &ClientStatement<'_>,
+        avoid: &mut Vec<InstanceId>,
+    ) -> Result<CheckedOutConnection, ErrorKind> {
+        let queue_ms = self.route.timeout_ms * MAX_QUEUE_PERCENT / 100;
+        let deadline = statement.arrived_at.plus(queue_ms);
+        let started_at = self.reroute.started_at(statement.arrived_at);
+        let reads_replicas =
+            statement.plan.read_only && self.route.route_type != RouteType::Primary;
+        loop {
+            let now = Tick::now();
+            if reads_replicas
+                && self.required_position(started_at).is_some()
+                && let Some(checked_out) = self.check_out_replica(now, deadline, avoid)
+            {
+                return Ok(checked_out);
+            }
+            if let Some(checked_out) = self.check_out_primary(now, deadline, reads_replicas) {
+                return Ok(checked_out);
+            }
+            let now = Tick::now();
+            if now >= deadline {
+                return Err(ErrorKind::Throttled);
+            }
+            if reads_replicas {
+                self.pooler.renew_soon(now);
+            }
+            self.pooler.wait_for_update(deadline.since(now).clamp(1, MAX_UPDATE_WAIT_MS));
+            // A replica that lagged may have caught up.
+            avoid.clear();
+        }
+    }
+
+    fn check_out_replica(
+        &self,
+        now: Tick,
+        deadline: Tick,
+        avoid: &[InstanceId],
+    ) -> Option<CheckedOutConnection> {
+        for pool in self.pooler.replicas(&self.service, now) {
+            if avoid.contains(&pool.id) {
+                continue;
+            }
+            if let Ok(connection) = self.acquire(&pool, self.route.priority, deadline) {
+                return Some(CheckedOutConnection { connection, pool, term: None });
+            }
+        }
+        None
+    }
+
+    /// `fallback`: the statement could run on a replica, if one could serve it.
+    fn check_out_primary(
+        &self,
+        now: Tick,
+        deadline: Tick,
+        fallback: bool,
+    ) -> Option<CheckedOutConnection> {
+        let primary = self.pooler.primary(&self.service, now)?;
+        let (term, pool) = (primary.term, primary.pool);
+        let penalty = if fallback { PRIMARY_FALLBACK_PENALTY } else { 0 };
+        match self.acquire(&pool, self.route.priority.saturating_add(penalty), deadline) {
+            // The lease may have run out while waiting.
+            Ok(connection) if self.pooler.holds_lease(&self.service, term, Tick::now()) => {
+                return Some(CheckedOutConnection { connection, pool, term: Some(term) });
+            }
+            Ok(connection) => pool.give_back(connection),
+            Err(AcquireError::Exhausted) => {}
+            Err(AcquireError::Unavailable) => {
+                let reason = SuspicionReason::ConnectionsBroken;
+                self.pooler.report_suspicion(&pool, reason, Tick::now());
+            }
+        }
+        None
+    }
+
+    fn acquire(
+        &self,
+        pool: &ConnectionPool,
+        priority: u8,
+        deadline: Tick,
+    ) -> Result<ServerConnection, AcquireError> {
+        let request =
+            AcquireRequest { reroute: &self.reroute, session: self.id, priority, deadline };
+        pool.acquire(&request, || self.pooler.renew_soon(Tick::now()))
+    }
+
+    /// The position that a replica must have for a read that started at `started_at`.
+    fn required_position(&self, started_at: Tick) -> Option<Position> {
+        let position =
+            self.pooler.required_position(&self.service, started_at, self.route.stale_ms)?;
+        Some(match self.route.route_type {
+            RouteType::ReadYourWrites => self.own_position.map_or(position, |p| p.max(position)),
+            _ => position,
+        })
+    }
+
+    /// One round with the checked-out connection: it is given the session's state, a transaction is
+    /// opened where one is wanted, and the statement is sent. The reply stays in the connection's
+    /// buffer.
+    fn exchange(
+        &mut self,
+        statement: &ClientStatement<'_>,
+        deadline: Tick,
+        patient: bool,
+    ) -> Result<Reply, ExchangeError> {
+        let plan = &statement.plan;
+        let started_at = self.reroute.started_at(statement.arrived_at);
+        let wait_for = match &self.checked_out {
+            Some(checked_out) if checked_out.term.is_none() => {
+                let position = self.required_position(started_at);
+                Some(position.ok_or(ExchangeError::unsent(Loss::Abandoned))?)
+            }
+            _ => None,
+        };
+        let Some(CheckedOutConnection { connection, pool, term }) = &mut self.checked_out else {
+            return Err(ExchangeError::unsent(Loss::Broken));
+        };
+        let first_read = plan.kind == StatementKind::Read && plan.first_in_transaction;
+        let exchange = Exchange {
+            pooler: &self.pooler,
+            service: &self.service,
+            route_type: self.route.route_type,
+            pool,
+            term: *term,
+            deadline,
+            first_read,
+            reply_timeout_ms: reply_timeout_ms(plan, &self.route, pool, first_read, patient),
+        };
+        let hasher = &self.pooler.hasher;
+        let check = exchange.check_since(Tick::now());
+        connection
+            .sync(&self.reroute, self.id, hasher, check)
+            .map_err(|loss| exchange.fail(ExchangeError::unsent(loss)))?;
+        if plan.autocommit {
+            let line = statement.line(wait_for, hasher);
+            return exchange.run(connection, &line);
+        }
+        if !connection.in_transaction
+            && let Some(rejection) = exchange.begin(connection, plan.read_only, wait_for)?
+        {
+            return Ok(rejection);
+        }
+        exchange.run(connection, &statement.line(None, hasher))
+    }
+
+    /// A database answered with success.
+    fn handle_success(&mut self, plan: &StatementPlan, reply: Reply) -> ClientReply {
+        let ends_transaction = plan.autocommit || plan.kind == StatementKind::Commit;
+        let state = if ends_transaction { State::Idle } else { State::Open };
+        if reply.state != state {
+            // The database and this session disagree on the transaction: nothing of it counts.
+            warn!(target: "pool", "answered {:?} where {state:?} was due", reply.state);
+            self.discard();
+            return match self.reroute.handle_loss(plan, true) {
+                LossOutcome::Report(kind) => ClientReply::error(kind, "out of step"),
+                LossOutcome::Retry => self.throttle(ErrorKind::Throttled),
+            };
+        }
+        if commits(plan) {
+            self.own_position = self.own_position.max(reply.position);
+        }
+        if let Some(CheckedOutConnection { connection, .. }) = &mut self.checked_out {
+            connection.in_transaction = state == State::Open;
+            if !connection.in_transaction {
+                connection.synced_in_transaction = false;
+            }
+        }
+        self.reroute.handle_reply(state);
+        ClientReply::Forward(reply)
+    }
+
+    /// A database answered with an error. None: the statement is to be retried.
+    fn handle_error(
+        &mut self,
+        plan: &StatementPlan,
+        kind: ErrorKind,
+        reply: Reply,
+        avoid: &mut Vec<InstanceId>,
+    ) -> Option<ClientReply> {
+        let may_have_run =
+            matches!(kind, ErrorKind::Failed | ErrorKind::TimedOut | ErrorKind::Unknown);
+        let retry = if may_have_run {
+            plan.autocommit && plan.kind == StatementKind::Read && avoid.is_empty()
+        } else {
+            plan.first_in_transaction
+        };
+        let checked_out = self.checked_out.as_mut()?;
+        checked_out.connection.in_transaction = reply.state != State::Idle;
+        if retry {
+            checked_out.connection.consume(&reply);
+            let id = checked_out.pool.id.clone();
+            self.leave_database(kind);
+            avoid.push(id);
+            return None;
+        }
+        if may_have_run || plan.autocommit {
+            return Some(self.pass_on_error(plan, kind, reply));
+        }
+        // It did not run, but its transaction can't go on as if it had.
+        checked_out.connection.consume(&reply);
+        self.release();
+        self.reroute.abandon();
+        Some(ClientReply::Error {
+            kind: ErrorKind::RolledBack,
+            text: format!("{kind} at the database"),
+        })
+    }
+
+    /// Gives up the connection after an error of the database, before a retry elsewhere.
+    fn leave_database(&mut self, kind: ErrorKind) {
+        let Some(checked_out) = &self.checked_out else {
+            return;
+        };
+        match kind {
+            ErrorKind::ReadOnly if checked_out.term.is_some() => {
+                // It is no longer the primary; the controllers find out which database is.
+                let pool = Arc::clone(&checked_out.pool);
+                self.release();
+                let reason = SuspicionReason::ConnectionsBroken;
+                self.pooler.report_suspicion(&pool, reason, Tick::now());
+                self.pooler.wait_for_update(MAX_UPDATE_WAIT_MS);
+            }
+            ErrorKind::Lagging => {
+                // Any replica may lack the session's own last commit for a moment. One that lacks
+                // an older position is skipped by all sessions.
+                let (pool, now) = (Arc::clone(&checked_out.pool), Tick::now());
+                let lacks_older = |own| self.required_position(now).is_some_and(|p| p > own);
+                if self.own_position.is_none_or(lacks_older) {
+                    pool.set_lagging_until(now.plus(LAGGING_SKIP_MS));
+                }
+                self.release();
+            }
+            // A prepared statement that was sent is not there: the connection can't be trusted.
+            ErrorKind::NotFound => self.discard(),
+            _ => self.release(),
+        }
+    }
+
+    /// The client gets the error of the database: its bytes, where the state in them is right.
+    fn pass_on_error(
+        &mut self,
+        plan: &StatementPlan,
+        kind: ErrorKind,
+        reply: Reply,
+    ) -> ClientReply {
+        let expected = if plan.autocommit { State::Idle } else { State::Failed };
+        let state = if reply.state == State::Open { State::Failed } else { reply.state };
+        self.reroute.handle_reply(state);
+        if reply.state == expected {
+            return ClientReply::Forward(reply);
+        }
+        if let Some(checked_out) = &mut self.checked_out {
+            checked_out.connection.consume(&reply);
+        }
+        self.release();
+        ClientReply::error(kind, "from the database")
+    }
+}
+
+/// Whether success of the statement means that something was committed.
+fn commits(plan: &StatementPlan) -> bool {
+    plan.kind == StatementKind::Commit || (plan.autocommit && plan.kind == StatementKind::Write)
+}
+
+/// The time in ms after which a reply counts as lost. None: it is waited for until the deadline,
+/// because the statement may commit, or an earlier attempt was abandoned in vain.
+fn reply_timeout_ms(
+    plan: &StatementPlan,
+    route: &RouteEntry,
+    pool: &ConnectionPool,
+    first_read: bool,
+    patient: bool,
+) -> Option<u64> {
+    if patient || commits(plan) {
+        return None;
+    }
+    let (parts, timeouts) = if first_read {
+        (FIRST_READ_TIME_PARTS, 1)
+    } else {
+        (STATEMENT_TIME_PARTS, TRANSACTION_TIMEOUTS)
+    };
+    Some(pool.reply_timeout_ms(route.route_type, route.timeout_ms / parts) * timeouts)
+}
--- a/tests/reroute.rs
+++ b/tests/reroute.rs
@@ -6,7 +6,7 @@
 use silvertack::pooler::admission::Admission;
 use silvertack::pooler::latency::LatencyEstimator;
 use silvertack::pooler::leases::ConnectionQuota;
-use silvertack::pooler::pool::has_left;
+use silvertack::pooler::pool::drain_time_over;
 use silvertack::pooler::replica_reads::ReadWatermarks;
 use silvertack::pooler::reroute::{
     LossOutcome, SessionReroute, StatementDecision, StatementKind, StatementPlan,
@@ -230,11 +230,11 @@
 }
 
 #[test]
-fn a_share_that_ran_out_is_laid_on_again_when_it_is_renewed() {
+fn a_quota_that_ran_out_is_applied_again_when_it_is_renewed() {
     let now = Tick(100_000);
-    let mut share = ConnectionQuota::default();
-    assert_eq!(share.news(|| 0), Some(0));
-    share.size = 8;
+    let mut quota = ConnectionQuota::default();
+    assert_eq!(quota.take_report(|| 0), Some(0));
+    quota.size = 8;
     // (after how long, renewed for how long from then, what the pools are told)
     let cases = [
         (0, None, None),
@@ -245,23 +245,23 @@
         // Nothing new is said of its size, but it holds again.
         (5_000, Some(3_000), Some(8)),
     ];
-    for (after, renewed, laid) in cases {
+    for (after, renewed, limit) in cases {
         let at = now.plus(after);
         if let Some(ms) = renewed {
-            share.renew(at.plus(ms));
+            quota.renew(at.plus(ms));
         }
-        assert_eq!(share.due(at), laid, "after {after}");
+        assert_eq!(quota.take_limit_change(at), limit, "after {after}");
     }
-    assert_eq!((share.news(|| 0), share.news(|| 9)), (Some(8), None));
+    assert_eq!((quota.take_report(|| 0), quota.take_report(|| 9)), (Some(8), None));
     // A smaller one counts only once the connections beyond it are closed.
-    share.size = 2;
-    let told = [7, 7, 3, 1, 1].map(|open| share.news(|| open));
+    quota.size = 2;
+    let told = [7, 7, 3, 1, 1].map(|open| quota.take_report(|| open));
     assert_eq!(told, [Some(7), None, Some(3), Some(2), None]);
 }
 
 #[test]
-fn nothing_new_goes_to_a_database_that_has_been_leaving_for_long_though_it_leads() {
-    // (leaving since, now, how long it may be used, whether it has left)
+fn nothing_new_goes_to_a_database_that_has_drained_for_long_though_it_leads() {
+    // (draining since, now, how long it may be used, whether that is over)
     let cases = [
         (0, 900_000, 7_000, false),
         (60_000, 60_001, 7_000, false),
@@ -270,7 +270,7 @@
         (60_000, 80_000, 7_000, true),
         (60_000, 60_001, 500, true),
     ];
-    for (since, now, drain, left) in cases {
-        assert_eq!(has_left(Tick(since), Tick(now), drain), left, "{since} {now} {drain}");
+    for (since, now, drain, over) in cases {
+        assert_eq!(drain_time_over(Tick(since), Tick(now), drain), over, "{since} {now} {drain}");
     }
 }
