--- a/src/base/ids.rs
+++ b/src/base/ids.rs
@@ -1,9 +1,12 @@
-//! Identifiers and versions as small types of their own.
+//! Identifiers and version numbers as types of their own, so that they can't be confused.
+//!
+//! All are serialized as the plain string or number inside.
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::str::FromStr;
 
-macro_rules! word {
+/// Defines an identifier that is a string.
+macro_rules! string_id {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -22,7 +25,8 @@
     };
 }
 
-macro_rules! number {
+/// Defines an identifier or version that is a number.
+macro_rules! number_id {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -36,50 +40,52 @@
     };
 }
 
-word!(
-    /// A service: one primary database and its replicas.
+string_id!(
+    /// A service: one primary database and its replicas, or the databases behind a gateway.
     ServiceName
 );
 
-word!(
-    /// One running database.
+string_id!(
+    /// One database of a service, by the name it gives in its heartbeats.
     InstanceId
 );
 
-word!(
+string_id!(
     /// A machine of the system, as its settings name it.
     NodeName
 );
 
-number!(
-    /// The term of a database's log: which primary wrote.
+number_id!(
+    /// The term of a database's log: rises with each promotion, and says which primary wrote.
     DbTerm
 );
 
-number!(
-    /// The term of the controllers' own log: which controller leads.
+number_id!(
+    /// The Raft term of the controllers: rises with each election.
     Term
 );
 
-number!(
-    /// The place of an entry in the controllers' log.
+number_id!(
+    /// The index of an entry in the controllers' Raft log; the first entry is 1.
     LogIndex
 );
 
-number!(
-    /// One controller with one disk; a new disk makes a new member.
+number_id!(
+    /// A controller with one disk; a new disk makes a new member of the Raft group.
     MemberId
 );
 
-number!(
-    /// The revision the operator gave a configuration.
+number_id!(
+    /// The revision that the operator gave a configuration; 0 is none.
     Revision
 );
 
-/// A position in a database's log.
+/// A position in a database's log, ordered by term and then by number. Written as `TERM.NUMBER`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Position {
+    /// The term in which the entry was written.
     pub term: DbTerm,
+    /// The entry's number in the log.
     pub number: u64,
 }
 
--- a/src/base/signals.rs
+++ b/src/base/signals.rs
@@ -1,30 +1,37 @@
-//! The signals that a process listens to.
+//! The signals that a process reacts to: SIGTERM and SIGINT end it, SIGHUP reloads its settings.
+//!
+//! Each node's main loop polls them; nothing runs in a signal handler but the setting of a flag.
+use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
+/// Which signals have come. Clones share their state.
 #[derive(Clone, Default)]
 pub struct Signals {
-    term: Arc<AtomicBool>,
-    hup: Arc<AtomicBool>,
+    terminate: Arc<AtomicBool>,
+    hangup: Arc<AtomicBool>,
 }
 
 impl Signals {
+    /// Registers the handlers.
+    ///
+    /// # Errors
+    /// If the operating system refuses one.
     pub fn install() -> std::io::Result<Self> {
         let signals = Self::default();
-        for (signal, flag) in [
-            (signal_hook::consts::SIGTERM, &signals.term),
-            (signal_hook::consts::SIGINT, &signals.term),
-            (signal_hook::consts::SIGHUP, &signals.hup),
-        ] {
+        for (signal, flag) in
+            [(SIGTERM, &signals.terminate), (SIGINT, &signals.terminate), (SIGHUP, &signals.hangup)]
+        {
             signal_hook::flag::register(signal, Arc::clone(flag))?;
         }
         Ok(signals)
     }
+    /// Whether the process has been asked to end; stays true.
     pub fn terminated(&self) -> bool {
-        self.term.load(Ordering::Relaxed)
+        self.terminate.load(Ordering::Relaxed)
     }
-    /// True once for each time the settings were said to have changed.
+    /// Whether SIGHUP has come since the last call.
     pub fn take_hup(&self) -> bool {
-        self.hup.swap(false, Ordering::Relaxed)
+        self.hangup.swap(false, Ordering::Relaxed)
     }
 }
--- a/src/base/sync.rs
+++ b/src/base/sync.rs
@@ -1,8 +1,10 @@
-//! Locks that outlive a thread that died while it held one.
+//! Locks that stay usable after a thread has panicked while it held one.
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// A poisoned lock means that another thread died half way; going on with its data is the best
-/// that is left, since every value behind a lock here is whole between two steps.
+/// Locks a mutex, also one that a panic has poisoned.
+///
+/// Every value behind a lock in this program is consistent between two statements, so that going on
+/// with it is better than a panic in every thread that comes after.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/src/base/worker_pool.rs
+++ b/src/base/worker_pool.rs
@@ -1,56 +1,70 @@
-//! Threads that do one short job after the other.
+//! Threads for short jobs, and for the loops of a process.
+//!
+//! Calls, heartbeats and requests come by the hundred a second, and a new thread for each would cost
+//! more than the work: finished threads wait a while for another job. There is one pool a process.
+//!
+//! Nobody joins these threads. A job ends by itself, by the time limits of its sockets; an idle
+//! thread ends after [`IDLE_LIMIT`]; a loop runs until its input ends or the process does. A process
+//! ends by returning from `main`, without waiting for any of them: what must be complete by then is
+//! done by the main loop itself.
 use crate::base::errors::Fatal;
 use crate::base::sync::lock;
 use std::collections::VecDeque;
 use std::sync::{Condvar, Mutex, PoisonError};
 use std::time::Duration;
 
+/// How long an idle thread waits for another job before it ends.
+const IDLE_LIMIT: Duration = Duration::from_secs(10);
+
+/// Stack of each thread. Jobs and loops are shallow, and there may be thousands of threads.
+const STACK_BYTES: usize = 256 << 10;
+
 type Job = Box<dyn FnOnce() + Send>;
 
-/// Threads that do one short job after the other, and jobs that one of them is about to take. Calls,
-/// heartbeats and questions come by the hundred a second; a new thread for each costs more than the work.
+/// The threads of the pool, and the jobs that one of them is about to take.
 struct WorkerPool {
     threads: usize,
-    resting: usize,
+    idle: usize,
     jobs: VecDeque<Job>,
 }
 
-static CREW: Mutex<WorkerPool> =
-    Mutex::new(WorkerPool { threads: 0, resting: 0, jobs: VecDeque::new() });
-
-static WANTED: Condvar = Condvar::new();
+static POOL: Mutex<WorkerPool> =
+    Mutex::new(WorkerPool { threads: 0, idle: 0, jobs: VecDeque::new() });
 
-/// How long a thread waits for another job.
-const REST: Duration = Duration::from_secs(10);
+/// Signalled when a job has been queued for an idle thread.
+static JOB_QUEUED: Condvar = Condvar::new();
 
+/// Waits for the next job of a pool thread; none if it has been idle for too long and must end.
 fn next_job() -> Option<Job> {
-    let mut crew = lock(&CREW);
-    if let Some(job) = crew.jobs.pop_front() {
+    let mut pool = lock(&POOL);
+    if let Some(job) = pool.jobs.pop_front() {
         return Some(job);
     }
-    crew.resting += 1;
-    let no_job = |crew: &mut WorkerPool| crew.jobs.is_empty();
-    let waited = WANTED.wait_timeout_while(crew, REST, no_job);
-    crew = waited.unwrap_or_else(PoisonError::into_inner).0;
-    crew.resting -= 1;
-    let job = crew.jobs.pop_front();
-    crew.threads -= usize::from(job.is_none());
+    pool.idle += 1;
+    let no_job = |pool: &mut WorkerPool| pool.jobs.is_empty();
+    let waited = JOB_QUEUED.wait_timeout_while(pool, IDLE_LIMIT, no_job);
+    pool = waited.unwrap_or_else(PoisonError::into_inner).0;
+    pool.idle -= 1;
+    let job = pool.jobs.pop_front();
+    pool.threads -= usize::from(job.is_none());
     job
 }
 
-/// Has a thread with a small stack do a job that ends. Where the machine has none left, one that is at
-/// work takes it next; false if there is none at all: that is no reason to end, and whoever wanted it
-/// tries again or refuses.
+/// Runs a job, which must end, on a thread of the pool.
+///
+/// Where the operating system has no thread left, a busy one of the pool takes the job next. False
+/// if there is none at all: the job will not run. That is no reason for a process to end; the caller
+/// tries again later or refuses what it was asked for.
 pub fn start_thread(work: impl FnOnce() + Send + 'static) -> bool {
     {
-        let mut crew = lock(&CREW);
-        crew.jobs.push_back(Box::new(work));
-        if crew.resting >= crew.jobs.len() {
-            drop(crew);
-            WANTED.notify_one();
+        let mut pool = lock(&POOL);
+        pool.jobs.push_back(Box::new(work));
+        if pool.idle >= pool.jobs.len() {
+            drop(pool);
+            JOB_QUEUED.notify_one();
             return true;
         }
-        crew.threads += 1;
+        pool.threads += 1;
     }
     let started = spawn(|| {
         while let Some(job) = next_job() {
@@ -60,21 +74,23 @@
     if started {
         return true;
     }
-    let mut crew = lock(&CREW);
-    crew.threads -= 1;
-    crew.threads > 0 || crew.jobs.pop_back().is_none()
+    let mut pool = lock(&POOL);
+    pool.threads -= 1;
+    pool.threads > 0 || pool.jobs.pop_back().is_none()
 }
 
 fn spawn(work: impl FnOnce() + Send + 'static) -> bool {
-    let started = std::thread::Builder::new().stack_size(256 << 10).spawn(work);
+    let started = std::thread::Builder::new().stack_size(STACK_BYTES).spawn(work);
     if let Err(e) = &started {
         log::warn!(target: "threads", "none left: {e}");
     }
     started.is_ok()
 }
 
-/// Starts a loop that a program can't do without.
-pub fn must_start(what: &str, work: impl FnOnce() + Send + 'static) -> Result<(), Fatal> {
-    let lost = || Fatal::Call(format!("no thread for {what}"));
-    spawn(work).then_some(()).ok_or_else(lost)
+/// Starts a thread for a loop that the process can't do without; `name` says what for.
+///
+/// # Errors
+/// [`Fatal::Thread`] if there is no thread for it.
+pub fn must_start(name: &'static str, work: impl FnOnce() + Send + 'static) -> Result<(), Fatal> {
+    spawn(work).then_some(()).ok_or(Fatal::Thread(name))
 }
--- a/tests/reroute.rs
+++ b/tests/reroute.rs
@@ -1,5 +1,5 @@
 //! The reroute design as a table: what was said and answered, what was lost, and what follows.
-use silvertack::base::errors::{ANSWERS, ErrorKind};
+use silvertack::base::errors::{ERROR_ANSWERS, ErrorKind};
 use silvertack::base::ids::{DbTerm, Position};
 use silvertack::base::time::Tick;
 use silvertack::net::statement_protocol::{self, Line, State};
@@ -153,12 +153,12 @@
 
 #[test]
 fn promises_are_given_only_where_nothing_can_be_kept() {
-    for row in &ANSWERS {
-        assert_eq!(row.kind.answer().word, row.word, "each stands in its own place");
-        assert_eq!(ErrorKind::from_word(row.word), Some(row.kind));
+    for row in &ERROR_ANSWERS {
+        assert_eq!(row.kind.answer().code, row.code, "each stands in its own place");
+        assert_eq!(ErrorKind::from_word(row.code), Some(row.kind));
     }
     for kind in [ErrorKind::Unknown, ErrorKind::TimedOut, ErrorKind::Failed] {
-        assert!(!kind.answer().promise, "{kind}");
+        assert!(!kind.answer().no_effect, "{kind}");
     }
 }
 
