--- a/src/controller/peer_connections.rs
+++ b/src/controller/peer_connections.rs
@@ -1,6 +1,6 @@
 //! Connections to other controllers and to the nodes on the peer port.
 use crate::base::time::Tick;
-use crate::controller::controller::USELESS_MS;
+
 use crate::net::rpc::raft_messages::RaftMessageKind;
 use crate::net::send_queue::SendQueue;
 use crate::raft::limits::MAX_IN_FLIGHT_BYTES;
@@ -28,6 +28,9 @@
     }
 }
 
+/// One that reads nothing for so long, or should speak and does not, is let go.
+const USELESS_MS: u64 = 10_000;
+
 /// A peer's socket and what waits for it. The core never waits for a peer to read.
 pub(crate) struct PeerConnection {
     stream: TcpStream,
--- a/src/controller/peer_listener.rs
+++ b/src/controller/peer_listener.rs
@@ -1,7 +1,7 @@
 //! Accepts connections on the peer port.
 use crate::base::errors::Fatal;
 use crate::base::worker_pool::{must_start, start_thread};
-use crate::controller::controller::Input;
+use crate::controller::effects::Input;
 use crate::controller::transport::Event;
 use crate::net::rpc::{Frame, receive_with_layout};
 use crate::net::sockets::{keep_alive, listen, tune};
--- a/src/controller/transport.rs
+++ b/src/controller/transport.rs
@@ -2,7 +2,7 @@
 use crate::base::ids::{InstanceId, MemberId, ServiceName};
 use crate::base::time::Tick;
 use crate::base::worker_pool::start_thread;
-use crate::controller::controller::{Effects, Input};
+use crate::controller::effects::{Effects, Input};
 use crate::controller::outgoing_calls::{ask_database, ask_standing, post_failover};
 use crate::controller::peer_connections::{PeerConnection, PeerLink, left_out};
 use crate::failover::{Attempt, DatabaseRequest, DatabaseResponse, PromotionResponse};
--- a/src/simulation/callers.rs
+++ b/src/simulation/callers.rs
@@ -1,5 +1,5 @@
 //! Callers of the admin addresses: how they try one controller after the other.
-use crate::controller::controller::Input;
+use crate::controller::effects::Input;
 use crate::net::http::{Request, Response};
 use crate::simulation::events::Event;
 use crate::simulation::network::End;
--- a/src/simulation/databases.rs
+++ b/src/simulation/databases.rs
@@ -1,7 +1,7 @@
 //! The databases of each service: replication, commits, and the platform that promotes.
 use crate::base::ids::{DbTerm, InstanceId, Position, ServiceName};
 use crate::config::directory::{Lifecycle, Role};
-use crate::controller::controller::Input;
+use crate::controller::effects::Input;
 use crate::failover::{Attempt, DatabaseRequest, DatabaseResponse, PromotionResponse};
 use crate::net::http::{Request, Response};
 use crate::net::statement_protocol::ServerDescription;
--- a/src/simulation/events.rs
+++ b/src/simulation/events.rs
@@ -1,7 +1,7 @@
 //! Everything that can happen next, and who handles it.
 use crate::base::ids::{DbTerm, InstanceId, MemberId, Position, ServiceName};
 use crate::base::time::Tick;
-use crate::controller::controller::Input;
+use crate::controller::effects::Input;
 use crate::failover::{Attempt, DatabaseRequest};
 use crate::net::http::{Request, Response};
 use crate::net::rpc::raft_messages::RaftMessage;
--- a/src/simulation/machines.rs
+++ b/src/simulation/machines.rs
@@ -2,7 +2,8 @@
 use crate::base::ids::{LogIndex, MemberId};
 use crate::base::time::Tick;
 use crate::config::settings::Settings;
-use crate::controller::controller::{Controller, Input};
+use crate::controller::core::Controller;
+use crate::controller::effects::Input;
 use crate::controller::process::first_state;
 use crate::net::rpc::raft_messages::Member;
 use crate::net::rpc::{Frame, receive};
--- a/src/simulation/network.rs
+++ b/src/simulation/network.rs
@@ -1,6 +1,6 @@
 //! The network: delays, losses, one-way cuts, and the connections on the controllers' peer ports.
 use crate::base::ids::MemberId;
-use crate::controller::controller::Input;
+use crate::controller::effects::Input;
 use crate::simulation::events::Event;
 use crate::simulation::schedule::{Way, chance, upto};
 use crate::simulation::world::World;
--- a/src/simulation/nodes.rs
+++ b/src/simulation/nodes.rs
@@ -1,7 +1,7 @@
 //! Nodes that follow the leader as a pooler does, and write at the primaries they are leased.
 use crate::base::ids::{DbTerm, InstanceId, NodeName, Position, Revision, ServiceName};
 use crate::config::route_table::RouteTable;
-use crate::controller::controller::Input;
+use crate::controller::effects::Input;
 use crate::leases::lease_table::LEASE_MS;
 use crate::net::rpc::Frame;
 use crate::net::rpc::pooler_messages::{PrimaryStatus, ToController, ToPooler};
--- a/src/simulation/recorded_effects.rs
+++ b/src/simulation/recorded_effects.rs
@@ -1,7 +1,7 @@
 //! What a controller wants done, recorded until the world does it.
 use crate::base::ids::{InstanceId, MemberId, ServiceName};
 use crate::base::time::Tick;
-use crate::controller::controller::Effects;
+use crate::controller::effects::Effects;
 use crate::failover::{Attempt, DatabaseRequest};
 use crate::net::rpc::raft_messages::{Member, RaftMessage};
 use crate::raft::storage::WriteBatch;
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -4,7 +4,8 @@
 };
 use silvertack::base::time::Tick;
 use silvertack::config::settings::Settings;
-use silvertack::controller::controller::{Controller, Effects, Input};
+use silvertack::controller::core::Controller;
+use silvertack::controller::effects::{Effects, Input};
 use silvertack::failover::{Attempt, DatabaseRequest, DatabaseResponse, PromotionResponse};
 use silvertack::leases::lease_table::{LEASE_MS, LeaseTable};
 use silvertack::leases::subset_assignments::SubsetAssignments;
