--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -85,28 +85,28 @@
 
     /// Whether one more attempt would be a retry or a hedged request, which the retry budget pays
     /// for.
-    pub fn is_retry(&self) -> bool {
+    pub(super) fn is_retry(&self) -> bool {
         self.sent > 0
     }
 
     /// Whether a hedged request may go to another endpoint while the first attempt is in flight.
-    pub fn may_hedge(&self) -> bool {
+    pub(super) fn may_hedge(&self) -> bool {
         self.is_idempotent() && self.sent < self.max_attempts
     }
 
     /// Forbids further attempts: a part of the body was forwarded and is not held any more.
-    pub fn forbid_retries(&mut self) {
+    pub(super) fn forbid_retries(&mut self) {
         self.max_attempts = self.sent;
     }
 
     /// Whether some endpoint may have executed the request.
-    pub fn may_have_executed(&self) -> bool {
+    pub(super) fn may_have_executed(&self) -> bool {
         self.may_have_executed
     }
 
     /// The request goes to the same endpoint once more, which may have executed it before its
     /// connection ended.
-    pub fn record_resent(&mut self) {
+    pub(super) fn record_resent(&mut self) {
         self.may_have_executed = true;
     }
 
--- a/src/gateway/client_connection.rs
+++ b/src/gateway/client_connection.rs
@@ -7,6 +7,7 @@
 use crate::base::sync::lock;
 use crate::base::time::Tick;
 use crate::base::worker_pool::start_thread;
+use crate::gateway::http1::{BodyDecoder, ParseError};
 use crate::gateway::server::Gateway;
 use crate::net::sockets::tune;
 use crate::net::statement_protocol::ReadBuffer;
@@ -195,6 +196,19 @@
         }
     }
 
+    /// Decodes what was read of a request's body, and appends it to `output`.
+    pub(super) fn decode_body(
+        &mut self,
+        body: &mut BodyDecoder,
+        output: &mut Vec<u8>,
+    ) -> Result<(), ReceiveError> {
+        let consumed = body
+            .decode(self.buffer.pending(), output)
+            .map_err(|ParseError| ReceiveError::Refused(Refusal::Unreadable))?;
+        self.buffer.use_up(consumed);
+        Ok(())
+    }
+
     pub(super) fn write(&self, bytes: &[u8]) -> io::Result<()> {
         let mut stream = self.stream;
         stream.write_all(bytes)
--- a/src/gateway/endpoint_access.rs
+++ b/src/gateway/endpoint_access.rs
@@ -137,10 +137,10 @@
     }
 
     /// Ends an attempt whose response is not needed any more; its connection is closed.
-    pub(super) fn abandon_attempt(&self, attempt: Attempt, fault: EndpointFault) {
+    pub(super) fn abandon_attempt(&self, attempt: Attempt, reason: AbandonReason) {
         let now = Tick::now();
         let record = |outlier: &mut OutlierDetector| {
-            if fault == EndpointFault::Late {
+            if reason == AbandonReason::EndpointLate {
                 outlier.record_fault(now);
             }
         };
@@ -175,13 +175,13 @@
     }
 }
 
-/// Whether an abandoned attempt counts against its endpoint.
+/// Why an attempt is abandoned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum EndpointFault {
-    /// The endpoint was slower than it should be.
-    Late,
-    /// The endpoint is not at fault.
-    None,
+pub(super) enum AbandonReason {
+    /// The endpoint was too slow, which counts against it.
+    EndpointLate,
+    /// The response is not needed any more; the endpoint is not at fault.
+    NotNeeded,
 }
 
 /// Sends head and held body on a connection.
--- a/src/gateway/forwarding.rs
+++ b/src/gateway/forwarding.rs
@@ -8,11 +8,13 @@
 use crate::base::ids::InstanceId;
 use crate::base::sync::lock;
 use crate::base::time::Tick;
-use crate::gateway::attempts::{AttemptOutcome, AttemptPolicy, NextStep, RetryConditions};
+use crate::gateway::attempts::{
+    AttemptOutcome, AttemptPolicy, Idempotency, NextStep, RetryConditions,
+};
 use crate::gateway::client_connection::{ClientStream, ReceiveError};
-use crate::gateway::endpoint_access::EndpointFault;
+use crate::gateway::endpoint_access::AbandonReason;
 use crate::gateway::endpoint_attempt::{Attempt, AttemptProgress, wait_readable};
-use crate::gateway::http1::{BodyDecoder, ParseError};
+use crate::gateway::http1::BodyDecoder;
 use crate::gateway::request_context::RequestContext;
 use crate::gateway::server::{Gateway, increment};
 use crate::gateway::upstreams::AcquiredEndpoint;
@@ -169,16 +171,16 @@
                 Err(ReceiveError::Refused(refusal)) => {
                     // The end of the body is still unread on the client's connection.
                     self.request.remaining_body = Some(remaining);
-                    self.gateway.abandon_attempt(attempt, EndpointFault::Late);
+                    self.gateway.abandon_attempt(attempt, AbandonReason::EndpointLate);
                     let retry_after_ms = 0;
                     return Ok(Flow::Break(ForwardResult::Refused { refusal, retry_after_ms }));
                 }
                 Err(ReceiveError::Closed) => {
-                    self.gateway.abandon_attempt(attempt, EndpointFault::None);
+                    self.gateway.abandon_attempt(attempt, AbandonReason::NotNeeded);
                     return Err(io::ErrorKind::UnexpectedEof.into());
                 }
                 Err(ReceiveError::Connection(e)) => {
-                    self.gateway.abandon_attempt(attempt, EndpointFault::None);
+                    self.gateway.abandon_attempt(attempt, AbandonReason::NotNeeded);
                     return Err(e);
                 }
             }
@@ -191,7 +193,7 @@
         let now = Tick::now();
         if self.request.is_past_deadline(now) {
             for attempt in self.attempts.drain(..) {
-                self.gateway.abandon_attempt(attempt, EndpointFault::Late);
+                self.gateway.abandon_attempt(attempt, AbandonReason::EndpointLate);
             }
             return Ok(self.refuse(Refusal::Late));
         }
@@ -230,15 +232,15 @@
         for attempt in self.attempts.drain(..) {
             // An endpoint is late if it was slower than another that got the request after it.
             let late = attempt.sent < winner.sent;
-            let fault = if late { EndpointFault::Late } else { EndpointFault::None };
-            self.gateway.abandon_attempt(attempt, fault);
+            let reason = if late { AbandonReason::EndpointLate } else { AbandonReason::NotNeeded };
+            self.gateway.abandon_attempt(attempt, reason);
         }
         Flow::Break(ForwardResult::Response(Box::new(winner)))
     }
 
     fn attempt_ended(&mut self, index: usize, outcome: AttemptOutcome) -> Flow {
         let attempt = self.attempts.swap_remove(index);
-        let idempotent = self.request.route.route_type.repeatable();
+        let idempotent = self.request.idempotency() == Idempotency::Idempotent;
         if idempotent && !self.body_streamed && attempt.met_stale_connection() {
             return self.resend(attempt);
         }
@@ -318,10 +320,7 @@
     let mut data = Vec::new();
     while !body.is_complete() {
         data.clear();
-        let consumed = body
-            .decode(client.buffer.pending(), &mut data)
-            .map_err(|ParseError| ReceiveError::Refused(Refusal::Unreadable))?;
-        client.buffer.use_up(consumed);
+        client.decode_body(body, &mut data)?;
         length += data.len() as u64;
         if length > client.max_body_bytes {
             return Err(ReceiveError::Refused(Refusal::TooLarge));
--- a/src/gateway/outlier_detection.rs
+++ b/src/gateway/outlier_detection.rs
@@ -68,12 +68,12 @@
     }
 
     /// No connection was established in time.
-    pub fn record_connect_timeout(&mut self, now: Tick) {
+    pub(super) fn record_connect_timeout(&mut self, now: Tick) {
         self.eject(CONNECT_TIMEOUT_EJECTION_MS, now);
     }
 
     /// The endpoint did not execute a request, most likely for lack of capacity.
-    pub fn record_overload(&mut self, now: Tick) {
+    pub(super) fn record_overload(&mut self, now: Tick) {
         self.ejected_until = self.ejected_until.max(now.plus(OVERLOAD_EJECTION_MS));
     }
 
@@ -90,12 +90,12 @@
     }
 
     /// Moving average of response times, in milliseconds; 0 before the first response.
-    pub fn latency_ms(&self) -> f64 {
+    pub(super) fn latency_ms(&self) -> f64 {
         self.latency_ms
     }
 
     /// The directory has an update of the endpoint: the reason for its ejection may be over.
-    pub fn reset(&mut self) {
+    pub(super) fn reset(&mut self) {
         self.ejected_until = Tick(0);
         self.consecutive_ejections = 0;
         self.failed_responses = 0.0;
--- a/src/gateway/request_handling.rs
+++ b/src/gateway/request_handling.rs
@@ -14,7 +14,7 @@
 };
 use crate::gateway::forwarding::ForwardResult;
 use crate::gateway::http1::{
-    BodyDecoder, BodyFraming, ParseError, ParsedHead, RequestHead, encode_chunk, parse_request_head,
+    BodyDecoder, BodyFraming, ParsedHead, RequestHead, encode_chunk, parse_request_head,
 };
 use crate::gateway::request_context::RequestContext;
 use crate::gateway::responses::AfterResponse;
@@ -165,10 +165,7 @@
     let mut body = BodyDecoder::new(head.framing);
     let mut held = Vec::new();
     while !body.is_complete() && held.len() < MAX_HELD_BODY {
-        let consumed = body
-            .decode(client.buffer.pending(), &mut held)
-            .map_err(|ParseError| ReceiveError::Refused(Refusal::Unreadable))?;
-        client.buffer.use_up(consumed);
+        client.decode_body(&mut body, &mut held)?;
         if held.len() as u64 > client.max_body_bytes {
             return Err(ReceiveError::Refused(Refusal::TooLarge));
         }
--- a/src/gateway/retry_budget.rs
+++ b/src/gateway/retry_budget.rs
@@ -31,7 +31,7 @@
     }
 
     /// Takes over changed settings; what was counted stays.
-    pub fn configure(&mut self, ratio: f64, window_ms: u64) {
+    pub(super) fn configure(&mut self, ratio: f64, window_ms: u64) {
         self.ratio = ratio;
         self.window_ms = window_ms;
     }
