--- a/examples/standin.rs
+++ b/examples/standin.rs
@@ -3,7 +3,7 @@
 //! Prints the platform's address for the settings files, then heartbeats to the given controller. With
 //! `--gateway`, three databases that answer HTTP requests, and no platform.
 #[path = "../tests/support/gateway.rs"]
-mod shed;
+mod stand_in_endpoints;
 #[path = "../tests/support/mod.rs"]
 pub mod support;
 
@@ -19,10 +19,10 @@
     };
     let admin: SocketAddr = admin.parse()?;
     if gateway {
-        let databases = shed::Shed::start(&service, 3)?;
+        let databases = stand_in_endpoints::StandInEndpoints::start(&service, 3)?;
         for sequence in 1.. {
             // Whether a controller is there yet shows in its status.
-            databases.beat_all(admin, sequence);
+            databases.send_heartbeats(admin, sequence);
             std::thread::sleep(Duration::from_millis(1000));
         }
     }
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -1,11 +1,11 @@
 //! A controller and a gateway as processes, against stand-in databases: what a gateway does with bad
 //! requests, bad answers and databases in trouble.
 #[path = "support/gateway.rs"]
-mod shed;
+mod stand_in_endpoints;
 mod support;
 
-use shed::{How, Shed};
 use silvertack::gateway::http1::{BodyDecoder, ParsedHead, parse_response_head};
+use stand_in_endpoints::{Behaviour, StandInEndpoints};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::PathBuf;
@@ -27,7 +27,7 @@
     admin: SocketAddr,
     frontend: SocketAddr,
     readiness: SocketAddr,
-    databases: Arc<Shed>,
+    databases: Arc<StandInEndpoints>,
     gateway: Process,
     controller: Option<Process>,
 }
@@ -91,13 +91,13 @@
         admin: at(ports[1]),
         frontend: at(ports[2]),
         readiness: at(ports[3]),
-        databases: Shed::start("query", databases).expect("databases"),
+        databases: StandInEndpoints::start("query", databases).expect("databases"),
         controller: Some(run("controller", &file)),
         gateway: run("gateway", &file),
         folder,
     };
     eventually("a configuration", || put(system.admin, "0", &configuration(1, "query")));
-    eventually("databases", || system.databases.beat_all(system.admin, 1));
+    eventually("databases", || system.databases.send_heartbeats(system.admin, 1));
     eventually("readiness", || {
         http(system.readiness, "GET", "/readiness", &[], "").is_ok_and(|(s, _)| s == 200)
     });
@@ -109,12 +109,12 @@
     system
 }
 
-/// An answer: its head, and its body with chunks put together.
-struct Got {
+/// A response: its head, and its body without chunks.
+struct ClientResponse {
     status: u16,
     head: String,
     body: Vec<u8>,
-    whole: bool,
+    complete: bool,
 }
 struct Client(TcpStream, Vec<u8>);
 impl Client {
@@ -133,8 +133,8 @@
         self.1.extend_from_slice(&chunk[..got]);
         got > 0
     }
-    fn answer(&mut self, method: &str) -> Option<Got> {
-        let ParsedHead { head: told, length } = loop {
+    fn response(&mut self, method: &str) -> Option<ClientResponse> {
+        let ParsedHead { head: response, length } = loop {
             match parse_response_head(&self.1, method) {
                 Ok(Some(found)) => break found,
                 Ok(None) if self.more() => {}
@@ -143,8 +143,8 @@
         };
         let head = String::from_utf8_lossy(&self.1[..length]).into_owned();
         self.1.drain(..length);
-        let (mut body, mut data) = (BodyDecoder::new(told.framing), Vec::new());
-        let whole = loop {
+        let (mut body, mut data) = (BodyDecoder::new(response.framing), Vec::new());
+        let complete = loop {
             let used = body.decode(&self.1, &mut data).expect("well formed");
             self.1.drain(..used);
             if body.is_complete() {
@@ -154,7 +154,7 @@
                 break body.finish_at_close();
             }
         };
-        Some(Got { status: told.status, head, body: data, whole })
+        Some(ClientResponse { status: response.status, head, body: data, complete })
     }
     fn closed(&mut self) -> bool {
         self.1.is_empty() && !self.more()
@@ -171,11 +171,11 @@
     .into_bytes()
 }
 /// One request on a connection of its own.
-fn ask(system: &System, method: &str, path: &str) -> (String, Got) {
+fn ask(system: &System, method: &str, path: &str) -> (String, ClientResponse) {
     let id = fresh_id();
     let mut client = Client::open(system);
     client.send(&request(method, path, &id, "", ""));
-    let got = client.answer(method).expect("an answer");
+    let got = client.response(method).expect("a response");
     (id, got)
 }
 
@@ -194,22 +194,25 @@
     );
     both.extend(request("HEAD", "/many/", &two, "Target-Instance: forged\r\n", ""));
     client.send(&both);
-    let got = client.answer("POST").expect("first");
-    assert_eq!((got.status, got.body.as_slice(), got.whole), (200, b"the rows".as_slice(), true));
+    let got = client.response("POST").expect("first");
+    assert_eq!(
+        (got.status, got.body.as_slice(), got.complete),
+        (200, b"the rows".as_slice(), true)
+    );
     assert!(got.head.contains(&format!("Request-Id: {one}")) && got.head.contains("s.1"));
-    assert_eq!(client.answer("HEAD").expect("second").status, 200);
-    let ran = system.databases.ran(&one);
+    assert_eq!(client.response("HEAD").expect("second").status, 200);
+    let ran = system.databases.received(&one);
     assert_eq!(ran.len(), 1);
     assert_eq!(
         (ran[0].line.as_str(), ran[0].body.as_slice()),
         ("POST /once/a%20b?x=1&y", b"abc".as_slice())
     );
     assert!(ran[0].head.contains("X-Own: v\r\n") && ran[0].head.contains("Host: shop.example\r\n"));
-    let head = &system.databases.ran(&two)[0].head;
+    let head = &system.databases.received(&two)[0].head;
     assert!(head.contains("Target-Instance: i-query-") && !head.contains("forged"), "{head}");
     let left = head.lines().find_map(|l| l.strip_prefix("Deadline-Ms: ")).expect("what is left");
     assert!((1_000..1_500).contains(&left.parse::<u64>().expect("a number")), "{left}");
-    // A body too large to be held, and one that waits to be asked for.
+    // A body too large to be held, and one that waits for 100 Continue.
     for (framing, large) in [("length", 300_000), ("length", 5), ("chunked", 300_000)] {
         let id = fresh_id();
         let data = "z".repeat(large);
@@ -227,17 +230,17 @@
             &format!("{header}Expect: 100-continue\r\n"),
             "",
         ));
-        assert_eq!(client.answer("PUT").expect("go on").status, 100);
+        assert_eq!(client.response("PUT").expect("go on").status, 100);
         client.send(body.as_bytes());
-        assert_eq!(client.answer("PUT").expect("done").status, 200, "{framing} {large}");
-        assert_eq!(system.databases.ran(&id)[0].body, data.as_bytes(), "{framing} {large}");
+        assert_eq!(client.response("PUT").expect("done").status, 200, "{framing} {large}");
+        assert_eq!(system.databases.received(&id)[0].body, data.as_bytes(), "{framing} {large}");
     }
-    // Downloads are passed on as they come.
-    for how in [How::Large(3_000_000), How::Chunked] {
-        system.databases.will(&[how]);
+    // Downloads are forwarded as they come.
+    for how in [Behaviour::Large(3_000_000), Behaviour::Chunked] {
+        system.databases.set_behaviours(&[how]);
         let (_, got) = ask(&system, "GET", "/pack/it");
-        let size = if how == How::Chunked { 8 } else { 3_000_000 };
-        assert_eq!((got.status, got.body.len(), got.whole), (200, size, true), "{how:?}");
+        let size = if how == Behaviour::Chunked { 8 } else { 3_000_000 };
+        assert_eq!((got.status, got.body.len(), got.complete), (200, size, true), "{how:?}");
     }
 }
 
@@ -287,47 +290,47 @@
     for (what, bytes, status) in cases {
         let mut client = Client::open(&system);
         client.send(&bytes);
-        let got = client.answer("POST");
+        let got = client.response("POST");
         assert_eq!(got.as_ref().map(|g| g.status), status, "{what}");
         assert!(got.is_none_or(|g| g.head.contains("Connection: close")), "{what}");
         assert!(client.closed(), "{what}");
     }
     assert!(
-        system.databases.ran("b").iter().all(|r| r.body.len() > 200_000),
-        "passed on whole only"
+        system.databases.received("b").iter().all(|r| r.body.len() > 200_000),
+        "forwarded only if complete"
     );
     let mut client = Client::open(&system);
     client.send(&request("GET", "/nowhere/", "n", "", ""));
-    assert_eq!(client.answer("GET").expect("an answer").status, 404);
+    assert_eq!(client.response("GET").expect("a response").status, 404);
     client.send(&request("GET", "/many/", "n", "", ""));
-    assert_eq!(client.answer("GET").expect("on the same connection").status, 200);
+    assert_eq!(client.response("GET").expect("on the same connection").status, 200);
 }
 
 #[test]
 fn what_a_database_does_wrong_never_reaches_a_client() {
-    use How::*;
+    use Behaviour::*;
     let system = start(8);
     // What the databases do in turn; the answers to what can be repeated and to what cannot, and how
     // often each ran.
-    let cases: [(&[How], u16, usize, u16, usize); 9] = [
+    let cases: [(&[Behaviour], u16, usize, u16, usize); 9] = [
         (&[Serve], 200, 1, 200, 1),
         (&[Full, Serve], 200, 2, 200, 2),
         (&[Misdirected, Serve], 200, 2, 200, 2),
         (&[Full, Full], 503, 2, 503, 2),
         (&[Fail, Serve], 200, 2, 500, 1),
         (&[Reset, Serve], 200, 2, 502, 1),
-        (&[Cut, Serve], 200, 2, 502, 1),
-        (&[Unstamped, Serve], 200, 2, 502, 1),
+        (&[Truncate, Serve], 200, 2, 502, 1),
+        (&[Unsigned, Serve], 200, 2, 502, 1),
         (&[Nonsense, Serve], 200, 2, 502, 1),
     ];
     for (next, many, many_ran, once, once_ran) in cases {
         for (path, status, runs) in [("/many/x", many, many_ran), ("/once/x", once, once_ran)] {
-            system.databases.will(next);
+            system.databases.set_behaviours(next);
             // Earlier failures must not decide where this one goes.
-            eventually("fresh databases", || system.databases.beat_all(system.admin, 2));
+            eventually("fresh databases", || system.databases.send_heartbeats(system.admin, 2));
             let (id, got) = ask(&system, "GET", path);
-            system.databases.will(&[]);
-            let ran = system.databases.ran(&id);
+            system.databases.set_behaviours(&[]);
+            let ran = system.databases.received(&id);
             assert_eq!((got.status, ran.len()), (status, runs), "{next:?} {path}");
             // One that was reset on a connection that had rested may come again on another one.
             let again = next[0] == Reset;
@@ -340,10 +343,10 @@
             }
         }
     }
-    // What is too large to be held is never sent again with a part of its body only.
+    // What is too large to be held is never sent again with only a part of its body.
     for framing in ["length", "chunked"] {
-        eventually("fresh databases", || system.databases.beat_all(system.admin, 3));
-        system.databases.will(&[Reset, Serve]);
+        eventually("fresh databases", || system.databases.send_heartbeats(system.admin, 3));
+        system.databases.set_behaviours(&[Reset, Serve]);
         let (id, size) = (fresh_id(), 300_000);
         let data = "z".repeat(size);
         let (header, body) = match framing {
@@ -355,14 +358,14 @@
         };
         let mut client = Client::open(&system);
         client.send(&request("PUT", "/many/x", &id, &header, &body));
-        assert_eq!(client.answer("PUT").expect("an answer").status, 502, "{framing}");
-        system.databases.will(&[]);
-        let ran = system.databases.ran(&id);
+        assert_eq!(client.response("PUT").expect("a response").status, 502, "{framing}");
+        system.databases.set_behaviours(&[]);
+        let ran = system.databases.received(&id);
         assert!(ran.len() == 1 && ran[0].body == data.as_bytes(), "{framing}: {}", ran.len());
     }
-    // A stray answer on a kept connection belongs to nobody.
+    // A stray response on a reused connection belongs to no request.
     for next in [&[Extra][..], &[WrongId, Serve]] {
-        system.databases.will(next);
+        system.databases.set_behaviours(next);
         for _ in 0..20 {
             let (id, got) = ask(&system, "GET", "/many/x");
             assert_eq!(
@@ -373,14 +376,14 @@
             assert!(got.head.contains(&format!("Request-Id: {id}")), "{next:?}");
         }
     }
-    // One that says nothing: the idempotent request gets company, the other waits to its end.
-    system.databases.will(&[Hang, Serve]);
+    // One that never responds: the idempotent request is hedged, the other waits to its deadline.
+    system.databases.set_behaviours(&[Hang, Serve]);
     let start = Instant::now();
     assert_eq!(ask(&system, "GET", "/many/x").1.status, 200);
     assert!(start.elapsed() < Duration::from_millis(1_200));
-    system.databases.will(&[Hang]);
+    system.databases.set_behaviours(&[Hang]);
     let (id, got) = ask(&system, "GET", "/once/x");
-    assert_eq!((got.status, system.databases.ran(&id).len()), (504, 1));
+    assert_eq!((got.status, system.databases.received(&id).len()), (504, 1));
 }
 
 #[test]
@@ -392,7 +395,7 @@
     std::thread::sleep(Duration::from_millis(300));
     for _ in 0..20 {
         let (id, got) = ask(&system, "GET", "/many/x");
-        assert_eq!((got.status, system.databases.ran(&id)[0].database), (200, 1));
+        assert_eq!((got.status, system.databases.received(&id)[0].database), (200, 1));
     }
     // Without the controller, what is known serves on; also after it came back to its disk.
     system.controller = None;
@@ -404,7 +407,7 @@
         let (id, got) = ask(&system, "GET", "/many/x");
         got.status == 503
             && got.head.contains("Retry-After: ")
-            && system.databases.ran(&id).is_empty()
+            && system.databases.received(&id).is_empty()
     });
 }
 
@@ -421,7 +424,7 @@
             // As slowly as threads get free again.
             std::thread::sleep(Duration::from_millis(2));
             client.send(&request("GET", "/many/x", &fresh_id(), "", ""));
-            assert_eq!(client.answer("GET").expect("an answer").status, 200, "round {round}");
+            assert_eq!(client.response("GET").expect("a response").status, 200, "round {round}");
         }
         eventually("all rest", || {
             let (_, body) = http(system.readiness, "GET", "/status", &[], "").expect("status");
@@ -443,7 +446,7 @@
     for pause_ms in [0, 2_400, 2_400] {
         std::thread::sleep(Duration::from_millis(pause_ms));
         client.send(&request("GET", "/many/x", &fresh_id(), "", ""));
-        let got = client.answer("GET").unwrap_or_else(|| panic!("let go after {pause_ms} ms"));
+        let got = client.response("GET").unwrap_or_else(|| panic!("let go after {pause_ms} ms"));
         assert_eq!(got.status, 200);
     }
     let rests = std::time::Instant::now();
@@ -459,7 +462,7 @@
     let mut system = start(2);
     let mut kept = Client::open(&system);
     kept.send(&request("GET", "/many/x", &fresh_id(), "", ""));
-    assert!(kept.answer("GET").expect("an answer").head.contains("Keep-Alive: timeout=1"));
+    assert!(kept.response("GET").expect("a response").head.contains("Keep-Alive: timeout=1"));
     let pid = rustix::process::Pid::from_child(&system.gateway.0);
     rustix::process::kill_process(pid, rustix::process::Signal::TERM).expect("signal");
     eventually("not ready", || {
--- a/tests/gateway_parts.rs
+++ b/tests/gateway_parts.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_head_that_could_be_read_in_two_ways_is_refused() {
+fn an_ambiguous_request_head_is_refused() {
     const BAD: Refusal = Refusal::Unreadable;
     let cases: [(&str, Option<Refusal>); 18] = [
         ("GET /a/b HTTP/1.1\nHost: h", None),
@@ -55,24 +55,24 @@
 }
 
 #[test]
-fn what_concerns_one_connection_goes_no_further() {
+fn hop_by_hop_headers_are_not_forwarded() {
     let bytes = head(
         "PUT /a?b=c HTTP/1.1\nHost: H.Example:80\nRequest-Id: 7\nX-Own: 1\nConnection: X-Own, close\n\
          Keep-Alive: 5\nTE: trailers\nTransfer-Encoding: chunked\nDeadline-Ms: 40\n\
          Target-Instance: forged\nExpect: 100-continue\nAccept: */*",
     );
-    let ParsedHead { head: asked, length } =
-        parse_request_head(&bytes, 5_000).expect("readable").expect("whole");
+    let ParsedHead { head: request, length } =
+        parse_request_head(&bytes, 5_000).expect("readable").expect("complete");
     assert_eq!(length, bytes.len());
-    assert_eq!((asked.host.as_str(), asked.path()), ("h.example", "/a"));
-    assert_eq!((asked.target.as_str(), asked.deadline_ms), ("/a?b=c", Some(40)));
-    assert!(asked.close && asked.expects_continue && asked.framing == BodyFraming::Chunked);
+    assert_eq!((request.host.as_str(), request.path()), ("h.example", "/a"));
+    assert_eq!((request.target.as_str(), request.deadline_ms), ("/a?b=c", Some(40)));
+    assert!(request.close && request.expects_continue && request.framing == BodyFraming::Chunked);
     let passed = "Host: H.Example:80\r\nRequest-Id: 7\r\nAccept: */*\r\n";
-    assert_eq!(String::from_utf8_lossy(&asked.forwarded_headers), passed);
+    assert_eq!(String::from_utf8_lossy(&request.forwarded_headers), passed);
 }
 
 #[test]
-fn answers_tell_how_long_they_are() {
+fn response_heads_decide_how_the_body_is_framed() {
     let cases = [
         ("GET", "200 OK\nContent-Length: 5", Ok(BodyFraming::Length(5))),
         ("GET", "200 OK\nTransfer-Encoding: chunked", Ok(BodyFraming::Chunked)),
@@ -85,25 +85,25 @@
     for (method, lines, framing) in cases {
         let got = parse_response_head(&head(&format!("HTTP/1.1 {lines}")), method);
         assert_eq!(
-            got.map(|found| found.expect("whole").head.framing),
+            got.map(|found| found.expect("complete").head.framing),
             framing,
             "{method} {lines}"
         );
     }
     assert_eq!(parse_response_head(b"\x00\x01 no answer\r\n\r\n", "GET"), Err(ParseError));
-    let told =
+    let response =
         head("HTTP/1.1 503 No\nNot-Executed: 1\nKeep-Alive: timeout=7, max=3\nConnection: close");
-    let told = parse_response_head(&told, "GET").expect("readable").expect("whole").head;
+    let response = parse_response_head(&response, "GET").expect("readable").expect("complete").head;
     assert!(
-        told.not_executed
-            && told.close
-            && told.keep_alive_s == Some(7)
-            && told.forwarded_headers.starts_with(b"Not")
+        response.not_executed
+            && response.close
+            && response.keep_alive_s == Some(7)
+            && response.forwarded_headers.starts_with(b"Not")
     );
 }
 
 #[test]
-fn a_body_comes_out_the_same_however_it_is_cut() {
+fn a_body_is_decoded_the_same_however_its_bytes_are_split() {
     let chunked = b"3\r\nabc\r\n2;x=y\r\nde\r\n0\r\nTrailer: 1\r\n\r\nNEXT";
     type Case<'a> = (BodyFraming, &'a [u8], &'a [u8], &'a [u8]);
     let cases: [Case<'_>; 3] = [
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn what_cannot_be_repeated_is_never_sent_again_once_it_may_have_run() {
+fn a_non_idempotent_request_is_never_retried_once_it_may_have_executed() {
     use AttemptOutcome::*;
     use Idempotency::*;
     use NextStep::*;
@@ -181,20 +181,20 @@
 }
 
 #[test]
-fn repeats_stay_within_the_ratio_of_what_was_asked() {
+fn retries_stay_within_the_ratio_of_requests() {
     let mut budget = RetryBudget::new(0.2, 10_000);
     let start = Tick(100_000);
-    assert!(!budget.try_spend(start), "nothing earned, nothing spent");
+    assert!(!budget.try_spend(start), "no requests, no retries");
     (0..10).for_each(|_| budget.record_request(start));
-    let spent = (0..10).filter(|_| budget.try_spend(start.plus(100))).count();
-    assert_eq!(spent, 2);
+    let retries = (0..10).filter(|_| budget.try_spend(start.plus(100))).count();
+    assert_eq!(retries, 2);
     assert!(!budget.allows_retry(start.plus(9_000)), "still within the window");
     (0..5).for_each(|_| budget.record_request(start.plus(10_700)));
-    assert!(budget.allows_retry(start.plus(10_800)), "what lies before the window is over");
+    assert!(budget.allows_retry(start.plus(10_800)), "what lies before the window does not count");
 }
 
 #[test]
-fn the_better_of_two_from_the_best_group() {
+fn the_cheaper_of_two_from_the_preferred_group_is_chosen() {
     let near = Candidate {
         same_zone: true,
         ejected: false,
@@ -230,17 +230,17 @@
 }
 
 #[test]
-fn a_database_that_fails_is_left_alone_longer_each_time() {
+fn an_endpoint_that_fails_is_ejected_longer_each_time() {
     let (mut outlier, now) = (OutlierDetector::default(), Tick(100_000));
     outlier.record_failed_response(now);
-    assert!(!outlier.is_ejected(now), "one failed answer may be the request's own fault");
+    assert!(!outlier.is_ejected(now), "one error response may be the request's own fault");
     outlier.record_failed_response(now);
     assert!(outlier.is_ejected(now.plus(1_900)) && !outlier.is_ejected(now.plus(2_100)));
     outlier.record_fault(now.plus(2_100));
     assert!(outlier.is_ejected(now.plus(6_000)) && !outlier.is_ejected(now.plus(6_200)));
     outlier.record_success(10);
     outlier.record_fault(now.plus(7_000));
-    assert!(!outlier.is_ejected(now.plus(9_100)), "an answer makes it as good as new");
+    assert!(!outlier.is_ejected(now.plus(9_100)), "a success ends the row of ejections");
 }
 
 fn route_table(routes: serde_json::Value) -> Result<RouteTable, String> {
@@ -289,7 +289,7 @@
         route("h", "/", serde_json::json!({ "weighted_targets": targets }))
     };
     let found = route_table(serde_json::json!([split([90, 10])])).expect("valid");
-    let route_entry = found.entry_for_path("h", "/x").expect("a lane");
+    let route_entry = found.entry_for_path("h", "/x").expect("a route");
     let to_b =
         (0..1_000).filter(|n| found.service(route_entry, *n).is_some_and(|s| s.0 == "b")).count();
     assert_eq!(to_b, 100);
@@ -303,13 +303,13 @@
         ("target_service_or_weighted_targets", route("h", "/", serde_json::json!({}))),
     ];
     for (why, route) in bad {
-        let told = route_table(serde_json::json!([route])).expect_err(why);
-        assert!(told.contains(why), "{told}");
+        let error = route_table(serde_json::json!([route])).expect_err(why);
+        assert!(error.contains(why), "{error}");
     }
 }
 
 #[test]
-fn plots_follow_demand_and_cover_all_databases_once() {
+fn subsets_follow_demand_and_cover_all_endpoints_once() {
     let start = Tick(100_000);
     let mut subset_assignments = SubsetAssignments::new(start);
     let items = ServiceName::from("items");
@@ -345,7 +345,7 @@
     assert_eq!(divide(&mut subset_assignments, 3_000), [465, 155, 69, 310]);
     let elsewhere = &subset_assignments.due(&node(9), true)[0];
     assert_eq!((elsewhere.from, elsewhere.upto), (0, 1_000_000), "a zone by itself");
-    // What moved little is not told again; what moved much is.
+    // A small change is not reported again; a large one is.
     subset_assignments.report(&node(0), "here", items.clone(), 310);
     subset_assignments.divide(|_| true, start.plus(4_100));
     assert!((0..4).all(|n| subset_assignments.due(&node(n), false).is_empty()));
@@ -359,33 +359,33 @@
 }
 
 #[test]
-fn homes_are_what_overlaps_a_plot() {
+fn assigned_capacities_are_what_overlaps_a_subset() {
     let ids: Vec<InstanceId> = (0..6).map(|n| InstanceId(format!("i{n}"))).collect();
     let endpoints = || ids.iter().map(|id| (id, 2));
     let assigned = |from, to| assigned_capacities(endpoints(), CapacityRange { from, to });
     let all = assigned(0, 1_000_000);
     assert!(ids.iter().all(|id| all.get(id) == Some(&2.0)));
-    // Three plots that cover everything share out each database exactly once.
+    // Three subsets that cover everything assign each endpoint exactly once.
     let cuts = [0, 250_000, 600_000, 1_000_000];
     let parts: Vec<_> = cuts.windows(2).map(|c| assigned(c[0], c[1])).collect();
     for id in &ids {
         let sum: f64 = parts.iter().filter_map(|p| p.get(id)).sum();
         assert!((sum - 2.0).abs() < 0.11, "{id}: {sum}");
     }
-    assert!(assigned(500_000, 500_001).is_empty(), "a sliver is nobody's home");
+    assert!(assigned(500_000, 500_001).is_empty(), "a sliver is assigned to nobody");
 }
 
 #[test]
-fn demand_is_told_when_it_changed_much() {
+fn demand_is_reported_when_it_changed_much() {
     let mut demand = DemandMeter::default();
     demand.record(450);
-    assert_eq!(demand.next_report(450), Some(100), "one request under way all the time");
+    assert_eq!(demand.next_report(450), Some(100), "one request in flight all the time");
     demand.record(470);
     assert_eq!(demand.next_report(450), None, "about the same");
-    let told = (0..20).filter_map(|_| {
+    let reported = (0..20).filter_map(|_| {
         demand.record(1_800);
         demand.next_report(450)
     });
-    let told: Vec<u32> = told.collect();
-    assert!(told.len() < 8 && told.last().is_some_and(|t| *t > 300), "{told:?}");
+    let reported: Vec<u32> = reported.collect();
+    assert!(reported.len() < 8 && reported.last().is_some_and(|last| *last > 300), "{reported:?}");
 }
--- a/tests/interfaces.rs
+++ b/tests/interfaces.rs
@@ -4,7 +4,7 @@
 mod gateway;
 mod support;
 
-use gateway::Shed;
+use gateway::StandInEndpoints;
 use serde_json::Value;
 use silvertack::config::configuration::Configuration;
 use silvertack::config::settings::{Rollout, Settings};
@@ -232,11 +232,11 @@
 
 #[test]
 fn a_gateway_shows_these_keys_and_answers() {
-    let databases = Shed::start("query", 2).expect("databases");
+    let databases = StandInEndpoints::start("query", 2).expect("databases");
     let machine = Machine::new("shown-gateway", "rollout = \"api\"\n", None);
     let supply = || {
         machine.put("query");
-        eventually("databases", || databases.beat_all(machine.admin, 1));
+        eventually("databases", || databases.send_heartbeats(machine.admin, 1));
         // A heartbeat that is news, and one that is none.
         for (sequence, state) in [(2, "draining"), (3, "available"), (4, "available")] {
             let (path, heartbeat) =
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -1,11 +1,11 @@
 //! Answers and repeats, by processes against databases that misbehave on purpose: how often each
 //! statement or request reached any of them, and whose answer each caller got.
 #[path = "support/gateway.rs"]
-mod shed;
+mod stand_in_endpoints;
 mod support;
 
-use shed::{How, Shed};
 use silvertack::gateway::http1::{ParseError, ParsedHead, parse_response_head};
+use stand_in_endpoints::{Behaviour, StandInEndpoints};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::PathBuf;
@@ -432,7 +432,7 @@
 // ---------------------------------------------------------------------------------------------
 // The gateway
 
-fn start_gateway(databases: &Arc<Shed>) -> Site {
+fn start_gateway(databases: &Arc<StandInEndpoints>) -> Site {
     let route = |prefix: &str, kind: &str| {
         serde_json::json!({
             "name": prefix, "hostname": "shop.example", "path_prefix": prefix, "route_type": kind,
@@ -448,7 +448,7 @@
     .to_string();
     let all = databases.addresses.len();
     let site = start("gateway", "rollout = \"api\"", &configuration, |admin| {
-        eventually("databases", || databases.beat_all(admin, 1));
+        eventually("databases", || databases.send_heartbeats(admin, 1));
     });
     eventually("all databases known", || {
         let (_, body) = http(site.readiness, "GET", "/status", &[], "").expect("status");
@@ -468,20 +468,20 @@
     client.write_all(head.as_bytes()).expect("sent");
     let mut bytes = Vec::new();
     client.read_to_end(&mut bytes).expect("an answer");
-    let ParsedHead { head: told, length } =
-        parse_response_head(&bytes, method).expect("read").expect("whole");
+    let ParsedHead { head: response, length } =
+        parse_response_head(&bytes, method).expect("valid").expect("complete");
     let head = String::from_utf8_lossy(&bytes[..length]).into_owned();
-    (told.status, head, bytes.split_off(length))
+    (response.status, head, bytes.split_off(length))
 }
 
 #[test]
 fn a_request_reaches_a_database_as_often_as_it_may_and_its_answer_is_its_own() {
-    use How::*;
-    let databases = Shed::start("query", 4).expect("databases");
+    use Behaviour::*;
+    let databases = StandInEndpoints::start("query", 4).expect("databases");
     let site = start_gateway(&databases);
     // What the databases do in turn; the status and how often it ran, where it may be repeated and where
     // not.
-    let cases: [(&[How], u16, usize, u16, usize); 16] = [
+    let cases: [(&[Behaviour], u16, usize, u16, usize); 16] = [
         (&[Serve], 200, 1, 200, 1),
         (&[Continue], 200, 1, 200, 1),
         (&[Late(150)], 200, 1, 200, 1),
@@ -489,35 +489,37 @@
         (&[Extra], 200, 1, 200, 1),
         (&[DoubledLate(20)], 200, 1, 200, 1),
         (&[Reset, Serve], 200, 2, 502, 1),
-        (&[CutHead, Serve], 200, 2, 502, 1),
-        (&[CutAfterHead, Serve], 200, 2, 502, 1),
-        (&[Cut, Serve], 200, 2, 502, 1),
+        (&[TruncateHead, Serve], 200, 2, 502, 1),
+        (&[TruncateAfterHead, Serve], 200, 2, 502, 1),
+        (&[Truncate, Serve], 200, 2, 502, 1),
         (&[Hang, Serve], 200, 2, 504, 1),
-        // The slower one's answer comes when the other has won, and to nobody.
+        // The slower response comes when the other has won, and reaches nobody.
         (&[Late(700), Serve], 200, 2, 200, 1),
         (&[Serve], 200, 1, 200, 1),
         // Not run, as the database says; true only while no other may have run it.
         (&[Full, Full], 503, 2, 503, 2),
         (&[FullLarge(100_000), FullLarge(100_000)], 503, 2, 503, 2),
-        (&[CutAfterHead, Full], 502, 2, 502, 1),
+        (&[TruncateAfterHead, Full], 502, 2, 502, 1),
     ];
     for (next, many, many_ran, once, once_ran) in cases {
         for (path, status, runs) in [("/many/x", many, many_ran), ("/once/x", once, once_ran)] {
             for method in ["GET", "HEAD"] {
-                if method == "HEAD" && matches!(next[0], Cut | CutAfterHead | Extra | Hang) {
+                if method == "HEAD"
+                    && matches!(next[0], Truncate | TruncateAfterHead | Extra | Hang)
+                {
                     continue;
                 }
-                eventually("fresh databases", || databases.beat_all(site.admin, 2));
-                databases.will(next);
+                eventually("fresh databases", || databases.send_heartbeats(site.admin, 2));
+                databases.set_behaviours(next);
                 let id = fresh_id();
                 let (got, head, body) = request(&site, method, path, Some(&id));
-                databases.will(&[]);
-                // What follows behind an answer has come by then.
+                databases.set_behaviours(&[]);
+                // What follows behind a response has come by then.
                 std::thread::sleep(Duration::from_millis(50));
-                let ran = databases.ran(&id).len();
+                let ran = databases.received(&id).len();
                 let what = format!("{next:?} {method} {path}");
                 assert_eq!(got, status, "{what}");
-                // A busy machine may make one late, so that it gets company.
+                // A busy machine may make one late, so that it is hedged.
                 let most = if path == "/many/x" { runs.max(3) } else { runs };
                 assert!((runs..=most).contains(&ran), "{what}: ran {ran} times");
                 if got == 200 {
@@ -532,42 +534,46 @@
 
 #[test]
 fn a_promise_is_passed_on_only_while_it_is_true_of_the_whole_request() {
-    use How::*;
-    let databases = Shed::start("query", 1).expect("databases");
+    use Behaviour::*;
+    let databases = StandInEndpoints::start("query", 1).expect("databases");
     let site = start_gateway(&databases);
-    // A rested connection is reset after the request ran, and the second send of it is refused.
+    // A reused connection is reset after the request ran, and the second attempt is refused.
     for second in [FullLarge(100_000), Full] {
         let rested = fresh_id();
         eventually("a connection that rests", || {
             request(&site, "GET", "/many/x", Some(&rested)).0 == 200
         });
-        databases.will(&[Reset, second]);
+        databases.set_behaviours(&[Reset, second]);
         let id = fresh_id();
         let (status, head, _) = request(&site, "GET", "/many/x", Some(&id));
-        databases.will(&[]);
-        let ran = databases.ran(&id).len();
+        databases.set_behaviours(&[]);
+        let ran = databases.received(&id).len();
         assert_eq!((status, ran), (502, 2), "{second:?}: {head}");
-        eventually("fresh databases", || databases.beat_all(site.admin, 3));
+        eventually("fresh databases", || databases.send_heartbeats(site.admin, 3));
     }
-    let two = Shed::start("query", 2).expect("databases");
+    let two = StandInEndpoints::start("query", 2).expect("databases");
     let site = start_gateway(&two);
-    two.will(&[Reset, FullLarge(100_000)]);
+    two.set_behaviours(&[Reset, FullLarge(100_000)]);
     let id = fresh_id();
     let (status, head, _) = request(&site, "GET", "/many/x", Some(&id));
-    assert_eq!((status, two.ran(&id).len()), (502, 2), "{head}");
+    assert_eq!((status, two.received(&id).len()), (502, 2), "{head}");
 }
 
 #[test]
 fn an_answer_too_many_is_no_later_requests_with_or_without_an_id() {
-    let databases = Shed::start("query", 1).expect("databases");
+    let databases = StandInEndpoints::start("query", 1).expect("databases");
     let site = start_gateway(&databases);
     for kind in ["many", "once"] {
         for round in 0..6 {
             for id in [Some(fresh_id()), None] {
-                databases.will(&[How::DoubledLate(if round % 2 == 0 { 0 } else { 15 })]);
+                databases.set_behaviours(&[Behaviour::DoubledLate(if round % 2 == 0 {
+                    0
+                } else {
+                    15
+                })]);
                 let first = format!("/{kind}/first{round}");
                 assert_eq!(request(&site, "GET", &first, id.as_deref()).0, 200, "{first}");
-                databases.will(&[]);
+                databases.set_behaviours(&[]);
                 let next = id.as_ref().map(|_| fresh_id());
                 let second = format!("/{kind}/second{round}");
                 let (status, head, _) = request(&site, "GET", &second, next.as_deref());
--- a/tests/support/gateway.rs
+++ b/tests/support/gateway.rs
@@ -1,4 +1,4 @@
-//! Stand-in databases of a gateway's service: they answer requests over HTTP, and misbehave as told.
+//! Stand-in databases of a gateway's service: they respond over HTTP, and misbehave on request.
 #![allow(dead_code)]
 use silvertack::gateway::http1::{BodyDecoder, ParsedHead, parse_request_head};
 use std::collections::VecDeque;
@@ -10,7 +10,7 @@
 
 /// What the next request meets.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum How {
+pub enum Behaviour {
     Serve,
     Fail,
     /// Not run, and said so.
@@ -19,31 +19,31 @@
     Misdirected,
     /// Run, and the connection closed.
     Reset,
-    /// Half of the answer.
-    Cut,
+    /// Half of the response.
+    Truncate,
     WrongId,
-    Unstamped,
+    Unsigned,
     Nonsense,
-    /// A whole answer and more behind it.
+    /// A complete response and another behind it.
     Extra,
     Chunked,
     Large(usize),
     Hang,
     /// Run, and the connection reset in the head, after the head, or after the whole answer.
-    CutHead,
-    CutAfterHead,
+    TruncateHead,
+    TruncateAfterHead,
     ServeThenReset,
     /// Answered after so many milliseconds, or twice so many apart.
     Late(u64),
     DoubledLate(u64),
-    /// With a word in between first.
+    /// With an interim response first.
     Continue,
     /// Not run, and said so in a body of this size.
     FullLarge(usize),
 }
 
 #[derive(Clone, Debug)]
-pub struct Ran {
+pub struct ReceivedRequest {
     pub database: usize,
     pub connection: usize,
     pub id: String,
@@ -54,19 +54,19 @@
     pub body: Vec<u8>,
 }
 
-pub struct Shed {
+pub struct StandInEndpoints {
     pub service: String,
     pub addresses: Vec<SocketAddr>,
-    next: Mutex<VecDeque<How>>,
-    ran: Mutex<Vec<Ran>>,
+    next: Mutex<VecDeque<Behaviour>>,
+    received: Mutex<Vec<ReceivedRequest>>,
     connections: AtomicUsize,
 }
 
-fn hold<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-impl Shed {
+impl StandInEndpoints {
     pub fn start(service: &str, count: usize) -> std::io::Result<Arc<Self>> {
         let listeners =
             (0..count).map(|_| TcpListener::bind("127.0.0.1:0")).collect::<Result<Vec<_>, _>>()?;
@@ -74,7 +74,7 @@
             service: service.to_owned(),
             addresses: listeners.iter().map(TcpListener::local_addr).collect::<Result<_, _>>()?,
             next: Mutex::default(),
-            ran: Mutex::default(),
+            received: Mutex::default(),
             connections: AtomicUsize::new(0),
         });
         for (database, listener) in listeners.into_iter().enumerate() {
@@ -91,12 +91,12 @@
     pub fn id(&self, database: usize) -> String {
         format!("i-{}-{database}", self.service)
     }
-    pub fn will(&self, next: &[How]) {
-        *hold(&self.next) = next.iter().copied().collect();
+    pub fn set_behaviours(&self, next: &[Behaviour]) {
+        *lock(&self.next) = next.iter().copied().collect();
     }
     /// What reached a database with this id, in order.
-    pub fn ran(&self, id: &str) -> Vec<Ran> {
-        hold(&self.ran).iter().filter(|r| r.id == id).cloned().collect()
+    pub fn received(&self, id: &str) -> Vec<ReceivedRequest> {
+        lock(&self.received).iter().filter(|r| r.id == id).cloned().collect()
     }
     pub fn heartbeat(&self, database: usize, sequence: u64, state: &str) -> String {
         serde_json::json!({
@@ -107,7 +107,7 @@
         .to_string()
     }
     /// One heartbeat of each database.
-    pub fn beat_all(&self, admin: SocketAddr, sequence: u64) -> bool {
+    pub fn send_heartbeats(&self, admin: SocketAddr, sequence: u64) -> bool {
         (0..self.addresses.len()).all(|database| {
             let path = format!("/instances/{}", self.id(database));
             let body = self.heartbeat(database, sequence, "available");
@@ -122,7 +122,7 @@
         let mut bytes = Vec::new();
         let mut chunk = [0; 64 << 10];
         loop {
-            let ParsedHead { head: asked, length } = loop {
+            let ParsedHead { head: request, length } = loop {
                 match parse_request_head(&bytes, 64 << 10) {
                     Ok(Some(found)) => break found,
                     Ok(None) => {}
@@ -136,11 +136,11 @@
             };
             let head = String::from_utf8_lossy(&bytes[..length]).into_owned();
             bytes.drain(..length);
-            let (mut body, mut data) = (BodyDecoder::new(asked.framing), Vec::new());
+            let (mut decoder, mut body) = (BodyDecoder::new(request.framing), Vec::new());
             loop {
-                let used = body.decode(&bytes, &mut data).unwrap_or(0);
-                bytes.drain(..used);
-                if body.is_complete() {
+                let consumed = decoder.decode(&bytes, &mut body).unwrap_or(0);
+                bytes.drain(..consumed);
+                if decoder.is_complete() {
                     break;
                 }
                 let got = stream.read(&mut chunk)?;
@@ -149,73 +149,78 @@
                 }
                 bytes.extend_from_slice(&chunk[..got]);
             }
-            let id = asked.id.clone().unwrap_or_default();
-            let how = hold(&self.next).pop_front().unwrap_or(How::Serve);
-            let line = format!("{} {}", asked.method, asked.target);
-            hold(&self.ran).push(Ran {
+            let id = request.id.clone().unwrap_or_default();
+            let behaviour = lock(&self.next).pop_front().unwrap_or(Behaviour::Serve);
+            let line = format!("{} {}", request.method, request.target);
+            lock(&self.received).push(ReceivedRequest {
                 database,
                 connection,
                 id: id.clone(),
                 line,
                 head,
-                body: data,
+                body,
             });
-            let answer = |status: &str, id: &str, more: &str, body: &str| {
+            let response = |status: &str, id: &str, more: &str, body: &str| {
                 let length = body.len();
                 // Without an id of the request there is none to repeat.
                 let id =
                     if id.is_empty() { String::new() } else { format!("Request-Id: {id}\r\n") };
-                let none = asked.method == "HEAD" || status.starts_with("204");
+                let none = request.method == "HEAD" || status.starts_with("204");
                 let body = if none { "" } else { body };
                 format!(
                     "HTTP/1.1 {status}\r\n{id}X-For: {}\r\nContent-Length: {length}\r\n{more}\r\n{body}",
-                    asked.target
+                    request.target
                 )
             };
-            let stamp = "Response-Signature: s.1\r\n";
-            let good = answer("200 OK", &id, stamp, "the rows");
-            let out = match how {
-                How::Serve => good,
-                How::Fail => answer("500 Oh", &id, stamp, "failed"),
-                How::Full => answer("503 Full", &id, "Not-Executed: 1\r\n", ""),
-                How::Misdirected => answer("421 Other", &id, "Not-Executed: 1\r\n", ""),
-                How::Reset => return stream.shutdown(Shutdown::Both),
-                How::Cut => good[..good.len() - 4].to_owned(),
-                How::WrongId => answer("200 OK", "other", stamp, "not yours"),
-                How::Unstamped => answer("200 OK", &id, "", "no stamp"),
-                How::Nonsense => "\u{1}\u{2} nonsense\r\n\r\n".to_owned(),
-                How::Extra => good.clone() + &good,
-                How::Chunked => format!(
-                    "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\n{stamp}Transfer-Encoding: chunked\r\n\r\n\
+            let signature = "Response-Signature: s.1\r\n";
+            let success = response("200 OK", &id, signature, "the rows");
+            let out = match behaviour {
+                Behaviour::Serve => success,
+                Behaviour::Fail => response("500 Oh", &id, signature, "failed"),
+                Behaviour::Full => response("503 Full", &id, "Not-Executed: 1\r\n", ""),
+                Behaviour::Misdirected => response("421 Other", &id, "Not-Executed: 1\r\n", ""),
+                Behaviour::Reset => return stream.shutdown(Shutdown::Both),
+                Behaviour::Truncate => success[..success.len() - 4].to_owned(),
+                Behaviour::WrongId => response("200 OK", "other", signature, "not yours"),
+                Behaviour::Unsigned => response("200 OK", &id, "", "no stamp"),
+                Behaviour::Nonsense => "\u{1}\u{2} nonsense\r\n\r\n".to_owned(),
+                Behaviour::Extra => success.clone() + &success,
+                Behaviour::Chunked => format!(
+                    "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\n{signature}Transfer-Encoding: chunked\r\n\r\n\
                      4\r\nthe \r\n4\r\nrows\r\n0\r\n\r\n"
                 ),
-                How::Large(size) => answer("200 OK", &id, stamp, &"x".repeat(size)),
-                How::Late(ms) => {
+                Behaviour::Large(size) => response("200 OK", &id, signature, &"x".repeat(size)),
+                Behaviour::Late(ms) => {
                     std::thread::sleep(Duration::from_millis(ms));
-                    good
+                    success
                 }
-                How::DoubledLate(ms) => {
-                    stream.write_all(good.as_bytes())?;
+                Behaviour::DoubledLate(ms) => {
+                    stream.write_all(success.as_bytes())?;
                     std::thread::sleep(Duration::from_millis(ms));
-                    good
+                    success
                 }
-                How::CutHead => good[..20].to_owned(),
-                How::CutAfterHead => good[..good.len() - "the rows".len()].to_owned(),
-                How::ServeThenReset => good,
-                How::Continue => "HTTP/1.1 100 Continue\r\n\r\n".to_owned() + &good,
-                How::FullLarge(size) => {
-                    answer("503 Full", &id, "Not-Executed: 1\r\n", &"x".repeat(size))
+                Behaviour::TruncateHead => success[..20].to_owned(),
+                Behaviour::TruncateAfterHead => {
+                    success[..success.len() - "the rows".len()].to_owned()
                 }
-                How::Hang => {
+                Behaviour::ServeThenReset => success,
+                Behaviour::Continue => "HTTP/1.1 100 Continue\r\n\r\n".to_owned() + &success,
+                Behaviour::FullLarge(size) => {
+                    response("503 Full", &id, "Not-Executed: 1\r\n", &"x".repeat(size))
+                }
+                Behaviour::Hang => {
                     std::thread::sleep(Duration::from_secs(20));
                     return Ok(());
                 }
             };
             stream.write_all(out.as_bytes())?;
-            if how == How::Cut {
+            if behaviour == Behaviour::Truncate {
                 return stream.shutdown(Shutdown::Both);
             }
-            if matches!(how, How::CutHead | How::CutAfterHead | How::ServeThenReset) {
+            if matches!(
+                behaviour,
+                Behaviour::TruncateHead | Behaviour::TruncateAfterHead | Behaviour::ServeThenReset
+            ) {
                 // Once it was read; a reset would take it along.
                 std::thread::sleep(Duration::from_millis(30));
                 return socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
