--- a/src/failover/fencing.rs
+++ b/src/failover/fencing.rs
@@ -140,15 +140,19 @@
         self.resume_replicas(now)
     }
 
-    /// The primary's own answer while the replicas are being paused.
+    /// The primary's own answer, or none, while the replicas are being paused.
     pub(super) fn handle_fenced_primary(
         &mut self,
         snapshot: &ServiceSnapshot,
-        answer: PrimaryAnswer,
+        response: &DatabaseResponse,
         now: Tick,
     ) -> Vec<FailoverAction> {
-        let FailoverState::Fencing(fencing) = &self.state else { return Vec::new() };
-        match (&fencing.planned, answer) {
+        let (FailoverState::Fencing(fencing), Some(record)) =
+            (&self.state, &snapshot.primary_record)
+        else {
+            return Vec::new();
+        };
+        match (&fencing.planned, PrimaryAnswer::of(response, record)) {
             // Nothing was promoted yet, and the alarm was false.
             (None, PrimaryAnswer::Leads) => self.call_off(now),
             (Some(_), PrimaryAnswer::DoesNotLead) => self.fence(snapshot, now),
@@ -157,7 +161,7 @@
     }
 
     /// A database answered a pause or described itself while the replicas are being paused.
-    pub(super) fn handle_fencing_response(
+    pub(super) fn handle_fenced_replica(
         &mut self,
         snapshot: &ServiceSnapshot,
         database: &InstanceId,
@@ -200,7 +204,7 @@
         now: Tick,
     ) -> Vec<FailoverAction> {
         let Some(record) = &snapshot.primary_record else { return Vec::new() };
-        let PrimaryRecord { term: recorded, .. } = *record;
+        let recorded = record.term;
         let (service, primary) = (snapshot.service.clone(), database.clone());
         if term == recorded {
             // It is the recorded primary itself, back under another id.
--- a/src/failover/promotion.rs
+++ b/src/failover/promotion.rs
@@ -1,7 +1,9 @@
 //! From the intent to the new primary: the intent is committed, the platform is called to promote
 //! the target, and once the target leads and the old leases have ended, it becomes the primary.
 
-use super::actions::{Attempt, DatabaseRequest, FailoverAction, PromotionResponse};
+use super::actions::{
+    Attempt, DatabaseRequest, DatabaseResponse, FailoverAction, PromotionResponse,
+};
 use super::state::FailoverState;
 use super::timing::{
     INTENT_RETRY_MS, PROMOTED_TARGET_POLL_MS, PROMOTION_CALL_TIMEOUT_MS, PROMOTION_EFFECT_MS,
@@ -10,7 +12,6 @@
 use super::{Failover, ServiceSnapshot};
 use crate::base::ids::{DbTerm, InstanceId};
 use crate::base::time::Tick;
-use crate::net::statement_protocol::ServerDescription;
 use crate::state_machine::{Command, PrimaryRecord};
 
 /// The calls that promote the target of a committed intent.
@@ -137,15 +138,20 @@
         Vec::new()
     }
 
-    /// The target described itself: if it leads a newer term, the promotion has taken effect.
-    pub(super) fn handle_target_description(
+    /// A database described itself: if it is the target and leads a newer term, the promotion has
+    /// taken effect.
+    pub(super) fn handle_target_response(
         &mut self,
         snapshot: &ServiceSnapshot,
         database: &InstanceId,
-        description: &ServerDescription,
+        response: &DatabaseResponse,
         now: Tick,
     ) -> Vec<FailoverAction> {
-        let FailoverState::Promoting(promotion) = &self.state else { return Vec::new() };
+        let (FailoverState::Promoting(promotion), DatabaseResponse::Description(description)) =
+            (&self.state, response)
+        else {
+            return Vec::new();
+        };
         let newer =
             snapshot.primary_record.as_ref().is_some_and(|record| record.term < description.term);
         if promotion.target == *database && description.primary && newer {
--- a/src/failover/resume.rs
+++ b/src/failover/resume.rs
@@ -7,7 +7,7 @@
 
 use super::actions::{Attempt, DatabaseRequest, DatabaseResponse, FailoverAction};
 use super::timing::{REQUEST_EXPIRED_MS, RESUME_RETRY_MS};
-use super::{Failover, ServiceSnapshot};
+use super::{Failover, FailoverState, ServiceSnapshot};
 use crate::base::ids::{DbTerm, InstanceId};
 use crate::base::time::Tick;
 use std::collections::{BTreeMap, BTreeSet};
@@ -183,7 +183,7 @@
         if matches!(response, DatabaseResponse::Description(_)) {
             self.replicas.confirm_resume(database, attempt, now);
         }
-        let (super::FailoverState::Fencing(fencing), Some(record)) =
+        let (FailoverState::Fencing(fencing), Some(record)) =
             (&self.state, &snapshot.primary_record)
         else {
             return Vec::new();
--- a/src/failover/state.rs
+++ b/src/failover/state.rs
@@ -71,8 +71,8 @@
         }
     }
 
-    /// The replica that isn't paused, or was paused as the chosen one, in the states in which
-    /// replicas that are newly listed have to be paused.
+    /// The replica that takes over, in the states in which all others have to be paused, also those
+    /// that are listed only now.
     fn promotion_target(&self) -> Option<&InstanceId> {
         match self {
             Self::Fencing(fencing) => fencing.target(),
@@ -176,7 +176,7 @@
         self.attempt.number += 1;
     }
 
-    /// Ends the change or the suspicion: the primary is known to be well.
+    /// Ends the change or the suspicion. The primary isn't suspected again for a while.
     pub(super) fn return_to_steady(&mut self, now: Tick) {
         self.state = FailoverState::Steady;
         self.revoking = false;
@@ -212,20 +212,28 @@
             self.record_connected(request);
             return Vec::new();
         }
-        match request {
-            DatabaseRequest::Continue => {
+        match (&self.state, request) {
+            (_, DatabaseRequest::Continue) => {
                 self.handle_resume_response(snapshot, attempt, database, response, now)
             }
-            DatabaseRequest::StepDown(_) => {
-                if let FailoverState::DiscoveringFirstPrimary { .. } = self.state {
-                    self.state = FailoverState::Steady;
-                }
-                Vec::new()
+            (FailoverState::DiscoveringFirstPrimary { .. }, _) => {
+                self.handle_first_primary(snapshot, database, request, response)
+            }
+            (FailoverState::Suspected { .. }, DatabaseRequest::Describe) => {
+                self.handle_suspected_primary(snapshot, database, response, now)
             }
-            DatabaseRequest::Pause(_) => {
-                self.handle_pause_response(snapshot, database, response, now)
+            (FailoverState::Fencing(_), DatabaseRequest::Describe)
+                if snapshot.is_primary(database) =>
+            {
+                self.handle_fenced_primary(snapshot, response, now)
+            }
+            (FailoverState::Fencing(_), DatabaseRequest::Pause(_) | DatabaseRequest::Describe) => {
+                self.handle_fenced_replica(snapshot, database, response, now)
+            }
+            (FailoverState::Promoting(_), DatabaseRequest::Describe) => {
+                self.handle_target_response(snapshot, database, response, now)
             }
-            DatabaseRequest::Describe => self.handle_describe(snapshot, database, response, now),
+            _ => Vec::new(),
         }
     }
 
@@ -249,67 +257,19 @@
         }
     }
 
-    fn handle_pause_response(
-        &mut self,
-        snapshot: &ServiceSnapshot,
-        database: &InstanceId,
-        response: &DatabaseResponse,
-        now: Tick,
-    ) -> Vec<FailoverAction> {
-        match &self.state {
-            FailoverState::Fencing(_) => {
-                self.handle_fencing_response(snapshot, database, response, now)
-            }
-            FailoverState::DiscoveringFirstPrimary { .. } => {
-                self.state = FailoverState::Steady;
-                Vec::new()
-            }
-            _ => Vec::new(),
-        }
-    }
-
-    /// A database answered, or didn't answer, a request to describe itself.
-    fn handle_describe(
-        &mut self,
-        snapshot: &ServiceSnapshot,
-        database: &InstanceId,
-        response: &DatabaseResponse,
-        now: Tick,
-    ) -> Vec<FailoverAction> {
-        let primary = snapshot.primary_record.as_ref().filter(|r| r.primary == *database);
-        match (&self.state, response) {
-            (FailoverState::DiscoveringFirstPrimary { .. }, _) => {
-                self.handle_first_primary(snapshot, database, response)
-            }
-            (FailoverState::Suspected { .. }, _) => match primary {
-                Some(record) => self.handle_suspected_primary(snapshot, record, response, now),
-                None => Vec::new(),
-            },
-            (FailoverState::Fencing(_), _) => match primary {
-                Some(record) => {
-                    let answer = PrimaryAnswer::of(response, record);
-                    self.handle_fenced_primary(snapshot, answer, now)
-                }
-                None => self.handle_fencing_response(snapshot, database, response, now),
-            },
-            (FailoverState::Promoting(_), DatabaseResponse::Description(description)) => {
-                self.handle_target_description(snapshot, database, description, now)
-            }
-            _ => Vec::new(),
-        }
-    }
-
     /// The answer of the database that reported to be the first primary: it is recorded with the
-    /// term that it says it leads.
+    /// term that it says it leads. Any other answer ends the discovery, and the next heartbeat of a
+    /// primary begins it again.
     fn handle_first_primary(
         &mut self,
         snapshot: &ServiceSnapshot,
         database: &InstanceId,
+        request: DatabaseRequest,
         response: &DatabaseResponse,
     ) -> Vec<FailoverAction> {
         self.state = FailoverState::Steady;
-        match response {
-            DatabaseResponse::Description(description)
+        match (request, response) {
+            (DatabaseRequest::Describe, DatabaseResponse::Description(description))
                 if description.primary && snapshot.primary_record.is_none() =>
             {
                 let (service, primary) = (snapshot.service.clone(), database.clone());
@@ -351,8 +311,8 @@
         }
     }
 
-    /// Goes on with what is due. The controller calls this at intervals, and at once when
-    /// something of the service was committed or when leases ended.
+    /// Goes on with what is due. The controller calls this at intervals, more often while a change is
+    /// under way, and at once when a heartbeat or a change of the primary was committed.
     pub fn tick(&mut self, snapshot: &ServiceSnapshot, now: Tick) -> Vec<FailoverAction> {
         let Some(record) = &snapshot.primary_record else {
             self.tick_without_primary(now);
@@ -423,7 +383,7 @@
         {
             return self.plan_change(snapshot, record.term, PlannedCause::Draining, now);
         }
-        if !snapshot.alive.contains(id) && self.suspicion.missing_heartbeats_count(now) {
+        if !snapshot.alive.contains(id) && self.suspicion.heeds_missing_heartbeats(now) {
             return self.suspect_primary(id, now);
         }
         Vec::new()
--- a/src/failover/suspicion.rs
+++ b/src/failover/suspicion.rs
@@ -31,7 +31,7 @@
 pub(super) struct Suspicion {
     /// Poolers whose requests the primary left unanswered since it was last known to be well.
     silent_reporters: BTreeSet<NodeName>,
-    /// When the primary last described itself, or a new one took over.
+    /// When the primary last described itself, or a change last ended.
     verified_at: Option<Tick>,
     /// When a replacement of a slow or unsteady primary was last tried.
     slow_replacement_at: Option<Tick>,
@@ -52,14 +52,14 @@
         self.silent_reporters.clear();
     }
 
-    /// The primary is known to be well.
+    /// The primary described itself, or a change has ended.
     pub(super) fn record_verified(&mut self, now: Tick) {
         self.clear_reporters();
         self.verified_at = Some(now);
     }
 
     /// Whether a primary without heartbeats is to be suspected; not right after it answered.
-    pub(super) fn missing_heartbeats_count(&self, now: Tick) -> bool {
+    pub(super) fn heeds_missing_heartbeats(&self, now: Tick) -> bool {
         self.verified_at.is_none_or(|at| now.since(at) > MISSING_HEARTBEATS_IGNORED_MS)
     }
 
@@ -144,11 +144,15 @@
     pub(super) fn handle_suspected_primary(
         &mut self,
         snapshot: &ServiceSnapshot,
-        record: &PrimaryRecord,
+        database: &InstanceId,
         response: &DatabaseResponse,
         now: Tick,
     ) -> Vec<FailoverAction> {
         let FailoverState::Suspected { since, .. } = self.state else { return Vec::new() };
+        let record = snapshot.primary_record.as_ref();
+        let Some(record) = record.filter(|r| r.primary == *database) else {
+            return Vec::new();
+        };
         if PrimaryAnswer::of(response, record) == PrimaryAnswer::Leads {
             // It answered late, or rejected even this request.
             let slow =
