--- a/tests/pooler.rs
+++ b/tests/pooler.rs
@@ -347,7 +347,7 @@
     assert_eq!(client.ask("n8", "STORE a four"), "stamped T");
     lose();
     assert_eq!(client.ask("n8", "COMMIT"), "UNKNOWN I");
-    // Reads that may be a little old leave the primary alone.
+    // Reads that may be a little old go to a replica.
     let mut loose = Client::ready(system, "loose");
     assert_eq!(loose.ask("r1", "FETCH a"), "four stamped I");
     assert_ne!(databases.last_database("r1"), Some(0));
@@ -359,7 +359,7 @@
     drop(client);
     let mut again = Client::ready(system, "strict");
     assert_eq!(again.ask("n10", "FETCH a"), "four stamped I");
-    // One that rests for too long in a transaction is let go, with its connection.
+    // One that is idle for too long in a transaction is closed, with its connection.
     assert_eq!(again.ask("n11", "BEGIN"), "done T");
     assert_eq!(again.ask("n11", "FETCH a"), "four stamped T");
     let start = Instant::now();
@@ -394,7 +394,7 @@
     assert!(code == Some(2) && errors.contains("heartbeat_ms"), "{errors}");
 }
 
-/// With no leader nothing is confirmed, and sessions with nothing under way are sent elsewhere; the
+/// With no leader nothing is confirmed, and idle sessions are closed to go elsewhere; the
 /// controller comes back with all that it had.
 fn without_a_leader(system: &mut System, folder: &std::path::Path) {
     let mut idle = Client::ready(system, "strict");
@@ -405,7 +405,7 @@
     assert_eq!(idle.line(), "", "closed, not held");
     assert!(start.elapsed() > Duration::from_millis(1_000), "not for a moment without a leader");
     let mut new = Client::open(system, "strict");
-    assert_eq!(new.line(), "", "turned away at once");
+    assert_eq!(new.line(), "", "rejected at once");
     system.controller = Some(run("controller", &folder.join("node.toml")));
     eventually("the configuration again", || {
         http(system.admin, "GET", "/configuration", &[], "").is_ok_and(|(_, body)| body == before)
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -160,7 +160,7 @@
     }
 }
 
-/// Opens a session and says what comes before the statement in question. Tried anew where a busy
+/// Opens a session and sends what comes before the statement in question. Tried again where a busy
 /// machine got between; `None` if one of them was not answered with success.
 fn prepared(site: &Site, route: &str, id: &str, before: &[&str]) -> Option<Session> {
     let mut session = Session::open(site, route)?;
@@ -169,18 +169,18 @@
 }
 
 #[test]
-fn no_statement_is_run_twice_that_may_be_kept_and_no_answer_is_anothers() {
+fn no_statement_is_run_twice_that_may_be_committed_and_no_answer_is_anothers() {
     let databases = StandIn::start("ledger", 3).expect("databases");
     let site = start_pooler(&databases);
     let all = [Silence, Late(60), ResetBefore, ResetAfter, ResetWithin, Doubled];
     // What goes before, the statement, and for each fault in turn how it must end.
     let unknown = "UNKNOWN I";
     let cases: [(&[&str], &str, [&str; 6]); 6] = [
-        // Nothing is kept and nothing was shown: run again, silently.
+        // Nothing is committed and nothing was shown: a silent retry.
         (&[], "FETCH a", ["own I"; 6]),
         (&["BEGIN"], "FETCH a", ["own T"; 6]),
         (&["BEGIN"], "STORE a a", ["own T"; 6]),
-        // It may be kept: sent once, and its outcome is open.
+        // It may be committed: sent once, and its outcome is unknown.
         (&[], "STORE a a", [unknown, "own I", unknown, unknown, unknown, unknown]),
         (&["BEGIN", "STORE a a"], "COMMIT", [unknown, "own I", unknown, unknown, unknown, unknown]),
         // Its transaction was shown, and is gone.
@@ -199,15 +199,15 @@
     ];
     for (before, text, ends) in cases {
         let last = !(text == "FETCH a" && before.len() < 2) && before != ["BEGIN"];
-        for (mishap, end) in all.into_iter().zip(ends) {
-            let what = format!("{before:?} {text} {mishap:?}");
+        for (fault, end) in all.into_iter().zip(ends) {
+            let what = format!("{before:?} {text} {fault:?}");
             let (got, row, reached) = (0..20)
                 .find_map(|_| {
                     let (early, id) = (fresh_id(), fresh_id());
                     let mut session = prepared(&site, "short", &early, before)?;
-                    databases.will(&id, &[mishap]);
+                    databases.will(&id, &[fault]);
                     let (got, row) = session.ask(&id, text);
-                    // Not sent at all, as the primary was just doubted.
+                    // Not sent at all, as the primary was just suspected.
                     let sent = databases.reached(&id) > 0;
                     sent.then(|| (got, row, databases.reached(&id)))
                 })
@@ -222,7 +222,7 @@
     }
 }
 
-/// One statement on a session of its own, tried anew where the machine was too busy to serve it.
+/// One statement on a session of its own, tried again where the machine was too busy to serve it.
 fn served(site: &Site, route: &str, text: &str) -> (String, (String, String)) {
     for _ in 0..20 {
         let id = fresh_id();
@@ -246,7 +246,7 @@
     };
     stored("b");
     let own = |thing: &str| ("own I".to_owned(), thing.to_owned());
-    // A second answer that lies on the resting connection when another session borrows it.
+    // A second answer that lies on the idle connection when another session acquires it.
     for route in ["strict", "loose"] {
         for _ in 0..4 {
             let id = fresh_id();
@@ -265,23 +265,23 @@
     std::thread::sleep(Duration::from_millis(60));
     assert_eq!(session.ask(&id, "FETCH b").0, "ROLLEDBACK I");
     assert_eq!(databases.reached(&id), 0, "the connection was used no more");
-    // The set-up that goes ahead: an answer too many to it is no answer to the statement behind.
+    // The settings sent ahead: an answer too many to one is no answer to the statement behind.
     for (word, before, ends) in [
         ("BEGIN", &["BEGIN"][..], "own T"),
         ("CONFIGURE", &["CONFIGURE tenant x"][..], "own I"),
         ("PREPARE", &["PREPARE p FETCH shape"][..], "own I"),
     ] {
         let text = if word == "PREPARE" { "EXECUTE p b" } else { "FETCH b" };
-        for mishap in [Doubled, DoubledLate(30), ResetBefore, ResetWithin, Silence] {
+        for fault in [Doubled, DoubledLate(30), ResetBefore, ResetWithin, Silence] {
             let (early, id) = (fresh_id(), fresh_id());
             let mut session = prepared(&site, "strict", &early, before).expect("open");
-            databases.will(word, &[mishap]);
+            databases.will(word, &[fault]);
             let got = session.ask(&id, text);
-            assert_eq!(got, (ends.to_owned(), "b".to_owned()), "{word} {mishap:?}");
+            assert_eq!(got, (ends.to_owned(), "b".to_owned()), "{word} {fault:?}");
             databases.will(word, &[]);
         }
     }
-    // A connection that was reset while it rested: nothing was sent, so a write goes on another.
+    // A connection that was reset while idle: nothing was sent, so a write goes on another.
     for _ in 0..3 {
         let id = fresh_id();
         databases.will(&id, &[ResetThen]);
@@ -293,7 +293,7 @@
     }
     // Also where many were reset at once, more than a statement is run again.
     let mut open = Vec::new();
-    // Who waits is given a larger share.
+    // Who waits is given a larger quota.
     eventually("seven connections", || {
         open.extend(prepared(&site, "strict", &fresh_id(), &["BEGIN", "FETCH a"]));
         open.len() == 7
@@ -327,7 +327,7 @@
 }
 
 #[test]
-fn in_a_crowd_each_session_hears_its_own_answers() {
+fn in_a_crowd_each_session_gets_its_own_answers() {
     let databases = StandIn::start("ledger", 3).expect("databases");
     let site = start_pooler(&databases);
     std::thread::scope(|threads| {
@@ -383,7 +383,7 @@
 }
 
 #[test]
-fn what_was_laid_on_in_a_transaction_that_is_gone_is_laid_on_anew() {
+fn settings_sent_in_a_transaction_that_is_gone_are_sent_anew() {
     let databases = StandIn::start("ledger", 2).expect("databases");
     let site = start_pooler(&databases);
     for round in 0..3 {
