--- a/src/lib.rs
+++ b/src/lib.rs
@@ -9,6 +9,7 @@
 pub mod gateway;
 pub mod leases;
 pub mod net;
+pub mod node;
 pub mod pooler;
 pub mod raft;
 pub mod simulation;
--- a/src/pooler/process.rs
+++ b/src/pooler/process.rs
@@ -7,6 +7,8 @@
 use crate::net::http;
 use crate::net::rpc::pooler_messages::ToController;
 use crate::net::sockets::listen;
+use crate::node::grace_period::GracePeriod;
+use crate::node::listeners::{accept_clients, required_listener};
 use crate::pooler::server::Pooler;
 use crate::pooler::sessions::CloseScope;
 use log::info;
@@ -28,16 +30,6 @@
 /// How often a pooler that can't serve yet looks whether it can, in ms.
 const STARTUP_WAIT_MS: u64 = 50;
 
-/// The pause after a connection could not be accepted, which happens when no descriptor is left.
-const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(20);
-
-/// The platform looks at readiness each second and needs two misses, so new sessions come for so
-/// long after the start of draining, in ms.
-const READINESS_NOTICED_MS: u64 = 2_300;
-
-/// The process ends so long before the end of its grace period, in ms.
-const EXIT_MARGIN_MS: u64 = 300;
-
 /// Runs a pooler until it is told to end. `path` is where the settings were read from.
 ///
 /// # Errors
@@ -45,8 +37,8 @@
 /// or descriptor left.
 pub fn run(path: PathBuf, settings: Settings) -> Result<(), Fatal> {
     let watched = Watched::new(path);
-    let clients_at = required(settings.listeners.frontend, "frontend")?;
-    let readiness_at = required(settings.listeners.readiness, "readiness")?;
+    let clients_at = required_listener(settings.listeners.frontend, "frontend", "pooler")?;
+    let readiness_at = required_listener(settings.listeners.readiness, "readiness", "pooler")?;
     let signals = Signals::install().map_err(|e| Fatal::Call(e.to_string()))?;
     let pooler = Arc::new(Pooler::new(&settings)?);
     let mut process = Process { pooler, signals, watched, settings };
@@ -61,10 +53,6 @@
     Ok(())
 }
 
-fn required(listener: Option<SocketAddr>, name: &str) -> Result<SocketAddr, Fatal> {
-    listener.ok_or_else(|| Fatal::Settings(format!("listeners.{name} is needed by a pooler")))
-}
-
 struct Process {
     pooler: Arc<Pooler>,
     signals: Signals,
@@ -114,14 +102,7 @@
         let pooler = Arc::clone(&self.pooler);
         must_start("sessions", move || pooler.run_worker())?;
         let pooler = Arc::clone(&self.pooler);
-        must_start("clients", move || {
-            for stream in listener.incoming() {
-                match stream {
-                    Ok(stream) => pooler.admit(stream),
-                    Err(_) => std::thread::sleep(ACCEPT_ERROR_PAUSE),
-                }
-            }
-        })
+        accept_clients(listener, move |stream| pooler.admit(stream))
     }
 
     /// Renews leases and checks sessions until the process is told to end and has drained.
@@ -150,17 +131,18 @@
         }
     }
 
-    /// One step of draining, after so many ms of it. True when the process is to end.
+    /// One step of draining. True when the process is to end.
     fn drain(&self, elapsed_ms: u64) -> bool {
         let grace_ms = self.settings.timing_bounds.grace_s * 1_000;
-        if elapsed_ms < READINESS_NOTICED_MS.min(grace_ms / 3) {
+        let grace = GracePeriod { elapsed_ms, grace_ms };
+        if grace.clients_still_come() {
             return false;
         }
         self.pooler.close_idle_from.store(0, Ordering::Relaxed);
         // In the second half of the grace period idle transactions are given up as well.
-        let scope = if elapsed_ms > grace_ms / 2 { CloseScope::Waiting } else { CloseScope::Idle };
+        let scope = if grace.is_half_over() { CloseScope::Waiting } else { CloseScope::Idle };
         let open = self.pooler.close_sessions(scope);
-        if open > 0 && elapsed_ms + EXIT_MARGIN_MS <= grace_ms {
+        if open > 0 && !grace.is_over() {
             return false;
         }
         self.pooler.send_to_leader(ToController::Goodbye);
