--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -11,8 +11,10 @@
 use crate::net::http;
 use crate::net::rpc::pooler_messages::ToController;
 use crate::net::sockets::listen;
+use crate::node::grace_period::GracePeriod;
+use crate::node::listeners::{accept_clients, required_listener};
 use log::info;
-use std::net::{SocketAddr, TcpListener};
+use std::net::TcpListener;
 use std::path::PathBuf;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -27,16 +29,6 @@
 /// The time between two rounds of maintenance while draining.
 const DRAINING_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The wait after a client could not be accepted, most likely for lack of file descriptors.
-const ACCEPT_RETRY: Duration = Duration::from_millis(20);
-
-/// How long new clients may come after draining began, in milliseconds. The platform probes
-/// readiness each second and needs two failures.
-const READINESS_NOTICED_MS: u64 = 2_300;
-
-/// How long before the end of the grace period the process ends in any case, in milliseconds.
-const GRACE_MARGIN_MS: u64 = 300;
-
 /// Runs a gateway until it is told to end. `path` is the settings file, which is read again when it
 /// has changed.
 ///
@@ -44,8 +36,8 @@
 /// If a listener or thread that it can't do without is not to be had, or the settings name none.
 pub fn run(path: PathBuf, settings: Settings) -> Result<(), Fatal> {
     let mut watched = Watched::new(path);
-    let frontend = required_listener(settings.listeners.frontend, "frontend")?;
-    let readiness = required_listener(settings.listeners.readiness, "readiness")?;
+    let frontend = required_listener(settings.listeners.frontend, "frontend", "gateway")?;
+    let readiness = required_listener(settings.listeners.readiness, "readiness", "gateway")?;
     let signals = Signals::install().map_err(|e| Fatal::Call(e.to_string()))?;
     let gateway = Arc::new(Gateway::new(&settings)?);
     let (ready, status) = (Arc::clone(&gateway), Arc::clone(&gateway));
@@ -61,10 +53,6 @@
     Ok(())
 }
 
-fn required_listener(address: Option<SocketAddr>, name: &str) -> Result<SocketAddr, Fatal> {
-    address.ok_or_else(|| Fatal::Settings(format!("listeners.{name} is needed by a gateway")))
-}
-
 /// How waiting for a configuration has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Startup {
@@ -93,14 +81,7 @@
 fn start_serving(gateway: &Arc<Gateway>, listener: TcpListener) -> Result<(), Fatal> {
     gateway.listening.store(true, Ordering::Relaxed);
     let accepting = Arc::clone(gateway);
-    must_start("clients", move || {
-        for stream in listener.incoming() {
-            match stream {
-                Ok(stream) => accepting.admit_client(stream),
-                Err(_) => std::thread::sleep(ACCEPT_RETRY),
-            }
-        }
-    })?;
+    accept_clients(listener, move |stream| accepting.admit_client(stream))?;
     let watching = Arc::clone(gateway);
     must_start("idle clients", move || {
         watching.idle_clients.watch(|client| watching.serve_on_thread(client));
@@ -150,7 +131,8 @@
 
 /// Goes on with a graceful shutdown that began `elapsed_ms` milliseconds ago.
 fn drain(gateway: &Gateway, elapsed_ms: u64, grace_ms: u64) -> Drain {
-    if elapsed_ms < READINESS_NOTICED_MS.min(grace_ms / 3) {
+    let grace = GracePeriod { elapsed_ms, grace_ms };
+    if grace.clients_still_come() {
         return Drain::InProgress;
     }
     // Idle clients are disconnected; requests that were received are still served.
@@ -159,7 +141,7 @@
     for client in clients.iter().filter(|client| client.idle_since().is_some()) {
         client.stop_reading();
     }
-    if !clients.is_empty() && elapsed_ms + GRACE_MARGIN_MS <= grace_ms {
+    if !clients.is_empty() && !grace.is_over() {
         return Drain::InProgress;
     }
     gateway.leader.tell(ToController::Goodbye);
