--- a/src/net/rpc/raft_messages.rs
+++ b/src/net/rpc/raft_messages.rs
@@ -1,41 +1,52 @@
-//! The consensus messages between controllers.
+//! The consensus messages between controllers, and the log entries and snapshots they carry.
+//!
+//! The Raft core in [`crate::raft`] makes and handles them; [`crate::net::rpc`] frames them. They are
+//! written by `rmp-serde`: structs as arrays, so the order and number of fields is fixed, and enum
+//! variants by the name they had first. Log entries and snapshots are stored on disk in this form.
 use crate::base::ids::{LogIndex, MemberId, NodeName, Term};
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
 use std::net::SocketAddr;
 
-/// One controller, as the replicated list of members holds it.
+/// One controller, as the replicated membership holds it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
+    /// The member's id, drawn anew for each new disk.
     pub id: MemberId,
+    /// The machine it runs on.
     pub node: NodeName,
+    /// Where it accepts messages from other controllers and from poolers.
     pub peer: SocketAddr,
+    /// Where it serves the admin interface. It also tells machines apart: see
+    /// [`RaftNode::next_membership_change`](crate::raft::node::RaftNode::next_membership_change).
     pub admin: SocketAddr,
+    /// It votes and counts for quorums; otherwise it is a learner.
     pub voter: bool,
-    /// It has a disk that counts. One without is in no list and only points at the leader.
-    #[serde(default = "yes")]
+    /// It has a durable disk. A process without one is never a member and only asks for the leader.
+    #[serde(default = "default_can_vote")]
     pub can_vote: bool,
 }
 
-fn yes() -> bool {
+/// Programs from before this field have a durable disk.
+fn default_can_vote() -> bool {
     true
 }
 
-/// The answer to a wish to join.
+/// The answer to a process that asks to join, or whether it is still a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JoinResponse {
-    /// Not the leader; perhaps this one is.
+    /// The sender is not the leader; this is the leader's peer address if it is known.
     #[serde(rename = "Elsewhere")]
     NotLeader(Option<SocketAddr>),
-    /// It will be taken in.
+    /// The request is accepted: the process will be added to the members.
     #[serde(rename = "Noted")]
     Accepted,
-    /// It is a member, or needs to be none; the one that says so leads.
+    /// The process is a member, or never becomes one as it can't vote. The sender is the leader.
     #[serde(rename = "Listed")]
     Current,
-    /// It was one and is not any more.
+    /// The process was a member and has been removed.
     Removed,
-    /// Nobody is there yet: it is to found the Raft group.
+    /// There is no cluster yet: the process is to found it.
     #[serde(rename = "Found")]
     FoundCluster,
 }
@@ -54,10 +65,14 @@
     pub index: LogIndex,
 }
 
+/// An entry of the replicated log (the Raft paper, section 5.3).
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LogEntry {
+    /// The term of the leader that created it.
     pub term: Term,
+    /// Its place in the log, counted from 1.
     pub index: LogIndex,
+    /// What it changes.
     pub payload: EntryPayload,
 }
 
@@ -97,77 +112,124 @@
     }
 }
 
+/// What a log entry changes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum EntryPayload {
-    /// A new leader's first entry.
+    /// The first entry of a new leader's term, which lets it commit those before (the Raft paper,
+    /// section 8).
     #[serde(rename = "Opened")]
     NoOp,
+    /// The members from this entry on.
     #[serde(rename = "Members")]
     Membership(Vec<Member>),
-    /// A change of the StateMachine, as its own module encodes it.
+    /// A command to the state machine, as `state_machine` encodes it.
     #[serde(rename = "Change")]
     Command(ByteBuf),
 }
 
+/// A message between two members of the group.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RaftMessage {
+    /// The sender.
     pub from: MemberId,
+    /// The sender's term; in a pre-vote and its grant, the term that the candidate wants to lead.
     pub term: Term,
+    /// What it asks or answers.
     pub kind: RaftMessageKind,
 }
 
+/// The content of a [`RaftMessage`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum RaftMessageKind {
+    /// A candidate asks for a vote (the Raft paper, section 5.2).
     #[serde(rename = "AskVote")]
     RequestVote {
-        /// A try only: nobody's vote is spent and no term moves.
+        /// A pre-vote (the dissertation, section 9.6): no vote is spent and no term changes.
         pre_vote: bool,
-        /// The old leader itself asked for this election.
+        /// The leader itself asked for this election (the dissertation, section 3.10).
         leadership_transfer: bool,
-        /// The asker led the term before this one, and does so no more.
+        /// The candidate led the term before this one and has stepped down.
         led_previous_term: bool,
+        /// The end of the candidate's log (the Raft paper, section 5.4.1).
         last_log: LogPosition,
     },
+    /// The answer to `RequestVote`.
     #[serde(rename = "Vote")]
-    VoteResponse { pre_vote: bool, granted: bool },
+    VoteResponse {
+        /// It answers a pre-vote.
+        pre_vote: bool,
+        /// Whether the candidate has the vote.
+        granted: bool,
+    },
+    /// The leader's entries; without any, a heartbeat (the Raft paper, section 5.3).
     #[serde(rename = "Append")]
     AppendEntries {
+        /// The entry before the first of `entries`.
         previous: LogPosition,
+        /// Entries without gaps.
         entries: Vec<LogEntry>,
+        /// The leader's commit index.
         commit_index: LogIndex,
-        /// The leader's clock when it sent this, handed back by the answer.
+        /// The leader's clock when it sent this, in milliseconds; returned by the answer.
         sent_at: u64,
     },
+    /// The answer to `AppendEntries` and `InstallSnapshot`.
     #[serde(rename = "Appended")]
     AppendResponse {
-        /// The last entry known to agree, or where to look next when `ok` is false.
+        /// The last entry on the follower's disk that is known to agree; without `success`, the
+        /// newest one that may agree.
         match_index: LogIndex,
+        /// The follower's log holds the leader's previous entry.
         success: bool,
+        /// The time that the answered message carried.
         sent_at: u64,
     },
+    /// The leader's snapshot, for a follower that lacks compacted entries (the Raft paper, section
+    /// 7).
     #[serde(rename = "Snapshot")]
-    InstallSnapshot { snapshot: Snapshot, sent_at: u64 },
+    InstallSnapshot {
+        /// The snapshot.
+        snapshot: Snapshot,
+        /// The leader's clock when it sent this, in milliseconds; returned by the answer.
+        sent_at: u64,
+    },
+    /// The leader asks the receiver to start an election at once (the dissertation, section 3.10).
     #[serde(rename = "TakeOver")]
     TimeoutNow,
-    /// A part of a message too large to go at once: of an `Append` or a `Snapshot`, encoded. Only to
-    /// members that read layout 2; the next follows once this one is answered.
+    /// A chunk of an encoded `AppendEntries` or `InstallSnapshot` that is too large to go at once.
+    /// Sent only to members that read frame layout 2; the next follows once this one is answered.
     #[serde(rename = "Part")]
     Chunk {
-        /// Told apart within the sender's term.
+        /// The transfer's number, unique within the leader's term.
         transfer_id: u64,
+        /// The size of the whole encoded message in bytes.
         total_size: u64,
+        /// Where in the message this chunk begins.
         offset: u64,
+        /// The chunk.
         bytes: ByteBuf,
+        /// The leader's clock when it sent this, in milliseconds; returned by the answer.
         sent_at: u64,
     },
-    /// So many bytes of that transfer are here without a gap.
+    /// The answer to `Chunk`.
     #[serde(rename = "PartTaken")]
-    ChunkResponse { transfer_id: u64, received: u64, sent_at: u64 },
+    ChunkResponse {
+        /// The transfer.
+        transfer_id: u64,
+        /// How many bytes of the message have arrived without a gap.
+        received: u64,
+        /// The time that the answered chunk carried.
+        sent_at: u64,
+    },
 }
 
+/// The state that stands for a compacted part of the log (the Raft paper, section 7).
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
+    /// The last entry that the snapshot covers.
     pub last_included: LogPosition,
+    /// The members as of that entry.
     pub members: Vec<Member>,
+    /// The state machine after that entry, as `state_machine` encodes it.
     pub state: ByteBuf,
 }
--- a/src/raft/node.rs
+++ b/src/raft/node.rs
@@ -1,9 +1,10 @@
 //! The Raft core: one member of the group, driven by messages and the time handed in.
 //!
-//! The controller calls [`RaftNode::step`] with each message that arrives and [`RaftNode::tick`] when
-//! [`RaftNode::next_tick_at`] has come. After either it takes the messages from `outbox` and saves
-//! what `unsaved` names, in the order that [`LogPersister`](super::persister::LogPersister) keeps.
-//! The rules themselves are in the sibling modules.
+//! The controller calls [`RaftNode::step`] with each message that arrives and [`RaftNode::tick`]
+//! when [`RaftNode::next_tick_at`] has come. After either it takes the messages from `outbox` and
+//! saves what `unsaved` names, in the order that
+//! [`LogPersister`](super::persister::LogPersister) keeps. The rules themselves are in the sibling
+//! modules.
 use super::chunked_transfer::{Chunk, ChunkedReceive};
 use super::election::{Campaign, LeadershipTransfer, VoteRequest};
 use super::follower::{PendingAck, STALE_TERM_RESPONSE};
