--- a/tests/raft.rs
+++ b/tests/raft.rs
@@ -1,4 +1,4 @@
-//! Controllers in a box: time and the network are the test's.
+//! The Raft core, its storage and its persister, in simulated time and on a simulated network.
 use serde_bytes::ByteBuf;
 use silvertack::base::ids::{LogIndex, MemberId, NodeName, Term};
 use silvertack::base::time::Tick;
@@ -26,7 +26,7 @@
         can_vote: true,
     }
 }
-fn founder(id: u64, of: u64) -> PersistentState {
+fn initial_state(id: u64, of: u64) -> PersistentState {
     let members = (1..=of).map(|i| member(i, true)).collect();
     PersistentState {
         member_id: MemberId(id),
@@ -34,75 +34,85 @@
         ..PersistentState::default()
     }
 }
-fn change(n: u8) -> EntryPayload {
+fn command(n: u8) -> EntryPayload {
     EntryPayload::Command(ByteBuf::from(vec![n]))
 }
 
-/// Different spreads, so that elections do not tie.
-const SPREADS: [fn() -> u64; 5] = [|| 10, || 130, || 250, || 370, || 70];
+/// Different election timeouts, so that votes do not split.
+const RANDOM_NUMBERS: [fn() -> u64; 5] = [|| 10, || 130, || 250, || 370, || 70];
 
-/// Controllers, what is under way between them, and who can't be reached.
-struct Orchard {
+/// Controllers, the messages in flight between them, and who is partitioned.
+struct TestCluster {
     now: Tick,
-    hedges: BTreeMap<u64, RaftNode>,
+    nodes: BTreeMap<u64, RaftNode>,
     /// What each has on disk; a message leaves only after it.
     disks: BTreeMap<u64, PersistentState>,
-    wire: VecDeque<(MemberId, RaftMessage)>,
-    cut: BTreeSet<u64>,
+    network: VecDeque<(MemberId, RaftMessage)>,
+    partitioned: BTreeSet<u64>,
 }
-impl Orchard {
+impl TestCluster {
     fn new(count: u64) -> Self {
         let now = Tick(1_000);
-        let hedges = (1..=count)
-            .map(|i| (i, RaftNode::new(founder(i, count), false, now, SPREADS[i as usize - 1])))
+        let nodes = (1..=count)
+            .map(|i| {
+                (
+                    i,
+                    RaftNode::new(
+                        initial_state(i, count),
+                        false,
+                        now,
+                        RANDOM_NUMBERS[i as usize - 1],
+                    ),
+                )
+            })
             .collect();
         let mut this = Self {
             now,
-            hedges,
+            nodes,
             disks: BTreeMap::new(),
-            wire: VecDeque::new(),
-            cut: BTreeSet::new(),
+            network: VecDeque::new(),
+            partitioned: BTreeSet::new(),
         };
-        this.settle();
+        this.deliver_all();
         this
     }
-    fn settle(&mut self) {
+    fn deliver_all(&mut self) {
         for _ in 0..10_000 {
-            for (id, raft) in &mut self.hedges {
+            for (id, raft) in &mut self.nodes {
                 if std::mem::take(&mut raft.unsaved) != UnsavedChanges::default()
                     || !self.disks.contains_key(id)
                 {
                     self.disks.insert(*id, raft.state.clone());
                     raft.log_persisted(raft.last_position());
                 }
-                let from_cut = self.cut.contains(id);
-                self.wire.extend(raft.outbox.drain(..).filter(|_| !from_cut));
+                let from_partitioned = self.partitioned.contains(id);
+                self.network.extend(raft.outbox.drain(..).filter(|_| !from_partitioned));
             }
-            let Some((to, message)) = self.wire.pop_front() else {
+            let Some((to, message)) = self.network.pop_front() else {
                 return;
             };
-            if let Some(raft) = self.hedges.get_mut(&to.0)
-                && !self.cut.contains(&to.0)
+            if let Some(raft) = self.nodes.get_mut(&to.0)
+                && !self.partitioned.contains(&to.0)
             {
                 raft.step(message, self.now);
             }
         }
-        panic!("the controllers never come to rest");
+        panic!("the controllers exchange messages without end");
     }
     fn run(&mut self, ms: u64) {
         for _ in 0..ms / 10 {
             self.now = self.now.plus(10);
-            for raft in self.hedges.values_mut() {
+            for raft in self.nodes.values_mut() {
                 raft.tick(self.now);
             }
-            self.settle();
+            self.deliver_all();
         }
     }
     fn leaders(&self) -> Vec<u64> {
         let now = self.now;
-        self.hedges.iter().filter(|(_, h)| h.holds_leader_lease(now)).map(|(id, _)| *id).collect()
+        self.nodes.iter().filter(|(_, h)| h.holds_leader_lease(now)).map(|(id, _)| *id).collect()
     }
-    fn lead(&mut self) -> u64 {
+    fn elect_leader(&mut self) -> u64 {
         self.run(3_000);
         let leaders = self.leaders();
         assert_eq!(leaders.len(), 1, "one leader: {leaders:?}");
@@ -110,16 +120,17 @@
     }
     fn propose(&mut self, id: u64, body: EntryPayload) -> Option<LogIndex> {
         let now = self.now;
-        let index = self.hedges.get_mut(&id).and_then(|h| h.propose(body, now));
-        self.settle();
+        let index = self.nodes.get_mut(&id).and_then(|h| h.propose(body, now));
+        self.deliver_all();
         index
     }
     fn restart(&mut self, id: u64) {
-        let kept = self.disks[&id].clone();
-        self.hedges.insert(id, RaftNode::new(kept, true, self.now, SPREADS[id as usize - 1]));
+        let state = self.disks[&id].clone();
+        self.nodes
+            .insert(id, RaftNode::new(state, true, self.now, RANDOM_NUMBERS[id as usize - 1]));
     }
-    fn changes(&self, id: u64) -> Vec<u8> {
-        self.hedges[&id]
+    fn committed_commands(&self, id: u64) -> Vec<u8> {
+        self.nodes[&id]
             .committed_entries_after(LogIndex(0))
             .iter()
             .filter_map(|e| match &e.payload {
@@ -131,84 +142,92 @@
 }
 
 #[test]
-fn one_leads_and_all_hold_what_it_committed() {
+fn one_leader_is_elected_and_all_members_hold_what_it_committed() {
     for count in [1, 3, 4] {
-        let mut controllers = Orchard::new(count);
-        let leader = controllers.lead();
+        let mut controllers = TestCluster::new(count);
+        let leader = controllers.elect_leader();
         for n in 0..5 {
-            assert!(controllers.propose(leader, change(n)).is_some());
+            assert!(controllers.propose(leader, command(n)).is_some());
         }
         controllers.run(500);
         for id in 1..=count {
-            assert_eq!(controllers.changes(id), [0, 1, 2, 3, 4], "{count} controllers, {id}");
+            assert_eq!(
+                controllers.committed_commands(id),
+                [0, 1, 2, 3, 4],
+                "{count} controllers, {id}"
+            );
         }
     }
 }
 
 #[test]
-fn a_leader_that_is_cut_off_stops_before_another_starts() {
-    let mut controllers = Orchard::new(4);
-    let old = controllers.lead();
-    controllers.cut.insert(old);
+fn a_partitioned_leader_stops_before_another_is_elected() {
+    let mut controllers = TestCluster::new(4);
+    let old = controllers.elect_leader();
+    controllers.partitioned.insert(old);
     for _ in 0..400 {
         controllers.run(10);
         assert!(controllers.leaders().len() <= 1, "two at once: {:?}", controllers.leaders());
     }
     let new = controllers.leaders();
     assert!(new.len() == 1 && new != [old]);
-    // What the old one took alone is lost, and what the new one committed stays.
-    controllers.propose(old, change(66));
-    controllers.propose(new[0], change(7));
-    controllers.cut.clear();
+    // What the old leader appended alone is lost, and what the new one committed stays.
+    controllers.propose(old, command(66));
+    controllers.propose(new[0], command(7));
+    controllers.partitioned.clear();
     controllers.run(3_000);
     for id in 1..=4 {
-        assert_eq!(controllers.changes(id), [7], "{id}");
+        assert_eq!(controllers.committed_commands(id), [7], "{id}");
     }
 }
 
 #[test]
-fn without_more_than_half_nothing_is_committed() {
-    let mut controllers = Orchard::new(4);
-    let leader = controllers.lead();
+fn nothing_is_committed_without_a_quorum() {
+    let mut controllers = TestCluster::new(4);
+    let leader = controllers.elect_leader();
     let others: Vec<u64> = (1..=4).filter(|i| *i != leader).take(2).collect();
-    controllers.cut.extend(others);
-    controllers.propose(leader, change(1));
+    controllers.partitioned.extend(others);
+    controllers.propose(leader, command(1));
     controllers.run(3_000);
-    assert!(controllers.changes(leader).is_empty());
+    assert!(controllers.committed_commands(leader).is_empty());
     assert!(controllers.leaders().is_empty());
-    controllers.cut.clear();
-    controllers.lead();
+    controllers.partitioned.clear();
+    controllers.elect_leader();
 }
 
 #[test]
-fn all_restart_from_their_disks_though_as_many_are_lost_as_are_to_be_borne() {
+fn members_restart_from_their_disks_after_as_many_losses_as_are_tolerated() {
     for (count, lost) in [(3, 0), (4, 1), (5, 2)] {
-        let mut controllers = Orchard::new(count);
-        let leader = controllers.lead();
-        controllers.propose(leader, change(9));
+        let mut controllers = TestCluster::new(count);
+        let leader = controllers.elect_leader();
+        controllers.propose(leader, command(9));
         // The leader's disk is among the lost ones, right after it has acknowledged.
         let gone: Vec<u64> = (0..lost).map(|i| (leader + i - 1) % count + 1).collect();
         for id in 1..=count {
             controllers.restart(id);
         }
-        controllers.hedges.retain(|id, _| !gone.contains(id));
-        controllers.wire.clear();
-        let leader = controllers.lead();
-        controllers.propose(leader, change(10));
+        controllers.nodes.retain(|id, _| !gone.contains(id));
+        controllers.network.clear();
+        let leader = controllers.elect_leader();
+        controllers.propose(leader, command(10));
         controllers.run(400);
-        for id in controllers.hedges.keys() {
-            assert_eq!(controllers.changes(*id), [9, 10], "{count} controllers, {lost} lost");
+        for id in controllers.nodes.keys() {
+            assert_eq!(
+                controllers.committed_commands(*id),
+                [9, 10],
+                "{count} controllers, {lost} lost"
+            );
         }
     }
 }
 
 #[test]
-fn a_voter_that_just_started_elects_nobody_while_a_leader_may_act() {
-    let mut controllers = Orchard::new(3);
-    let leader = controllers.lead();
+fn a_restarted_voter_grants_no_vote_while_a_leader_lease_may_hold() {
+    let mut controllers = TestCluster::new(3);
+    let leader = controllers.elect_leader();
     let (voter, other) = if leader == 1 { (2, 3) } else { (1, if leader == 2 { 3 } else { 2 }) };
     controllers.restart(voter);
-    let last = controllers.hedges[&other].last_position();
+    let last = controllers.nodes[&other].last_position();
     let ask = |term| RaftMessage {
         from: MemberId(other),
         term: Term(term),
@@ -220,7 +239,7 @@
         },
     };
     let now = controllers.now;
-    let raft = controllers.hedges.get_mut(&voter).expect("voter");
+    let raft = controllers.nodes.get_mut(&voter).expect("voter");
     raft.step(ask(50), now);
     assert!(raft.outbox.is_empty(), "silent at first");
     raft.step(ask(50), now.plus(MIN_ELECTION_TIMEOUT_MS + 1));
@@ -228,21 +247,21 @@
 }
 
 #[test]
-fn a_leader_hands_over_without_a_gap_in_certainty() {
-    let mut controllers = Orchard::new(4);
-    let old = controllers.lead();
+fn a_leadership_transfer_ends_the_old_lease_before_the_new_one() {
+    let mut controllers = TestCluster::new(4);
+    let old = controllers.elect_leader();
     let now = controllers.now;
-    let raft = controllers.hedges.get_mut(&old).expect("leader");
+    let raft = controllers.nodes.get_mut(&old).expect("leader");
     raft.transfer_leadership(now);
     assert!(!raft.holds_leader_lease(now), "no lease from the moment it asks");
-    controllers.settle();
+    controllers.deliver_all();
     controllers.run(300);
     let new = controllers.leaders();
     assert!(new.len() == 1 && new != [old], "{new:?}");
 }
 
 #[test]
-fn members_are_exchanged_one_by_one_and_the_live_voters_stay_enough() {
+fn members_are_replaced_one_by_one_and_the_present_voters_stay_a_quorum() {
     // (what happened, whether the third of three is lost, the id and place of one that asks to join,
     // whether it is there, the voters in the end)
     type Case = (&'static str, bool, (u64, u64), bool, &'static [u64]);
@@ -254,30 +273,30 @@
     ];
     for (what, lost, (new, at), there, wanted) in cases {
         let joiner = Member { id: MemberId(new), ..member(at, false) };
-        let mut controllers = Orchard::new(3);
+        let mut controllers = TestCluster::new(3);
         // So that the one that is lost does not lead.
-        while controllers.lead() == 3 {
+        while controllers.elect_leader() == 3 {
             let now = controllers.now;
-            controllers.hedges.get_mut(&3).expect("leader").transfer_leadership(now);
-            controllers.settle();
+            controllers.nodes.get_mut(&3).expect("leader").transfer_leadership(now);
+            controllers.deliver_all();
         }
-        let leader = controllers.lead();
-        controllers.propose(leader, change(1));
+        let leader = controllers.elect_leader();
+        controllers.propose(leader, command(1));
         // Long in leader state, so that what counts is since when a newcomer is known.
         controllers.run(9_000);
         if lost {
-            controllers.hedges.remove(&3);
+            controllers.nodes.remove(&3);
             controllers.disks.remove(&3);
         }
         if there {
-            let kept = PersistentState { member_id: joiner.id, ..PersistentState::default() };
-            let raft = RaftNode::new(kept, false, controllers.now, || 20);
-            controllers.hedges.insert(new, raft);
+            let state = PersistentState { member_id: joiner.id, ..PersistentState::default() };
+            let raft = RaftNode::new(state, false, controllers.now, || 20);
+            controllers.nodes.insert(new, raft);
         }
         let mut changes = 0;
         for _ in 0..50 {
             let now = controllers.now;
-            let raft = &controllers.hedges[&leader];
+            let raft = &controllers.nodes[&leader];
             if let Some(list) = raft.next_membership_change([&joiner].into_iter(), 1, 8_000, now) {
                 changes += 1;
                 let voters = list.iter().filter(|m| m.voter && (m.id.0 != 3 || !lost)).count();
@@ -287,34 +306,34 @@
             controllers.run(300);
         }
         assert!(changes <= 3, "{what}: nobody goes in and out: {changes}");
-        let list = controllers.hedges[&leader].members();
+        let list = controllers.nodes[&leader].members();
         assert!(
             list.iter().map(|m| (m.id.0, m.voter)).eq(wanted.iter().map(|i| (*i, true))),
             "{what}: {list:?}"
         );
-        assert!(!there || controllers.changes(new) == [1], "{what}");
+        assert!(!there || controllers.committed_commands(new) == [1], "{what}");
     }
 }
 
 #[test]
-fn once_a_replacement_counts_two_more_may_be_lost() {
+fn after_a_replacement_votes_two_more_losses_are_tolerated() {
     let settings = "node_name = \"n\"\nip_address = \"10.0.0.1\"\nzone = \"z\"\nport_range = [1, 9]\n\
         seed_nodes = [\"10.0.0.1:2\"]\n[listeners]\n[fault_tolerance]\nmachines = 2\n\
         [timing_bounds]\njoin_sync_s = 6\n";
     let settings = Settings::parse(settings).expect("valid");
-    let mut controllers = Orchard::new(5);
-    let leader = controllers.lead();
+    let mut controllers = TestCluster::new(5);
+    let leader = controllers.elect_leader();
     let others: Vec<u64> = (1..=5).filter(|i| *i != leader).collect();
     let joiner = Member { id: MemberId(901), ..member(77, false) };
     // One is lost for good, and an empty machine comes for it a moment later.
-    controllers.hedges.remove(&others[0]);
+    controllers.nodes.remove(&others[0]);
     controllers.disks.remove(&others[0]);
     controllers.run(1_200);
-    let kept = PersistentState { member_id: joiner.id, ..PersistentState::default() };
-    controllers.hedges.insert(901, RaftNode::new(kept, false, controllers.now, || 20));
+    let state = PersistentState { member_id: joiner.id, ..PersistentState::default() };
+    controllers.nodes.insert(901, RaftNode::new(state, false, controllers.now, || 20));
     let counts_from = controllers.now.plus(6_000);
     while controllers.now < counts_from {
-        let (raft, now) = (&controllers.hedges[&leader], controllers.now);
+        let (raft, now) = (&controllers.nodes[&leader], controllers.now);
         let (tolerated, silent) = (settings.tolerated(), settings.given_up_ms());
         if let Some(list) =
             raft.next_membership_change([&joiner].into_iter(), tolerated, silent, now)
@@ -323,89 +342,90 @@
         }
         controllers.run(300);
     }
-    // Two of those that are left go dark: the other three still agree.
-    controllers.cut.extend([others[1], others[2]]);
-    controllers.propose(leader, change(7));
+    // Two of those that are left are partitioned: the other three still form a quorum.
+    controllers.partitioned.extend([others[1], others[2]]);
+    controllers.propose(leader, command(7));
     controllers.run(600);
-    assert!(controllers.changes(901).contains(&7));
+    assert!(controllers.committed_commands(901).contains(&7));
 }
 
 #[test]
-fn one_that_was_removed_is_told_so_by_a_certain_leader_only() {
-    let mut controllers = Orchard::new(4);
-    let leader = controllers.lead();
+fn only_a_leader_with_a_lease_tells_a_member_that_it_was_removed() {
+    let mut controllers = TestCluster::new(4);
+    let leader = controllers.elect_leader();
     let now = controllers.now;
-    let raft = &controllers.hedges[&leader];
+    let raft = &controllers.nodes[&leader];
     let old = member(77, true);
     let listed = raft.members()[0].clone();
     assert_eq!(raft.answer_join(&listed, true, now), JoinResponse::Current);
     assert_eq!(raft.answer_join(&old, true, now), JoinResponse::Removed);
     assert_eq!(raft.answer_join(&old, false, now), JoinResponse::Accepted);
-    // One without a disk is in no list; it only learns who leads.
+    // One without a disk is never a member; it only learns who leads.
     let diskless = Member { can_vote: false, ..old.clone() };
     assert_eq!(raft.answer_join(&diskless, false, now), JoinResponse::Current);
     let follower = (1..=4).find(|i| *i != leader).expect("another");
     let at = member(leader, true).peer;
     assert_eq!(
-        controllers.hedges[&follower].answer_join(&old, true, now),
+        controllers.nodes[&follower].answer_join(&old, true, now),
         JoinResponse::NotLeader(Some(at))
     );
     // Cut off, it may have been the one that was replaced.
     let later = now.plus(MIN_ELECTION_TIMEOUT_MS);
     assert_eq!(
-        controllers.hedges[&leader].answer_join(&old, true, later),
+        controllers.nodes[&leader].answer_join(&old, true, later),
         JoinResponse::NotLeader(None)
     );
-    // And whoever is in no list is not voted for.
+    // And whoever is no member gets no vote.
     let ask = RaftMessageKind::RequestVote {
         pre_vote: false,
         leadership_transfer: true,
         led_previous_term: true,
         last_log: LogPosition::new(Term(90), LogIndex(900)),
     };
-    let raft = controllers.hedges.get_mut(&follower).expect("follower");
+    let raft = controllers.nodes.get_mut(&follower).expect("follower");
     let term = raft.state.term;
     raft.step(RaftMessage { from: old.id, term: Term(91), kind: ask }, now.plus(5_000));
     assert!(raft.outbox.is_empty() && raft.state.term == term);
 }
 
 #[test]
-fn a_long_log_is_folded_and_a_late_member_gets_the_fold() {
-    let mut controllers = Orchard::new(3);
-    let leader = controllers.lead();
+fn a_long_log_is_compacted_and_a_late_member_gets_the_snapshot() {
+    let mut controllers = TestCluster::new(3);
+    let leader = controllers.elect_leader();
     let late = (1..=3).find(|i| *i != leader).expect("another");
-    controllers.cut.insert(late);
+    controllers.partitioned.insert(late);
     for n in 0..=255 {
-        controllers.propose(leader, change(n));
+        controllers.propose(leader, command(n));
     }
-    controllers.propose(leader, change(1));
+    controllers.propose(leader, command(1));
     controllers.run(300);
-    let raft = controllers.hedges.get_mut(&leader).expect("leader");
+    let raft = controllers.nodes.get_mut(&leader).expect("leader");
     let commit = raft.commit_index;
     raft.compact_log(commit, || vec![42]);
     assert!(raft.state.log.is_empty());
-    controllers.cut.clear();
+    controllers.partitioned.clear();
     controllers.run(2_000);
-    assert_eq!(controllers.hedges[&late].state.snapshot.state.as_ref(), [42]);
-    assert!(controllers.hedges[&late].commit_index >= commit);
+    assert_eq!(controllers.nodes[&late].state.snapshot.state.as_ref(), [42]);
+    assert!(controllers.nodes[&late].commit_index >= commit);
 }
 
 #[test]
-fn the_disk_gives_back_what_was_saved_and_refuses_what_it_can_not_read() {
+fn storage_returns_what_was_saved_and_refuses_what_it_cannot_read() {
     let folder = std::env::temp_dir().join(format!("silvertack-granary-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
-    let (mut storage, kept) = RaftStorage::open(&folder).expect("a new file");
-    assert!(kept.is_none());
+    let (mut storage, state) = RaftStorage::open(&folder).expect("a new file");
+    assert!(state.is_none());
     let entry =
-        |index, term, n| LogEntry { term: Term(term), index: LogIndex(index), payload: change(n) };
-    let mut kept = PersistentState { term: Term(3), voted_for: Some(MemberId(2)), ..founder(1, 3) };
-    kept.log = vec![entry(1, 1, 1), entry(2, 1, 2), entry(3, 1, 3)];
-    storage.save(&WriteBatch::of(&kept, &UnsavedChanges::all())).expect("saved");
+        |index, term, n| LogEntry { term: Term(term), index: LogIndex(index), payload: command(n) };
+    let mut state =
+        PersistentState { term: Term(3), voted_for: Some(MemberId(2)), ..initial_state(1, 3) };
+    state.log = vec![entry(1, 1, 1), entry(2, 1, 2), entry(3, 1, 3)];
+    storage.save(&WriteBatch::of(&state, &UnsavedChanges::all())).expect("saved");
     // A conflicting tail is replaced.
-    kept.log.truncate(1);
-    kept.log.push(entry(2, 3, 9));
+    state.log.truncate(1);
+    state.log.push(entry(2, 3, 9));
     let tail = UnsavedChanges { log_from: Some(LogIndex(2)), ..UnsavedChanges::default() };
-    storage.save(&WriteBatch::of(&kept, &tail)).expect("saved");
+    storage.save(&WriteBatch::of(&state, &tail)).expect("saved");
     drop(storage);
     let (storage, found) = RaftStorage::open(&folder).expect("again");
     let found = found.expect("kept");
@@ -413,8 +433,8 @@
         (found.member_id, found.term, found.voted_for),
         (MemberId(1), Term(3), Some(MemberId(2)))
     );
-    assert_eq!(found.log, kept.log);
-    assert_eq!(found.snapshot, kept.snapshot);
+    assert_eq!(found.log, state.log);
+    assert_eq!(found.snapshot, state.snapshot);
     drop(storage);
     let file = folder.join("hedge.sqlite");
     let newer = rusqlite::Connection::open(&file).expect("file");
@@ -432,53 +452,55 @@
         let _ = std::fs::remove_dir_all(&folder);
         let (mut storage, _) = RaftStorage::open(&folder).expect("a new file");
         let snapshot = Snapshot { members: wrong, ..Snapshot::default() };
-        let kept =
+        let state =
             PersistentState { member_id: MemberId(1), snapshot, ..PersistentState::default() };
-        storage.save(&WriteBatch::of(&kept, &UnsavedChanges::all())).expect("saved");
+        storage.save(&WriteBatch::of(&state, &UnsavedChanges::all())).expect("saved");
         drop(storage);
         let refused = RaftStorage::open(&folder).err().expect("refused").to_string();
         assert!(refused.contains("can't be"), "{refused}");
     }
     // A member's state that is gone is not taken for a new disk; an empty folder is.
     let _ = std::fs::remove_dir_all(&folder);
-    let (storage, first, old) = RaftStorage::found(&folder, || founder(1, 3)).expect("founded");
+    let (storage, first, old) =
+        RaftStorage::found(&folder, || initial_state(1, 3)).expect("founded");
     assert!(!old && first.member_id == MemberId(1));
     drop(storage);
-    let (storage, again, old) = RaftStorage::found(&folder, || founder(2, 3)).expect("again");
+    let (storage, again, old) = RaftStorage::found(&folder, || initial_state(2, 3)).expect("again");
     assert!(old && again.member_id == MemberId(1), "what is on disk wins");
     drop(storage);
     for name in ["hedge.sqlite", "hedge.sqlite-wal"] {
         let _ = std::fs::remove_file(folder.join(name));
     }
-    let refused = RaftStorage::found(&folder, || founder(2, 3)).err().expect("refused").to_string();
+    let refused =
+        RaftStorage::found(&folder, || initial_state(2, 3)).err().expect("refused").to_string();
     assert!(refused.contains("is gone"), "{refused}");
     let _ = std::fs::remove_dir_all(&folder);
 }
 
 #[test]
-fn nothing_leaves_that_stands_on_what_the_disk_has_not_taken() {
+fn no_message_leaves_before_what_it_promises_is_on_disk() {
     let now = Tick(5_000);
-    let mut raft = RaftNode::new(founder(2, 3), false, now, || 10);
+    let mut raft = RaftNode::new(initial_state(2, 3), false, now, || 10);
     let mut persister = LogPersister::default();
     let message = |term, kind| RaftMessage { from: MemberId(1), term: Term(term), kind };
-    let append = |entries, sent| RaftMessageKind::AppendEntries {
+    let append = |entries, sent_at| RaftMessageKind::AppendEntries {
         previous: LogPosition::new(Term(0), LogIndex(0)),
         entries,
         commit_index: LogIndex(0),
-        sent_at: sent,
+        sent_at,
     };
-    let entry = LogEntry { term: Term(4), index: LogIndex(1), payload: change(1) };
+    let entry = LogEntry { term: Term(4), index: LogIndex(1), payload: command(1) };
     let acked = |out: &[(MemberId, RaftMessage)]| -> Vec<u64> {
         out.iter()
             .filter_map(|(_, m)| match m.kind {
-                RaftMessageKind::AppendResponse { match_index: upto, success: true, .. } => {
-                    Some(upto.0)
-                }
+                RaftMessageKind::AppendResponse {
+                    match_index: last_index, success: true, ..
+                } => Some(last_index.0),
                 _ => None,
             })
             .collect()
     };
-    // A new term and an entry: both go to the disk, and no word leaves meanwhile.
+    // A new term and an entry: both go to the disk, and no message leaves meanwhile.
     raft.step(message(4, append(vec![entry], 1)), now);
     assert!(persister.leaving(&mut raft).is_empty());
     assert!(persister.start(&mut raft, now).is_some() && persister.start(&mut raft, now).is_none());
@@ -494,7 +516,7 @@
     assert_eq!(acked(&freed), [0], "a heartbeat's answer, as of when it came");
     assert_eq!(acked(&persister.leaving(&mut raft)), [1], "and the entry once it is there");
     // From here on only entries wait: a heartbeat is answered while the disk stalls.
-    let second = LogEntry { term: Term(4), index: LogIndex(2), payload: change(2) };
+    let second = LogEntry { term: Term(4), index: LogIndex(2), payload: command(2) };
     let previous = LogPosition::new(Term(4), LogIndex(1));
     let kind = RaftMessageKind::AppendEntries {
         previous,
@@ -519,32 +541,32 @@
 }
 
 #[test]
-fn a_leader_whose_disk_is_in_trouble_lets_another_lead() {
-    let mut controllers = Orchard::new(4);
-    let old = controllers.lead();
+fn a_leader_whose_disk_fails_transfers_its_leadership() {
+    let mut controllers = TestCluster::new(4);
+    let old = controllers.elect_leader();
     let now = controllers.now;
-    controllers.hedges.get_mut(&old).expect("leader").set_storage_failing(true, now);
-    controllers.settle();
+    controllers.nodes.get_mut(&old).expect("leader").set_storage_failing(true, now);
+    controllers.deliver_all();
     for _ in 0..60 {
         controllers.run(10);
         assert!(controllers.leaders().len() <= 1);
     }
     let new = controllers.leaders();
     assert!(new.len() == 1 && new != [old], "{new:?}");
-    // The ailing one stands for nothing, even when nobody else is left to lead.
-    controllers.cut.insert(new[0]);
+    // The one with the failing disk starts no election, even when nobody else can lead.
+    controllers.partitioned.insert(new[0]);
     controllers.run(4_000);
     assert!(!controllers.leaders().contains(&old));
 }
 
 #[test]
-fn a_leader_commits_only_what_its_own_disk_or_enough_others_have() {
-    let mut controllers = Orchard::new(3);
-    let leader = controllers.lead();
+fn a_leader_commits_only_what_a_quorum_of_disks_holds() {
+    let mut controllers = TestCluster::new(3);
+    let leader = controllers.elect_leader();
     let others: Vec<u64> = (1..=3).filter(|i| *i != leader).collect();
-    let (now, raft) = (controllers.now, controllers.hedges.get_mut(&leader).expect("leader"));
+    let (now, raft) = (controllers.now, controllers.nodes.get_mut(&leader).expect("leader"));
     let before = raft.commit_index;
-    let index = raft.propose(change(1), now).expect("taken");
+    let index = raft.propose(command(1), now).expect("taken");
     let term = raft.state.term;
     let kind =
         RaftMessageKind::AppendResponse { match_index: index, success: true, sent_at: now.0 };
@@ -556,42 +578,42 @@
 
 #[test]
 fn a_restarted_leader_is_elected_at_once_and_nobody_else_is() {
-    let mut controllers = Orchard::new(4);
-    let old = controllers.lead();
+    let mut controllers = TestCluster::new(4);
+    let old = controllers.elect_leader();
     // (who restarts, how soon somebody may lead, whether it must be the old leader)
     for (who, all) in [("the leader", false), ("everybody", true)] {
         let ids: Vec<u64> = if all { (1..=4).collect() } else { vec![old] };
         for id in ids {
             controllers.restart(id);
         }
-        controllers.wire.clear();
+        controllers.network.clear();
         controllers.run(200);
         assert_eq!(controllers.leaders(), [old], "{who}");
         controllers.run(1_000);
     }
-    // Without that leader the others do not wait longer than its word could have counted.
-    controllers.cut.insert(old);
+    // Without that leader the others wait no longer than its lease could have lasted.
+    controllers.partitioned.insert(old);
     for id in (1..=4).filter(|i| *i != old) {
         controllers.restart(id);
     }
-    controllers.wire.clear();
+    controllers.network.clear();
     controllers.run(400);
     assert!(controllers.leaders().is_empty());
     controllers.run(300);
     let new = controllers.leaders();
     assert!(new.len() == 1 && new != [old], "{new:?}");
-    controllers.cut.clear();
+    controllers.partitioned.clear();
     controllers.run(1_000);
-    // One that led an term before the newest has nothing to go by.
+    // One that led a term before the newest is not elected at once.
     let old = new[0];
-    let term = controllers.hedges[&old].state.term;
+    let term = controllers.nodes[&old].state.term;
     let voter = (1..=4).find(|i| *i != old).expect("another");
-    let (now, last) = (controllers.now, controllers.hedges[&old].last_position());
+    let (now, last) = (controllers.now, controllers.nodes[&old].last_position());
     for (asked, led, answered) in
         [(term.0, true, false), (term.0 + 1, false, false), (term.0 + 1, true, true)]
     {
         controllers.restart(voter);
-        let raft = controllers.hedges.get_mut(&voter).expect("voter");
+        let raft = controllers.nodes.get_mut(&voter).expect("voter");
         let kind = RaftMessageKind::RequestVote {
             pre_vote: true,
             leadership_transfer: false,
@@ -604,7 +626,7 @@
 }
 
 #[test]
-fn what_waits_for_a_slow_peer_leaves_whole_and_a_revoke_goes_first() {
+fn the_queue_of_a_slow_peer_sends_whole_frames_and_a_revoke_first() {
     let mut out = SendQueue::default();
     out.push(vec![1; 4].into());
     out.push(vec![2; 2].into());
@@ -625,18 +647,19 @@
 }
 
 #[test]
-fn a_state_that_was_half_written_is_recovered_up_to_what_was_synced_or_refused() {
+fn a_torn_write_is_recovered_up_to_what_was_synced_or_refused() {
     let base = std::env::temp_dir().join(format!("silvertack-torn-{}", std::process::id()));
     let (whole, torn) = (base.join("whole"), base.join("torn"));
     let _ = std::fs::remove_dir_all(&base);
-    let (mut storage, mut kept, _) = RaftStorage::found(&whole, || founder(1, 3)).expect("founded");
+    let (mut storage, mut state, _) =
+        RaftStorage::found(&whole, || initial_state(1, 3)).expect("founded");
     let wal = whole.join("hedge.sqlite-wal");
     // What the file of the journal held after each write that was confirmed.
     let mut synced = vec![std::fs::metadata(&wal).map_or(0, |m| m.len())];
     for n in 1..=3u64 {
-        kept.log.push(LogEntry { term: Term(1), index: LogIndex(n), payload: change(n as u8) });
-        let dirty = UnsavedChanges { log_from: Some(LogIndex(n)), ..UnsavedChanges::default() };
-        storage.save(&WriteBatch::of(&kept, &dirty)).expect("saved");
+        state.log.push(LogEntry { term: Term(1), index: LogIndex(n), payload: command(n as u8) });
+        let unsaved = UnsavedChanges { log_from: Some(LogIndex(n)), ..UnsavedChanges::default() };
+        storage.save(&WriteBatch::of(&state, &unsaved)).expect("saved");
         synced.push(std::fs::metadata(&wal).expect("journal").len());
     }
     let journal = std::fs::read(&wal).expect("journal");
@@ -673,19 +696,20 @@
     let entry = |(term, index): (&u64, u64)| LogEntry {
         term: Term(*term),
         index: LogIndex(index),
-        payload: change(index as u8),
+        payload: command(index as u8),
     };
     terms.iter().zip(1..).map(entry).collect()
 }
 /// Member 1 of so many voters in this term, with entries of these terms on its disk.
 fn replica(voters: u64, term: u64, terms: &[u64]) -> RaftNode {
-    let kept = PersistentState { term: Term(term), log: log_of(terms), ..founder(1, voters) };
-    RaftNode::new(kept, false, Tick(1_000), || 0)
+    let state =
+        PersistentState { term: Term(term), log: log_of(terms), ..initial_state(1, voters) };
+    RaftNode::new(state, false, Tick(1_000), || 0)
 }
 fn message(id: u64, term: u64, kind: RaftMessageKind) -> RaftMessage {
     RaftMessage { from: MemberId(id), term: Term(term), kind }
 }
-fn store(raft: &mut RaftNode) {
+fn persist(raft: &mut RaftNode) {
     raft.unsaved = UnsavedChanges::default();
     raft.log_persisted(raft.last_position());
 }
@@ -695,22 +719,22 @@
 fn elected(voters: u64, term: u64, terms: &[u64]) -> RaftNode {
     let mut raft = replica(voters, term - 1, terms);
     raft.tick(ELECTED);
-    for trial in [true, false] {
+    for pre_vote in [true, false] {
         for id in 2..=voters {
             raft.step(
-                message(id, term, RaftMessageKind::VoteResponse { pre_vote: trial, granted: true }),
+                message(id, term, RaftMessageKind::VoteResponse { pre_vote, granted: true }),
                 ELECTED,
             );
         }
     }
     assert!(raft.is_leader() && raft.state.term == Term(term));
-    store(&mut raft);
+    persist(&mut raft);
     raft.outbox.clear();
     raft
 }
-fn appended(upto: u64) -> RaftMessageKind {
+fn append_success(last_index: u64) -> RaftMessageKind {
     RaftMessageKind::AppendResponse {
-        match_index: LogIndex(upto),
+        match_index: LogIndex(last_index),
         success: true,
         sent_at: ELECTED.0,
     }
@@ -729,9 +753,13 @@
     ];
     for (what, voters, terms, term, acknowledged, commits) in cases {
         let mut leader = elected(voters, term, terms);
-        for (id, (upto, commit)) in (2..).zip(acknowledged.iter().zip(commits)) {
-            leader.step(message(id, term, appended(*upto)), ELECTED);
-            assert_eq!(leader.commit_index, LogIndex(*commit), "{what}: member {id} has {upto}");
+        for (id, (last_index, commit)) in (2..).zip(acknowledged.iter().zip(commits)) {
+            leader.step(message(id, term, append_success(*last_index)), ELECTED);
+            assert_eq!(
+                leader.commit_index,
+                LogIndex(*commit),
+                "{what}: member {id} has {last_index}"
+            );
         }
     }
 }
@@ -740,9 +768,7 @@
 fn votes_of(raft: &mut RaftNode) -> Vec<(bool, bool, u64)> {
     let out = raft.outbox.drain(..);
     out.filter_map(|(_, m)| match m.kind {
-        RaftMessageKind::VoteResponse { pre_vote: trial, granted } => {
-            Some((trial, granted, m.term.0))
-        }
+        RaftMessageKind::VoteResponse { pre_vote, granted } => Some((pre_vote, granted, m.term.0)),
         _ => None,
     })
     .collect()
@@ -771,8 +797,8 @@
         let mut voter = replica(3, 5, log);
         voter.state.voted_for = voted.map(MemberId);
         let last = LogPosition::new(Term(last.0), LogIndex(last.1));
-        let ask = |trial| RaftMessageKind::RequestVote {
-            pre_vote: trial,
+        let ask = |pre_vote| RaftMessageKind::RequestVote {
+            pre_vote,
             leadership_transfer: false,
             led_previous_term: false,
             last_log: last,
@@ -803,7 +829,7 @@
 }
 
 #[test]
-fn whoever_has_a_leader_helps_no_candidate() {
+fn a_member_with_a_current_leader_grants_no_vote() {
     let heartbeat = RaftMessageKind::AppendEntries {
         previous: LogPosition::new(Term(0), LogIndex(0)),
         entries: Vec::new(),
@@ -818,28 +844,28 @@
         (MIN_ELECTION_TIMEOUT_MS - 1, true, true),
         (MIN_ELECTION_TIMEOUT_MS, false, true),
     ];
-    for (since, handover, answers) in cases {
-        for trial in [true, false] {
-            let what = format!("{since} ms, handover {handover}, pre-vote {trial}");
+    for (since, leadership_transfer, answers) in cases {
+        for pre_vote in [true, false] {
+            let what = format!("{since} ms, handover {leadership_transfer}, pre-vote {pre_vote}");
             let mut follower = replica(3, 5, &[1]);
             follower.step(message(2, 5, heartbeat.clone()), ELECTED);
-            store(&mut follower);
+            persist(&mut follower);
             follower.outbox.clear();
             let last = LogPosition::new(Term(5), LogIndex(9));
             let ask = RaftMessageKind::RequestVote {
-                pre_vote: trial,
-                leadership_transfer: handover,
+                pre_vote,
+                leadership_transfer,
                 led_previous_term: false,
                 last_log: last,
             };
             follower.step(message(3, 6, ask.clone()), ELECTED.plus(since));
-            let expected = if answers { vec![(trial, true, 6)] } else { vec![] };
+            let expected = if answers { vec![(pre_vote, true, 6)] } else { vec![] };
             assert_eq!(votes_of(&mut follower), expected, "{what}");
-            let moved = answers && !trial;
+            let moved = answers && !pre_vote;
             assert_eq!(follower.state.term, Term(if moved { 6 } else { 5 }), "{what}");
             // A leader answers so too, by when a quorum last answered it.
             let mut leader = elected(3, 5, &[1]);
-            leader.step(message(2, 5, appended(2)), ELECTED);
+            leader.step(message(2, 5, append_success(2)), ELECTED);
             leader.step(message(3, 6, ask), ELECTED.plus(since));
             assert_eq!(votes_of(&mut leader), expected, "{what}: leader");
             assert_eq!(leader.is_leader(), !moved, "{what}");
@@ -873,17 +899,17 @@
         ("a refusal", false, false, 6, false),
         ("a refusal of the term before", false, false, 5, false),
     ];
-    for (what, trial, granted, term, leads) in cases {
+    for (what, pre_vote, granted, term, leads) in cases {
         let mut candidate = replica(3, 5, &[1]);
         candidate.tick(ELECTED);
         assert_eq!(candidate.state.term, Term(5), "a pre-vote moves no term");
         // Nothing but a granted pre-vote for the next term moves it.
-        for (trial, granted, term) in [(true, true, 5), (true, false, 5), (false, true, 6)] {
+        for (pre_vote, granted, term) in [(true, true, 5), (true, false, 5), (false, true, 6)] {
             candidate.step(
-                message(2, term, RaftMessageKind::VoteResponse { pre_vote: trial, granted }),
+                message(2, term, RaftMessageKind::VoteResponse { pre_vote, granted }),
                 ELECTED,
             );
-            assert_eq!(candidate.state.term, Term(5), "{trial} {granted} {term}");
+            assert_eq!(candidate.state.term, Term(5), "{pre_vote} {granted} {term}");
         }
         candidate.step(
             message(2, 6, RaftMessageKind::VoteResponse { pre_vote: true, granted: true }),
@@ -894,10 +920,8 @@
             candidate.unsaved.hard_state && !candidate.is_leader(),
             "{what}: its own vote is kept"
         );
-        candidate.step(
-            message(3, term, RaftMessageKind::VoteResponse { pre_vote: trial, granted }),
-            ELECTED,
-        );
+        candidate
+            .step(message(3, term, RaftMessageKind::VoteResponse { pre_vote, granted }), ELECTED);
         assert_eq!(candidate.is_leader(), leads, "{what}");
     }
     // One that hears of a later term in a refusal goes there as a follower, with its vote unspent.
@@ -971,15 +995,15 @@
         follower.step(message(3, 4, append((1, 1), &[], 1)), ELECTED);
         follower.outbox.clear();
         follower.step(message(2, term, append(previous, terms, commit)), ELECTED);
-        store(&mut follower);
+        persist(&mut follower);
         assert_eq!(terms_of(&follower), log, "{what}");
         assert_eq!(follower.commit_index, LogIndex(committed), "{what}");
         let last = follower.outbox.pop().map(|(to, m)| (to, m.term, m.kind));
-        let sent = if term < 4 { 0 } else { 7 };
+        let sent_at = if term < 4 { 0 } else { 7 };
         let kind = RaftMessageKind::AppendResponse {
             match_index: LogIndex(answer.1),
             success: answer.0,
-            sent_at: sent,
+            sent_at,
         };
         assert_eq!(last, Some((MemberId(2), Term(4), kind)), "{what}");
         let leader = if term < 4 { 3 } else { 2 };
@@ -1002,8 +1026,8 @@
     let acknowledged = |raft: &mut RaftNode| -> Vec<(u64, u64)> {
         let out = raft.outbox.drain(..);
         out.filter_map(|(to, m)| match m.kind {
-            RaftMessageKind::AppendResponse { match_index: upto, success: true, .. } => {
-                Some((to.0, upto.0))
+            RaftMessageKind::AppendResponse { match_index: last_index, success: true, .. } => {
+                Some((to.0, last_index.0))
             }
             _ => None,
         })
@@ -1043,10 +1067,10 @@
         ("an answer of a later term", 6, true, 2, 0, false),
         ("a no of a later term", 6, false, 0, 0, false),
     ];
-    for (what, term, ok, upto, commit, leads) in cases {
+    for (what, term, ok, last_index, commit, leads) in cases {
         let mut leader = elected(3, 5, &[1]);
         let answer = RaftMessageKind::AppendResponse {
-            match_index: LogIndex(upto),
+            match_index: LogIndex(last_index),
             success: ok,
             sent_at: ELECTED.0,
         };
@@ -1059,7 +1083,7 @@
     // What answers a part keeps a leader's quorum fresh in its own term only.
     for (term, fresh) in [(5, true), (4, false)] {
         let mut leader = elected(3, 5, &[]);
-        leader.step(message(2, 5, appended(1)), ELECTED);
+        leader.step(message(2, 5, append_success(1)), ELECTED);
         let later = ELECTED.plus(440);
         let taken =
             RaftMessageKind::ChunkResponse { transfer_id: 1, received: 0, sent_at: later.0 };
@@ -1069,9 +1093,9 @@
     }
     // An answer that comes late takes back nothing that was acknowledged before it.
     let mut leader = elected(5, 5, &[1]);
-    for (id, upto, commit) in [(2, 2, 0), (2, 1, 0), (3, 2, 2)] {
-        leader.step(message(id, 5, appended(upto)), ELECTED);
-        assert_eq!(leader.commit_index, LogIndex(commit), "member {id} has {upto}");
+    for (id, last_index, commit) in [(2, 2, 0), (2, 1, 0), (3, 2, 2)] {
+        leader.step(message(id, 5, append_success(last_index)), ELECTED);
+        assert_eq!(leader.commit_index, LogIndex(commit), "member {id} has {last_index}");
     }
     // One from a time to come is of another life's clock, and makes no quorum fresh.
     let mut leader = elected(3, 5, &[1]);
@@ -1114,9 +1138,9 @@
         follower.outbox.clear();
         let members: Vec<Member> = (1..=4).map(|id| member(id, true)).collect();
         let state = ByteBuf::from(vec![42]);
-        let upto = LogIndex(last.1);
+        let last_index = LogIndex(last.1);
         let snapshot =
-            Snapshot { last_included: LogPosition::new(Term(last.0), upto), members, state };
+            Snapshot { last_included: LogPosition::new(Term(last.0), last_index), members, state };
         follower.step(
             message(2, term, RaftMessageKind::InstallSnapshot { snapshot, sent_at: 7 }),
             ELECTED,
@@ -1127,12 +1151,12 @@
             "{what}: not acknowledged before it is on disk"
         );
         assert_eq!(follower.unsaved.snapshot, taken, "{what}");
-        store(&mut follower);
-        let (ok, sent) = if term == 4 { (true, 7) } else { (false, 0) };
+        persist(&mut follower);
+        let (ok, sent_at) = if term == 4 { (true, 7) } else { (false, 0) };
         let kind = RaftMessageKind::AppendResponse {
-            match_index: if ok { upto } else { LogIndex(0) },
+            match_index: if ok { last_index } else { LogIndex(0) },
             success: ok,
-            sent_at: sent,
+            sent_at,
         };
         assert_eq!(follower.outbox.pop().map(|(_, m)| m.kind), Some(kind), "{what}");
         assert_eq!(terms_of(&follower), log, "{what}");
@@ -1143,7 +1167,7 @@
 }
 
 #[test]
-fn the_members_are_those_of_the_newest_list_that_is_still_in_the_log() {
+fn the_members_are_those_of_the_newest_membership_entry_still_in_the_log() {
     let listed = |term, index, voters| LogEntry {
         term: Term(term),
         index: LogIndex(index),
@@ -1165,7 +1189,7 @@
     // A snapshot holds the list as of its last entry, not one that came later.
     let mut leader = elected(1, 5, &[]);
     leader.propose(EntryPayload::Command(ByteBuf::from(vec![0; 2 << 20])), ELECTED);
-    store(&mut leader);
+    persist(&mut leader);
     let commit = leader.commit_index;
     leader.propose(EntryPayload::Membership((1..=2).map(|id| member(id, true)).collect()), ELECTED);
     leader.compact_log(commit, || vec![42]);
@@ -1174,7 +1198,7 @@
 }
 
 #[test]
-fn only_a_voter_that_its_leader_asks_stands_for_election_at_once() {
+fn only_a_voter_asked_by_its_leader_campaigns_at_once() {
     // (what, whether it votes, who asks it to take over, in which term, whether it stands). The
     // leader of term 5 is member 2.
     let cases = [
@@ -1187,13 +1211,13 @@
     for (what, votes, from, term, stands) in cases {
         let members: Vec<Member> = (1..=4).map(|id| member(id, id != 1 || votes)).collect();
         let snapshot = Snapshot { members, ..Snapshot::default() };
-        let kept = PersistentState {
+        let state = PersistentState {
             member_id: MemberId(1),
             term: Term(5),
             snapshot,
             ..PersistentState::default()
         };
-        let mut raft = RaftNode::new(kept, false, Tick(1_000), || 0);
+        let mut raft = RaftNode::new(state, false, Tick(1_000), || 0);
         let (previous, commit) = (LogPosition::new(Term(0), LogIndex(0)), LogIndex(0));
         let heartbeat = RaftMessageKind::AppendEntries {
             previous,
@@ -1218,7 +1242,7 @@
 }
 
 #[test]
-fn a_leader_answers_reads_and_grants_only_with_a_committed_entry_of_its_own_term() {
+fn a_leader_answers_reads_and_holds_a_lease_only_with_a_committed_entry_of_its_term() {
     // (what, terms of the entries before its own, how far a follower acknowledges, whether it may)
     let cases: [(&str, &[u64], Option<u64>, bool); 6] = [
         ("nobody answers", &[1, 1], None, false),
@@ -1230,8 +1254,8 @@
     ];
     for (what, terms, acknowledged, may) in cases {
         let mut leader = elected(3, 5, terms);
-        if let Some(upto) = acknowledged {
-            leader.step(message(2, 5, appended(upto)), ELECTED);
+        if let Some(last_index) = acknowledged {
+            leader.step(message(2, 5, append_success(last_index)), ELECTED);
         }
         let now = ELECTED.plus(10);
         assert_eq!(leader.holds_leader_lease(now), may, "{what}");
@@ -1241,7 +1265,7 @@
 }
 
 #[test]
-fn a_vote_leaves_only_once_it_is_on_disk_however_often_a_write_fails() {
+fn a_vote_is_sent_only_once_it_is_on_disk_however_often_a_write_fails() {
     for failed in [0, 1, 3] {
         let mut storage = RaftStorage::none().expect("in memory");
         let (mut voter, mut persister, mut now) =
@@ -1275,25 +1299,25 @@
 }
 
 #[test]
-fn a_candidate_says_that_it_led_only_of_the_term_before_the_one_it_asks_for() {
+fn a_candidate_reports_its_leadership_of_the_previous_term_only() {
     // (the last term that it led, whether it tells voters that nobody leads the term before 6)
     for (led, says) in [(None, false), (Some(3), false), (Some(4), false), (Some(5), true)] {
         let led = led.map(Term);
-        let kept = PersistentState {
+        let state = PersistentState {
             term: Term(5),
             last_led_term: led,
             log: log_of(&[1, 5]),
-            ..founder(1, 3)
+            ..initial_state(1, 3)
         };
-        let mut candidate = RaftNode::new(kept, false, Tick(1_000), || 0);
+        let mut candidate = RaftNode::new(state, false, Tick(1_000), || 0);
         candidate.tick(ELECTED);
         candidate.step(
             message(2, 6, RaftMessageKind::VoteResponse { pre_vote: true, granted: true }),
             ELECTED,
         );
         let last = LogPosition::new(Term(5), LogIndex(2));
-        let ask = |trial| RaftMessageKind::RequestVote {
-            pre_vote: trial,
+        let ask = |pre_vote| RaftMessageKind::RequestVote {
+            pre_vote,
             leadership_transfer: false,
             led_previous_term: says,
             last_log: last,
@@ -1301,12 +1325,16 @@
         let asked: Vec<(u64, RaftMessage)> =
             candidate.outbox.drain(..).map(|(to, m)| (to.0, m)).collect();
         let expected = [(2, true), (3, true), (2, false), (3, false)];
-        assert_eq!(asked, expected.map(|(to, trial)| (to, message(1, 6, ask(trial)))), "{led:?}");
+        assert_eq!(
+            asked,
+            expected.map(|(to, pre_vote)| (to, message(1, 6, ask(pre_vote)))),
+            "{led:?}"
+        );
     }
 }
 
 #[test]
-fn a_leader_sends_the_next_part_only_when_the_newest_one_is_answered() {
+fn a_leader_sends_the_next_chunk_only_when_the_newest_one_is_answered() {
     // (what, term of the answer, how much later a transfer it names, how long before the part was
     // sent what it answers was, whether the next part follows)
     let cases = [
@@ -1317,7 +1345,7 @@
     ];
     for (what, term, other, before, follows) in cases {
         let mut leader = elected(3, 5, &[]);
-        leader.step(message(2, 5, appended(1)), ELECTED);
+        leader.step(message(2, 5, append_success(1)), ELECTED);
         leader.record_peer_layout(MemberId(2), LAYOUT);
         leader.outbox.clear();
         let now = ELECTED.plus(10);
@@ -1334,11 +1362,11 @@
         };
         let first = parts(&mut leader);
         let [(transfer, 0, size)] = first[..] else { panic!("{what}: {first:?}") };
-        let sent = now.0 - before;
+        let sent_at = now.0 - before;
         let taken = RaftMessageKind::ChunkResponse {
             transfer_id: transfer + other,
             received: size,
-            sent_at: sent,
+            sent_at,
         };
         leader.step(message(2, term, taken), now.plus(5));
         let next: Vec<(u64, u64)> = parts(&mut leader).iter().map(|p| (p.0, p.1)).collect();
@@ -1357,21 +1385,21 @@
     // (it still asks for pre-votes, the leader's term, whether the vote after it counts, its term)
     let cases =
         [(true, 5, false, 5), (false, 6, false, 6), (true, 4, true, 6), (false, 5, true, 6)];
-    for (trial, term, counts, after) in cases {
-        let what = format!("pre-vote {trial}, a leader of term {term}");
+    for (pre_vote, term, counts, after) in cases {
+        let what = format!("pre-vote {pre_vote}, a leader of term {term}");
         let mut candidate = replica(3, 5, &[1]);
         candidate.tick(ELECTED);
-        if !trial {
+        if !pre_vote {
             let granted = RaftMessageKind::VoteResponse { pre_vote: true, granted: true };
             candidate.step(message(2, 6, granted), ELECTED);
         }
         candidate.step(message(2, term, append.clone()), ELECTED);
         assert_eq!(candidate.leader, if counts { None } else { Some(MemberId(2)) }, "{what}");
         candidate.step(
-            message(3, 6, RaftMessageKind::VoteResponse { pre_vote: trial, granted: true }),
+            message(3, 6, RaftMessageKind::VoteResponse { pre_vote, granted: true }),
             ELECTED,
         );
-        assert_eq!(candidate.is_leader(), counts && !trial, "{what}");
+        assert_eq!(candidate.is_leader(), counts && !pre_vote, "{what}");
         assert_eq!(candidate.state.term, Term(after), "{what}");
     }
 }
@@ -1390,11 +1418,11 @@
     for (voters, answer, leads) in cases {
         let mut leader = elected(voters, 5, &[1]);
         for id in answer {
-            let sent = ELECTED.0 + 900;
+            let sent_at = ELECTED.0 + 900;
             let kind = RaftMessageKind::AppendResponse {
                 match_index: LogIndex(0),
                 success: true,
-                sent_at: sent,
+                sent_at,
             };
             leader.step(message(*id, 5, kind), ELECTED.plus(900));
         }
@@ -1402,7 +1430,7 @@
             leader.tick(ELECTED.plus(after));
             assert_eq!(leader.is_leader(), leads, "{voters} voters, {answer:?}, {after} ms");
         }
-        assert_eq!(leader.propose(change(9), ELECTED.plus(1_010)).is_some(), leads[1]);
+        assert_eq!(leader.propose(command(9), ELECTED.plus(1_010)).is_some(), leads[1]);
         assert_eq!(leader.state.term, Term(5), "{voters} voters, {answer:?}");
     }
 }
@@ -1411,8 +1439,8 @@
 fn a_snapshot_has_the_term_of_the_last_entry_that_it_covers() {
     let mut log = log_of(&[1, 3, 3]);
     log[0].payload = EntryPayload::Command(ByteBuf::from(vec![0; 2 << 20]));
-    let kept = PersistentState { term: Term(4), log, ..founder(1, 3) };
-    let mut follower = RaftNode::new(kept, false, Tick(1_000), || 0);
+    let state = PersistentState { term: Term(4), log, ..initial_state(1, 3) };
+    let mut follower = RaftNode::new(state, false, Tick(1_000), || 0);
     let append = |previous: (u64, u64)| RaftMessageKind::AppendEntries {
         previous: LogPosition::new(Term(previous.0), LogIndex(previous.1)),
         entries: Vec::new(),
@@ -1451,14 +1479,15 @@
         ("over its end and the log's", (1, 2), &[2, 2, 3, 4], &[2, 3, 4], 6),
         ("over its end, with a conflict behind it", (1, 2), &[2, 2, 4], &[2, 4], 5),
     ];
-    for (what, previous, terms, log, upto) in cases {
+    for (what, previous, terms, log, last_index) in cases {
         let behind = |from: u64, terms: &[u64]| -> Vec<LogEntry> {
             let place = |e: LogEntry| LogEntry { index: LogIndex(from + e.index.0), ..e };
             log_of(terms).into_iter().map(place).collect()
         };
-        let mut kept = PersistentState { term: Term(4), log: behind(3, &[2, 3]), ..founder(1, 3) };
-        kept.snapshot.last_included = LogPosition::new(Term(2), LogIndex(3));
-        let mut follower = RaftNode::new(kept, false, Tick(1_000), || 0);
+        let mut state =
+            PersistentState { term: Term(4), log: behind(3, &[2, 3]), ..initial_state(1, 3) };
+        state.snapshot.last_included = LogPosition::new(Term(2), LogIndex(3));
+        let mut follower = RaftNode::new(state, false, Tick(1_000), || 0);
         let entries = behind(previous.1, terms);
         let previous = LogPosition::new(Term(previous.0), LogIndex(previous.1));
         let append = RaftMessageKind::AppendEntries {
@@ -1468,12 +1497,12 @@
             sent_at: 7,
         };
         follower.step(message(2, 4, append), ELECTED);
-        store(&mut follower);
+        persist(&mut follower);
         assert_eq!(terms_of(&follower), log, "{what}");
         let places = follower.state.log.iter().map(|e| e.index.0);
         assert!(places.eq(4..4 + log.len() as u64), "{what}: {:?}", follower.state.log);
         let kind = RaftMessageKind::AppendResponse {
-            match_index: LogIndex(upto),
+            match_index: LogIndex(last_index),
             success: true,
             sent_at: 7,
         };
@@ -1493,13 +1522,13 @@
     // (the last term that it led, the term whose leader it hears, whether it may ask sooner then)
     for (led, term, sooner) in [(5, None, true), (5, Some(6), false), (4, Some(5), false)] {
         let led = Some(Term(led));
-        let kept = PersistentState {
+        let state = PersistentState {
             term: Term(5),
             last_led_term: led,
             log: log_of(&[5]),
-            ..founder(1, 3)
+            ..initial_state(1, 3)
         };
-        let mut raft = RaftNode::new(kept, true, ELECTED, || 0);
+        let mut raft = RaftNode::new(state, true, ELECTED, || 0);
         if let Some(term) = term {
             raft.step(message(2, term, heartbeat.clone()), ELECTED);
         }
