--- a/src/simulation/callers.rs
+++ b/src/simulation/callers.rs
@@ -2,9 +2,9 @@
 use crate::controller::effects::Input;
 use crate::net::http::{Request, Response};
 use crate::simulation::events::Event;
-use crate::simulation::network::End;
+use crate::simulation::network::Party;
 use crate::simulation::schedule::chance;
-use crate::simulation::world::{World, machine_at};
+use crate::simulation::world::{World, machine_of};
 use std::sync::mpsc::{Receiver, sync_channel};
 
 /// One that calls controllers over HTTP: an operator, or a database with its heartbeats.
@@ -29,18 +29,18 @@
         }
     }
 
-    fn end_of(&self, who: usize) -> End {
+    fn party_of(&self, who: usize) -> Party {
         match who.checked_sub(self.operators.len()) {
-            None => End::Operator(who),
-            Some(database) => End::Database(database),
+            None => Party::Operator(who),
+            Some(database) => Party::Database(database),
         }
     }
 
     /// Sends a request, or the same one again, to the controller that is next.
-    pub(super) fn call(&mut self, who: usize, request: Request) {
+    pub(super) fn send_request(&mut self, who: usize, request: Request) {
         let running: Vec<usize> =
             (0..self.machines.len()).filter(|m| !self.machines[*m].gone).collect();
-        let (now, from) = (self.now, self.end_of(who));
+        let (now, from) = (self.now, self.party_of(who));
         let caller = self.caller(who);
         caller.attempt += 1;
         caller.sent = now;
@@ -49,20 +49,20 @@
         let (attempt, next) = (caller.attempt, caller.next);
         let to = if running.contains(&next) { next } else { running[next % running.len()] };
         self.caller(who).next = to;
-        match self.arrival(from, End::Controller(to), 0) {
+        match self.arrival_time(from, Party::Controller(to), 0) {
             Some(time) if self.machines[to].controller.is_some() => {
-                self.at(time, Event::AdminCall(who, attempt, request));
+                self.schedule_at(time, Event::Request(who, attempt, request));
             }
-            Some(time) => return self.at(time, Event::Answer(who, attempt, None)),
+            Some(time) => return self.schedule_at(time, Event::Response(who, attempt, None)),
             None => {}
         }
-        self.soon(1_000, Event::Answer(who, attempt, None));
+        self.schedule_after(1_000, Event::Response(who, attempt, None));
     }
 
-    pub(super) fn reach_controller(&mut self, who: usize, attempt: u64, request: Request) {
+    pub(super) fn deliver_request(&mut self, who: usize, attempt: u64, request: Request) {
         let caller = self.caller(who);
         if caller.attempt != attempt {
-            // Gave up on it, but what is on its way arrives all the same.
+            // Gave up on it, but what is on its direction arrives all the same.
             let to = caller.next;
             let (reply, _) = sync_channel(1);
             return self.step(to, Some(Input::Http(request, reply)));
@@ -74,8 +74,8 @@
         self.step(to, Some(Input::Http(request, reply)));
     }
 
-    /// What this controller has answered goes on its way.
-    pub(super) fn gather_answers(&mut self, number: usize, held: u64) {
+    /// What this controller has answered goes on its direction.
+    pub(super) fn collect_responses(&mut self, number: usize, held: u64) {
         let incarnation = self.machines[number].incarnation;
         for who in 0..self.operators.len() + self.databases.len() {
             let caller = self.caller(who);
@@ -86,17 +86,17 @@
             let Ok(response) = answer.try_recv() else { continue };
             let attempt = caller.attempt;
             caller.answer = None;
-            let to = self.end_of(who);
-            let lost = !self.healed && chance(3);
-            if let Some(time) = self.arrival(End::Controller(number), to, held)
+            let to = self.party_of(who);
+            let lost = !self.repaired && chance(3);
+            if let Some(time) = self.arrival_time(Party::Controller(number), to, held)
                 && !lost
             {
-                self.at(time, Event::Answer(who, attempt, Some(response)));
+                self.schedule_at(time, Event::Response(who, attempt, Some(response)));
             }
         }
     }
 
-    pub(super) fn answered(&mut self, who: usize, attempt: u64, response: Option<Response>) {
+    pub(super) fn handle_response(&mut self, who: usize, attempt: u64, response: Option<Response>) {
         let machines = self.machines.len();
         let caller = self.caller(who);
         if caller.attempt != attempt {
@@ -110,8 +110,8 @@
             caller.redirects += 1;
             let at = to.trim_start_matches("http://").split('/').next().map(str::parse);
             if let Some(Ok(at)) = at {
-                caller.next = machine_at(at);
-                return self.call(who, request);
+                caller.next = machine_of(at);
+                return self.send_request(who, request);
             }
         }
         caller.redirects = 0;
@@ -122,8 +122,8 @@
                 caller.pause = 0;
                 let sent = caller.sent;
                 match who.checked_sub(self.operators.len()) {
-                    None => self.operator_heard(who, sent, response),
-                    Some(database) => self.database_heard(database, &request, &response),
+                    None => self.handle_operator_response(who, sent, response),
+                    Some(database) => self.handle_heartbeat_response(database, &request, &response),
                 }
             }
             None => {
@@ -131,17 +131,17 @@
                 caller.pause = (caller.pause * 2).clamp(50, 800);
                 caller.attempt += 1;
                 let after = caller.pause;
-                self.soon(after, Event::Act(who));
+                self.schedule_after(after, Event::TakeTurn(who));
             }
         }
     }
 
-    pub(super) fn act(&mut self, who: usize) {
+    pub(super) fn take_turn(&mut self, who: usize) {
         if let Some(database) = who.checked_sub(self.operators.len()) {
-            return self.heartbeat(database);
+            return self.send_heartbeat(database);
         }
         if let Some(request) = self.caller(who).under_way.clone() {
-            return self.call(who, request);
+            return self.send_request(who, request);
         }
         let request = match self.operators[who].order.clone() {
             Some(order) => Request {
@@ -157,6 +157,6 @@
                 body: Vec::new(),
             },
         };
-        self.call(who, request);
+        self.send_request(who, request);
     }
 }
--- a/src/simulation/checker.rs
+++ b/src/simulation/checker.rs
@@ -4,21 +4,21 @@
 use crate::leases::lease_table::LEASE_MS;
 use crate::net::rpc::pack;
 use crate::simulation::databases::Write;
-use crate::simulation::schedule::Kind;
+use crate::simulation::schedule::FaultKind;
 use crate::simulation::world::{SERVICES, World};
 use std::collections::BTreeSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 /// A commit that a node passed on to its client, and when.
 #[derive(Clone, Copy)]
-pub(super) struct Passed {
+pub(super) struct AcknowledgedCommit {
     pub(super) write: Write,
     pub(super) node: usize,
     pub(super) at: u64,
 }
 
 /// A configuration that is known to have come into force, in the order in which they did.
-pub(super) struct Forced {
+pub(super) struct CommittedConfiguration {
     pub(super) revision: Revision,
     pub(super) base: Revision,
     pub(super) body: Vec<u8>,
@@ -28,17 +28,17 @@
 impl World {
     /// Whether all steady clocks run on, which leases rest on.
     pub(super) fn clocks_run(&self) -> bool {
-        !self.schedule.troubles.iter().any(|t| matches!(t.kind, Kind::Suspend(_)))
+        !self.schedule.faults.iter().any(|t| matches!(t.kind, FaultKind::Suspend(_)))
     }
 
-    pub(super) fn fail(&mut self, why: String) {
-        if self.broken.is_none() {
-            self.broken = Some(format!("at {} ms: {why}", self.now));
+    pub(super) fn report_violation(&mut self, why: String) {
+        if self.violation.is_none() {
+            self.violation = Some(format!("at {} ms: {why}", self.now));
         }
     }
 
     /// Checks what this controller holds against what any other ever held.
-    pub(super) fn look(&mut self, number: usize) {
+    pub(super) fn check_controller(&mut self, number: usize) {
         let machine = &mut self.machines[number];
         let Some(controller) = &machine.controller else { return };
         let (raft, state_machine) = (controller.raft(), controller.state_machine());
@@ -70,52 +70,60 @@
             if *self.states.entry(applied).or_insert(state) != state {
                 wrong = Some(format!("the state at entry {applied} differs at n{number}"));
             }
-            let newest = self.forced.last().map_or(Revision(0), |f| f.revision);
+            let newest = self.committed_configurations.last().map_or(Revision(0), |f| f.revision);
             if state_machine.revision > newest {
                 let body = state_machine.body.to_vec();
                 let (revision, at) = (state_machine.revision, self.now);
-                self.forced.push(Forced { revision, base: newest, body, at });
+                self.committed_configurations.push(CommittedConfiguration {
+                    revision,
+                    base: newest,
+                    body,
+                    at,
+                });
             }
         }
         if let Some(why) = wrong {
-            self.fail(why);
+            self.report_violation(why);
         }
     }
 
     /// How far in `forced` a read that began at `sent` must have come.
-    pub(super) fn floor(&self, sent: u64) -> usize {
-        let before = self.floors.iter().filter(|(at, _)| *at <= sent);
+    pub(super) fn read_floor(&self, sent: u64) -> usize {
+        let before = self.read_floors.iter().filter(|(at, _)| *at <= sent);
         before.map(|(_, place)| *place).max().unwrap_or(0)
     }
 
-    pub(super) fn find(&self, revision: Revision, body: &[u8]) -> Option<usize> {
-        self.forced.iter().position(|f| f.revision == revision && f.body == body).map(|at| at + 1)
+    pub(super) fn committed_place(&self, revision: Revision, body: &[u8]) -> Option<usize> {
+        self.committed_configurations
+            .iter()
+            .position(|f| f.revision == revision && f.body == body)
+            .map(|at| at + 1)
     }
 
     /// At any time all valid leases on a service are on one term.
-    pub(super) fn one_lease(&mut self) {
+    pub(super) fn check_one_leased_term(&mut self) {
         for service in SERVICES.map(ServiceName::from) {
             let now = self.now;
             let held = self.nodes.iter().filter_map(|n| n.leases.get(&service));
             let terms: BTreeSet<DbTerm> =
                 held.filter(|l| now < l.asked + LEASE_MS).map(|l| l.term).collect();
             if terms.len() > 1 && self.clocks_run() {
-                self.fail(format!("{service} is leased in two terms at once"));
+                self.report_violation(format!("{service} is leased in two terms at once"));
             }
         }
     }
 
     /// With everything well for long, all must agree and be served.
-    pub(super) fn look_back(&mut self) {
+    pub(super) fn check_final_state(&mut self) {
         let leading: Vec<usize> = (0..self.machines.len())
             .filter(|m| {
                 let machine = &self.machines[*m];
-                let now = Tick(self.now + machine.ahead);
+                let now = Tick(self.now + machine.clock_offset);
                 machine.controller.as_ref().is_some_and(|s| s.raft().holds_leader_lease(now))
             })
             .collect();
         let [leader] = leading[..] else {
-            return self.fail(format!("in the end {} lead", leading.len()));
+            return self.report_violation(format!("in the end {} lead", leading.len()));
         };
         let Some(controller) = &self.machines[leader].controller else { return };
         let (revision, applied) = (controller.state_machine().revision, controller.applied());
@@ -128,10 +136,10 @@
             .position(|m| m.controller.as_ref().is_some_and(|s| s.applied().0 + 40 < applied.0));
         let late = self.nodes.iter().position(|n| {
             let newest = n.config.as_ref().map(|c| c.revision);
-            let old = self.forced.iter().rev().find(|f| f.at + 3_000 < self.now);
+            let old = self.committed_configurations.iter().rev().find(|f| f.at + 3_000 < self.now);
             newest < old.map(|f| f.revision)
         });
-        let wrong = if self.forced.last().map(|f| f.revision) != Some(revision) {
+        let wrong = if self.committed_configurations.last().map(|f| f.revision) != Some(revision) {
             Some("in the end not all that was in force is".to_owned())
         } else if let Some(number) = behind {
             Some(format!("n{number} never caught up"))
@@ -148,7 +156,7 @@
         };
         self.report.raft_terms = self.leaders.len() as u64;
         if let Some(why) = wrong {
-            self.fail(why);
+            self.report_violation(why);
         }
     }
 }
--- a/src/simulation/databases.rs
+++ b/src/simulation/databases.rs
@@ -6,15 +6,25 @@
 use crate::net::http::{Request, Response};
 use crate::net::statement_protocol::ServerDescription;
 use crate::simulation::callers::Caller;
-use crate::simulation::checker::Passed;
+use crate::simulation::checker::AcknowledgedCommit;
 use crate::simulation::events::Event;
-use crate::simulation::network::End;
-use crate::simulation::schedule::{chance, upto};
+use crate::simulation::network::Party;
+use crate::simulation::schedule::{chance, draw_below};
 use crate::simulation::world::World;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
+/// A commit whose node waits until one replica has the log up to it.
+#[derive(Clone, Copy)]
+pub(super) struct PendingCommit {
+    pub(super) node: usize,
+    pub(super) incarnation: u64,
+    /// Length of the log up to and with this commit.
+    pub(super) length: usize,
+    pub(super) id: u64,
+}
+
 pub(super) struct Database {
     pub(super) id: InstanceId,
     pub(super) service: ServiceName,
@@ -25,17 +35,17 @@
     pub(super) term: DbTerm,
     pub(super) log: Vec<Write>,
     pub(super) paused: bool,
-    pub(super) deaf: u64,
+    pub(super) stalled_until: u64,
     pub(super) draining: bool,
     pub(super) drained: bool,
     pub(super) sequence: u64,
     /// How much of its log each other one has.
     pub(super) received: BTreeMap<usize, usize>,
-    /// Who waits for which commit.
-    pub(super) owed: Vec<(usize, u64, usize, u64)>,
-    pub(super) told: Option<(Role, Lifecycle)>,
+    /// Commits that no replica has acknowledged yet.
+    pub(super) pending_commits: Vec<PendingCommit>,
+    pub(super) reported: Option<(Role, Lifecycle)>,
     /// Since when it could reach a newer primary.
-    pub(super) deposed: Option<u64>,
+    pub(super) deposed_since: Option<u64>,
 }
 
 impl Database {
@@ -70,33 +80,33 @@
             term: DbTerm(1),
             log: Vec::new(),
             paused: false,
-            deaf: 0,
+            stalled_until: 0,
             draining: false,
             drained: false,
             sequence: 0,
             received: BTreeMap::new(),
-            owed: Vec::new(),
-            told: None,
-            deposed: None,
+            pending_commits: Vec::new(),
+            reported: None,
+            deposed_since: None,
         });
         let who = self.operators.len() + number;
-        self.soon(after, Event::Act(who));
-        self.soon(after, Event::Database(number));
+        self.schedule_after(after, Event::TakeTurn(who));
+        self.schedule_after(after, Event::ReplicationTurn(number));
     }
 
-    pub(super) fn of_service(&self, service: &ServiceName) -> Vec<usize> {
+    pub(super) fn databases_of(&self, service: &ServiceName) -> Vec<usize> {
         (0..self.databases.len())
             .filter(|d| self.databases[*d].service == *service && !self.databases[*d].gone)
             .collect()
     }
 
     /// The primary of the newest term, running or not.
-    pub(super) fn primary(&self, service: &ServiceName) -> Option<usize> {
-        let all = self.of_service(service).into_iter().filter(|d| self.databases[*d].primary);
+    pub(super) fn newest_primary(&self, service: &ServiceName) -> Option<usize> {
+        let all = self.databases_of(service).into_iter().filter(|d| self.databases[*d].primary);
         all.max_by_key(|d| self.databases[*d].term)
     }
 
-    pub(super) fn heartbeat(&mut self, number: usize) {
+    pub(super) fn send_heartbeat(&mut self, number: usize) {
         let database = &mut self.databases[number];
         if !database.up || database.gone {
             return;
@@ -114,84 +124,93 @@
                 "sequence": database.sequence,
             });
             let body = body.to_string().into_bytes();
-            database.told = Some((database.role(), database.lifecycle()));
+            database.reported = Some((database.role(), database.lifecycle()));
             Request { method: "PUT".into(), path, if_match: None, body }
         };
-        self.call(self.operators.len() + number, request);
+        self.send_request(self.operators.len() + number, request);
     }
 
-    pub(super) fn database_heard(&mut self, number: usize, request: &Request, response: &Response) {
+    pub(super) fn handle_heartbeat_response(
+        &mut self,
+        number: usize,
+        request: &Request,
+        response: &Response,
+    ) {
         if response.status != 200 {
-            return self.fail(format!("a beat was answered {}", response.status));
+            return self.report_violation(format!("a beat was answered {}", response.status));
         }
-        let (id, told) = (self.databases[number].id.clone(), self.databases[number].told);
+        let (id, reported) = (self.databases[number].id.clone(), self.databases[number].reported);
         let best = self.machines.iter().filter_map(|m| m.controller.as_ref());
         let best = best.max_by_key(|s| s.applied()).map(|s| s.state_machine());
         let listed = best.and_then(|a| a.instances.get(&id)).map(|r| r.instance.lifecycle_state);
         if request.method == "DELETE" {
             if listed.is_some() {
-                self.fail(format!("{id} said goodbye and is still listed"));
+                self.report_violation(format!("{id} said goodbye and is still listed"));
             }
             self.goodbyes.insert(id);
-            return self.end_database(number);
+            return self.remove_database(number);
         }
-        if told.is_some_and(|(_, l)| l == Lifecycle::Draining)
+        if reported.is_some_and(|(_, l)| l == Lifecycle::Draining)
             && listed == Some(Lifecycle::Available)
         {
-            return self.fail(format!("{id} is draining, acknowledged and not known to be"));
+            return self
+                .report_violation(format!("{id} is draining, acknowledged and not known to be"));
         }
         let database = &mut self.databases[number];
-        let news = told != Some((database.role(), database.lifecycle()));
+        let news = reported != Some((database.role(), database.lifecycle()));
         if database.draining && !news && !database.drained {
-            self.soon(3_000, Event::DatabaseLeaves(number));
+            self.schedule_after(3_000, Event::DatabaseLeaves(number));
         }
         let who = self.operators.len() + number;
-        self.soon(if news { 5 } else { 1_000 }, Event::Act(who));
+        self.schedule_after(if news { 5 } else { 1_000 }, Event::TakeTurn(who));
     }
 
-    fn end_database(&mut self, number: usize) {
+    fn remove_database(&mut self, number: usize) {
         let database = &mut self.databases[number];
         (database.up, database.gone, database.primary) = (false, true, false);
     }
 
-    /// A primary brings its replicas on, and one that was replaced gives way in the end.
+    /// A primary brings its replicas on, and one that was replaced gives direction in the end.
     pub(super) fn replicate(&mut self, number: usize) {
         if self.databases[number].gone {
             return;
         }
-        self.soon(40, Event::Database(number));
+        self.schedule_after(40, Event::ReplicationTurn(number));
         let now = self.now;
         let database = &self.databases[number];
         if !database.up || !database.primary {
             return;
         }
-        let newest = self.primary(&database.service.clone());
+        let newest = self.newest_primary(&database.service.clone());
         let (service, term) = (database.service.clone(), database.term);
         if newest.is_some_and(|n| {
             n != number
                 && self.databases[n].up
-                && self.reaches(End::Database(number), End::Database(n))
+                && self.can_reach(Party::Database(number), Party::Database(n))
         }) {
-            let since = *self.databases[number].deposed.get_or_insert(now);
+            let since = *self.databases[number].deposed_since.get_or_insert(now);
             if now - since > 1_000 {
                 let newer = newest.map_or(term, |n| self.databases[n].term);
                 let database = &mut self.databases[number];
-                (database.primary, database.term, database.deposed) = (false, newer, None);
+                (database.primary, database.term, database.deposed_since) = (false, newer, None);
                 return;
             }
         } else {
-            self.databases[number].deposed = None;
+            self.databases[number].deposed_since = None;
         }
         let log = Arc::new(self.databases[number].log.clone());
-        for replica in self.of_service(&service) {
+        for replica in self.databases_of(&service) {
             let behind =
                 self.databases[number].received.get(&replica).is_none_or(|n| *n < log.len());
             if replica != number
                 && behind
-                && let Some(time) =
-                    self.arrival(End::Database(number), End::Database(replica), upto(15))
+                && let Some(time) = self.arrival_time(
+                    Party::Database(number),
+                    Party::Database(replica),
+                    draw_below(15),
+                )
             {
-                self.at(time, Event::Replicate(number, replica, term, Arc::clone(&log)));
+                self.schedule_at(time, Event::Replicate(number, replica, term, Arc::clone(&log)));
             }
         }
     }
@@ -199,7 +218,8 @@
     pub(super) fn receive_log(&mut self, from: usize, to: usize, term: DbTerm, log: &[Write]) {
         let now = self.now;
         let database = &mut self.databases[to];
-        let takes = database.up && !database.primary && !database.paused && now >= database.deaf;
+        let takes =
+            database.up && !database.primary && !database.paused && now >= database.stalled_until;
         if !takes || database.term > term {
             return;
         }
@@ -208,12 +228,18 @@
         }
         database.term = term;
         let has = database.log.len().min(log.len());
-        if let Some(time) = self.arrival(End::Database(to), End::Database(from), 0) {
-            self.at(time, Event::Received(from, to, term, has));
+        if let Some(time) = self.arrival_time(Party::Database(to), Party::Database(from), 0) {
+            self.schedule_at(time, Event::ReplicaAck(from, to, term, has));
         }
     }
 
-    pub(super) fn received(&mut self, number: usize, by: usize, term: DbTerm, has: usize) {
+    pub(super) fn handle_replica_ack(
+        &mut self,
+        number: usize,
+        by: usize,
+        term: DbTerm,
+        has: usize,
+    ) {
         let database = &mut self.databases[number];
         if !database.up || !database.primary || database.term != term {
             return;
@@ -221,35 +247,36 @@
         let most = database.received.entry(by).or_default();
         *most = (*most).max(has);
         let (service, log) = (database.service.clone(), &database.log);
-        let due: Vec<_> = database.owed.iter().filter(|o| o.2 <= has).copied().collect();
-        database.owed.retain(|o| o.2 > has);
-        let words: Vec<_> = due
+        let due: Vec<_> =
+            database.pending_commits.iter().filter(|c| c.length <= has).copied().collect();
+        database.pending_commits.retain(|c| c.length > has);
+        let acknowledgements: Vec<_> = due
             .into_iter()
-            .map(|(node, incarnation, upto, id)| {
-                let position = Position { term: log[upto - 1].term, number: upto as u64 };
-                (node, Event::Committed(node, incarnation, service.clone(), term, id, position))
+            .map(|PendingCommit { node, incarnation, length, id }| {
+                let position = Position { term: log[length - 1].term, number: length as u64 };
+                (node, Event::CommitAck(node, incarnation, service.clone(), term, id, position))
             })
             .collect();
-        for (node, event) in words {
-            if let Some(time) = self.arrival(End::Database(number), End::Node(node), 0) {
-                self.at(time, event);
+        for (node, event) in acknowledgements {
+            if let Some(time) = self.arrival_time(Party::Database(number), Party::Node(node), 0) {
+                self.schedule_at(time, event);
             }
         }
     }
 
-    pub(super) fn write(&mut self, node: usize, to: usize, incarnation: u64, term: DbTerm) {
-        self.numbered += 1;
-        let id = self.numbered;
+    pub(super) fn append_write(&mut self, node: usize, to: usize, incarnation: u64, term: DbTerm) {
+        self.last_number += 1;
+        let id = self.last_number;
         let database = &mut self.databases[to];
         if database.up && database.primary {
             let term = if database.term == term { term } else { database.term };
             database.log.push(Write { term, id });
-            let upto = database.log.len();
-            database.owed.push((node, incarnation, upto, id));
+            let length = database.log.len();
+            database.pending_commits.push(PendingCommit { node, incarnation, length, id });
         }
     }
 
-    pub(super) fn asked(
+    pub(super) fn handle_database_request(
         &mut self,
         (from, incarnation): (usize, u64),
         service: ServiceName,
@@ -259,10 +286,10 @@
     ) {
         let number = self.databases.iter().position(|d| d.id == id);
         let reached = number.filter(|n| {
-            let (here, there) = (End::Controller(from), End::Database(*n));
-            self.reaches(here, there) && self.reaches(there, here) && !self.lost()
+            let (here, there) = (Party::Controller(from), Party::Database(*n));
+            self.can_reach(here, there) && self.can_reach(there, here) && !self.is_lost()
         });
-        let (told, after) = match reached {
+        let (reported, after) = match reached {
             None => (DatabaseResponse::TimedOut, 1_000),
             Some(n) if !self.databases[n].up => (DatabaseResponse::Unavailable, 2),
             Some(n) => {
@@ -290,7 +317,8 @@
                     term: database.term,
                     received: database.position(),
                 };
-                let late = if !self.healed && chance(3) { upto(1_200) } else { upto(5) };
+                let late =
+                    if !self.repaired && chance(3) { draw_below(1_200) } else { draw_below(5) };
                 (
                     if good {
                         DatabaseResponse::Description(row)
@@ -301,17 +329,17 @@
                 )
             }
         };
-        self.soon(
+        self.schedule_after(
             after,
-            Event::Input(
+            Event::ControllerInput(
                 from,
                 incarnation,
-                Input::DatabaseResponse(service, id, ask, attempt, told),
+                Input::DatabaseResponse(service, id, ask, attempt, reported),
             ),
         );
     }
 
-    pub(super) fn post(
+    pub(super) fn handle_promotion_request(
         &mut self,
         (from, incarnation): (usize, u64),
         service: ServiceName,
@@ -325,14 +353,14 @@
             None => (PromotionResponse::NotRunning, 20),
         };
         if let Some(n) = running {
-            self.soon(100 + upto(300), Event::Promote(service.clone(), n));
+            self.schedule_after(100 + draw_below(300), Event::Promote(service.clone(), n));
         }
-        if !self.healed && chance(10) {
+        if !self.repaired && chance(10) {
             (posted, after) = (PromotionResponse::Unknown, 1_000);
         }
-        self.soon(
+        self.schedule_after(
             after,
-            Event::Input(
+            Event::ControllerInput(
                 from,
                 incarnation,
                 Input::PromotionResponse(service, target, attempt, posted),
@@ -341,33 +369,33 @@
     }
 
     pub(super) fn promote(&mut self, service: &ServiceName, target: usize) {
-        let newest = self.of_service(service).into_iter().map(|d| self.databases[d].term).max();
+        let newest = self.databases_of(service).into_iter().map(|d| self.databases[d].term).max();
         let Some(newest) = newest else { return };
         let already = self.databases[target].primary && self.databases[target].term == newest;
         if !self.databases[target].up || already {
             return;
         }
         let log = &self.databases[target].log;
-        let passed = self.passed.get(service).into_iter().flatten();
-        let missing = passed.copied().find(|p| !log.contains(&p.write));
+        let acknowledged_commits = self.acknowledged_commits.get(service).into_iter().flatten();
+        let missing = acknowledged_commits.copied().find(|p| !log.contains(&p.write));
         let log = log.clone();
         let term = DbTerm(newest.0 + 1);
-        if let Some(Passed { write, node, at }) = missing
+        if let Some(AcknowledgedCommit { write, node, at }) = missing
             && self.clocks_run()
         {
             let (name, of) = (&self.databases[target].id, write.term);
-            return self.fail(format!(
+            return self.report_violation(format!(
                 "{name} leads {service} in {term} without a commit of {of}, passed on by node{node} at {at}"
             ));
         }
-        self.promoted.entry(service.clone()).or_default().push((term, log));
-        self.report.promoted += 1;
+        self.promotions.entry(service.clone()).or_default().push((term, log));
+        self.report.promotions += 1;
         let database = &mut self.databases[target];
         (database.primary, database.term, database.paused) = (true, term, false);
         database.received.clear();
-        database.owed.clear();
-        for other in self.of_service(service) {
-            let hears = self.reaches(End::Database(target), End::Database(other));
+        database.pending_commits.clear();
+        for other in self.databases_of(service) {
+            let hears = self.can_reach(Party::Database(target), Party::Database(other));
             let database = &mut self.databases[other];
             if other != target && hears && database.up && !database.primary {
                 database.term = term;
--- a/src/simulation/faults.rs
+++ b/src/simulation/faults.rs
@@ -3,28 +3,30 @@
 use crate::base::time::Tick;
 use crate::simulation::events::Event;
 use crate::simulation::machines::Machine;
-use crate::simulation::network::Cut;
-use crate::simulation::schedule::{Kind, Trouble, Way, Whom, chance, draw, upto};
+use crate::simulation::network::Partition;
+use crate::simulation::schedule::{
+    CutDirection, Fault, FaultKind, FaultTarget, chance, draw, draw_below,
+};
 use crate::simulation::world::{JOIN_SYNC_MS, LATER_HEARD_MS, SERVICES, World};
 
 impl World {
-    fn whom(&self, whom: Whom) -> Option<usize> {
+    fn pick_machine(&self, target: FaultTarget) -> Option<usize> {
         let here = |m: &Machine| !m.gone && m.controller.is_some();
         let leads = |m: &Machine| {
-            let now = Tick(self.now + m.ahead);
+            let now = Tick(self.now + m.clock_offset);
             m.controller.as_ref().is_some_and(|s| s.raft().holds_leader_lease(now))
         };
         let all: Vec<usize> =
             (0..self.machines.len()).filter(|m| here(&self.machines[*m])).collect();
-        match whom {
-            Whom::Leader => all.into_iter().find(|m| leads(&self.machines[*m])),
-            Whom::Number(n) => all.get(usize::from(n) % all.len().max(1)).copied(),
+        match target {
+            FaultTarget::Leader => all.into_iter().find(|m| leads(&self.machines[*m])),
+            FaultTarget::Number(n) => all.get(usize::from(n) % all.len().max(1)).copied(),
         }
     }
 
     /// Whether a controller may be lost now for so long; it then counts as lost.
-    fn may_lose(&mut self, whom: Whom, lasts: u64) -> Option<usize> {
-        let number = self.whom(whom)?;
+    fn reserve_loss(&mut self, target: FaultTarget, lasts_ms: u64) -> Option<usize> {
+        let number = self.pick_machine(target)?;
         let now = self.now;
         let lost = (0..self.machines.len())
             .filter(|m| *m != number && !self.machines[*m].gone && self.machines[*m].lost > now);
@@ -33,61 +35,63 @@
             return None;
         }
         let machine = &mut self.machines[number];
-        machine.lost = machine.lost.max(now + lasts + LATER_HEARD_MS + JOIN_SYNC_MS);
+        machine.lost = machine.lost.max(now + lasts_ms + LATER_HEARD_MS + JOIN_SYNC_MS);
         Some(number)
     }
 
-    pub(super) fn strike(&mut self, number: usize) {
-        if self.healed {
+    pub(super) fn inject(&mut self, number: usize) {
+        if self.repaired {
             return;
         }
-        let Trouble { lasts, kind, .. } = self.schedule.troubles[number].clone();
-        let until = self.now + lasts;
+        let Fault { lasts_ms, kind, .. } = self.schedule.faults[number].clone();
+        let until = self.now + lasts_ms;
         match kind {
-            Kind::Cut(whom, way) => {
-                if let Some(controller) = self.may_lose(whom, lasts) {
-                    self.cuts.push(Cut { controller, way, until, salt: draw() });
+            FaultKind::Partition(target, direction) => {
+                if let Some(controller) = self.reserve_loss(target, lasts_ms) {
+                    self.partitions.push(Partition { controller, direction, until, salt: draw() });
                 }
             }
-            Kind::Freeze(whom) => {
-                if let Some(number) = self.may_lose(whom, lasts) {
+            FaultKind::Freeze(target) => {
+                if let Some(number) = self.reserve_loss(target, lasts_ms) {
                     if chance(40) {
-                        self.cut_a_little_longer(number, until);
+                        self.partition_past(number, until);
                     }
                     let machine = &mut self.machines[number];
-                    (machine.frozen, machine.midway) = (Some(until), chance(60));
-                    self.at(until, Event::Thaw(number));
+                    (machine.frozen_until, machine.frozen_mid_step) = (Some(until), chance(60));
+                    self.schedule_at(until, Event::Thaw(number));
                 }
             }
-            Kind::Suspend(whom) => {
-                if let Some(number) = self.may_lose(whom, lasts) {
-                    self.cut_a_little_longer(number, until);
+            FaultKind::Suspend(target) => {
+                if let Some(number) = self.reserve_loss(target, lasts_ms) {
+                    self.partition_past(number, until);
                     let machine = &mut self.machines[number];
-                    (machine.frozen, machine.midway) = (Some(until), chance(60));
-                    machine.suspended.get_or_insert(self.now);
-                    self.at(until, Event::Thaw(number));
+                    (machine.frozen_until, machine.frozen_mid_step) = (Some(until), chance(60));
+                    machine.suspended_since.get_or_insert(self.now);
+                    self.schedule_at(until, Event::Thaw(number));
                 }
             }
-            Kind::Kill(whom) | Kind::Power(whom) | Kind::Wipe(whom) => {
-                if let Some(number) = self.may_lose(whom, lasts) {
-                    self.stop(number, matches!(kind, Kind::Wipe(_)));
-                    self.at(until, Event::Start(number));
+            FaultKind::Kill(target)
+            | FaultKind::PowerLoss(target)
+            | FaultKind::DiskLoss(target) => {
+                if let Some(number) = self.reserve_loss(target, lasts_ms) {
+                    self.stop(number, matches!(kind, FaultKind::DiskLoss(_)));
+                    self.schedule_at(until, Event::Start(number));
                 }
             }
-            Kind::Replace(whom) => {
-                if let Some(number) = self.may_lose(whom, lasts) {
+            FaultKind::Replace(target) => {
+                if let Some(number) = self.reserve_loss(target, lasts_ms) {
                     self.stop(number, true);
                     self.machines[number].gone = true;
                     let seeds: Vec<usize> =
                         (0..self.machines.len()).filter(|m| !self.machines[*m].gone).collect();
-                    let start = upto(seeds.len() as u64) as usize;
+                    let start = draw_below(seeds.len() as u64) as usize;
                     let seeds: Vec<usize> =
                         seeds.iter().cycle().skip(start).take(3).copied().collect();
                     let new = self.add_machine(&seeds, false);
-                    self.at(until, Event::Start(new));
+                    self.schedule_at(until, Event::Start(new));
                 }
             }
-            Kind::All { wiped, .. } => {
+            FaultKind::AllMachines { wiped, .. } => {
                 let now = self.now;
                 let lost = self.machines.iter().filter(|m| m.lost > now).count();
                 let mut wipes =
@@ -96,36 +100,36 @@
                     let wipe = wipes > 0 && self.machines[number].controller.is_some();
                     wipes -= usize::from(wipe);
                     if wipe {
-                        self.machines[number].lost = now + lasts + JOIN_SYNC_MS;
+                        self.machines[number].lost = now + lasts_ms + JOIN_SYNC_MS;
                     }
                     self.stop(number, wipe);
-                    let back = lasts.min(3_000) + upto(300);
-                    self.soon(back, Event::Start(number));
+                    let back = lasts_ms.min(3_000) + draw_below(300);
+                    self.schedule_after(back, Event::Start(number));
                 }
             }
-            Kind::DiskFull(whom) | Kind::DiskStall(whom) => {
-                if let Some(number) = self.may_lose(whom, lasts) {
-                    let full = matches!(kind, Kind::DiskFull(_));
-                    self.machines[number].disk_ill = Some((until, full));
+            FaultKind::DiskFull(target) | FaultKind::DiskStall(target) => {
+                if let Some(number) = self.reserve_loss(target, lasts_ms) {
+                    let full = matches!(kind, FaultKind::DiskFull(_));
+                    self.machines[number].disk_fault = Some((until, full));
                 }
             }
-            Kind::Reset => {
-                let all: Vec<u64> = self.conns.keys().copied().collect();
+            FaultKind::ConnectionReset => {
+                let all: Vec<u64> = self.connections.keys().copied().collect();
                 all.into_iter().for_each(|conn| self.close(conn));
             }
-            Kind::Lossy(percent) => self.lossy = (until, u64::from(percent)),
-            Kind::Crash { primary, number } => {
+            FaultKind::PacketLoss(percent) => self.packet_loss = (until, u64::from(percent)),
+            FaultKind::DatabaseCrash { primary, number } => {
                 if let Some(number) = self.pick_database(primary, number) {
                     self.databases[number].up = false;
-                    self.at(until, Event::DatabaseUp(number));
+                    self.schedule_at(until, Event::DatabaseUp(number));
                 }
             }
-            Kind::Deaf(number) => {
+            FaultKind::ReplicationStall(number) => {
                 if let Some(number) = self.pick_database(false, number) {
-                    self.databases[number].deaf = until;
+                    self.databases[number].stalled_until = until;
                 }
             }
-            Kind::Leave { primary, number } => {
+            FaultKind::DatabaseLeave { primary, number } => {
                 if let Some(number) = self.pick_database(primary, number)
                     && !self.databases[number].draining
                 {
@@ -134,8 +138,8 @@
                     self.add_database(&service.0, false, 50);
                 }
             }
-            Kind::Large(hundreds) => self.large = u64::from(hundreds),
-            Kind::NodeKill(number) => {
+            FaultKind::LargeConfigurations(hundreds) => self.large = u64::from(hundreds),
+            FaultKind::NodeRestart(number) => {
                 let number = usize::from(number) % self.nodes.len();
                 if let Some((conn, _)) = self.nodes[number].conn {
                     self.close(conn);
@@ -148,45 +152,50 @@
                 node.highest.clear();
                 node.sent.clear();
                 let incarnation = node.incarnation;
-                self.soon(lasts.min(4_000), Event::Node(number, incarnation));
+                self.schedule_after(lasts_ms.min(4_000), Event::NodeTurn(number, incarnation));
             }
         }
     }
 
-    fn cut_a_little_longer(&mut self, controller: usize, than: u64) {
-        let (way, salt) = (Way::Both, draw());
-        self.cuts.push(Cut { controller, way, until: than + LATER_HEARD_MS, salt });
+    fn partition_past(&mut self, controller: usize, than: u64) {
+        let (direction, salt) = (CutDirection::Both, draw());
+        self.partitions.push(Partition {
+            controller,
+            direction,
+            until: than + LATER_HEARD_MS,
+            salt,
+        });
     }
 
     fn pick_database(&self, primary: bool, number: u8) -> Option<usize> {
         let service = ServiceName::from(SERVICES[usize::from(number) % SERVICES.len()]);
-        let newest = self.primary(&service);
+        let newest = self.newest_primary(&service);
         if primary {
             return newest.filter(|d| self.databases[*d].up);
         }
-        let mut replicas = self.of_service(&service);
+        let mut replicas = self.databases_of(&service);
         replicas.retain(|d| Some(*d) != newest && self.databases[*d].up);
         replicas.get(usize::from(number) % replicas.len().max(1)).copied()
     }
 
     /// All is well again from here on.
-    pub(super) fn heal(&mut self) {
-        self.healed = true;
-        self.cuts.clear();
-        self.lossy = (0, 0);
+    pub(super) fn repair_all(&mut self) {
+        self.repaired = true;
+        self.partitions.clear();
+        self.packet_loss = (0, 0);
         for number in 0..self.machines.len() {
-            self.machines[number].disk_ill = None;
+            self.machines[number].disk_fault = None;
             // What a stalled disk was given is written now, not when the stall would have ended.
-            self.soon(2, Event::Written(number, self.machines[number].incarnation));
-            if self.machines[number].frozen.is_some() {
-                self.machines[number].frozen = Some(self.now);
-                self.soon(0, Event::Thaw(number));
+            self.schedule_after(2, Event::WriteDone(number, self.machines[number].incarnation));
+            if self.machines[number].frozen_until.is_some() {
+                self.machines[number].frozen_until = Some(self.now);
+                self.schedule_after(0, Event::Thaw(number));
             }
-            self.soon(1, Event::Start(number));
+            self.schedule_after(1, Event::Start(number));
         }
         for number in 0..self.databases.len() {
-            self.databases[number].deaf = 0;
-            self.soon(1, Event::DatabaseUp(number));
+            self.databases[number].stalled_until = 0;
+            self.schedule_after(1, Event::DatabaseUp(number));
         }
     }
 }
--- a/src/simulation/machines.rs
+++ b/src/simulation/machines.rs
@@ -9,30 +9,30 @@
 use crate::net::rpc::{Frame, receive};
 use crate::raft::storage::{RaftStorage, WriteBatch};
 use crate::simulation::events::Event;
-use crate::simulation::network::{End, Far};
-use crate::simulation::recorded_effects::Queue;
-use crate::simulation::schedule::{chance, draw, upto};
-use crate::simulation::world::{ADMIN, JOIN_SYNC_MS, PEER, World, machine_at, place};
+use crate::simulation::network::{Party, RemoteEnd};
+use crate::simulation::recorded_effects::RecordedEffects;
+use crate::simulation::schedule::{chance, draw, draw_below};
+use crate::simulation::world::{ADMIN, JOIN_SYNC_MS, PEER, World, address_of, machine_of};
 use std::net::SocketAddr;
 
 pub(super) struct Machine {
     pub(super) settings: Settings,
     pub(super) disk: RaftStorage,
-    pub(super) controller: Option<Controller<Queue>>,
+    pub(super) controller: Option<Controller<RecordedEffects>>,
     /// Grows with each start, so that what was meant for an older process is known.
     pub(super) incarnation: u64,
     /// Its steady clock is ahead of the world's by this.
-    pub(super) ahead: u64,
+    pub(super) clock_offset: u64,
     pub(super) wake: u64,
-    pub(super) frozen: Option<u64>,
+    pub(super) frozen_until: Option<u64>,
     /// Frozen in the middle of a step: what that step decides leaves only when it wakes.
-    pub(super) midway: bool,
+    pub(super) frozen_mid_step: bool,
     /// Since when its steady clock stands still.
-    pub(super) suspended: Option<u64>,
+    pub(super) suspended_since: Option<u64>,
     pub(super) backlog: Vec<Input>,
-    pub(super) writing: Option<WriteBatch>,
+    pub(super) pending_write: Option<WriteBatch>,
     /// The disk takes nothing until then; with `full` it says so.
-    pub(super) disk_ill: Option<(u64, bool)>,
+    pub(super) disk_fault: Option<(u64, bool)>,
     /// Counts as lost until then.
     pub(super) lost: u64,
     pub(super) gone: bool,
@@ -42,10 +42,10 @@
 }
 
 impl Machine {
-    pub(super) fn wake_up(&mut self, now: u64) {
-        (self.frozen, self.midway) = (None, false);
-        if let Some(since) = self.suspended.take() {
-            self.ahead -= now - since;
+    pub(super) fn thaw(&mut self, now: u64) {
+        (self.frozen_until, self.frozen_mid_step) = (None, false);
+        if let Some(since) = self.suspended_since.take() {
+            self.clock_offset -= now - since;
         }
     }
 }
@@ -54,16 +54,16 @@
     pub(super) fn add_machine(&mut self, seeds: &[usize], bootstrap: bool) -> usize {
         let number = self.machines.len();
         let seeds: Vec<String> =
-            seeds.iter().map(|m| format!("\"{}\"", place(*m, ADMIN))).collect();
+            seeds.iter().map(|m| format!("\"{}\"", address_of(*m, ADMIN))).collect();
         let text = format!(
             "node_name = \"n{number}\"\nip_address = \"{}\"\nzone = \"z{number}\"\n\
              port_range = [{PEER}, {PEER}]\nseed_nodes = [{}]\nbootstrap = {bootstrap}\n\
              data_path = \"/none\"\nheartbeat_ms = 1000\n[listeners]\nadmin = \"{}\"\n\
              [fault_tolerance]\nmachines = {}\n[timing_bounds]\njoin_sync_s = {}\n\
              [provider]\naddress = \"10.9.0.1:9\"\n",
-            place(number, ADMIN).ip(),
+            address_of(number, ADMIN).ip(),
             seeds.join(", "),
-            place(number, ADMIN),
+            address_of(number, ADMIN),
             self.schedule.tolerated,
             JOIN_SYNC_MS / 1_000,
         );
@@ -71,7 +71,7 @@
             (Ok(settings), Ok(disk)) => (settings, disk),
             (settings, disk) => {
                 // Neither depends on the schedule; a model that can't be set up plays nothing.
-                self.fail(format!("no machine: {:?} {:?}", settings.err(), disk.err()));
+                self.report_violation(format!("no machine: {:?} {:?}", settings.err(), disk.err()));
                 return number;
             }
         };
@@ -80,14 +80,14 @@
             disk,
             controller: None,
             incarnation: 0,
-            ahead: 100_000 + upto(1_000_000),
+            clock_offset: 100_000 + draw_below(1_000_000),
             wake: 0,
-            frozen: None,
-            midway: false,
-            suspended: None,
+            frozen_until: None,
+            frozen_mid_step: false,
+            suspended_since: None,
             backlog: Vec::new(),
-            writing: None,
-            disk_ill: None,
+            pending_write: None,
+            disk_fault: None,
             lost: 0,
             gone: false,
             me: MemberId(0),
@@ -108,7 +108,7 @@
             // An empty machine is given seeds that are there.
             let there = |m: &usize| !self.machines[*m].gone && self.machines[*m].lost <= now;
             let all = (0..self.machines.len()).cycle().skip(number + 1).take(self.machines.len());
-            let seeds = all.filter(there).take(3).map(|m| place(m, ADMIN)).collect();
+            let seeds = all.filter(there).take(3).map(|m| address_of(m, ADMIN)).collect();
             self.machines[number].settings.seed_nodes = seeds;
         }
         let machine = &mut self.machines[number];
@@ -116,7 +116,7 @@
         let kept = match machine.disk.kept() {
             Ok(Some(kept)) => Ok((kept, true)),
             Ok(None) => {
-                let first = first_state(&machine.settings, place(number, ADMIN), draw);
+                let first = first_state(&machine.settings, address_of(number, ADMIN), draw);
                 let saved = machine
                     .disk
                     .save(&WriteBatch::of(&first, &crate::raft::state::UnsavedChanges::all()));
@@ -124,13 +124,13 @@
             }
             Err(e) => Err(e.to_string()),
         };
-        let tick = Tick(now + machine.ahead);
+        let tick = Tick(now + machine.clock_offset);
         let started = kept.and_then(|(kept, again)| {
             machine.me = kept.member_id;
             (machine.checked, machine.applied) =
                 (kept.snapshot.last_included.index, kept.snapshot.last_included.index);
             let settings = machine.settings.clone();
-            Controller::new(settings, kept, again, draw, Queue::default(), tick)
+            Controller::new(settings, kept, again, draw, RecordedEffects::default(), tick)
                 .map_err(|e| e.to_string())
         });
         match started {
@@ -140,54 +140,54 @@
                 machine.settings.bootstrap = false;
                 self.step(number, None);
             }
-            Err(e) => self.fail(format!("n{number} does not start: {e}")),
+            Err(e) => self.report_violation(format!("n{number} does not start: {e}")),
         }
     }
 
-    /// The process ends; with `power` the machine does. A write under way is kept or lost.
+    /// The process ends; with `power` the machine does. A write under direction is kept or lost.
     pub(super) fn stop(&mut self, number: usize, wipe: bool) {
         let machine = &mut self.machines[number];
         if machine.controller.take().is_none() {
             return;
         }
-        let writing = machine.writing.take().filter(|_| chance(50));
-        if let Some(batch) = writing
+        let pending_write = machine.pending_write.take().filter(|_| chance(50));
+        if let Some(batch) = pending_write
             && let Err(e) = machine.disk.save(&batch)
         {
-            self.fail(format!("the model's disk: {e}"));
+            self.report_violation(format!("the model's disk: {e}"));
         }
         let machine = &mut self.machines[number];
         if wipe && let Ok(empty) = RaftStorage::none() {
             machine.disk = empty;
         }
-        machine.wake_up(self.now);
+        machine.thaw(self.now);
         machine.backlog.clear();
         let ended: Vec<u64> =
-            self.conns.iter().filter(|(_, (at, _))| *at == number).map(|(c, _)| *c).collect();
+            self.connections.iter().filter(|(_, (at, _))| *at == number).map(|(c, _)| *c).collect();
         ended.into_iter().for_each(|conn| self.close(conn));
     }
 
     /// An input, or only a turn, and then everything that the controller wants done.
     pub(super) fn step(&mut self, number: usize, input: Option<Input>) {
         let machine = &mut self.machines[number];
-        let midway = std::mem::take(&mut machine.midway);
-        if let Some(thaw) = machine.frozen
-            && !midway
+        let frozen_mid_step = std::mem::take(&mut machine.frozen_mid_step);
+        if let Some(thaw) = machine.frozen_until
+            && !frozen_mid_step
         {
             if self.now < thaw {
                 machine.backlog.extend(input);
                 return;
             }
-            machine.wake_up(self.now);
+            machine.thaw(self.now);
         }
-        let held = machine.frozen.map_or(0, |thaw| thaw.saturating_sub(self.now));
+        let held = machine.frozen_until.map_or(0, |thaw| thaw.saturating_sub(self.now));
         let Some(controller) = &mut machine.controller else { return };
-        let now = Tick(self.now + machine.ahead);
+        let now = Tick(self.now + machine.clock_offset);
         if let Some(input) = input {
             controller.take(input, now);
         }
         if let Err(e) = controller.turn(now) {
-            return self.fail(format!("n{number} stops: {e}"));
+            return self.report_violation(format!("n{number} stops: {e}"));
         }
         machine.wake += 1;
         let wake = Event::Wake(number, machine.incarnation, machine.wake);
@@ -195,68 +195,75 @@
         let incarnation = machine.incarnation;
         let mut wants = std::mem::take(&mut controller.effects);
         controller.effects.open = std::mem::take(&mut wants.open);
-        self.soon(held + due, wake);
-        self.look(number);
+        self.schedule_after(held + due, wake);
+        self.check_controller(number);
         for (at, to, message) in wants.raft {
-            if let Some(time) =
-                self.arrival(End::Controller(number), End::Controller(machine_at(at)), held)
-            {
-                self.at(time, Event::RaftMessage(number, at, to, message));
+            if let Some(time) = self.arrival_time(
+                Party::Controller(number),
+                Party::Controller(machine_of(at)),
+                held,
+            ) {
+                self.schedule_at(time, Event::RaftMessage(number, at, to, message));
             }
         }
         if let Some(batch) = wants.batch {
-            self.machines[number].writing = Some(batch);
-            self.soon(1 + upto(4), Event::Written(number, incarnation));
+            self.machines[number].pending_write = Some(batch);
+            self.schedule_after(1 + draw_below(4), Event::WriteDone(number, incarnation));
         }
         for (at, member, was) in wants.standing {
             self.ask_to_join(number, at, member, was, held);
         }
         for (conn, frame) in wants.frames {
-            let Some((_, far)) = self.conns.get(&conn) else { continue };
+            let Some((_, far)) = self.connections.get(&conn) else { continue };
             let to = match far {
-                Far::Node(node, _) => End::Node(*node),
-                Far::Join { asker, .. } => End::Controller(*asker),
+                RemoteEnd::Node(node, _) => Party::Node(*node),
+                RemoteEnd::Join { asker, .. } => Party::Controller(*asker),
             };
             if let (Some(time), Ok(frame)) =
-                (self.arrival(End::Controller(number), to, held), receive(&mut &frame[..]))
+                (self.arrival_time(Party::Controller(number), to, held), receive(&mut &frame[..]))
             {
-                self.at(time, Event::Frame(conn, frame));
-            } else if matches!(to, End::Node(_)) {
-                // What is lost on the way ends the connection sooner or later.
+                self.schedule_at(time, Event::Frame(conn, frame));
+            } else if matches!(to, Party::Node(_)) {
+                // What is lost on the direction ends the connection sooner or later.
                 self.close(conn);
             }
         }
         for (service, id, ask, attempt) in wants.asks {
-            self.soon(
-                held + 1 + upto(5),
+            self.schedule_after(
+                held + 1 + draw_below(5),
                 Event::DatabaseRequest(number, incarnation, service, id, ask, attempt),
             );
         }
         for (service, target, attempt) in wants.posts {
-            self.soon(
-                held + 1 + upto(20),
-                Event::Post(number, incarnation, service, target, attempt),
+            self.schedule_after(
+                held + 1 + draw_below(20),
+                Event::PromotionRequest(number, incarnation, service, target, attempt),
             );
         }
-        self.gather_answers(number, held);
+        self.collect_responses(number, held);
     }
 
     fn ask_to_join(&mut self, from: usize, at: SocketAddr, member: Member, was: bool, held: u64) {
-        let (to, me, incarnation) = (machine_at(at), member.id, self.machines[from].incarnation);
-        let arrives = self.arrival(End::Controller(from), End::Controller(to), held);
+        let (to, me, incarnation) = (machine_of(at), member.id, self.machines[from].incarnation);
+        let last_arrivals = self.arrival_time(Party::Controller(from), Party::Controller(to), held);
         let up = self.machines.get(to).is_some_and(|m| m.controller.is_some());
-        let (Some(time), true) = (arrives, up) else {
+        let (Some(time), true) = (last_arrivals, up) else {
             let after = held + if up { 1_000 } else { 3 };
-            return self
-                .soon(after, Event::Input(from, incarnation, Input::JoinResponse(me, at, None)));
+            return self.schedule_after(
+                after,
+                Event::ControllerInput(from, incarnation, Input::JoinResponse(me, at, None)),
+            );
         };
-        self.numbered += 1;
-        let conn = self.numbered;
-        self.conns.insert(conn, (to, Far::Join { asker: from, incarnation, me, at }));
+        self.last_number += 1;
+        let conn = self.last_number;
+        self.connections.insert(conn, (to, RemoteEnd::Join { asker: from, incarnation, me, at }));
         if let Some(controller) = &mut self.machines[to].controller {
             controller.effects.open.insert(conn);
         }
         let there = self.machines[to].incarnation;
-        self.at(time, Event::Input(to, there, Input::Frame(conn, Frame::Join { member, was })));
+        self.schedule_at(
+            time,
+            Event::ControllerInput(to, there, Input::Frame(conn, Frame::Join { member, was })),
+        );
     }
 }
--- a/src/simulation/nodes.rs
+++ b/src/simulation/nodes.rs
@@ -5,12 +5,12 @@
 use crate::leases::lease_table::LEASE_MS;
 use crate::net::rpc::Frame;
 use crate::net::rpc::pooler_messages::{PrimaryStatus, ToController, ToPooler};
-use crate::simulation::checker::Passed;
+use crate::simulation::checker::AcknowledgedCommit;
 use crate::simulation::databases::Write;
 use crate::simulation::events::Event;
-use crate::simulation::network::{End, Far};
+use crate::simulation::network::{Party, RemoteEnd};
 use crate::simulation::schedule::chance;
-use crate::simulation::world::{SERVICES, World, machine_at};
+use crate::simulation::world::{SERVICES, World, machine_of};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -40,17 +40,21 @@
 }
 
 impl World {
-    fn tell(&mut self, node: usize, message: ToController) {
+    fn send_to_controller(&mut self, node: usize, message: ToController) {
         let Some((conn, at)) = self.nodes[node].conn else { return };
         let incarnation = self.machines[at].incarnation;
-        match self.arrival(End::Node(node), End::Controller(at), 0) {
+        match self.arrival_time(Party::Node(node), Party::Controller(at), 0) {
             Some(time) => {
-                self.at(
+                self.schedule_at(
                     time,
-                    Event::Input(at, incarnation, Input::Frame(conn, Frame::Pooler(message))),
+                    Event::ControllerInput(
+                        at,
+                        incarnation,
+                        Input::Frame(conn, Frame::Pooler(message)),
+                    ),
                 );
             }
-            // Lost on its way: the connection does not get over it.
+            // Lost on its direction: the connection does not get over it.
             None => self.close(conn),
         }
     }
@@ -59,25 +63,25 @@
         if self.nodes[number].incarnation != incarnation {
             return;
         }
-        self.soon(40, Event::Node(number, incarnation));
+        self.schedule_after(40, Event::NodeTurn(number, incarnation));
         let now = self.now;
         let node = &mut self.nodes[number];
         if let Some((conn, _)) = node.conn {
             if now - node.heard > if node.welcome { 1_200 } else { 400 } {
                 self.close(conn);
             } else if node.welcome && now - node.renewed >= 450 {
-                self.renew(number);
+                self.send_renewal(number);
             }
         } else {
             let to = node.hint.take().unwrap_or_else(|| {
                 node.next += 1;
                 node.known[node.next % node.known.len()]
             });
-            let at = machine_at(to);
+            let at = machine_of(to);
             if self.machines.get(at).is_some_and(|m| m.controller.is_some()) {
-                self.numbered += 1;
-                let conn = self.numbered;
-                self.conns.insert(conn, (at, Far::Node(number, incarnation)));
+                self.last_number += 1;
+                let conn = self.last_number;
+                self.connections.insert(conn, (at, RemoteEnd::Node(number, incarnation)));
                 if let Some(controller) = &mut self.machines[at].controller {
                     controller.effects.open.insert(conn);
                 }
@@ -86,7 +90,10 @@
                 let revision = node.config.as_ref().map_or(Revision(0), |c| c.revision);
                 let name = NodeName(format!("node{number}"));
                 let zone = "z".to_owned();
-                self.tell(number, ToController::Hello { node: name, incarnation, revision, zone });
+                self.send_to_controller(
+                    number,
+                    ToController::Hello { node: name, incarnation, revision, zone },
+                );
             }
         }
         for service in SERVICES.map(ServiceName::from) {
@@ -95,14 +102,14 @@
             if now < lease.asked + LEASE_MS
                 && chance(60)
                 && let Some(to) = to
-                && let Some(time) = self.arrival(End::Node(number), End::Database(to), 0)
+                && let Some(time) = self.arrival_time(Party::Node(number), Party::Database(to), 0)
             {
-                self.at(time, Event::Write(number, to, incarnation, lease.term));
+                self.schedule_at(time, Event::Write(number, to, incarnation, lease.term));
             }
         }
     }
 
-    fn renew(&mut self, number: usize) {
+    fn send_renewal(&mut self, number: usize) {
         let now = self.now;
         let node = &mut self.nodes[number];
         node.renewed = now;
@@ -115,15 +122,15 @@
         let (shares, wants, saw, asks) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
         let renewal =
             ToController::RenewLeases { seq, heard: 0, shares, wants, saw, asks, busy: Vec::new() };
-        self.tell(number, renewal);
+        self.send_to_controller(number, renewal);
     }
 
-    pub(super) fn node_heard(&mut self, number: usize, conn: u64, frame: Frame) {
+    pub(super) fn handle_node_message(&mut self, number: usize, conn: u64, frame: Frame) {
         let now = self.now;
         let node = &mut self.nodes[number];
         node.heard = now;
         let Frame::Controller(message) = frame else {
-            return self.fail("a node was sent what is not for it".into());
+            return self.report_violation("a node was sent what is not for it".into());
         };
         match message {
             ToPooler::Welcome { controllers } => {
@@ -131,18 +138,18 @@
                     node.known = controllers;
                 }
                 if !std::mem::replace(&mut node.welcome, true) {
-                    self.renew(number);
+                    self.send_renewal(number);
                 }
             }
             ToPooler::NotLeader(leader) => {
                 node.hint = leader;
                 self.close(conn);
             }
-            ToPooler::RouteTable(route_table) => self.configured(number, *route_table),
+            ToPooler::RouteTable(route_table) => self.apply_route_table(number, *route_table),
             ToPooler::RouteTableDelta(changed) => {
                 match node.config.as_ref().and_then(|c| c.with(&changed)) {
-                    Some(route_table) => self.configured(number, route_table),
-                    None => self.tell(number, ToController::RequestFullTable),
+                    Some(route_table) => self.apply_route_table(number, route_table),
+                    None => self.send_to_controller(number, ToController::RequestFullTable),
                 }
             }
             ToPooler::Directory(_) | ToPooler::DirectoryDelta { .. } => {}
@@ -165,7 +172,7 @@
                     }
                 }
                 node.leases.values_mut().for_each(|l| l.asked = l.asked.max(asked));
-                self.one_lease();
+                self.check_one_leased_term();
             }
             ToPooler::Revoke { service, term } => {
                 node.revoked.insert(service.clone(), (term, node.seq));
@@ -173,15 +180,16 @@
                     node.leases.remove(&service);
                 }
                 let highest = node.highest.get(&service).copied();
-                self.tell(number, ToController::RevokeAck { service, term, highest });
+                self.send_to_controller(number, ToController::RevokeAck { service, term, highest });
             }
-            ToPooler::RenewNow => self.renew(number),
+            ToPooler::RenewNow => self.send_renewal(number),
         }
     }
 
-    fn configured(&mut self, number: usize, route_table: RouteTable) {
-        if !self.forced.iter().any(|f| f.revision == route_table.revision) {
-            return self.fail(format!("a node has {}, never in force", route_table.revision));
+    fn apply_route_table(&mut self, number: usize, route_table: RouteTable) {
+        if !self.committed_configurations.iter().any(|f| f.revision == route_table.revision) {
+            return self
+                .report_violation(format!("a node has {}, never in force", route_table.revision));
         }
         let node = &mut self.nodes[number];
         if node.config.as_ref().is_none_or(|c| c.revision < route_table.revision) {
@@ -189,7 +197,7 @@
         }
     }
 
-    pub(super) fn committed(
+    pub(super) fn handle_commit_ack(
         &mut self,
         number: usize,
         incarnation: u64,
@@ -208,8 +216,8 @@
         }
         let highest = node.highest.entry(service.clone()).or_insert(position);
         *highest = position.max(*highest);
-        self.report.passed_on += 1;
-        let newer = self.promoted.get(&service).into_iter().flatten();
+        self.report.acknowledged_commits += 1;
+        let newer = self.promotions.get(&service).into_iter().flatten();
         let lacks =
             |(term, log): &&(DbTerm, Vec<Write>)| *term > write.term && !log.contains(&write);
         if let Some((term, _)) = newer.clone().find(lacks)
@@ -217,8 +225,12 @@
         {
             let why =
                 format!("{service} has a commit of {} passed on that {term} lacks", write.term);
-            return self.fail(why);
+            return self.report_violation(why);
         }
-        self.passed.entry(service).or_default().push(Passed { write, node: number, at: now });
+        self.acknowledged_commits.entry(service).or_default().push(AcknowledgedCommit {
+            write,
+            node: number,
+            at: now,
+        });
     }
 }
--- a/src/simulation/recorded_effects.rs
+++ b/src/simulation/recorded_effects.rs
@@ -11,7 +11,7 @@
 
 /// What a controller wants done, until the world does it.
 #[derive(Default)]
-pub(super) struct Queue {
+pub(super) struct RecordedEffects {
     pub(super) raft: Vec<(SocketAddr, MemberId, RaftMessage)>,
     pub(super) batch: Option<WriteBatch>,
     pub(super) standing: Vec<(SocketAddr, Member, bool)>,
@@ -21,7 +21,7 @@
     pub(super) open: BTreeSet<u64>,
 }
 
-impl Effects for Queue {
+impl Effects for RecordedEffects {
     fn send_raft(&mut self, to: MemberId, address: SocketAddr, message: RaftMessage, _: Tick) {
         self.raft.push((address, to, message));
     }
--- a/src/simulation/runner.rs
+++ b/src/simulation/runner.rs
@@ -11,8 +11,8 @@
     pub resent: u64,
     pub reads: u64,
     pub raft_terms: u64,
-    pub promoted: u64,
-    pub passed_on: u64,
+    pub promotions: u64,
+    pub acknowledged_commits: u64,
     /// A number that any difference between two plays shows in.
     pub trace: u64,
 }
@@ -21,10 +21,10 @@
 ///
 /// # Errors
 /// The first thing that did not hold, with its time.
-pub fn play(schedule: &Schedule) -> Result<Report, String> {
+pub fn run_schedule(schedule: &Schedule) -> Result<Report, String> {
     let mut world = World::new(schedule);
     world.run();
-    match world.broken {
+    match world.violation {
         Some(why) => Err(why),
         None => Ok(world.report),
     }
--- a/src/simulation/schedule.rs
+++ b/src/simulation/schedule.rs
@@ -12,74 +12,74 @@
     /// So many of them may be lost at once.
     pub tolerated: usize,
     pub operators: usize,
-    pub length: u64,
-    pub troubles: Vec<Trouble>,
+    pub length_ms: u64,
+    pub faults: Vec<Fault>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Trouble {
+pub struct Fault {
     pub at: u64,
-    pub lasts: u64,
-    pub kind: Kind,
+    pub lasts_ms: u64,
+    pub kind: FaultKind,
 }
 
-/// Whom a trouble strikes: the controller that leads, or one by number.
+/// Whom a fault strikes: the controller that leads, or one by number.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Whom {
+pub enum FaultTarget {
     Leader,
     Number(u8),
 }
 
 /// Which messages a cut stops, seen from those that are cut off.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Way {
+pub enum CutDirection {
     Both,
-    Out,
-    In,
+    Outbound,
+    Inbound,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Kind {
+pub enum FaultKind {
     /// Cut off from the other controllers; each caller and node is on one of the two sides.
-    Cut(Whom, Way),
+    Partition(FaultTarget, CutDirection),
     /// Stands still, perhaps between a decision and the bytes that tell of it.
-    Freeze(Whom),
+    Freeze(FaultTarget),
     /// Frozen, cut off, and its steady clock stands still with it, as a suspended virtual machine's may.
     /// The pages promise that clocks run on: nothing is promised of leases in such a schedule, but no
     /// answer about what is current may rest on a clock.
-    Suspend(Whom),
-    Kill(Whom),
-    Power(Whom),
+    Suspend(FaultTarget),
+    Kill(FaultTarget),
+    PowerLoss(FaultTarget),
     /// Loses power and comes back with an empty disk.
-    Wipe(Whom),
+    DiskLoss(FaultTarget),
     /// Gone for good; an empty machine comes at another address.
-    Replace(Whom),
+    Replace(FaultTarget),
     /// All controllers at once; so many of them, of those that may still be lost, with their disks.
-    All {
+    AllMachines {
         power: bool,
         wiped: u8,
     },
-    DiskFull(Whom),
-    DiskStall(Whom),
+    DiskFull(FaultTarget),
+    DiskStall(FaultTarget),
     /// All connections end.
-    Reset,
+    ConnectionReset,
     /// So many messages in a hundred are lost.
-    Lossy(u8),
+    PacketLoss(u8),
     /// A service's primary, or a replica by number, is down.
-    Crash {
+    DatabaseCrash {
         primary: bool,
         number: u8,
     },
     /// A replica receives nothing.
-    Deaf(u8),
+    ReplicationStall(u8),
     /// A replica, or the primary, drains and leaves; a new one comes.
-    Leave {
+    DatabaseLeave {
         primary: bool,
         number: u8,
     },
     /// An order of the operators is as large as this many hundred routes, from here on.
-    Large(u8),
-    NodeKill(u8),
+    LargeConfigurations(u8),
+    NodeRestart(u8),
 }
 
 impl Schedule {
@@ -87,42 +87,60 @@
     /// shrink them.
     pub fn drawn(seed: u64) -> Self {
         seed_draws(seed);
-        let (controllers, tolerated) = [(3, 1), (4, 1), (5, 2), (6, 2), (7, 2)][upto(5) as usize];
-        let length = 20_000 + upto(20_000);
-        let whom = || if chance(50) { Whom::Leader } else { Whom::Number(upto(8) as u8) };
-        // Most schedules know few kinds of trouble, and some of these strike close together: what is
+        let (controllers, tolerated) =
+            [(3, 1), (4, 1), (5, 2), (6, 2), (7, 2)][draw_below(5) as usize];
+        let length_ms = 20_000 + draw_below(20_000);
+        let target = || {
+            if chance(50) { FaultTarget::Leader } else { FaultTarget::Number(draw_below(8) as u8) }
+        };
+        // Most schedules know few kinds of fault, and some of these strike close together: what is
         // rare among all of them is common there (swarm testing).
-        let few = [upto(20), upto(20), upto(20)];
+        let few = [draw_below(20), draw_below(20), draw_below(20)];
         let swarm = chance(70);
         let mut before = 4_000;
-        let trouble = |_| {
-            let at = if chance(50) { before + upto(3_000) } else { 4_000 + upto(length - 4_000) };
+        let fault = |_| {
+            let at = if chance(50) {
+                before + draw_below(3_000)
+            } else {
+                4_000 + draw_below(length_ms - 4_000)
+            };
             before = at;
-            let lasts = [100, 500, 800, 1_500, 5_000, 12_000, 20_000][upto(7) as usize];
-            let number = upto(3) as u8;
-            let kind = match if swarm { few[upto(3) as usize] } else { upto(19) } {
-                0..=2 => Kind::Cut(whom(), [Way::Both, Way::Out, Way::In][upto(3) as usize]),
-                3 | 4 => Kind::Freeze(whom()),
-                5 => Kind::Kill(whom()),
-                6 => Kind::Power(whom()),
-                7 => Kind::Wipe(whom()),
-                8 => Kind::Replace(whom()),
-                9 => Kind::All { power: chance(50), wiped: upto(3) as u8 },
-                10 => Kind::DiskFull(whom()),
-                11 => Kind::DiskStall(whom()),
-                12 => Kind::Reset,
-                13 => Kind::Lossy(3 + upto(10) as u8),
-                14 => Kind::Crash { primary: chance(60), number },
-                15 => Kind::Deaf(number),
-                16 => Kind::Leave { primary: chance(40), number },
-                17 => Kind::Large(1 + upto(10) as u8),
-                18 => Kind::NodeKill(number),
-                _ => Kind::Suspend(whom()),
+            let lasts_ms = [100, 500, 800, 1_500, 5_000, 12_000, 20_000][draw_below(7) as usize];
+            let number = draw_below(3) as u8;
+            let kind = match if swarm { few[draw_below(3) as usize] } else { draw_below(19) } {
+                0..=2 => FaultKind::Partition(
+                    target(),
+                    [CutDirection::Both, CutDirection::Outbound, CutDirection::Inbound]
+                        [draw_below(3) as usize],
+                ),
+                3 | 4 => FaultKind::Freeze(target()),
+                5 => FaultKind::Kill(target()),
+                6 => FaultKind::PowerLoss(target()),
+                7 => FaultKind::DiskLoss(target()),
+                8 => FaultKind::Replace(target()),
+                9 => FaultKind::AllMachines { power: chance(50), wiped: draw_below(3) as u8 },
+                10 => FaultKind::DiskFull(target()),
+                11 => FaultKind::DiskStall(target()),
+                12 => FaultKind::ConnectionReset,
+                13 => FaultKind::PacketLoss(3 + draw_below(10) as u8),
+                14 => FaultKind::DatabaseCrash { primary: chance(60), number },
+                15 => FaultKind::ReplicationStall(number),
+                16 => FaultKind::DatabaseLeave { primary: chance(40), number },
+                17 => FaultKind::LargeConfigurations(1 + draw_below(10) as u8),
+                18 => FaultKind::NodeRestart(number),
+                _ => FaultKind::Suspend(target()),
             };
-            Trouble { at, lasts, kind }
+            Fault { at, lasts_ms, kind }
         };
-        let troubles = (0..2 + upto(8)).map(trouble).collect();
-        Self { seed, controllers, tolerated, operators: 2 + upto(7) as usize, length, troubles }
+        let faults = (0..2 + draw_below(8)).map(fault).collect();
+        Self {
+            seed,
+            controllers,
+            tolerated,
+            operators: 2 + draw_below(7) as usize,
+            length_ms,
+            faults,
+        }
     }
 }
 
@@ -137,10 +155,10 @@
     DRAWS.with_borrow_mut(|rng| rng.next_u64())
 }
 
-pub(super) fn upto(n: u64) -> u64 {
+pub(super) fn draw_below(n: u64) -> u64 {
     draw() % n.max(1)
 }
 
 pub(super) fn chance(percent: u64) -> bool {
-    upto(100) < percent
+    draw_below(100) < percent
 }
--- a/src/simulation/world.rs
+++ b/src/simulation/world.rs
@@ -2,15 +2,15 @@
 use crate::base::ids::{DbTerm, InstanceId, LogIndex, MemberId, ServiceName, Term};
 use crate::net::rpc::raft_messages::LogEntry;
 use crate::simulation::callers::Caller;
-use crate::simulation::checker::{Forced, Passed};
+use crate::simulation::checker::{AcknowledgedCommit, CommittedConfiguration};
 use crate::simulation::databases::{Database, Write};
 use crate::simulation::events::Event;
 use crate::simulation::machines::Machine;
-use crate::simulation::network::{Cut, End, Far};
+use crate::simulation::network::{Partition, Party, RemoteEnd};
 use crate::simulation::nodes::Node;
 use crate::simulation::operators::Operator;
 use crate::simulation::runner::Report;
-use crate::simulation::schedule::{Schedule, seed_draws, upto};
+use crate::simulation::schedule::{Schedule, draw_below, seed_draws};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::net::SocketAddr;
@@ -20,33 +20,33 @@
     pub(super) now: u64,
     events: BTreeMap<u64, Event>,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
-    pub(super) numbered: u64,
+    pub(super) last_number: u64,
     pub(super) machines: Vec<Machine>,
-    pub(super) cuts: Vec<Cut>,
-    pub(super) lossy: (u64, u64),
-    pub(super) conns: BTreeMap<u64, (usize, Far)>,
+    pub(super) partitions: Vec<Partition>,
+    pub(super) packet_loss: (u64, u64),
+    pub(super) connections: BTreeMap<u64, (usize, RemoteEnd)>,
     /// When the last message on a connection arrives, so that the next one does not overtake it.
-    pub(super) arrives: BTreeMap<(End, End), u64>,
+    pub(super) last_arrivals: BTreeMap<(Party, Party), u64>,
     pub(super) operators: Vec<Operator>,
     pub(super) databases: Vec<Database>,
     pub(super) nodes: Vec<Node>,
     pub(super) large: u64,
-    pub(super) healed: bool,
+    pub(super) repaired: bool,
     // The history.
-    pub(super) forced: Vec<Forced>,
+    pub(super) committed_configurations: Vec<CommittedConfiguration>,
     pub(super) leaders: BTreeMap<Term, MemberId>,
     pub(super) entries: BTreeMap<LogIndex, LogEntry>,
     /// A hash of the state at each entry.
     pub(super) states: BTreeMap<LogIndex, u64>,
     /// What a later read may not go behind: when it was known, and how far in `forced`.
-    pub(super) floors: Vec<(u64, usize)>,
+    pub(super) read_floors: Vec<(u64, usize)>,
     /// Commits that nodes passed on to clients.
-    pub(super) passed: BTreeMap<ServiceName, Vec<Passed>>,
+    pub(super) acknowledged_commits: BTreeMap<ServiceName, Vec<AcknowledgedCommit>>,
     /// What each new primary began with.
-    pub(super) promoted: BTreeMap<ServiceName, Vec<(DbTerm, Vec<Write>)>>,
+    pub(super) promotions: BTreeMap<ServiceName, Vec<(DbTerm, Vec<Write>)>>,
     pub(super) goodbyes: BTreeSet<InstanceId>,
     pub(super) report: Report,
-    pub(super) broken: Option<String>,
+    pub(super) violation: Option<String>,
 }
 
 pub(super) const ADMIN: u16 = 2;
@@ -57,17 +57,17 @@
 
 pub(super) const SERVICES: [&str; 2] = ["pears", "plums"];
 
-/// After the last trouble everything is well again and has this long to come to rest.
+/// After the last fault everything is well again and has this long to come to rest.
 const REST_MS: u64 = 25_000;
 
 /// The other controllers may hear of a machine that stood still so long after its callers do.
 pub(super) const LATER_HEARD_MS: u64 = 600;
 
-pub(super) fn place(machine: usize, port: u16) -> SocketAddr {
+pub(super) fn address_of(machine: usize, port: u16) -> SocketAddr {
     SocketAddr::from(([10, 0, machine as u8 + 1, 1], port))
 }
 
-pub(super) fn machine_at(at: SocketAddr) -> usize {
+pub(super) fn machine_of(at: SocketAddr) -> usize {
     match at {
         SocketAddr::V4(at) => usize::from(at.ip().octets()[2]) - 1,
         SocketAddr::V6(_) => 0,
@@ -82,41 +82,41 @@
             now: 0,
             events: BTreeMap::new(),
             queue: BinaryHeap::new(),
-            numbered: 0,
+            last_number: 0,
             machines: Vec::new(),
-            cuts: Vec::new(),
-            lossy: (0, 0),
-            conns: BTreeMap::new(),
-            arrives: BTreeMap::new(),
+            partitions: Vec::new(),
+            packet_loss: (0, 0),
+            connections: BTreeMap::new(),
+            last_arrivals: BTreeMap::new(),
             operators: Vec::new(),
             databases: Vec::new(),
             nodes: Vec::new(),
             large: 0,
-            healed: false,
-            forced: Vec::new(),
+            repaired: false,
+            committed_configurations: Vec::new(),
             leaders: BTreeMap::new(),
             entries: BTreeMap::new(),
             states: BTreeMap::new(),
-            floors: Vec::new(),
-            passed: BTreeMap::new(),
-            promoted: BTreeMap::new(),
+            read_floors: Vec::new(),
+            acknowledged_commits: BTreeMap::new(),
+            promotions: BTreeMap::new(),
             goodbyes: BTreeSet::new(),
             report: Report::default(),
-            broken: None,
+            violation: None,
         };
         let seeds: Vec<usize> = (0..schedule.controllers.min(3)).collect();
         for machine in 0..schedule.controllers {
             world.add_machine(&seeds, true);
-            world.at(upto(300), Event::Start(machine));
+            world.schedule_at(draw_below(300), Event::Start(machine));
         }
         for number in 0..schedule.operators {
             let caller = Caller { next: number, ..Caller::default() };
             world.operators.push(Operator { caller, order: None, made: 0 });
-            world.at(500 + upto(500), Event::Act(number));
+            world.schedule_at(500 + draw_below(500), Event::TakeTurn(number));
         }
         for service in SERVICES {
             for number in 0..3 {
-                world.add_database(service, number == 0, 1_000 + upto(500));
+                world.add_database(service, number == 0, 1_000 + draw_below(500));
             }
         }
         for number in 0..3 {
@@ -124,7 +124,7 @@
                 incarnation: 1,
                 conn: None,
                 welcome: false,
-                known: seeds.iter().map(|m| place(*m, PEER)).collect(),
+                known: seeds.iter().map(|m| address_of(*m, PEER)).collect(),
                 next: number,
                 hint: None,
                 heard: 0,
@@ -136,42 +136,42 @@
                 revoked: BTreeMap::new(),
                 highest: BTreeMap::new(),
             });
-            world.at(500 + number as u64, Event::Node(number, 1));
+            world.schedule_at(500 + number as u64, Event::NodeTurn(number, 1));
         }
-        for number in 0..schedule.troubles.len() {
-            world.at(schedule.troubles[number].at, Event::Strike(number));
+        for number in 0..schedule.faults.len() {
+            world.schedule_at(schedule.faults[number].at, Event::InjectFault(number));
         }
         world
     }
 
-    pub(super) fn at(&mut self, time: u64, event: Event) {
-        self.numbered += 1;
-        self.queue.push(Reverse((time, self.numbered)));
-        self.events.insert(self.numbered, event);
+    pub(super) fn schedule_at(&mut self, time: u64, event: Event) {
+        self.last_number += 1;
+        self.queue.push(Reverse((time, self.last_number)));
+        self.events.insert(self.last_number, event);
     }
 
-    pub(super) fn soon(&mut self, after: u64, event: Event) {
-        self.at(self.now + after, event);
+    pub(super) fn schedule_after(&mut self, after: u64, event: Event) {
+        self.schedule_at(self.now + after, event);
     }
 
     pub(super) fn run(&mut self) {
-        let (length, end) = (self.schedule.length, self.schedule.length + REST_MS);
+        let (length_ms, end) = (self.schedule.length_ms, self.schedule.length_ms + REST_MS);
         while let Some(Reverse((time, number))) = self.queue.pop() {
-            if self.broken.is_some() {
+            if self.violation.is_some() {
                 return;
             }
-            if !self.healed && time >= length {
-                self.now = self.now.max(length);
-                self.heal();
+            if !self.repaired && time >= length_ms {
+                self.now = self.now.max(length_ms);
+                self.repair_all();
             }
             if time > end {
-                return self.look_back();
+                return self.check_final_state();
             }
             self.now = time;
             let Some(event) = self.events.remove(&number) else { continue };
             self.report.trace =
                 self.report.trace.wrapping_mul(31).wrapping_add(time).wrapping_add(number);
-            self.happen(event);
+            self.dispatch(event);
         }
     }
 }
--- a/tests/simulation.rs
+++ b/tests/simulation.rs
@@ -3,52 +3,59 @@
 //! More of them, with other luck: `PROPTEST_CASES=5000 PROPTEST_RNG_SEED=7 cargo test --release --test model`.
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed, TestRunner};
-use silvertack::simulation::runner::play;
-use silvertack::simulation::schedule::{Kind, Schedule, Trouble, Way, Whom};
+use silvertack::simulation::runner::run_schedule;
+use silvertack::simulation::schedule::{CutDirection, Fault, FaultKind, FaultTarget, Schedule};
 
 /// Threads that draw and play, each with its own luck.
 const RUNNERS: u64 = 8;
 
-fn whom() -> impl Strategy<Value = Whom> {
-    prop_oneof![Just(Whom::Leader), (0..8u8).prop_map(Whom::Number)]
+fn fault_target() -> impl Strategy<Value = FaultTarget> {
+    prop_oneof![Just(FaultTarget::Leader), (0..8u8).prop_map(FaultTarget::Number)]
 }
-fn kind() -> impl Strategy<Value = Kind> {
-    let way = prop_oneof![Just(Way::Both), Just(Way::Out), Just(Way::In)];
+fn kind() -> impl Strategy<Value = FaultKind> {
+    let way = prop_oneof![
+        Just(CutDirection::Both),
+        Just(CutDirection::Outbound),
+        Just(CutDirection::Inbound)
+    ];
     prop_oneof![
-        3 => (whom(), way).prop_map(|(whom, way)| Kind::Cut(whom, way)),
-        2 => whom().prop_map(Kind::Freeze),
-        1 => whom().prop_map(Kind::Kill),
-        1 => whom().prop_map(Kind::Power),
-        1 => whom().prop_map(Kind::Wipe),
-        1 => whom().prop_map(Kind::Replace),
-        1 => (any::<bool>(), 0..3u8).prop_map(|(power, wiped)| Kind::All { power, wiped }),
-        1 => whom().prop_map(Kind::DiskFull),
-        1 => whom().prop_map(Kind::DiskStall),
-        1 => Just(Kind::Reset),
-        1 => (3..13u8).prop_map(Kind::Lossy),
-        1 => (any::<bool>(), 0..3u8).prop_map(|(primary, number)| Kind::Crash { primary, number }),
-        1 => (0..3u8).prop_map(Kind::Deaf),
-        1 => (any::<bool>(), 0..3u8).prop_map(|(primary, number)| Kind::Leave { primary, number }),
-        1 => (1..10u8).prop_map(Kind::Large),
-        1 => (0..3u8).prop_map(Kind::NodeKill),
+        3 => (fault_target(), way).prop_map(|(target, way)| FaultKind::Partition(target, way)),
+        2 => fault_target().prop_map(FaultKind::Freeze),
+        1 => fault_target().prop_map(FaultKind::Kill),
+        1 => fault_target().prop_map(FaultKind::PowerLoss),
+        1 => fault_target().prop_map(FaultKind::DiskLoss),
+        1 => fault_target().prop_map(FaultKind::Replace),
+        1 => (any::<bool>(), 0..3u8).prop_map(|(power, wiped)| FaultKind::AllMachines { power, wiped }),
+        1 => fault_target().prop_map(FaultKind::DiskFull),
+        1 => fault_target().prop_map(FaultKind::DiskStall),
+        1 => Just(FaultKind::ConnectionReset),
+        1 => (3..13u8).prop_map(FaultKind::PacketLoss),
+        1 => (any::<bool>(), 0..3u8).prop_map(|(primary, number)| FaultKind::DatabaseCrash { primary, number }),
+        1 => (0..3u8).prop_map(FaultKind::ReplicationStall),
+        1 => (any::<bool>(), 0..3u8).prop_map(|(primary, number)| FaultKind::DatabaseLeave { primary, number }),
+        1 => (1..10u8).prop_map(FaultKind::LargeConfigurations),
+        1 => (0..3u8).prop_map(FaultKind::NodeRestart),
     ]
 }
 fn schedule() -> impl Strategy<Value = Schedule> {
-    let lasts = prop::sample::select(vec![100, 500, 800, 1_500, 5_000, 12_000, 20_000]);
-    let trouble =
-        (4_000..30_000u64, lasts, kind()).prop_map(|(at, lasts, kind)| Trouble { at, lasts, kind });
+    let lasts_ms = prop::sample::select(vec![100, 500, 800, 1_500, 5_000, 12_000, 20_000]);
+    let fault = (4_000..30_000u64, lasts_ms, kind()).prop_map(|(at, lasts_ms, kind)| Fault {
+        at,
+        lasts_ms,
+        kind,
+    });
     let size = prop::sample::select(vec![(3, 1), (4, 1), (5, 2), (6, 2), (7, 2)]);
     let suspends = prop::bool::weighted(0.15);
-    (any::<u64>(), size, 2..9usize, prop::collection::vec(trouble, 0..10), suspends).prop_map(
-        |(seed, (controllers, tolerated), operators, mut troubles, suspends)| {
-            let length = 20_000;
+    (any::<u64>(), size, 2..9usize, prop::collection::vec(fault, 0..10), suspends).prop_map(
+        |(seed, (controllers, tolerated), operators, mut faults, suspends)| {
+            let length_ms = 20_000;
             // Nothing is promised of leases then, so most schedules are without.
-            for trouble in troubles.iter_mut().filter(|_| suspends) {
-                if let Kind::Freeze(whom) = trouble.kind {
-                    trouble.kind = Kind::Suspend(whom);
+            for fault in faults.iter_mut().filter(|_| suspends) {
+                if let FaultKind::Freeze(target) = fault.kind {
+                    fault.kind = FaultKind::Suspend(target);
                 }
             }
-            Schedule { seed, controllers, tolerated, operators, length, troubles }
+            Schedule { seed, controllers, tolerated, operators, length_ms, faults }
         },
     )
 }
@@ -62,7 +69,7 @@
         let rng_seed = RngSeed::Fixed(first.wrapping_mul(RUNNERS).wrapping_add(number));
         let cases = if asked.is_none() { cases.min(12) } else { cases };
         let config = Config { failure_persistence: None, rng_seed, cases, ..Config::default() };
-        let held = |schedule| play(&schedule).map(drop).map_err(TestCaseError::fail);
+        let held = |schedule| run_schedule(&schedule).map(drop).map_err(TestCaseError::fail);
         TestRunner::new(config).run(&schedule(), held).map_err(|why| why.to_string())
     };
     let played: Vec<Result<(), String>> = std::thread::scope(|threads| {
@@ -89,7 +96,7 @@
         (90, "drawn"),
     ];
     for (seed, what) in cases {
-        if let Err(why) = play(&Schedule::drawn(seed)) {
+        if let Err(why) = run_schedule(&Schedule::drawn(seed)) {
             panic!("{what}: {why}");
         }
     }
@@ -99,10 +106,13 @@
 fn the_same_schedule_plays_the_same_way() {
     for seed in [2, 3] {
         let schedule = Schedule::drawn(seed);
-        let (first, second) = (play(&schedule), play(&schedule));
+        let (first, second) = (run_schedule(&schedule), run_schedule(&schedule));
         assert_eq!(first, second);
         let report = first.expect("nothing breaks");
-        assert!(report.acknowledged > 5 && report.reads > 5 && report.passed_on > 50, "{report:?}");
+        assert!(
+            report.acknowledged > 5 && report.reads > 5 && report.acknowledged_commits > 50,
+            "{report:?}"
+        );
     }
 }
 
@@ -110,6 +120,7 @@
 fn a_replica_that_counts_before_the_controllers_know_it_keeps_its_commits() {
     // Schedules in which a new replica is the only one that has a commit before its first heartbeat is
     // taken, while a planned change is under way.
-    let played = [10_588, 10_856, 11_529].map(|seed| play(&Schedule::drawn(seed)).map(drop));
+    let played =
+        [10_588, 10_856, 11_529].map(|seed| run_schedule(&Schedule::drawn(seed)).map(drop));
     assert_eq!(played, [Ok(()), Ok(()), Ok(())]);
 }
