--- a/src/simulation/callers.rs
+++ b/src/simulation/callers.rs
@@ -59,6 +59,7 @@
         self.schedule_after(1_000, Event::Response(who, attempt, None));
     }
 
+    /// A request reaches the controller that it was sent to.
     pub(super) fn deliver_request(&mut self, who: usize, attempt: u64, request: Request) {
         let caller = self.caller(who);
         if caller.attempt != attempt {
@@ -96,6 +97,7 @@
         }
     }
 
+    /// A response, or the end of the wait for one, reaches its caller, who follows redirects and retries.
     pub(super) fn handle_response(&mut self, who: usize, attempt: u64, response: Option<Response>) {
         let machines = self.machines.len();
         let caller = self.caller(who);
@@ -136,6 +138,7 @@
         }
     }
 
+    /// A caller sends what it has to say: an operator its read or change, a database its heartbeat.
     pub(super) fn take_turn(&mut self, who: usize) {
         if let Some(database) = who.checked_sub(self.operators.len()) {
             return self.send_heartbeat(database);
@@ -143,12 +146,12 @@
         if let Some(request) = self.caller(who).under_way.clone() {
             return self.send_request(who, request);
         }
-        let request = match self.operators[who].order.clone() {
-            Some(order) => Request {
+        let request = match self.operators[who].change.clone() {
+            Some(change) => Request {
                 method: "PUT".into(),
                 path: "/configuration".into(),
-                if_match: Some(order.base.to_string()),
-                body: order.body,
+                if_match: Some(change.base.to_string()),
+                body: change.body,
             },
             None => Request {
                 method: "GET".into(),
--- a/src/simulation/checker.rs
+++ b/src/simulation/checker.rs
@@ -4,6 +4,7 @@
 use crate::leases::lease_table::LEASE_MS;
 use crate::net::rpc::pack;
 use crate::simulation::databases::Write;
+use crate::simulation::runner::Violation;
 use crate::simulation::schedule::FaultKind;
 use crate::simulation::world::{SERVICES, World};
 use std::collections::BTreeSet;
@@ -31,9 +32,15 @@
         !self.schedule.faults.iter().any(|t| matches!(t.kind, FaultKind::Suspend(_)))
     }
 
-    pub(super) fn report_violation(&mut self, why: String) {
+    /// What does not hold now.
+    pub(super) fn violated(&self, what: String) -> Violation {
+        Violation { at_ms: self.now, what }
+    }
+
+    /// Notes what did not hold; the first one ends the run.
+    pub(super) fn report_violation(&mut self, what: String) {
         if self.violation.is_none() {
-            self.violation = Some(format!("at {} ms: {why}", self.now));
+            self.violation = Some(self.violated(what));
         }
     }
 
@@ -93,6 +100,7 @@
         before.map(|(_, place)| *place).max().unwrap_or(0)
     }
 
+    /// The place of a configuration among those that came into force, counted from 1.
     pub(super) fn committed_place(&self, revision: Revision, body: &[u8]) -> Option<usize> {
         self.committed_configurations
             .iter()
--- a/src/simulation/databases.rs
+++ b/src/simulation/databases.rs
@@ -53,6 +53,27 @@
         let term = self.log.last().map_or(DbTerm(1), |w| w.term);
         Position { term, number: self.log.len() as u64 }
     }
+    /// What it answers a controller's request, and does.
+    fn answer(&mut self, request: DatabaseRequest) -> DatabaseResponse {
+        match request {
+            DatabaseRequest::Describe => {}
+            DatabaseRequest::Pause(term) if !self.primary && term > self.term => self.paused = true,
+            DatabaseRequest::Pause(_) => return DatabaseResponse::NoDescription,
+            DatabaseRequest::Continue => self.paused = false,
+            DatabaseRequest::StepDown(term) => {
+                if self.primary && self.term < term {
+                    (self.primary, self.term) = (false, term);
+                }
+            }
+        }
+        DatabaseResponse::Description(ServerDescription {
+            primary: self.primary,
+            term: self.term,
+            received: self.position(),
+        })
+    }
+
+    /// The role that its heartbeats tell.
     pub(super) fn role(&self) -> Role {
         if self.primary { Role::Primary } else { Role::Replica }
     }
@@ -94,6 +115,7 @@
         self.schedule_after(after, Event::ReplicationTurn(number));
     }
 
+    /// The databases of a service that are not gone, by number.
     pub(super) fn databases_of(&self, service: &ServiceName) -> Vec<usize> {
         (0..self.databases.len())
             .filter(|d| self.databases[*d].service == *service && !self.databases[*d].gone)
@@ -106,6 +128,7 @@
         all.max_by_key(|d| self.databases[*d].term)
     }
 
+    /// Sends a heartbeat, or the goodbye of a database that has drained.
     pub(super) fn send_heartbeat(&mut self, number: usize) {
         let database = &mut self.databases[number];
         if !database.up || database.gone {
@@ -130,6 +153,7 @@
         self.send_request(self.operators.len() + number, request);
     }
 
+    /// Checks that what was acknowledged is known, and goes on with the next heartbeat.
     pub(super) fn handle_heartbeat_response(
         &mut self,
         number: usize,
@@ -215,6 +239,7 @@
         }
     }
 
+    /// A replica takes the log of a primary of its term or a newer one.
     pub(super) fn receive_log(&mut self, from: usize, to: usize, term: DbTerm, log: &[Write]) {
         let now = self.now;
         let database = &mut self.databases[to];
@@ -233,6 +258,7 @@
         }
     }
 
+    /// A primary learns how far a replica is, and acknowledges the commits that one replica has.
     pub(super) fn handle_replica_ack(
         &mut self,
         number: usize,
@@ -264,6 +290,7 @@
         }
     }
 
+    /// A primary appends a node's commit, which waits for one replica.
     pub(super) fn append_write(&mut self, node: usize, to: usize, incarnation: u64, term: DbTerm) {
         self.last_number += 1;
         let id = self.last_number;
@@ -276,12 +303,13 @@
         }
     }
 
+    /// Answers a controller's request to a database, at once, late or never.
     pub(super) fn handle_database_request(
         &mut self,
         (from, incarnation): (usize, u64),
         service: ServiceName,
         id: InstanceId,
-        ask: DatabaseRequest,
+        request: DatabaseRequest,
         attempt: Attempt,
     ) {
         let number = self.databases.iter().position(|d| d.id == id);
@@ -289,56 +317,21 @@
             let (here, there) = (Party::Controller(from), Party::Database(*n));
             self.can_reach(here, there) && self.can_reach(there, here) && !self.is_lost()
         });
-        let (reported, after) = match reached {
+        let (response, after) = match reached {
             None => (DatabaseResponse::TimedOut, 1_000),
             Some(n) if !self.databases[n].up => (DatabaseResponse::Unavailable, 2),
             Some(n) => {
-                let database = &mut self.databases[n];
-                let good = match ask {
-                    DatabaseRequest::Describe => true,
-                    DatabaseRequest::Pause(term) if !database.primary && term > database.term => {
-                        database.paused = true;
-                        true
-                    }
-                    DatabaseRequest::Pause(_) => false,
-                    DatabaseRequest::Continue => {
-                        database.paused = false;
-                        true
-                    }
-                    DatabaseRequest::StepDown(term) => {
-                        if database.primary && database.term < term {
-                            (database.primary, database.term) = (false, term);
-                        }
-                        true
-                    }
-                };
-                let row = ServerDescription {
-                    primary: database.primary,
-                    term: database.term,
-                    received: database.position(),
-                };
+                let response = self.databases[n].answer(request);
                 let late =
                     if !self.repaired && chance(3) { draw_below(1_200) } else { draw_below(5) };
-                (
-                    if good {
-                        DatabaseResponse::Description(row)
-                    } else {
-                        DatabaseResponse::NoDescription
-                    },
-                    1 + late,
-                )
+                (response, 1 + late)
             }
         };
-        self.schedule_after(
-            after,
-            Event::ControllerInput(
-                from,
-                incarnation,
-                Input::DatabaseResponse(service, id, ask, attempt, reported),
-            ),
-        );
+        let input = Input::DatabaseResponse(service, id, request, attempt, response);
+        self.schedule_after(after, Event::ControllerInput(from, incarnation, input));
     }
 
+    /// The platform takes a controller's call to promote a database.
     pub(super) fn handle_promotion_request(
         &mut self,
         (from, incarnation): (usize, u64),
@@ -368,6 +361,7 @@
         );
     }
 
+    /// The platform makes a database the primary of the next term; no acknowledged commit may be missing.
     pub(super) fn promote(&mut self, service: &ServiceName, target: usize) {
         let newest = self.databases_of(service).into_iter().map(|d| self.databases[d].term).max();
         let Some(newest) = newest else { return };
--- a/src/simulation/events.rs
+++ b/src/simulation/events.rs
@@ -7,26 +7,34 @@
 use crate::net::rpc::raft_messages::RaftMessage;
 use crate::net::rpc::{Frame, LAYOUT};
 use crate::simulation::databases::Write;
+use crate::simulation::machines::DiskFault;
 use crate::simulation::network::{Party, RemoteEnd};
 use crate::simulation::world::{World, machine_of};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
+/// Something that happens at a set time. A number is a machine, a database, a node or a caller; an
+/// incarnation names the process that it is meant for.
 pub(super) enum Event {
+    /// A controller's own timer, by machine, incarnation and generation of the timer.
     Wake(usize, u64, u64),
+    /// A consensus message, by sender's machine, address, member it is for.
     RaftMessage(usize, SocketAddr, MemberId, RaftMessage),
     ControllerInput(usize, u64, Input),
     WriteDone(usize, u64),
     /// A frame for the far end of a connection on a peer port.
     Frame(u64, Frame),
-    /// A call reaches a controller.
+    /// A call reaches a controller, by caller and attempt.
     Request(usize, u64, Request),
+    /// A response, or the time-out of the attempt, reaches the caller.
     Response(usize, u64, Option<Response>),
+    /// An operator or a database has something to call about.
     TakeTurn(usize),
     NodeTurn(usize, u64),
     DatabaseRequest(usize, u64, ServiceName, InstanceId, DatabaseRequest, Attempt),
     PromotionRequest(usize, u64, ServiceName, InstanceId, Attempt),
     Promote(ServiceName, usize),
+    /// A node's statement reaches a database, by node, database, node's incarnation, leased term.
     Write(usize, usize, u64, DbTerm),
     Replicate(usize, usize, DbTerm, Arc<Vec<Write>>),
     ReplicaAck(usize, usize, DbTerm, usize),
@@ -40,6 +48,7 @@
 }
 
 impl World {
+    /// Hands an event to whom it concerns.
     pub(super) fn dispatch(&mut self, event: Event) {
         match event {
             Event::Wake(number, incarnation, wake) => {
@@ -49,66 +58,15 @@
                 }
             }
             Event::RaftMessage(from, at, to, message) => {
-                let number = machine_of(at);
-                let message = Box::new(message);
-                if self.can_reach(Party::Controller(from), Party::Controller(number)) {
-                    // Only what reaches a process that is there counts as said.
-                    let machine = &mut self.machines[number];
-                    let now = Tick(self.now + machine.clock_offset);
-                    if let Some(controller) = &mut machine.controller {
-                        controller.take(Input::PeerLayout(message.from, LAYOUT), now);
-                    }
-                    let frame = Frame::Raft { to, message };
-                    self.step(number, Some(Input::Frame(0, frame)));
-                }
+                self.deliver_raft_message(from, at, to, message);
             }
             Event::ControllerInput(number, incarnation, input) => {
                 if self.machines[number].incarnation == incarnation {
                     self.step(number, Some(input));
                 }
             }
-            Event::WriteDone(number, incarnation) => {
-                let now = self.now;
-                let machine = &mut self.machines[number];
-                if machine.incarnation != incarnation {
-                    return;
-                }
-                match machine.disk_fault.filter(|(until, _)| now < *until) {
-                    Some((until, false)) => {
-                        return self.schedule_at(until, Event::WriteDone(number, incarnation));
-                    }
-                    Some((_, true)) => {
-                        machine.pending_write = None;
-                        let failed = Input::Saved(Err("full".to_owned()));
-                        return self.step(number, Some(failed));
-                    }
-                    None => {}
-                }
-                if let Some(batch) = machine.pending_write.take() {
-                    let saved = machine.disk.save(&batch).map_err(|e| e.to_string());
-                    self.step(number, Some(Input::Saved(saved)));
-                }
-            }
-            Event::Frame(conn, frame) => match self.connections.get(&conn) {
-                Some((_, RemoteEnd::Node(node, incarnation))) => {
-                    let (node, incarnation) = (*node, *incarnation);
-                    if self.nodes[node].incarnation == incarnation {
-                        self.handle_node_message(node, conn, frame);
-                    }
-                }
-                Some((_, RemoteEnd::Join { asker, incarnation, me, at })) => {
-                    let (asker, incarnation, me, at) = (*asker, *incarnation, *me, *at);
-                    let answer = match frame {
-                        Frame::Joined(answer) => Some(answer),
-                        _ => None,
-                    };
-                    self.close(conn);
-                    if self.machines[asker].incarnation == incarnation {
-                        self.step(asker, Some(Input::JoinResponse(me, at, answer)));
-                    }
-                }
-                None => {}
-            },
+            Event::WriteDone(number, incarnation) => self.finish_write(number, incarnation),
+            Event::Frame(conn, frame) => self.deliver_frame(conn, frame),
             Event::Request(who, attempt, request) => self.deliver_request(who, attempt, request),
             Event::Response(who, attempt, response) => self.handle_response(who, attempt, response),
             Event::TakeTurn(who) => self.take_turn(who),
@@ -121,11 +79,11 @@
             }
             Event::Promote(service, target) => self.promote(&service, target),
             Event::Write(node, to, incarnation, term) => {
-                self.append_write(node, to, incarnation, term)
+                self.append_write(node, to, incarnation, term);
             }
             Event::Replicate(from, to, term, log) => self.receive_log(from, to, term, &log),
             Event::ReplicaAck(number, by, term, has) => {
-                self.handle_replica_ack(number, by, term, has)
+                self.handle_replica_ack(number, by, term, has);
             }
             Event::CommitAck(node, incarnation, service, term, id, position) => {
                 self.handle_commit_ack(node, incarnation, service, Write { term, id }, position);
@@ -133,33 +91,104 @@
             Event::ReplicationTurn(number) => self.replicate(number),
             Event::InjectFault(number) => self.inject(number),
             Event::Start(number) => self.start(number),
-            Event::Thaw(number) => {
-                let machine = &mut self.machines[number];
-                if machine.frozen_until.is_some_and(|t| t <= self.now) {
-                    machine.thaw(self.now);
-                    for input in std::mem::take(&mut machine.backlog) {
-                        self.step(number, Some(input));
-                    }
-                    self.step(number, None);
-                }
+            Event::Thaw(number) => self.thaw(number),
+            Event::DatabaseUp(number) => self.restart_database(number),
+            Event::DatabaseLeaves(number) => self.databases[number].drained = true,
+        }
+    }
+
+    fn deliver_raft_message(
+        &mut self,
+        from: usize,
+        at: SocketAddr,
+        to: MemberId,
+        message: RaftMessage,
+    ) {
+        let number = machine_of(at);
+        if !self.can_reach(Party::Controller(from), Party::Controller(number)) {
+            return;
+        }
+        // The sender's layout counts only once its message reaches a running process.
+        let machine = &mut self.machines[number];
+        let now = Tick(self.now + machine.clock_offset);
+        if let Some(controller) = &mut machine.controller {
+            controller.take(Input::PeerLayout(message.from, LAYOUT), now);
+        }
+        let frame = Frame::Raft { to, message: Box::new(message) };
+        self.step(number, Some(Input::Frame(0, frame)));
+    }
+
+    fn finish_write(&mut self, number: usize, incarnation: u64) {
+        let now = self.now;
+        let machine = &mut self.machines[number];
+        if machine.incarnation != incarnation {
+            return;
+        }
+        match machine.disk_fault.filter(|fault| now < fault.until) {
+            Some(DiskFault { until, full: false }) => {
+                return self.schedule_at(until, Event::WriteDone(number, incarnation));
+            }
+            Some(DiskFault { full: true, .. }) => {
+                machine.pending_write = None;
+                let failed = Input::Saved(Err("full".to_owned()));
+                return self.step(number, Some(failed));
             }
-            Event::DatabaseUp(number) => {
-                let database = &mut self.databases[number];
-                if database.gone || database.up {
-                    return;
+            None => {}
+        }
+        if let Some(batch) = machine.pending_write.take() {
+            let saved = machine.disk.save(&batch).map_err(|e| e.to_string());
+            self.step(number, Some(Input::Saved(saved)));
+        }
+    }
+
+    fn deliver_frame(&mut self, conn: u64, frame: Frame) {
+        match self.connections.get(&conn) {
+            Some((_, RemoteEnd::Node(node, incarnation))) => {
+                let (node, incarnation) = (*node, *incarnation);
+                if self.nodes[node].incarnation == incarnation {
+                    self.handle_node_message(node, conn, frame);
                 }
-                (database.up, database.paused) = (true, false);
-                database.pending_commits.clear();
-                let (service, term) = (database.service.clone(), database.term);
-                let newest = self.newest_primary(&service).map(|p| self.databases[p].term);
-                let database = &mut self.databases[number];
-                if database.primary && newest.is_some_and(|t| t > term) {
-                    database.primary = false;
+            }
+            Some((_, RemoteEnd::Join { asker, incarnation, me, at })) => {
+                let (asker, incarnation, me, at) = (*asker, *incarnation, *me, *at);
+                let answer = match frame {
+                    Frame::Joined(answer) => Some(answer),
+                    _ => None,
+                };
+                self.close(conn);
+                if self.machines[asker].incarnation == incarnation {
+                    self.step(asker, Some(Input::JoinResponse(me, at, answer)));
                 }
-                let who = self.operators.len() + number;
-                self.schedule_after(5, Event::TakeTurn(who));
             }
-            Event::DatabaseLeaves(number) => self.databases[number].drained = true,
+            None => {}
+        }
+    }
+
+    fn thaw(&mut self, number: usize) {
+        let machine = &mut self.machines[number];
+        if machine.frozen_until.is_some_and(|t| t <= self.now) {
+            machine.thaw(self.now);
+            for input in std::mem::take(&mut machine.backlog) {
+                self.step(number, Some(input));
+            }
+            self.step(number, None);
+        }
+    }
+
+    fn restart_database(&mut self, number: usize) {
+        let database = &mut self.databases[number];
+        if database.gone || database.up {
+            return;
+        }
+        (database.up, database.paused) = (true, false);
+        database.pending_commits.clear();
+        let (service, term) = (database.service.clone(), database.term);
+        let newest = self.newest_primary(&service).map(|p| self.databases[p].term);
+        let database = &mut self.databases[number];
+        if database.primary && newest.is_some_and(|t| t > term) {
+            database.primary = false;
         }
+        let who = self.operators.len() + number;
+        self.schedule_after(5, Event::TakeTurn(who));
     }
 }
--- a/src/simulation/faults.rs
+++ b/src/simulation/faults.rs
@@ -2,13 +2,18 @@
 use crate::base::ids::ServiceName;
 use crate::base::time::Tick;
 use crate::simulation::events::Event;
-use crate::simulation::machines::Machine;
+use crate::simulation::machines::{DiskFault, Machine};
 use crate::simulation::network::Partition;
 use crate::simulation::schedule::{
     CutDirection, Fault, FaultKind, FaultTarget, chance, draw, draw_below,
 };
 use crate::simulation::world::{JOIN_SYNC_MS, LATER_HEARD_MS, SERVICES, World};
 
+/// All machines stop no longer than this, so that the run has time left with them.
+const LONGEST_STOP_OF_ALL_MS: u64 = 3_000;
+/// A node is away no longer than this.
+const LONGEST_NODE_RESTART_MS: u64 = 4_000;
+
 impl World {
     fn pick_machine(&self, target: FaultTarget) -> Option<usize> {
         let here = |m: &Machine| !m.gone && m.controller.is_some();
@@ -39,6 +44,7 @@
         Some(number)
     }
 
+    /// Brings about a fault of the schedule by its number, unless everything is repaired already.
     pub(super) fn inject(&mut self, number: usize) {
         if self.repaired {
             return;
@@ -47,82 +53,24 @@
         let until = self.now + lasts_ms;
         match kind {
             FaultKind::Partition(target, direction) => {
-                if let Some(controller) = self.reserve_loss(target, lasts_ms) {
-                    self.partitions.push(Partition { controller, direction, until, salt: draw() });
-                }
-            }
-            FaultKind::Freeze(target) => {
-                if let Some(number) = self.reserve_loss(target, lasts_ms) {
-                    if chance(40) {
-                        self.partition_past(number, until);
-                    }
-                    let machine = &mut self.machines[number];
-                    (machine.frozen_until, machine.frozen_mid_step) = (Some(until), chance(60));
-                    self.schedule_at(until, Event::Thaw(number));
-                }
-            }
-            FaultKind::Suspend(target) => {
-                if let Some(number) = self.reserve_loss(target, lasts_ms) {
-                    self.partition_past(number, until);
-                    let machine = &mut self.machines[number];
-                    (machine.frozen_until, machine.frozen_mid_step) = (Some(until), chance(60));
-                    machine.suspended_since.get_or_insert(self.now);
-                    self.schedule_at(until, Event::Thaw(number));
-                }
-            }
-            FaultKind::Kill(target)
-            | FaultKind::PowerLoss(target)
-            | FaultKind::DiskLoss(target) => {
-                if let Some(number) = self.reserve_loss(target, lasts_ms) {
-                    self.stop(number, matches!(kind, FaultKind::DiskLoss(_)));
-                    self.schedule_at(until, Event::Start(number));
-                }
+                self.inject_partition(target, direction, lasts_ms);
             }
-            FaultKind::Replace(target) => {
-                if let Some(number) = self.reserve_loss(target, lasts_ms) {
-                    self.stop(number, true);
-                    self.machines[number].gone = true;
-                    let seeds: Vec<usize> =
-                        (0..self.machines.len()).filter(|m| !self.machines[*m].gone).collect();
-                    let start = draw_below(seeds.len() as u64) as usize;
-                    let seeds: Vec<usize> =
-                        seeds.iter().cycle().skip(start).take(3).copied().collect();
-                    let new = self.add_machine(&seeds, false);
-                    self.schedule_at(until, Event::Start(new));
-                }
+            FaultKind::Freeze(target) => self.inject_freeze(target, lasts_ms),
+            FaultKind::Suspend(target) => self.inject_suspension(target, lasts_ms),
+            FaultKind::Kill(target) | FaultKind::PowerLoss(target) => {
+                self.inject_stop(target, lasts_ms, false);
             }
-            FaultKind::AllMachines { wiped, .. } => {
-                let now = self.now;
-                let lost = self.machines.iter().filter(|m| m.lost > now).count();
-                let mut wipes =
-                    usize::from(wiped).min(self.schedule.tolerated.saturating_sub(lost));
-                for number in 0..self.machines.len() {
-                    let wipe = wipes > 0 && self.machines[number].controller.is_some();
-                    wipes -= usize::from(wipe);
-                    if wipe {
-                        self.machines[number].lost = now + lasts_ms + JOIN_SYNC_MS;
-                    }
-                    self.stop(number, wipe);
-                    let back = lasts_ms.min(3_000) + draw_below(300);
-                    self.schedule_after(back, Event::Start(number));
-                }
-            }
-            FaultKind::DiskFull(target) | FaultKind::DiskStall(target) => {
-                if let Some(number) = self.reserve_loss(target, lasts_ms) {
-                    let full = matches!(kind, FaultKind::DiskFull(_));
-                    self.machines[number].disk_fault = Some((until, full));
-                }
-            }
-            FaultKind::ConnectionReset => {
-                let all: Vec<u64> = self.connections.keys().copied().collect();
-                all.into_iter().for_each(|conn| self.close(conn));
+            FaultKind::DiskLoss(target) => self.inject_stop(target, lasts_ms, true),
+            FaultKind::Replace(target) => self.inject_replacement(target, lasts_ms),
+            FaultKind::AllMachines { disks_lost, .. } => {
+                self.inject_stop_of_all(disks_lost, lasts_ms);
             }
+            FaultKind::DiskFull(target) => self.inject_disk_fault(target, lasts_ms, true),
+            FaultKind::DiskStall(target) => self.inject_disk_fault(target, lasts_ms, false),
+            FaultKind::ConnectionReset => self.inject_connection_reset(),
             FaultKind::PacketLoss(percent) => self.packet_loss = (until, u64::from(percent)),
             FaultKind::DatabaseCrash { primary, number } => {
-                if let Some(number) = self.pick_database(primary, number) {
-                    self.databases[number].up = false;
-                    self.schedule_at(until, Event::DatabaseUp(number));
-                }
+                self.inject_database_crash(primary, number, until);
             }
             FaultKind::ReplicationStall(number) => {
                 if let Some(number) = self.pick_database(false, number) {
@@ -130,33 +78,128 @@
                 }
             }
             FaultKind::DatabaseLeave { primary, number } => {
-                if let Some(number) = self.pick_database(primary, number)
-                    && !self.databases[number].draining
-                {
-                    self.databases[number].draining = true;
-                    let service = self.databases[number].service.clone();
-                    self.add_database(&service.0, false, 50);
-                }
+                self.inject_database_leave(primary, number);
             }
             FaultKind::LargeConfigurations(hundreds) => self.large = u64::from(hundreds),
-            FaultKind::NodeRestart(number) => {
-                let number = usize::from(number) % self.nodes.len();
-                if let Some((conn, _)) = self.nodes[number].conn {
-                    self.close(conn);
-                }
-                let node = &mut self.nodes[number];
-                node.incarnation += 1;
-                (node.config, node.hint) = (None, None);
-                node.leases.clear();
-                node.revoked.clear();
-                node.highest.clear();
-                node.sent.clear();
-                let incarnation = node.incarnation;
-                self.schedule_after(lasts_ms.min(4_000), Event::NodeTurn(number, incarnation));
+            FaultKind::NodeRestart(number) => self.inject_node_restart(number, lasts_ms),
+        }
+    }
+
+    fn inject_partition(&mut self, target: FaultTarget, direction: CutDirection, lasts_ms: u64) {
+        let until = self.now + lasts_ms;
+        if let Some(controller) = self.reserve_loss(target, lasts_ms) {
+            self.partitions.push(Partition { controller, direction, until, salt: draw() });
+        }
+    }
+
+    fn inject_freeze(&mut self, target: FaultTarget, lasts_ms: u64) {
+        if let Some(number) = self.reserve_loss(target, lasts_ms) {
+            if chance(40) {
+                self.partition_past(number, self.now + lasts_ms);
             }
+            self.freeze(number, self.now + lasts_ms);
+        }
+    }
+
+    fn inject_suspension(&mut self, target: FaultTarget, lasts_ms: u64) {
+        if let Some(number) = self.reserve_loss(target, lasts_ms) {
+            self.partition_past(number, self.now + lasts_ms);
+            self.freeze(number, self.now + lasts_ms);
+            self.machines[number].suspended_since.get_or_insert(self.now);
+        }
+    }
+
+    fn freeze(&mut self, number: usize, until: u64) {
+        let machine = &mut self.machines[number];
+        (machine.frozen_until, machine.frozen_mid_step) = (Some(until), chance(60));
+        self.schedule_at(until, Event::Thaw(number));
+    }
+
+    fn inject_stop(&mut self, target: FaultTarget, lasts_ms: u64, disk_lost: bool) {
+        if let Some(number) = self.reserve_loss(target, lasts_ms) {
+            self.stop(number, disk_lost);
+            self.schedule_at(self.now + lasts_ms, Event::Start(number));
+        }
+    }
+
+    /// The machine is gone for good; an empty one starts in its place, with seeds that are there.
+    fn inject_replacement(&mut self, target: FaultTarget, lasts_ms: u64) {
+        let Some(number) = self.reserve_loss(target, lasts_ms) else { return };
+        self.stop(number, true);
+        self.machines[number].gone = true;
+        let seeds: Vec<usize> =
+            (0..self.machines.len()).filter(|m| !self.machines[*m].gone).collect();
+        let start = draw_below(seeds.len() as u64) as usize;
+        let seeds: Vec<usize> = seeds.iter().cycle().skip(start).take(3).copied().collect();
+        let new = self.add_machine(&seeds, false);
+        self.schedule_at(self.now + lasts_ms, Event::Start(new));
+    }
+
+    /// Stops all machines; as many disks are lost as may still be lost.
+    fn inject_stop_of_all(&mut self, disks_lost: u8, lasts_ms: u64) {
+        let now = self.now;
+        let lost = self.machines.iter().filter(|m| m.lost > now).count();
+        let mut wipes = usize::from(disks_lost).min(self.schedule.tolerated.saturating_sub(lost));
+        for number in 0..self.machines.len() {
+            let wipe = wipes > 0 && self.machines[number].controller.is_some();
+            wipes -= usize::from(wipe);
+            if wipe {
+                self.machines[number].lost = now + lasts_ms + JOIN_SYNC_MS;
+            }
+            self.stop(number, wipe);
+            let back = lasts_ms.min(LONGEST_STOP_OF_ALL_MS) + draw_below(300);
+            self.schedule_after(back, Event::Start(number));
+        }
+    }
+
+    fn inject_disk_fault(&mut self, target: FaultTarget, lasts_ms: u64, full: bool) {
+        let until = self.now + lasts_ms;
+        if let Some(number) = self.reserve_loss(target, lasts_ms) {
+            self.machines[number].disk_fault = Some(DiskFault { until, full });
+        }
+    }
+
+    fn inject_connection_reset(&mut self) {
+        let all: Vec<u64> = self.connections.keys().copied().collect();
+        all.into_iter().for_each(|conn| self.close(conn));
+    }
+
+    fn inject_database_crash(&mut self, primary: bool, number: u8, until: u64) {
+        if let Some(number) = self.pick_database(primary, number) {
+            self.databases[number].up = false;
+            self.schedule_at(until, Event::DatabaseUp(number));
+        }
+    }
+
+    fn inject_database_leave(&mut self, primary: bool, number: u8) {
+        if let Some(number) = self.pick_database(primary, number)
+            && !self.databases[number].draining
+        {
+            self.databases[number].draining = true;
+            let service = self.databases[number].service.clone();
+            self.add_database(&service.0, false, 50);
+        }
+    }
+
+    fn inject_node_restart(&mut self, number: u8, lasts_ms: u64) {
+        let number = usize::from(number) % self.nodes.len();
+        if let Some((conn, _)) = self.nodes[number].conn {
+            self.close(conn);
         }
+        let node = &mut self.nodes[number];
+        node.incarnation += 1;
+        (node.config, node.hint) = (None, None);
+        node.leases.clear();
+        node.revoked.clear();
+        node.highest.clear();
+        node.sent.clear();
+        let incarnation = node.incarnation;
+        let after = lasts_ms.min(LONGEST_NODE_RESTART_MS);
+        self.schedule_after(after, Event::NodeTurn(number, incarnation));
     }
 
+    /// Partitions a controller from the others for longer than it stands still: its callers may reach
+    /// it before the others do.
     fn partition_past(&mut self, controller: usize, than: u64) {
         let (direction, salt) = (CutDirection::Both, draw());
         self.partitions.push(Partition {
@@ -178,7 +221,7 @@
         replicas.get(usize::from(number) % replicas.len().max(1)).copied()
     }
 
-    /// All is well again from here on.
+    /// Repairs everything: from here on there are no faults.
     pub(super) fn repair_all(&mut self) {
         self.repaired = true;
         self.partitions.clear();
--- a/src/simulation/machines.rs
+++ b/src/simulation/machines.rs
@@ -15,6 +15,15 @@
 use crate::simulation::world::{ADMIN, JOIN_SYNC_MS, PEER, World, address_of, machine_of};
 use std::net::SocketAddr;
 
+/// A disk that takes no writes.
+#[derive(Clone, Copy)]
+pub(super) struct DiskFault {
+    pub(super) until: u64,
+    /// It refuses writes; otherwise it stalls them until then.
+    pub(super) full: bool,
+}
+
+/// A controller's machine: its disk, its clock, and the process while it runs.
 pub(super) struct Machine {
     pub(super) settings: Settings,
     pub(super) disk: RaftStorage,
@@ -31,8 +40,7 @@
     pub(super) suspended_since: Option<u64>,
     pub(super) backlog: Vec<Input>,
     pub(super) pending_write: Option<WriteBatch>,
-    /// The disk takes nothing until then; with `full` it says so.
-    pub(super) disk_fault: Option<(u64, bool)>,
+    pub(super) disk_fault: Option<DiskFault>,
     /// Counts as lost until then.
     pub(super) lost: u64,
     pub(super) gone: bool,
@@ -70,7 +78,7 @@
         let (settings, disk) = match (Settings::parse(&text), RaftStorage::none()) {
             (Ok(settings), Ok(disk)) => (settings, disk),
             (settings, disk) => {
-                // Neither depends on the schedule; a model that can't be set up plays nothing.
+                // Neither depends on the schedule; a simulation that can't be set up runs nothing.
                 self.report_violation(format!("no machine: {:?} {:?}", settings.err(), disk.err()));
                 return number;
             }
@@ -97,6 +105,7 @@
         number
     }
 
+    /// Starts the controller of a machine on what its disk holds.
     pub(super) fn start(&mut self, number: usize) {
         let now = self.now;
         if self.machines[number].gone || self.machines[number].controller.is_some() {
@@ -154,7 +163,7 @@
         if let Some(batch) = pending_write
             && let Err(e) = machine.disk.save(&batch)
         {
-            self.report_violation(format!("the model's disk: {e}"));
+            self.report_violation(format!("the simulated disk: {e}"));
         }
         let machine = &mut self.machines[number];
         if wipe && let Ok(empty) = RaftStorage::none() {
@@ -167,7 +176,7 @@
         ended.into_iter().for_each(|conn| self.close(conn));
     }
 
-    /// An input, or only a turn, and then everything that the controller wants done.
+    /// Hands a controller an input, or only lets it take a turn, and does what it then wants done.
     pub(super) fn step(&mut self, number: usize, input: Option<Input>) {
         let machine = &mut self.machines[number];
         let frozen_mid_step = std::mem::take(&mut machine.frozen_mid_step);
@@ -192,62 +201,63 @@
         machine.wake += 1;
         let wake = Event::Wake(number, machine.incarnation, machine.wake);
         let due = controller.due(now).max(1);
-        let incarnation = machine.incarnation;
-        let mut wants = std::mem::take(&mut controller.effects);
-        controller.effects.open = std::mem::take(&mut wants.open);
+        let mut wanted = std::mem::take(&mut controller.effects);
+        controller.effects.open = std::mem::take(&mut wanted.open);
         self.schedule_after(held + due, wake);
         self.check_controller(number);
-        for (at, to, message) in wants.raft {
-            if let Some(time) = self.arrival_time(
-                Party::Controller(number),
-                Party::Controller(machine_of(at)),
-                held,
-            ) {
+        self.carry_out(number, wanted, held);
+        self.collect_responses(number, held);
+    }
+
+    /// Does what a controller wants done. `held` is how long its machine still stands still.
+    fn carry_out(&mut self, number: usize, wanted: RecordedEffects, held: u64) {
+        let incarnation = self.machines[number].incarnation;
+        let from = Party::Controller(number);
+        for (at, to, message) in wanted.raft {
+            if let Some(time) = self.arrival_time(from, Party::Controller(machine_of(at)), held) {
                 self.schedule_at(time, Event::RaftMessage(number, at, to, message));
             }
         }
-        if let Some(batch) = wants.batch {
+        if let Some(batch) = wanted.batch {
             self.machines[number].pending_write = Some(batch);
             self.schedule_after(1 + draw_below(4), Event::WriteDone(number, incarnation));
         }
-        for (at, member, was) in wants.standing {
+        for (at, member, was) in wanted.standing {
             self.ask_to_join(number, at, member, was, held);
         }
-        for (conn, frame) in wants.frames {
-            let Some((_, far)) = self.connections.get(&conn) else { continue };
-            let to = match far {
-                RemoteEnd::Node(node, _) => Party::Node(*node),
-                RemoteEnd::Join { asker, .. } => Party::Controller(*asker),
-            };
-            if let (Some(time), Ok(frame)) =
-                (self.arrival_time(Party::Controller(number), to, held), receive(&mut &frame[..]))
-            {
-                self.schedule_at(time, Event::Frame(conn, frame));
-            } else if matches!(to, Party::Node(_)) {
-                // What is lost on the direction ends the connection sooner or later.
-                self.close(conn);
-            }
+        for (conn, frame) in wanted.frames {
+            self.send_frame(number, conn, &frame, held);
         }
-        for (service, id, ask, attempt) in wants.asks {
-            self.schedule_after(
-                held + 1 + draw_below(5),
-                Event::DatabaseRequest(number, incarnation, service, id, ask, attempt),
-            );
+        for (service, id, request, attempt) in wanted.asks {
+            let event = Event::DatabaseRequest(number, incarnation, service, id, request, attempt);
+            self.schedule_after(held + 1 + draw_below(5), event);
         }
-        for (service, target, attempt) in wants.posts {
-            self.schedule_after(
-                held + 1 + draw_below(20),
-                Event::PromotionRequest(number, incarnation, service, target, attempt),
-            );
+        for (service, target, attempt) in wanted.posts {
+            let event = Event::PromotionRequest(number, incarnation, service, target, attempt);
+            self.schedule_after(held + 1 + draw_below(20), event);
+        }
+    }
+
+    fn send_frame(&mut self, number: usize, conn: u64, frame: &[u8], held: u64) {
+        let Some((_, remote)) = self.connections.get(&conn) else { return };
+        let to = match remote {
+            RemoteEnd::Node(node, _) => Party::Node(*node),
+            RemoteEnd::Join { asker, .. } => Party::Controller(*asker),
+        };
+        let arrival = self.arrival_time(Party::Controller(number), to, held);
+        if let (Some(time), Ok(frame)) = (arrival, receive(&mut &frame[..])) {
+            self.schedule_at(time, Event::Frame(conn, frame));
+        } else if matches!(to, Party::Node(_)) {
+            // What is lost on the way ends the connection sooner or later.
+            self.close(conn);
         }
-        self.collect_responses(number, held);
     }
 
     fn ask_to_join(&mut self, from: usize, at: SocketAddr, member: Member, was: bool, held: u64) {
         let (to, me, incarnation) = (machine_of(at), member.id, self.machines[from].incarnation);
-        let last_arrivals = self.arrival_time(Party::Controller(from), Party::Controller(to), held);
+        let arrival = self.arrival_time(Party::Controller(from), Party::Controller(to), held);
         let up = self.machines.get(to).is_some_and(|m| m.controller.is_some());
-        let (Some(time), true) = (last_arrivals, up) else {
+        let (Some(time), true) = (arrival, up) else {
             let after = held + if up { 1_000 } else { 3 };
             return self.schedule_after(
                 after,
--- a/src/simulation/network.rs
+++ b/src/simulation/network.rs
@@ -57,6 +57,7 @@
         })
     }
 
+    /// Whether the next message is lost.
     pub(super) fn is_lost(&self) -> bool {
         self.now < self.packet_loss.0 && chance(self.packet_loss.1)
     }
@@ -75,6 +76,7 @@
         Some(at)
     }
 
+    /// Ends a connection at both ends.
     pub(super) fn close(&mut self, conn: u64) {
         let Some((at, far)) = self.connections.remove(&conn) else { return };
         if let Some(controller) = &mut self.machines[at].controller {
--- a/src/simulation/nodes.rs
+++ b/src/simulation/nodes.rs
@@ -59,6 +59,7 @@
         }
     }
 
+    /// A node finds a leader, renews its leases, and writes at the primaries it is leased.
     pub(super) fn node_turn(&mut self, number: usize, incarnation: u64) {
         if self.nodes[number].incarnation != incarnation {
             return;
@@ -125,6 +126,7 @@
         self.send_to_controller(number, renewal);
     }
 
+    /// A node takes a message of the leader.
     pub(super) fn handle_node_message(&mut self, number: usize, conn: u64, frame: Frame) {
         let now = self.now;
         let node = &mut self.nodes[number];
@@ -197,6 +199,7 @@
         }
     }
 
+    /// A node acknowledges a commit to its client if its lease still holds; no later primary may lack it.
     pub(super) fn handle_commit_ack(
         &mut self,
         number: usize,
--- a/src/simulation/operators.rs
+++ b/src/simulation/operators.rs
@@ -4,9 +4,11 @@
 use crate::net::http::Response;
 use crate::simulation::callers::Caller;
 use crate::simulation::events::Event;
+use crate::simulation::runner::Violation;
 use crate::simulation::schedule::{chance, draw_below};
 use crate::simulation::world::{SERVICES, World};
 
+/// A configuration that an operator sends, until it knows what became of it.
 #[derive(Clone)]
 pub(super) struct ConfigurationChange {
     pub(super) base: Revision,
@@ -16,84 +18,110 @@
     pub(super) known: Option<bool>,
 }
 
+/// An operator: reads, changes what it read, and sends it until it is answered.
 pub(super) struct Operator {
     pub(super) caller: Caller,
-    pub(super) order: Option<ConfigurationChange>,
+    pub(super) change: Option<ConfigurationChange>,
+    /// How many changes it has made.
     pub(super) made: u64,
 }
 
 impl World {
+    /// Checks what an operator was answered, and has it go on after a while.
     pub(super) fn handle_operator_response(&mut self, who: usize, sent: u64, response: Response) {
         let pause = 20 + draw_below(600);
-        let Some(order) = self.operators[who].order.take() else {
-            let floor = self.read_floor(sent);
-            let read = Configuration::read(&response.body).map(|c| c.revision);
-            let revision = match (response.status, read) {
-                (200, Ok(revision)) => match self.committed_place(revision, &response.body) {
-                    Some(place) if place < floor => {
-                        return self
-                            .report_violation(format!("a read gave {revision}, newer was known"));
-                    }
-                    Some(place) => {
-                        self.read_floors.push((self.now, place));
-                        revision
-                    }
-                    None => {
-                        return self
-                            .report_violation(format!("a read gave {revision}, never in force"));
-                    }
-                },
-                (404, _) if floor == 0 => Revision(0),
-                (status, _) => {
-                    return self.report_violation(format!("a read was answered {status}"));
-                }
-            };
-            self.report.reads += 1;
-            self.operators[who].order = Some(self.draw_change(who, revision));
-            return self.schedule_after(draw_below(60), Event::TakeTurn(who));
-        };
-        let place = self.committed_place(order.revision, &order.body);
-        let current = self.committed_configurations.last().map_or(Revision(0), |f| f.revision);
-        match response.status {
-            200 => {
-                let Some(place) = place else {
-                    let (base, number) = (order.base, order.revision);
-                    return self
-                        .report_violation(format!("{number} on {base} confirmed, not in force"));
-                };
-                if order.known == Some(false)
-                    || self.committed_configurations[place - 1].base != order.base
-                {
-                    return self
-                        .report_violation(format!("{} confirmed on a wrong base", order.revision));
-                }
-                self.read_floors.push((self.now, place));
-                self.report.acknowledged += u64::from(order.known.is_none());
-                // The answer may have been lost for all that the sender knows.
-                if chance(25) {
-                    self.report.resent += 1;
-                    self.operators[who].order =
-                        Some(ConfigurationChange { known: Some(true), ..order });
-                }
+        let checked = match self.operators[who].change.take() {
+            None => self.handle_read(who, sent, &response).map(|()| draw_below(60)),
+            Some(change) => {
+                self.handle_change_response(who, change, response.status).map(|()| pause)
             }
-            status => {
-                if place.is_some() {
-                    let number = order.revision;
-                    return self
-                        .report_violation(format!("{number} was taken, and answered {status}"));
+        };
+        match checked {
+            Ok(after) => self.schedule_after(after, Event::TakeTurn(who)),
+            Err(violation) => self.report_violation(violation.what),
+        }
+    }
+
+    /// A read gives a configuration that was in force, and none older than was known when it was sent.
+    /// The operator's next change builds on it.
+    fn handle_read(&mut self, who: usize, sent: u64, response: &Response) -> Result<(), Violation> {
+        let floor = self.read_floor(sent);
+        let read = Configuration::read(&response.body).map(|c| c.revision);
+        let revision = match (response.status, read) {
+            (200, Ok(revision)) => match self.committed_place(revision, &response.body) {
+                Some(place) if place < floor => {
+                    return Err(self.violated(format!("a read gave {revision}, newer was known")));
                 }
-                if status != 412 {
-                    return self
-                        .report_violation(format!("{} was answered {status}", order.revision));
+                Some(place) => {
+                    self.read_floors.push((self.now, place));
+                    revision
                 }
-                if order.base == current {
-                    let why = format!("an order on {} refused, which is current", order.base);
-                    return self.report_violation(why);
+                None => {
+                    return Err(self.violated(format!("a read gave {revision}, never in force")));
                 }
-                self.report.refused += 1;
+            },
+            (404, _) if floor == 0 => Revision(0),
+            (status, _) => return Err(self.violated(format!("a read was answered {status}"))),
+        };
+        self.report.reads += 1;
+        self.operators[who].change = Some(self.draw_change(who, revision));
+        Ok(())
+    }
+
+    fn handle_change_response(
+        &mut self,
+        who: usize,
+        change: ConfigurationChange,
+        status: u16,
+    ) -> Result<(), Violation> {
+        let place = self.committed_place(change.revision, &change.body);
+        match (status, place) {
+            (200, Some(place)) => self.handle_acknowledgement(who, change, place),
+            (200, None) => {
+                let (base, number) = (change.base, change.revision);
+                Err(self.violated(format!("{number} on {base} confirmed, not in force")))
+            }
+            (status, Some(_)) => {
+                let number = change.revision;
+                Err(self.violated(format!("{number} was taken, and answered {status}")))
+            }
+            (412, None) => self.handle_rejection(&change),
+            (status, None) => {
+                Err(self.violated(format!("{} was answered {status}", change.revision)))
             }
         }
-        self.schedule_after(pause, Event::TakeTurn(who));
+    }
+
+    /// A change is acknowledged only if it is in force, on the base that it names.
+    fn handle_acknowledgement(
+        &mut self,
+        who: usize,
+        change: ConfigurationChange,
+        place: usize,
+    ) -> Result<(), Violation> {
+        let on_base = self.committed_configurations[place - 1].base == change.base;
+        if change.known == Some(false) || !on_base {
+            return Err(self.violated(format!("{} confirmed on a wrong base", change.revision)));
+        }
+        self.read_floors.push((self.now, place));
+        self.report.acknowledged += u64::from(change.known.is_none());
+        // The answer may have been lost for all that the sender knows.
+        if chance(25) {
+            self.report.resent += 1;
+            self.operators[who].change = Some(ConfigurationChange { known: Some(true), ..change });
+        }
+        Ok(())
+    }
+
+    /// A change is rejected only if its base is not the current version.
+    fn handle_rejection(&mut self, change: &ConfigurationChange) -> Result<(), Violation> {
+        let current = self.committed_configurations.last().map_or(Revision(0), |f| f.revision);
+        if change.base == current {
+            let why = format!("an order on {} refused, which is current", change.base);
+            return Err(self.violated(why));
+        }
+        self.report.refused += 1;
+        Ok(())
     }
 
     fn draw_change(&mut self, who: usize, base: Revision) -> ConfigurationChange {
@@ -106,14 +134,10 @@
             return ConfigurationChange { base, revision, body, known: Some(false) };
         }
         if chance(5)
-            && let Some(committed_configurations) = self.committed_configurations.last()
+            && let Some(newest) = self.committed_configurations.last()
         {
             // What is in force, with one blank more.
-            let (base, revision, mut body) = (
-                committed_configurations.base,
-                committed_configurations.revision,
-                committed_configurations.body.clone(),
-            );
+            let (base, revision, mut body) = (newest.base, newest.revision, newest.body.clone());
             body.push(b' ');
             return ConfigurationChange { base, revision, body, known: Some(false) };
         }
--- a/src/simulation/schedule.rs
+++ b/src/simulation/schedule.rs
@@ -3,82 +3,107 @@
 use rand::{Rng, SeedableRng};
 use std::cell::RefCell;
 
-/// What is played: who is there, and what goes wrong when. All times are milliseconds.
+/// Who takes part in a run, and which fault comes when. All times are milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Schedule {
+    /// Rules every draw of the run, so that a schedule always runs the same way.
     pub seed: u64,
     /// Controllers with a disk at the first start.
     pub controllers: usize,
-    /// So many of them may be lost at once.
+    /// How many of them may be lost at once.
     pub tolerated: usize,
+    /// Operators that read and change the configuration.
     pub operators: usize,
+    /// After this everything is repaired.
     pub length_ms: u64,
+    /// The faults, in no particular order.
     pub faults: Vec<Fault>,
 }
 
+/// One fault of a schedule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
+    /// When it begins, in milliseconds since the start.
     pub at: u64,
+    /// How long it lasts, where it lasts.
     pub lasts_ms: u64,
+    /// What it is.
     pub kind: FaultKind,
 }
 
-/// Whom a fault strikes: the controller that leads, or one by number.
+/// The controller that a fault strikes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultTarget {
+    /// The one that leads when the fault begins.
     Leader,
+    /// One of the running ones, by number modulo their count.
     Number(u8),
 }
 
-/// Which messages a cut stops, seen from those that are cut off.
+/// Which messages a partition stops, seen from the controller that is cut off.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CutDirection {
+    /// Both directions.
     Both,
+    /// What it sends.
     Outbound,
+    /// What it is sent.
     Inbound,
 }
 
+/// What can go wrong. Faults of controllers happen only while no more than `tolerated` are lost.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultKind {
-    /// Cut off from the other controllers; each caller and node is on one of the two sides.
+    /// Partitioned from the other controllers; each caller and node is on one of the two sides.
     Partition(FaultTarget, CutDirection),
     /// Stands still, perhaps between a decision and the bytes that tell of it.
     Freeze(FaultTarget),
-    /// Frozen, cut off, and its steady clock stands still with it, as a suspended virtual machine's may.
-    /// The pages promise that clocks run on: nothing is promised of leases in such a schedule, but no
-    /// answer about what is current may rest on a clock.
+    /// Frozen, partitioned, and its monotonic clock stands still with it, as that of a suspended virtual
+    /// machine may. The pages promise that clocks run on: nothing is promised of leases in such a
+    /// schedule, but no answer about what is current may rest on a clock.
     Suspend(FaultTarget),
+    /// The process is killed and starts again.
     Kill(FaultTarget),
+    /// The machine loses power and comes back with its disk.
     PowerLoss(FaultTarget),
-    /// Loses power and comes back with an empty disk.
+    /// The machine loses power and comes back with an empty disk.
     DiskLoss(FaultTarget),
-    /// Gone for good; an empty machine comes at another address.
+    /// Gone for good; an empty machine starts at another address.
     Replace(FaultTarget),
-    /// All controllers at once; so many of them, of those that may still be lost, with their disks.
+    /// All controllers stop at once.
     AllMachines {
-        power: bool,
-        wiped: u8,
+        /// By a loss of power; killed otherwise.
+        power_loss: bool,
+        /// How many of those that may still be lost come back with empty disks.
+        disks_lost: u8,
     },
+    /// The disk refuses every write.
     DiskFull(FaultTarget),
+    /// Writes hang until the fault ends.
     DiskStall(FaultTarget),
     /// All connections end.
     ConnectionReset,
-    /// So many messages in a hundred are lost.
+    /// This many messages in a hundred are lost.
     PacketLoss(u8),
-    /// A service's primary, or a replica by number, is down.
+    /// A database is down for a while.
     DatabaseCrash {
+        /// The service's primary; otherwise a replica.
         primary: bool,
+        /// Chooses the service, and the replica.
         number: u8,
     },
-    /// A replica receives nothing.
+    /// A replica, by number, receives nothing.
     ReplicationStall(u8),
-    /// A replica, or the primary, drains and leaves; a new one comes.
+    /// A database drains and leaves; a new one comes.
     DatabaseLeave {
+        /// The service's primary; otherwise a replica.
         primary: bool,
+        /// Chooses the service, and the replica.
         number: u8,
     },
-    /// An order of the operators is as large as this many hundred routes, from here on.
+    /// From here on some configurations have this many hundred routes.
     LargeConfigurations(u8),
+    /// A node, by number, restarts and has forgotten everything.
     NodeRestart(u8),
 }
 
@@ -118,7 +143,10 @@
                 6 => FaultKind::PowerLoss(target()),
                 7 => FaultKind::DiskLoss(target()),
                 8 => FaultKind::Replace(target()),
-                9 => FaultKind::AllMachines { power: chance(50), wiped: draw_below(3) as u8 },
+                9 => FaultKind::AllMachines {
+                    power_loss: chance(50),
+                    disks_lost: draw_below(3) as u8,
+                },
                 10 => FaultKind::DiskFull(target()),
                 11 => FaultKind::DiskStall(target()),
                 12 => FaultKind::ConnectionReset,
@@ -147,18 +175,22 @@
 thread_local! {
     static DRAWS: RefCell<SmallRng> = RefCell::new(SmallRng::seed_from_u64(0));
 }
+/// Restarts the drawing of this thread.
 pub(super) fn seed_draws(seed: u64) {
     DRAWS.with_borrow_mut(|rng| *rng = SmallRng::seed_from_u64(seed));
 }
 
+/// The next random number.
 pub(super) fn draw() -> u64 {
     DRAWS.with_borrow_mut(|rng| rng.next_u64())
 }
 
+/// A random number below `n`; 0 if `n` is 0.
 pub(super) fn draw_below(n: u64) -> u64 {
     draw() % n.max(1)
 }
 
+/// True in this many cases of a hundred.
 pub(super) fn chance(percent: u64) -> bool {
     draw_below(100) < percent
 }
--- a/src/simulation/world.rs
+++ b/src/simulation/world.rs
@@ -9,12 +9,13 @@
 use crate::simulation::network::{Partition, Party, RemoteEnd};
 use crate::simulation::nodes::Node;
 use crate::simulation::operators::Operator;
-use crate::simulation::runner::Report;
+use crate::simulation::runner::{Report, Violation};
 use crate::simulation::schedule::{Schedule, draw_below, seed_draws};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::net::SocketAddr;
 
+/// Everything in a run, and the history that it is checked against.
 pub(super) struct World {
     pub(super) schedule: Schedule,
     pub(super) now: u64,
@@ -38,7 +39,7 @@
     pub(super) entries: BTreeMap<LogIndex, LogEntry>,
     /// A hash of the state at each entry.
     pub(super) states: BTreeMap<LogIndex, u64>,
-    /// What a later read may not go behind: when it was known, and how far in `forced`.
+    /// What a later read may not go behind: when it was known, and how far in `committed_configurations`.
     pub(super) read_floors: Vec<(u64, usize)>,
     /// Commits that nodes passed on to clients.
     pub(super) acknowledged_commits: BTreeMap<ServiceName, Vec<AcknowledgedCommit>>,
@@ -46,27 +47,30 @@
     pub(super) promotions: BTreeMap<ServiceName, Vec<(DbTerm, Vec<Write>)>>,
     pub(super) goodbyes: BTreeSet<InstanceId>,
     pub(super) report: Report,
-    pub(super) violation: Option<String>,
+    pub(super) violation: Option<Violation>,
 }
 
+/// The port of every controller's admin address.
 pub(super) const ADMIN: u16 = 2;
-
+/// The port of every controller's peer address.
 pub(super) const PEER: u16 = 1;
-
+/// `join_sync_s` of all settings: a machine that is back counts as lost for so long.
 pub(super) const JOIN_SYNC_MS: u64 = 4_000;
-
+/// The services of every schedule.
 pub(super) const SERVICES: [&str; 2] = ["pears", "plums"];
 
-/// After the last fault everything is well again and has this long to come to rest.
+/// How long a run goes on after everything was repaired.
 const REST_MS: u64 = 25_000;
 
-/// The other controllers may hear of a machine that stood still so long after its callers do.
+/// How much longer than its callers the other controllers may not reach a machine that stood still.
 pub(super) const LATER_HEARD_MS: u64 = 600;
 
+/// The address of a machine's port.
 pub(super) fn address_of(machine: usize, port: u16) -> SocketAddr {
     SocketAddr::from(([10, 0, machine as u8 + 1, 1], port))
 }
 
+/// The machine that an address belongs to.
 pub(super) fn machine_of(at: SocketAddr) -> usize {
     match at {
         SocketAddr::V4(at) => usize::from(at.ip().octets()[2]) - 1,
@@ -111,7 +115,7 @@
         }
         for number in 0..schedule.operators {
             let caller = Caller { next: number, ..Caller::default() };
-            world.operators.push(Operator { caller, order: None, made: 0 });
+            world.operators.push(Operator { caller, change: None, made: 0 });
             world.schedule_at(500 + draw_below(500), Event::TakeTurn(number));
         }
         for service in SERVICES {
@@ -120,23 +124,7 @@
             }
         }
         for number in 0..3 {
-            world.nodes.push(Node {
-                incarnation: 1,
-                conn: None,
-                welcome: false,
-                known: seeds.iter().map(|m| address_of(*m, PEER)).collect(),
-                next: number,
-                hint: None,
-                heard: 0,
-                renewed: 0,
-                seq: 0,
-                sent: BTreeMap::new(),
-                config: None,
-                leases: BTreeMap::new(),
-                revoked: BTreeMap::new(),
-                highest: BTreeMap::new(),
-            });
-            world.schedule_at(500 + number as u64, Event::NodeTurn(number, 1));
+            world.add_node(number, &seeds);
         }
         for number in 0..schedule.faults.len() {
             world.schedule_at(schedule.faults[number].at, Event::InjectFault(number));
@@ -144,16 +132,39 @@
         world
     }
 
+    fn add_node(&mut self, number: usize, seeds: &[usize]) {
+        self.nodes.push(Node {
+            incarnation: 1,
+            conn: None,
+            welcome: false,
+            known: seeds.iter().map(|m| address_of(*m, PEER)).collect(),
+            next: number,
+            hint: None,
+            heard: 0,
+            renewed: 0,
+            seq: 0,
+            sent: BTreeMap::new(),
+            config: None,
+            leases: BTreeMap::new(),
+            revoked: BTreeMap::new(),
+            highest: BTreeMap::new(),
+        });
+        self.schedule_at(500 + number as u64, Event::NodeTurn(number, 1));
+    }
+
+    /// Has something happen at a time.
     pub(super) fn schedule_at(&mut self, time: u64, event: Event) {
         self.last_number += 1;
         self.queue.push(Reverse((time, self.last_number)));
         self.events.insert(self.last_number, event);
     }
 
+    /// Has something happen so many milliseconds from now.
     pub(super) fn schedule_after(&mut self, after: u64, event: Event) {
         self.schedule_at(self.now + after, event);
     }
 
+    /// Runs until a violation, or until everything has had time to recover after the last fault.
     pub(super) fn run(&mut self) {
         let (length_ms, end) = (self.schedule.length_ms, self.schedule.length_ms + REST_MS);
         while let Some(Reverse((time, number))) = self.queue.pop() {
--- a/tests/simulation.rs
+++ b/tests/simulation.rs
@@ -1,6 +1,6 @@
-//! The control side in virtual time: schedules that once broke a promise, and drawn ones that are shrunk.
+//! The control plane in virtual time: schedules that once broke a promise, and drawn ones that are shrunk.
 //!
-//! More of them, with other luck: `PROPTEST_CASES=5000 PROPTEST_RNG_SEED=7 cargo test --release --test model`.
+//! More of them, with other luck: `PROPTEST_CASES=5000 PROPTEST_RNG_SEED=7 cargo test --release --test simulation`.
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed, TestRunner};
 use silvertack::simulation::runner::run_schedule;
@@ -25,7 +25,7 @@
         1 => fault_target().prop_map(FaultKind::PowerLoss),
         1 => fault_target().prop_map(FaultKind::DiskLoss),
         1 => fault_target().prop_map(FaultKind::Replace),
-        1 => (any::<bool>(), 0..3u8).prop_map(|(power, wiped)| FaultKind::AllMachines { power, wiped }),
+        1 => (any::<bool>(), 0..3u8).prop_map(|(power_loss, disks_lost)| FaultKind::AllMachines { power_loss, disks_lost }),
         1 => fault_target().prop_map(FaultKind::DiskFull),
         1 => fault_target().prop_map(FaultKind::DiskStall),
         1 => Just(FaultKind::ConnectionReset),
@@ -69,7 +69,10 @@
         let rng_seed = RngSeed::Fixed(first.wrapping_mul(RUNNERS).wrapping_add(number));
         let cases = if asked.is_none() { cases.min(12) } else { cases };
         let config = Config { failure_persistence: None, rng_seed, cases, ..Config::default() };
-        let held = |schedule| run_schedule(&schedule).map(drop).map_err(TestCaseError::fail);
+        let held = |schedule| {
+            let run = run_schedule(&schedule).map(drop);
+            run.map_err(|violation| TestCaseError::fail(violation.to_string()))
+        };
         TestRunner::new(config).run(&schedule(), held).map_err(|why| why.to_string())
     };
     let played: Vec<Result<(), String>> = std::thread::scope(|threads| {
@@ -81,7 +84,7 @@
 
 #[test]
 fn what_planted_faults_break_holds() {
-    // (a schedule by its seed, what it found when it was planted: docs/control.md, "The model")
+    // (a schedule by its seed, what it found when it was planted: docs/control.md, "The simulation")
     let cases = [
         (1, "an order was judged by its number alone; by its place alone; answered with another's"),
         (13, "a snapshot's state was not taken"),
