--- a/src/pooler/cluster_view.rs
+++ b/src/pooler/cluster_view.rs
@@ -48,13 +48,13 @@
     pub(crate) lease_lost_at: Option<Tick>,
     /// The pools of the service's databases.
     pub(crate) pools: Vec<Arc<ConnectionPool>>,
-    unreported: Option<SeenPosition>,
+    unreported: Option<PrimaryPosition>,
     recent_read: Option<RecentRead>,
 }
 
 /// A position that the primary gave under a lease that still held when its reply came.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct SeenPosition {
+pub(crate) struct PrimaryPosition {
     /// The term of the lease.
     pub(crate) term: DbTerm,
     /// When the statement was sent that it is the answer to.
@@ -85,7 +85,7 @@
         change.is_some()
     }
 
-    /// The quota in force, if the leader has not been told of it.
+    /// The quota in force, if it was not reported to the leader yet.
     pub(crate) fn take_quota_report(&mut self) -> Option<u32> {
         let pools = &self.pools;
         let open = || pools.iter().map(|pool| pool.open_connections()).max().unwrap_or(0);
@@ -93,16 +93,16 @@
     }
 
     /// Takes in a position that the primary gave.
-    pub(crate) fn record_position(&mut self, seen: SeenPosition) {
-        self.watermarks.observe(seen.sent_at, seen.position);
-        self.highest_position = self.highest_position.max(Some(seen.position));
-        if self.unreported.is_none_or(|earlier| seen.sent_at > earlier.sent_at) {
-            self.unreported = Some(seen);
+    pub(crate) fn record_position(&mut self, observed: PrimaryPosition) {
+        self.watermarks.observe(observed.sent_at, observed.position);
+        self.highest_position = self.highest_position.max(Some(observed.position));
+        if self.unreported.is_none_or(|earlier| observed.sent_at > earlier.sent_at) {
+            self.unreported = Some(observed);
         }
     }
 
-    /// The newest position that the leader has not been told of.
-    pub(crate) fn take_unreported(&mut self) -> Option<SeenPosition> {
+    /// The newest position, if it was not reported to the leader yet.
+    pub(crate) fn take_unreported(&mut self) -> Option<PrimaryPosition> {
         self.unreported.take()
     }
 
@@ -206,7 +206,7 @@
             Some(pool) => Arc::clone(pool),
             None => self.replace_pool(&entry, now),
         };
-        // The database was heard of: whatever kept it from being tried may be over.
+        // The directory has an update on it: whatever made it fail may be over.
         pool.clear_backoff();
         pool.set_draining(entry.draining.then_some(draining_since));
     }
--- a/src/pooler/exchange.rs
+++ b/src/pooler/exchange.rs
@@ -32,7 +32,7 @@
     }
 }
 
-/// Has a replica wait until it has a position before it runs the rest of the statement.
+/// The prefix of a statement that makes a replica wait until it has reached a position.
 fn wait_for_prefix(position: Option<Position>) -> String {
     position.map_or_else(String::new, |position| format!("WAITFOR {position} "))
 }
--- a/src/pooler/process.rs
+++ b/src/pooler/process.rs
@@ -30,7 +30,7 @@
 /// How often a pooler that can't serve yet looks whether it can, in ms.
 const STARTUP_WAIT_MS: u64 = 50;
 
-/// Runs a pooler until it is told to end. `path` is where the settings were read from.
+/// Runs a pooler until SIGTERM or SIGINT ends it. `path` is where the settings were read from.
 ///
 /// # Errors
 /// Settings that lack a listener, a listener that can't be opened, or a machine that has no thread
@@ -98,14 +98,14 @@
     fn start_serving(&self, listener: TcpListener) -> Result<(), Fatal> {
         self.pooler.listening.store(true, Ordering::Relaxed);
         let pooler = Arc::clone(&self.pooler);
-        must_start("resting clients", move || pooler.parked.watch(|s| pooler.dispatch(s)))?;
+        must_start("idle clients", move || pooler.parked.watch(|s| pooler.dispatch(s)))?;
         let pooler = Arc::clone(&self.pooler);
         must_start("sessions", move || pooler.run_worker())?;
         let pooler = Arc::clone(&self.pooler);
         accept_clients(listener, move |stream| pooler.admit(stream))
     }
 
-    /// Renews leases and checks sessions until the process is told to end and has drained.
+    /// Renews leases and checks sessions until the process was signalled to end and has drained.
     fn main_loop(&mut self) {
         let mut checked_at = Tick(0);
         let mut draining_since: Option<Tick> = None;
--- a/src/pooler/reroute.rs
+++ b/src/pooler/reroute.rs
@@ -2,7 +2,7 @@
 //!
 //! `SessionReroute` is a pure state machine. It sees each statement of the client and each answer
 //! that is passed on, and derives from them whether the session may change its connection, what the
-//! next connection must hold first, and what the client is told when a connection is lost. It is
+//! next connection must hold first, and what the client gets when a connection is lost. It is
 //! owned by `client_session` and knows no socket and no clock.
 use crate::base::errors::ErrorKind;
 use crate::base::time::Tick;
--- a/src/pooler/server.rs
+++ b/src/pooler/server.rs
@@ -12,7 +12,7 @@
 use crate::net::idle_connections::IdleConnections;
 use crate::net::leader_connection::LeaderConnection;
 use crate::pooler::client_session::Session;
-use crate::pooler::cluster_view::{ClusterView, SeenPosition};
+use crate::pooler::cluster_view::{ClusterView, PrimaryPosition};
 use crate::pooler::leader_messages::Renewals;
 use crate::pooler::pool::ConnectionPool;
 use crate::pooler::replica_reads::ReplicaRank;
@@ -144,7 +144,7 @@
         position: Position,
     ) {
         if let Some(service) = lock(&self.view).services.get_mut(service) {
-            service.record_position(SeenPosition { term, sent_at, position });
+            service.record_position(PrimaryPosition { term, sent_at, position });
         }
     }
 
--- a/src/pooler/server_connection.rs
+++ b/src/pooler/server_connection.rs
@@ -46,7 +46,7 @@
 const RESET_COST: usize = 100;
 
 /// What a pooler calls itself in its CONNECT to a database. It is on the wire and in the databases'
-/// logs, so it keeps the word that was first used there.
+/// logs, so it stays as it is.
 const CLIENT_NAME_ON_THE_WIRE: &str = "stile";
 
 /// Why a reply can't be had on a connection any more.
@@ -381,7 +381,7 @@
 }
 
 /// The id that a prepared statement has at every database, whatever its clients call it. The hasher
-/// is keyed anew in each process, so that no client can make two statements share an id.
+/// is keyed anew in each process, so that no client can choose two statements that share an id.
 pub(crate) fn prepared_statement_id(hasher: &RandomState, statement: &PreparedStatement) -> u64 {
     hasher.hash_one(statement)
 }
--- a/src/pooler/sessions.rs
+++ b/src/pooler/sessions.rs
@@ -110,7 +110,7 @@
             drop(self.stream.shutdown(Shutdown::Both));
         }
         if age_ms > LONG_LIVED_MS && !self.long_lived.swap(true, Ordering::Relaxed) {
-            // A client that can't be probed is found gone when it is next written to.
+            // Without probes the loss of the client shows at the next write to it.
             drop(keep_alive(&self.stream, KEEP_ALIVE_IDLE));
         }
     }
