--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -1,4 +1,5 @@
-//! Who leads a service: each case is a story of events with the actions that must follow.
+//! The change of a service's primary: each case is a sequence of events with the actions that must
+//! follow.
 use silvertack::base::ids::{DbTerm, InstanceId, NodeName, Position, Revision, ServiceName, Term};
 use silvertack::base::time::Tick;
 use silvertack::config::directory::{Instance, Lifecycle, Role};
@@ -56,14 +57,14 @@
 fn ask(id: &str, ask: DatabaseRequest) -> FailoverAction {
     FailoverAction::SendRequest(id.into(), ask)
 }
-fn intend(target: &str) -> FailoverAction {
+fn propose_intent(target: &str) -> FailoverAction {
     FailoverAction::Propose(Command::BeginFailover {
         service: "s".into(),
         term: DbTerm(1),
         target: target.into(),
     })
 }
-fn led(target: &str, term: u64) -> FailoverAction {
+fn propose_primary(target: &str, term: u64) -> FailoverAction {
     FailoverAction::Propose(Command::SetPrimary {
         service: "s".into(),
         term: DbTerm(term),
@@ -92,17 +93,17 @@
     book.renewed(node, now);
     told
 }
-/// A new leader took it up, and the replicas answered that they go on.
-fn begun(snapshot: &ServiceSnapshot, now: Tick) -> Failover {
+/// A new leader took over, and the replicas confirmed that they have resumed.
+fn begin_steady(snapshot: &ServiceSnapshot, now: Tick) -> Failover {
     let (mut s, first) = Failover::begin(snapshot, now);
     let replicas = snapshot.databases[1..]
         .iter()
         .map(|(id, _)| FailoverAction::SendRequest(id.clone(), DatabaseRequest::Continue));
     assert_eq!(first, replicas.collect::<Vec<_>>(), "earlier pauses are let go");
-    went_on(&mut s, snapshot, now);
+    confirm_resumption(&mut s, snapshot, now);
     s
 }
-fn went_on(s: &mut Failover, snapshot: &ServiceSnapshot, now: Tick) {
+fn confirm_resumption(s: &mut Failover, snapshot: &ServiceSnapshot, now: Tick) {
     for (id, _) in &snapshot.databases[1..] {
         s.handle_response(
             snapshot,
@@ -115,7 +116,7 @@
     }
 }
 fn fencing(snapshot: &ServiceSnapshot, now: Tick) -> Failover {
-    let mut s = begun(snapshot, now);
+    let mut s = begin_steady(snapshot, now);
     let actions = s.report_suspicion(
         snapshot,
         &"n1".into(),
@@ -138,8 +139,8 @@
     );
     s
 }
-/// As far as a call that may be under way.
-fn posting(snapshot: &mut ServiceSnapshot, now: Tick) -> Failover {
+/// A failover whose promotion call may be under way.
+fn promoting(snapshot: &mut ServiceSnapshot, now: Tick) -> Failover {
     let mut s = fencing(snapshot, now);
     assert!(
         s.handle_response(snapshot, s.attempt, &"b".into(), PAUSE, &row(false, 1, at(7)), now)
@@ -147,15 +148,15 @@
     );
     assert_eq!(
         s.handle_response(snapshot, s.attempt, &"c".into(), PAUSE, &row(false, 1, at(9)), now),
-        [intend("c")]
+        [propose_intent("c")]
     );
     assert!(s.tick(snapshot, now).is_empty(), "not before it is committed");
-    intended(snapshot, "c");
+    commit_intent(snapshot, "c");
     assert_eq!(s.tick(snapshot, now), [FailoverAction::Promote("c".into())]);
     s
 }
 /// The intent is committed.
-fn intended(snapshot: &mut ServiceSnapshot, target: &str) {
+fn commit_intent(snapshot: &mut ServiceSnapshot, target: &str) {
     snapshot.primary_record = snapshot
         .primary_record
         .take()
@@ -165,7 +166,7 @@
 #[test]
 fn a_lost_primary_is_followed_by_the_furthest_replica() {
     let (mut snapshot, now) = (snapshot(), Tick(50_000));
-    let mut s = posting(&mut snapshot, now);
+    let mut s = promoting(&mut snapshot, now);
     assert_eq!(s.sealed, Some(at(9)), "reads may go on up to there");
     assert!(
         s.handle_promotion_response(
@@ -192,7 +193,7 @@
     assert_eq!(actions, [ask("a", DatabaseRequest::StepDown(DbTerm(2)))]);
     assert!(s.tick(&snapshot, now.plus(400)).is_empty(), "old leases may still be used");
     snapshot.leases_expired = true;
-    assert_eq!(s.tick(&snapshot, now.plus(500)), [led("c", 2)]);
+    assert_eq!(s.tick(&snapshot, now.plus(500)), [propose_primary("c", 2)]);
     assert!(s.tick(&snapshot, now.plus(510)).is_empty(), "once is enough");
     snapshot.primary_record =
         Some(PrimaryRecord { term: DbTerm(2), primary: "c".into(), intent: None });
@@ -203,7 +204,7 @@
 #[test]
 fn a_false_alarm_changes_nothing() {
     let (mut snapshot, now) = (snapshot(), Tick(50_000));
-    for told in [row(true, 1, at(9)), DatabaseResponse::NoDescription] {
+    for response in [row(true, 1, at(9)), DatabaseResponse::NoDescription] {
         let (mut s, _) = Failover::begin(&snapshot, now);
         s.report_suspicion(&snapshot, &"n1".into(), &"a".into(), SuspicionReason::NoResponse, now);
         assert!(
@@ -212,7 +213,7 @@
                 s.attempt,
                 &"a".into(),
                 DatabaseRequest::Describe,
-                &told,
+                &response,
                 now
             )
             .is_empty()
@@ -232,7 +233,7 @@
     assert_eq!(actions, [ask("b", DatabaseRequest::Continue), ask("c", DatabaseRequest::Continue)]);
     assert!(!s.revoking);
     // Once posted it is too late for that.
-    let mut s = posting(&mut snapshot, now);
+    let mut s = promoting(&mut snapshot, now);
     assert!(
         s.handle_response(
             &snapshot,
@@ -248,7 +249,7 @@
 }
 
 #[test]
-fn a_replica_that_was_not_heard_to_go_on_is_told_again() {
+fn a_replica_that_has_not_confirmed_its_resumption_is_asked_again() {
     let (snapshot, now) = (snapshot(), Tick(50_000));
     let mut s = fencing(&snapshot, now);
     for id in ["b", "c"] {
@@ -299,10 +300,10 @@
 }
 
 #[test]
-fn three_poolers_that_hear_nothing_are_enough_unless_the_machine_is_reached() {
+fn three_reports_of_silence_are_enough_unless_the_machine_accepts_connections() {
     let (snapshot, now) = (snapshot(), Tick(50_000));
     for reached in [false, true] {
-        let mut s = begun(&snapshot, now);
+        let mut s = begin_steady(&snapshot, now);
         for (who, after, actions) in [("n1", 0, 1), ("n1", 5, 0), ("n2", 10, 0), ("n3", 15, 0)] {
             let done = s.report_suspicion(
                 &snapshot,
@@ -344,7 +345,7 @@
 }
 
 #[test]
-fn a_primary_seen_slow_twice_is_left_once() {
+fn a_primary_found_slow_twice_is_replaced_once() {
     let (snapshot, now) = (snapshot(), Tick(50_000));
     let (mut s, _) = Failover::begin(&snapshot, now);
     let nine = at(9);
@@ -375,7 +376,7 @@
 }
 
 #[test]
-fn a_primary_that_breaks_many_connections_is_left() {
+fn a_primary_that_breaks_many_connections_is_replaced() {
     let (snapshot, now) = (snapshot(), Tick(50_000));
     // reports of so many poolers, each so many times, this far apart: whether it is left
     for (poolers, times, apart, left) in [(3, 2, 100, true), (2, 4, 100, false), (4, 2, 500, false)]
@@ -424,9 +425,9 @@
 }
 
 #[test]
-fn one_question_without_an_answer_is_no_loss_and_a_refusal_is() {
+fn one_unanswered_request_is_no_loss_and_a_refused_connection_is() {
     let (snapshot, now) = (snapshot(), Tick(50_000));
-    for (told, actions) in [
+    for (response, actions) in [
         (DatabaseResponse::TimedOut, vec![ask("a", DatabaseRequest::Describe)]),
         (DatabaseResponse::Unavailable, Vec::new()),
     ] {
@@ -443,7 +444,7 @@
             s.attempt,
             &"a".into(),
             DatabaseRequest::Describe,
-            &told,
+            &response,
             now.plus(300),
         );
         if actions.is_empty() {
@@ -455,7 +456,7 @@
                 s.attempt,
                 &"a".into(),
                 DatabaseRequest::Describe,
-                &told,
+                &response,
                 now.plus(600),
             );
             assert!(matches!(s.state, FailoverState::Fencing(_)), "twice is enough");
@@ -464,7 +465,7 @@
 }
 
 #[test]
-fn with_too_few_answers_nobody_is_promoted_unless_the_poolers_vouch() {
+fn with_too_few_answers_nobody_is_promoted_unless_the_leases_are_released() {
     let now = Tick(50_000);
     // given back by the poolers, synchronous replicas, whether `b` alone may take over at 7
     let table = [
@@ -486,7 +487,7 @@
             assert!(s.tick(&snapshot, now.plus(20)).is_empty(), "the other may still answer");
             actions = s.tick(&snapshot, now.plus(320));
         }
-        let expected = if may { vec![intend("b")] } else { Vec::new() };
+        let expected = if may { vec![propose_intent("b")] } else { Vec::new() };
         assert_eq!(actions, expected, "{released_up_to:?}, sync {sync_replicas}");
         if !may {
             let again = s.tick(&snapshot, now.plus(500));
@@ -519,11 +520,11 @@
         if actions.is_empty() {
             actions = s.tick(&snapshot, now.plus(320));
         }
-        assert_eq!(actions, [intend(target)], "{other} {passed_on}");
+        assert_eq!(actions, [propose_intent(target)], "{other} {passed_on}");
     }
     // A target that left is settled by the refusal, and the call is made again at once.
     let mut snapshot = snapshot();
-    let mut s = posting(&mut snapshot, now);
+    let mut s = promoting(&mut snapshot, now);
     s.handle_promotion_response(
         &snapshot,
         s.attempt,
@@ -565,11 +566,17 @@
     for (before, later, settled) in table {
         snapshot.primary_record =
             snapshot.primary_record.take().map(|lead| PrimaryRecord { intent: None, ..lead });
-        let mut s = posting(&mut snapshot, now);
-        for posted in before {
+        let mut s = promoting(&mut snapshot, now);
+        for promotion_response in before {
             assert!(
-                s.handle_promotion_response(&snapshot, s.attempt, &"c".into(), *posted, now)
-                    .is_empty()
+                s.handle_promotion_response(
+                    &snapshot,
+                    s.attempt,
+                    &"c".into(),
+                    *promotion_response,
+                    now
+                )
+                .is_empty()
             );
         }
         let actions = s.handle_promotion_response(
@@ -588,7 +595,7 @@
     // An unclear call is made again, with the same target.
     snapshot.primary_record =
         snapshot.primary_record.take().map(|lead| PrimaryRecord { intent: None, ..lead });
-    let mut s = posting(&mut snapshot, now);
+    let mut s = promoting(&mut snapshot, now);
     s.handle_promotion_response(&snapshot, s.attempt, &"c".into(), PromotionResponse::Unknown, now);
     let actions = s.tick(&snapshot, now.plus(400));
     assert!(actions.contains(&FailoverAction::Promote("c".into())), "{actions:?}");
@@ -637,7 +644,7 @@
     snapshot.databases[0].1.lifecycle_state = Lifecycle::Draining;
     snapshot.databases.push(("d".into(), database(Lifecycle::Available, Role::Replica, "v2")));
     snapshot.alive.insert("d".into());
-    let mut s = begun(&snapshot, now);
+    let mut s = begin_steady(&snapshot, now);
     let actions = s.tick(&snapshot, now);
     assert_eq!(
         actions,
@@ -673,8 +680,8 @@
         &row(false, 1, at(11)),
         now.plus(130),
     );
-    assert_eq!(actions, [intend("d")]);
-    intended(&mut snapshot, "d");
+    assert_eq!(actions, [propose_intent("d")]);
+    commit_intent(&mut snapshot, "d");
     s.tick(&snapshot, now.plus(140));
     let actions = s.handle_response(
         &snapshot,
@@ -691,7 +698,7 @@
     // A target that never catches up: everything is let go.
     snapshot.primary_record =
         snapshot.primary_record.take().map(|lead| PrimaryRecord { intent: None, ..lead });
-    let mut s = begun(&snapshot, now);
+    let mut s = begin_steady(&snapshot, now);
     s.tick(&snapshot, now);
     assert_eq!(
         s.tick(&snapshot, now.plus(3_100)),
@@ -719,7 +726,7 @@
             &row(true, 4, at(2)),
             now
         ),
-        [led("a", 4)]
+        [propose_primary("a", 4)]
     );
 }
 
@@ -1116,7 +1123,7 @@
 /// The planned change: `a` is about to end, `b` is to take over, `c` is paused.
 fn planned(snapshot: &mut ServiceSnapshot, now: Tick) -> Failover {
     snapshot.databases[0].1.lifecycle_state = Lifecycle::Draining;
-    let mut s = begun(snapshot, now);
+    let mut s = begin_steady(snapshot, now);
     assert_eq!(s.tick(snapshot, now), [ask("c", PAUSE)]);
     s
 }
@@ -1158,7 +1165,7 @@
             &answer,
             now,
         );
-        let expected = if goes_on { vec![intend("b")] } else { Vec::new() };
+        let expected = if goes_on { vec![propose_intent("b")] } else { Vec::new() };
         assert_eq!(actions, expected, "{sync_replicas} {released_up_to:?} {paused:?} {target}");
     }
 }
@@ -1185,7 +1192,7 @@
                 snapshot.alive.remove(id);
             }
         }
-        let mut s = begun(&snapshot, now);
+        let mut s = begin_steady(&snapshot, now);
         let actions = s.tick(&snapshot, now);
         let paused = target.map(|target| ask(if target == "b" { "c" } else { "b" }, PAUSE));
         assert_eq!(actions, paused.into_iter().collect::<Vec<_>>(), "{b:?} {c:?}");
@@ -1193,7 +1200,7 @@
 }
 
 #[test]
-fn a_planned_change_that_is_given_up_resumes_all_and_rests() {
+fn a_planned_change_that_is_called_off_resumes_all_and_backs_off() {
     let (mut snapshot, now) = (snapshot(), Tick(50_000));
     let mut s = planned(&mut snapshot, now);
     // With a replica that does not answer its pause the leases are taken back: the poolers' word
@@ -1209,7 +1216,7 @@
     let now = now.plus(3_010);
     assert_eq!(s.tick(&snapshot, now), [ask("c", DatabaseRequest::Continue)]);
     assert!(s.state == FailoverState::Steady && !s.revoking);
-    went_on(&mut s, &snapshot, now);
+    confirm_resumption(&mut s, &snapshot, now);
     s.handle_response(
         &snapshot,
         s.attempt,
@@ -1228,7 +1235,7 @@
 fn a_primary_that_is_lost_during_a_planned_change_is_fenced() {
     let now = Tick(50_000);
     // (what the primary says, whether it is given up)
-    for (told, lost) in [
+    for (response, lost) in [
         (DatabaseResponse::Unavailable, true),
         (row(false, 1, at(9)), true),
         (row(true, 1, at(9)), false),
@@ -1249,23 +1256,23 @@
             s.attempt,
             &"a".into(),
             DatabaseRequest::Describe,
-            &told,
+            &response,
             now,
         );
         let fenced = [FailoverAction::RevokeLeases(DbTerm(1)), ask("b", PAUSE), ask("c", PAUSE)];
-        assert_eq!(actions, if lost { &fenced[..] } else { &[] }, "{told:?}");
-        assert_eq!(s.revoking, lost, "{told:?}");
+        assert_eq!(actions, if lost { &fenced[..] } else { &[] }, "{response:?}");
+        assert_eq!(s.revoking, lost, "{response:?}");
     }
 }
 
 #[test]
-fn only_the_primary_of_the_present_term_answers_a_doubt() {
+fn only_the_primary_of_the_present_term_answers_a_suspicion() {
     let (snapshot, now) = (snapshot(), Tick(50_000));
     // (whether it says that it leads, in which term, whether that ends the doubt)
     for (leads, term, fine) in
         [(true, 1, true), (false, 1, false), (true, 2, false), (true, 0, false), (false, 2, false)]
     {
-        let mut s = begun(&snapshot, now);
+        let mut s = begin_steady(&snapshot, now);
         s.report_suspicion(
             &snapshot,
             &"n1".into(),
@@ -1273,15 +1280,22 @@
             SuspicionReason::ConnectionsBroken,
             now,
         );
-        let told = row(leads, term, at(9));
-        s.handle_response(&snapshot, s.attempt, &"a".into(), DatabaseRequest::Describe, &told, now);
+        let response = row(leads, term, at(9));
+        s.handle_response(
+            &snapshot,
+            s.attempt,
+            &"a".into(),
+            DatabaseRequest::Describe,
+            &response,
+            now,
+        );
         assert_eq!(s.state == FailoverState::Steady, fine, "{leads} {term}");
         assert_eq!(s.revoking, !fine, "{leads} {term}");
     }
 }
 
 #[test]
-fn when_a_primary_is_doubted() {
+fn when_a_primary_is_suspected() {
     let now = Tick(50_000);
     let doubt = [ask("a", DatabaseRequest::Describe)];
     // (of whom a pooler reports, ms after the primary proved itself, whether it is doubted)
@@ -1289,7 +1303,7 @@
         [("a", 299, false), ("a", 300, true), ("b", 300, false), ("x", 300, false)]
     {
         let snapshot = snapshot();
-        let mut s = begun(&snapshot, now);
+        let mut s = begin_steady(&snapshot, now);
         s.report_suspicion(
             &snapshot,
             &"n1".into(),
@@ -1327,7 +1341,7 @@
     ];
     for (listed, heartbeats, ends, departed, actions) in table {
         let mut snapshot = snapshot();
-        let mut s = begun(&snapshot, now);
+        let mut s = begin_steady(&snapshot, now);
         if ends {
             snapshot.databases[0].1.lifecycle_state = Lifecycle::Draining;
         }
@@ -1345,9 +1359,9 @@
 }
 
 #[test]
-fn a_slow_primary_is_left_at_most_once_in_five_seconds() {
+fn a_slow_primary_is_replaced_at_most_once_in_five_seconds() {
     let (snapshot, now) = (snapshot(), Tick(50_000));
-    let mut s = begun(&snapshot, now);
+    let mut s = begin_steady(&snapshot, now);
     let mut left = |after: u64| {
         let now = now.plus(after);
         s.report_suspicion(
@@ -1376,7 +1390,7 @@
                 now.plus(20),
             );
             assert_eq!(s.tick(&snapshot, late), [ask("c", DatabaseRequest::Continue)], "given up");
-            went_on(&mut s, &snapshot, late);
+            confirm_resumption(&mut s, &snapshot, late);
         }
         !actions.is_empty()
     };
@@ -1399,14 +1413,14 @@
         ("b", true, 2, false),
     ] {
         let mut snapshot = snapshot();
-        let mut s = posting(&mut snapshot, now);
-        let told = row(leads, term, at(9));
+        let mut s = promoting(&mut snapshot, now);
+        let response = row(leads, term, at(9));
         let actions = s.handle_response(
             &snapshot,
             s.attempt,
             &who.into(),
             DatabaseRequest::Describe,
-            &told,
+            &response,
             now,
         );
         let down = [ask("a", DatabaseRequest::StepDown(DbTerm(term)))];
@@ -1429,7 +1443,7 @@
         &row(false, 1, at(7)),
         now,
     );
-    intended(&mut snapshot, "b");
+    commit_intent(&mut snapshot, "b");
     assert_eq!(s.tick(&snapshot, now), [FailoverAction::Promote("b".into())]);
     assert!(!s.revoking);
     s.handle_response(
@@ -1446,7 +1460,7 @@
 #[test]
 fn one_call_at_a_time_is_under_way() {
     let (mut snapshot, now) = (snapshot(), Tick(50_000));
-    let mut s = posting(&mut snapshot, now);
+    let mut s = promoting(&mut snapshot, now);
     let first = s.attempt;
     for (after, again) in [(400, false), (2_000, false), (3_000, false), (3_010, true)] {
         let posts =
@@ -1461,7 +1475,7 @@
     s.handle_response(&snapshot, s.attempt, &"c".into(), PAUSE, &row(false, 1, at(9)), now);
     let table = [(1_000, false), (1_010, true), (2_000, false), (2_020, true)];
     for (after, again) in table {
-        let expected = if again { vec![intend("c")] } else { Vec::new() };
+        let expected = if again { vec![propose_intent("c")] } else { Vec::new() };
         assert_eq!(s.tick(&snapshot, now.plus(after)), expected, "after {after}");
     }
 }
@@ -1475,14 +1489,14 @@
     s.handle_response(&snapshot, s.attempt, &"b".into(), PAUSE, &row(false, 1, at(9)), now);
     let actions =
         s.handle_response(&snapshot, s.attempt, &"c".into(), PAUSE, &row(false, 1, at(8)), now);
-    assert_eq!((actions, s.sealed), (vec![intend("c")], Some(at(9))));
+    assert_eq!((actions, s.sealed), (vec![propose_intent("c")], Some(at(9))));
 }
 
 #[test]
-fn a_replica_founds_no_service() {
+fn a_replica_is_never_recorded_as_the_first_primary() {
     let now = Tick(50_000);
     let snapshot = ServiceSnapshot { primary_record: None, ..snapshot() };
-    for (told, founds) in [
+    for (response, founds) in [
         (row(true, 4, at(2)), true),
         (row(false, 4, at(2)), false),
         (DatabaseResponse::NoDescription, false),
@@ -1495,15 +1509,19 @@
             s.attempt,
             &"a".into(),
             DatabaseRequest::Describe,
-            &told,
+            &response,
             now,
         );
-        assert_eq!(actions, if founds { vec![led("a", 4)] } else { Vec::new() }, "{told:?}");
+        assert_eq!(
+            actions,
+            if founds { vec![propose_primary("a", 4)] } else { Vec::new() },
+            "{response:?}"
+        );
     }
 }
 
 #[test]
-fn the_present_primary_is_told_neither_to_step_down_nor_to_go_on() {
+fn the_present_primary_is_asked_neither_to_step_down_nor_to_resume() {
     let (mut snapshot, now) = (snapshot(), Tick(50_000));
     let (mut s, _) = Failover::begin(&snapshot, now);
     assert_eq!(s.handle_heartbeat(&snapshot, &"a".into(), Role::Primary, now), []);
--- a/tests/failover_replicas.rs
+++ b/tests/failover_replicas.rs
@@ -1,4 +1,5 @@
-//! Databases under losses in a row: whose answer counts, and who may hold the only copy.
+//! Replicas under several losses: which answers count, and which replica may hold the only copy of
+//! a commit.
 use silvertack::base::ids::{DbTerm, InstanceId, Position, ServiceName, Term};
 use silvertack::base::time::Tick;
 use silvertack::config::directory::{Instance, Lifecycle, Role};
@@ -53,7 +54,7 @@
 const PAUSE: DatabaseRequest = DatabaseRequest::Pause(DbTerm(2));
 
 /// The primary is doubted and refuses; gives what is asked of the replicas.
-fn lost(s: &mut Failover, snapshot: &ServiceSnapshot, now: Tick) -> Vec<FailoverAction> {
+fn report_lost(s: &mut Failover, snapshot: &ServiceSnapshot, now: Tick) -> Vec<FailoverAction> {
     s.report_suspicion(
         snapshot,
         &"n1".into(),
@@ -82,7 +83,7 @@
 ) -> Vec<FailoverAction> {
     s.handle_response(snapshot, s.attempt, &id.into(), ask, &row(false, at(number)), now)
 }
-fn begun(snapshot: &ServiceSnapshot, now: Tick) -> Failover {
+fn begin_steady(snapshot: &ServiceSnapshot, now: Tick) -> Failover {
     let (mut s, _) = Failover::begin(snapshot, now);
     for id in ["b", "c"] {
         tell(&mut s, snapshot, id, DatabaseRequest::Continue, 7, now);
@@ -93,8 +94,8 @@
 #[test]
 fn a_pause_of_an_earlier_attempt_says_nothing_about_this_one() {
     let (snapshot, now) = (snapshot(), Tick(50_000));
-    let mut s = begun(&snapshot, now);
-    lost(&mut s, &snapshot, now);
+    let mut s = begin_steady(&snapshot, now);
+    report_lost(&mut s, &snapshot, now);
     let first = s.attempt;
     tell(&mut s, &snapshot, "b", PAUSE, 7, now);
     // The alarm was false: both go on, and receive what is committed from here on.
@@ -118,7 +119,7 @@
             later,
         );
     }
-    assert_eq!(lost(&mut s, &snapshot, later), [ask("b", PAUSE), ask("c", PAUSE)]);
+    assert_eq!(report_lost(&mut s, &snapshot, later), [ask("b", PAUSE), ask("c", PAUSE)]);
     tell(&mut s, &snapshot, "b", PAUSE, 9, later);
     // The answer of `c` to the first attempt comes now; it may have received more since.
     let late = s.handle_response(&snapshot, first, &"c".into(), PAUSE, &row(false, at(7)), later);
@@ -136,27 +137,27 @@
 }
 
 #[test]
-fn an_order_that_is_under_way_is_overtaken_by_no_other() {
+fn a_request_that_is_under_way_is_overtaken_by_no_other() {
     let (snapshot, now) = (snapshot(), Tick(50_000));
     let (mut s, _) = Failover::begin(&snapshot, now);
     tell(&mut s, &snapshot, "b", DatabaseRequest::Continue, 7, now);
     // `c` may still be let go by what is on its way: paused now, it would go on unseen.
-    assert_eq!(lost(&mut s, &snapshot, now.plus(10)), [ask("b", PAUSE)]);
+    assert_eq!(report_lost(&mut s, &snapshot, now.plus(10)), [ask("b", PAUSE)]);
     assert!(!s.tick(&snapshot, now.plus(500)).contains(&ask("c", PAUSE)));
-    for (told, after, asked) in [
+    for (response, after, asked) in [
         (Some(row(false, at(7))), 600, vec![ask("c", PAUSE)]),
         (Some(DatabaseResponse::Unavailable), 600, vec![ask("c", PAUSE)]),
         (Some(DatabaseResponse::TimedOut), 600, vec![]),
         (None, 3_100, vec![ask("b", PAUSE), ask("c", PAUSE)]),
     ] {
         let (mut s, now) = (s.clone(), now.plus(after));
-        let mut actions = match &told {
-            Some(told) => s.handle_response(
+        let mut actions = match &response {
+            Some(response) => s.handle_response(
                 &snapshot,
                 s.attempt,
                 &"c".into(),
                 DatabaseRequest::Continue,
-                told,
+                response,
                 now,
             ),
             None => s.tick(&snapshot, now),
@@ -164,7 +165,7 @@
         actions.retain(|action| {
             matches!(action, FailoverAction::SendRequest(_, DatabaseRequest::Pause(_)))
         });
-        assert_eq!(actions, asked, "{told:?}");
+        assert_eq!(actions, asked, "{response:?}");
     }
     // The other way round: `c` is not taken for let go while its pause may still come.
     tell(&mut s, &snapshot, "c", DatabaseRequest::Continue, 7, now.plus(600));
@@ -184,18 +185,18 @@
 }
 
 #[test]
-fn a_call_is_answered_by_its_own_answer_and_has_a_fence_of_its_own() {
+fn a_call_is_answered_by_its_own_answer_and_has_a_fencing_token_of_its_own() {
     let (mut snapshot, now) = (snapshot(), Tick(50_000));
-    let mut s = begun(&snapshot, now);
-    lost(&mut s, &snapshot, now);
+    let mut s = begin_steady(&snapshot, now);
+    report_lost(&mut s, &snapshot, now);
     tell(&mut s, &snapshot, "b", PAUSE, 7, now);
     tell(&mut s, &snapshot, "c", PAUSE, 9, now);
-    let intend = |snapshot: &mut ServiceSnapshot, target: Option<&str>| {
+    let record_intent = |snapshot: &mut ServiceSnapshot, target: Option<&str>| {
         let intent = target.map(InstanceId::from);
         snapshot.primary_record =
             Some(PrimaryRecord { term: DbTerm(1), primary: "a".into(), intent });
     };
-    intend(&mut snapshot, Some("c"));
+    record_intent(&mut snapshot, Some("c"));
     assert_eq!(s.tick(&snapshot, now), [FailoverAction::Promote("c".into())]);
     let first = s.attempt;
     // Its outcome was never heard here, so it may have taken effect; it is made again.
@@ -222,7 +223,7 @@
     );
     assert!(matches!(actions[..], [FailoverAction::Propose(Command::AbandonFailover { .. })]));
     let before = s.attempt;
-    intend(&mut snapshot, None);
+    record_intent(&mut snapshot, None);
     s.tick(&snapshot, again.plus(5_010));
     // Another leader's are above all of these.
     let next = Attempt { raft_term: Term(4), number: 0 };
@@ -232,7 +233,7 @@
     );
 }
 
-fn intend(target: &str) -> FailoverAction {
+fn propose_intent(target: &str) -> FailoverAction {
     let (service, target) = ("s".into(), target.into());
     FailoverAction::Propose(Command::BeginFailover { service, term: DbTerm(1), target })
 }
@@ -262,28 +263,28 @@
     for (paused, released_up_to, sync_replicas, may) in table {
         let listed = ServiceSnapshot { sync_replicas, ..snapshot() };
         let left = ServiceSnapshot { released_up_to, ..without_c(&listed) };
-        let mut s = begun(&listed, now);
+        let mut s = begin_steady(&listed, now);
         let fence = |asked: &[&str]| asked.iter().map(|id| ask(id, PAUSE)).collect::<Vec<_>>();
         match paused {
             Some(number) => {
-                assert_eq!(lost(&mut s, &listed, now), fence(&["b", "c"]));
+                assert_eq!(report_lost(&mut s, &listed, now), fence(&["b", "c"]));
                 assert_eq!(tell(&mut s, &listed, "c", PAUSE, number, now), []);
             }
-            None => assert_eq!(lost(&mut s, &left, now), fence(&["b"])),
+            None => assert_eq!(report_lost(&mut s, &left, now), fence(&["b"])),
         }
         let mut actions = tell(&mut s, &left, "b", PAUSE, 7, now);
         if actions.is_empty() {
             actions = s.tick(&left, now.plus(320));
         }
-        let expected = if may { vec![intend("b")] } else { Vec::new() };
+        let expected = if may { vec![propose_intent("b")] } else { Vec::new() };
         assert_eq!(actions, expected, "{paused:?} {released_up_to:?} {sync_replicas}");
     }
 }
 
 #[test]
-fn what_one_that_left_had_is_looked_for_with_few_questions() {
+fn a_departed_replica_check_takes_few_requests() {
     let (snapshot, now) = (without_c(&snapshot()), Tick(50_000));
-    let mut s = begun(&snapshot, now);
+    let mut s = begin_steady(&snapshot, now);
     let describe = |id| ask(id, DatabaseRequest::Describe);
     // It receives, and is waited for, until it has ended.
     for after in (100..2_100).step_by(100) {
@@ -344,7 +345,7 @@
     let mut all = snapshot();
     all.databases[0].1.lifecycle_state = Lifecycle::Draining;
     let left = without_c(&all);
-    let mut s = begun(&left, now);
+    let mut s = begin_steady(&left, now);
     assert_eq!(s.tick(&left, now.plus(100)), [], "with `c` gone");
     let covered = ServiceSnapshot { departed: BTreeMap::new(), ..left };
     assert_eq!(s.tick(&covered, now.plus(200)), [ask("b", DatabaseRequest::Describe)]);
@@ -355,7 +356,10 @@
     );
     assert_eq!(s.tick(&all, now.plus(220)), [ask("c", PAUSE)]);
     tell(&mut s, &all, "c", PAUSE, 9, now.plus(230));
-    assert_eq!(tell(&mut s, &all, "b", DatabaseRequest::Describe, 9, now.plus(240)), [intend("b")]);
+    assert_eq!(
+        tell(&mut s, &all, "b", DatabaseRequest::Describe, 9, now.plus(240)),
+        [propose_intent("b")]
+    );
     all.databases.push(("d".into(), database(Role::Replica)));
     assert_eq!(s.tick(&all, now.plus(250)), [ask("d", PAUSE)]);
     let lead =
@@ -380,9 +384,9 @@
         ServiceSnapshot { primary_record, ..snapshot.clone() }
     };
     let snapshot = snapshot();
-    let steady = begun(&snapshot, now);
-    let mut doubting = steady.clone();
-    doubting.report_suspicion(
+    let steady = begin_steady(&snapshot, now);
+    let mut suspected = steady.clone();
+    suspected.report_suspicion(
         &snapshot,
         &"n1".into(),
         &"a".into(),
@@ -390,13 +394,13 @@
         now,
     );
     let mut fencing = steady.clone();
-    lost(&mut fencing, &snapshot, now);
+    report_lost(&mut fencing, &snapshot, now);
     let mut intending = fencing.clone();
     tell(&mut intending, &snapshot, "b", PAUSE, 7, now);
-    assert_eq!(tell(&mut intending, &snapshot, "c", PAUSE, 9, now), [intend("c")]);
+    assert_eq!(tell(&mut intending, &snapshot, "c", PAUSE, 9, now), [propose_intent("c")]);
     // The stage that this leader had come to, and whether it had paused `c` itself.
     for (mut s, paused) in
-        [(steady, false), (doubting, false), (fencing.clone(), true), (intending, true)]
+        [(steady, false), (suspected, false), (fencing.clone(), true), (intending, true)]
     {
         let actions = s.tick(&target(&snapshot, "b"), now.plus(100));
         let pause = (!paused).then(|| ask("c", PAUSE));
@@ -474,8 +478,8 @@
 #[test]
 fn a_primary_that_returns_under_another_id_is_known_again() {
     let (mut snapshot, now) = (snapshot(), Tick(50_000));
-    let mut s = begun(&snapshot, now);
-    lost(&mut s, &snapshot, now);
+    let mut s = begin_steady(&snapshot, now);
+    report_lost(&mut s, &snapshot, now);
     tell(&mut s, &snapshot, "b", PAUSE, 7, now);
     snapshot.databases.push(("d".into(), database(Role::Primary)));
     assert!(s.tick(&snapshot, now.plus(500)).contains(&ask("d", PAUSE)));
@@ -594,7 +598,7 @@
     /// The term of each commit that it received.
     log: Vec<u64>,
     alive: bool,
-    /// Until it has fetched the log it is no copy.
+    /// Until it has fetched the log it is no replica.
     fetching: Tick,
     /// It receives nothing from the primary; the leader's questions do not reach it.
     deaf: bool,
@@ -614,9 +618,9 @@
 }
 
 enum Due {
-    Order(InstanceId, DatabaseRequest, Attempt),
+    DatabaseRequest(InstanceId, DatabaseRequest, Attempt),
     DatabaseResponse(InstanceId, DatabaseRequest, Attempt, DatabaseResponse),
-    Post(InstanceId, Attempt),
+    Promotion(InstanceId, Attempt),
     PromotionResponse(InstanceId, Attempt, PromotionResponse),
 }
 
@@ -628,17 +632,17 @@
     primary: InstanceId,
     term: u64,
     sync: usize,
-    /// Acknowledged, as (place, term).
+    /// Acknowledged commits, as (position in the log, term).
     acknowledged: BTreeSet<(usize, u64)>,
     state_machine: StateMachine,
     failover: Failover,
     raft_term: u64,
     due: Vec<(Tick, Due)>,
-    born: u64,
+    joined: u64,
     promoted: usize,
     covered: usize,
     asked: usize,
-    story: Vec<String>,
+    history: Vec<String>,
 }
 
 impl Service {
@@ -657,11 +661,11 @@
             failover: Failover::begin(&snapshot, Tick(50_000)).0,
             raft_term: 1,
             due: Vec::new(),
-            born: 0,
+            joined: 0,
             promoted: 0,
             covered: 0,
             asked: 0,
-            story: Vec::new(),
+            history: Vec::new(),
         };
         for _ in 0..=replicas {
             this.join();
@@ -672,16 +676,16 @@
             term: DbTerm(1),
             primary,
         });
-        this.lead_anew();
+        this.elect_leader();
         this
     }
-    fn say(&mut self, what: String) {
+    fn record(&mut self, what: String) {
         let at = self.now.0 - 50_000;
-        self.story.push(format!("{at} {what}"));
+        self.history.push(format!("{at} {what}"));
     }
     fn join(&mut self) {
-        let id = InstanceId(format!("d{}", self.born));
-        self.born += 1;
+        let id = InstanceId(format!("d{}", self.joined));
+        self.joined += 1;
         self.nodes.insert(
             id.clone(),
             Node {
@@ -697,7 +701,7 @@
                 died: None,
             },
         );
-        self.say(format!("{id} joins"));
+        self.record(format!("{id} joins"));
         self.heartbeat(&id);
     }
     fn heartbeat(&mut self, id: &InstanceId) {
@@ -717,7 +721,7 @@
         }
     }
     fn gone(&mut self, id: &InstanceId, sequence: u64) {
-        self.say(format!("{id} is gone"));
+        self.record(format!("{id} is gone"));
         self.state_machine.apply(&Command::RemoveInstance { id: id.clone(), sequence });
     }
     fn snapshot(&self) -> ServiceSnapshot {
@@ -734,19 +738,19 @@
             ..snapshot()
         }
     }
-    fn lead_anew(&mut self) {
+    fn elect_leader(&mut self) {
         self.raft_term += 1;
-        self.say("another controller leads".into());
+        self.record("another controller leads".into());
         let (failover, actions) = Failover::begin(&self.snapshot(), self.now);
         self.failover = failover;
-        self.carry_out(actions);
+        self.perform(actions);
     }
     fn step(&mut self, step: impl FnOnce(&mut Failover, &ServiceSnapshot) -> Vec<FailoverAction>) {
         let snapshot = self.snapshot();
         let actions = step(&mut self.failover, &snapshot);
-        self.carry_out(actions);
+        self.perform(actions);
     }
-    fn carry_out(&mut self, actions: Vec<FailoverAction>) {
+    fn perform(&mut self, actions: Vec<FailoverAction>) {
         let attempt = self.failover.attempt;
         for action in actions {
             match action {
@@ -755,13 +759,13 @@
                     // Now and then one is held up on its way.
                     let held = if self.dice.once_in(10) { 900 } else { 30 };
                     let at = self.now.plus(1 + self.dice.below(held));
-                    self.due.push((at, Due::Order(id, ask, attempt)));
+                    self.due.push((at, Due::DatabaseRequest(id, ask, attempt)));
                 }
                 FailoverAction::Promote(id) => {
-                    self.due.push((self.now.plus(200), Due::Post(id, attempt)))
+                    self.due.push((self.now.plus(200), Due::Promotion(id, attempt)))
                 }
                 FailoverAction::Propose(change) => {
-                    self.say(format!("{change:?}"));
+                    self.record(format!("{change:?}"));
                     self.covered += usize::from(matches!(change, Command::ForgetDeparted { .. }));
                     self.state_machine.apply(&change);
                 }
@@ -769,13 +773,13 @@
             }
         }
     }
-    fn happen(&mut self, due: Due) {
+    fn dispatch(&mut self, due: Due) {
         let now = self.now;
         match due {
-            Due::Order(id, ask, attempt) => {
+            Due::DatabaseRequest(id, ask, attempt) => {
                 let (leads, term) = (id == self.primary, DbTerm(self.term));
                 let node = self.nodes.get_mut(&id).expect("known");
-                let told = match node {
+                let response = match node {
                     Node { alive: false, .. } => DatabaseResponse::Unavailable,
                     Node { dark: true, .. } => DatabaseResponse::TimedOut,
                     _ => {
@@ -791,42 +795,47 @@
                         })
                     }
                 };
-                let wait = if told == DatabaseResponse::TimedOut {
+                let wait = if response == DatabaseResponse::TimedOut {
                     1_000
                 } else {
                     1 + self.dice.below(30)
                 };
                 let held = if self.dice.once_in(10) { 1_500 } else { 0 };
-                self.due
-                    .push((now.plus(wait + held), Due::DatabaseResponse(id, ask, attempt, told)));
+                self.due.push((
+                    now.plus(wait + held),
+                    Due::DatabaseResponse(id, ask, attempt, response),
+                ));
             }
-            Due::DatabaseResponse(id, ask, attempt, told) => {
-                self.step(|s, snapshot| s.handle_response(snapshot, attempt, &id, ask, &told, now));
+            Due::DatabaseResponse(id, ask, attempt, response) => {
+                self.step(|s, snapshot| {
+                    s.handle_response(snapshot, attempt, &id, ask, &response, now)
+                });
             }
-            Due::Post(id, attempt) => {
-                let posted = match self.nodes[&id].alive {
+            Due::Promotion(id, attempt) => {
+                let promotion_response = match self.nodes[&id].alive {
                     true => PromotionResponse::Accepted,
                     false => PromotionResponse::NotRunning,
                 };
-                if posted == PromotionResponse::Accepted && id != self.primary {
+                if promotion_response == PromotionResponse::Accepted && id != self.primary {
                     self.promote(&id);
                 }
-                self.due.push((now.plus(20), Due::PromotionResponse(id, attempt, posted)));
+                self.due
+                    .push((now.plus(20), Due::PromotionResponse(id, attempt, promotion_response)));
             }
-            Due::PromotionResponse(id, attempt, posted) => {
+            Due::PromotionResponse(id, attempt, promotion_response) => {
                 self.step(|s, snapshot| {
-                    s.handle_promotion_response(snapshot, attempt, &id, posted, now)
+                    s.handle_promotion_response(snapshot, attempt, &id, promotion_response, now)
                 });
             }
         }
     }
     /// The check of all this: whoever is promoted has everything that was acknowledged.
     fn promote(&mut self, id: &InstanceId) {
-        self.say(format!("{id} is promoted"));
+        self.record(format!("{id} is promoted"));
         self.promoted += 1;
         let log = self.nodes[id].log.clone();
         let lost = self.acknowledged.iter().find(|(place, term)| log.get(*place) != Some(term));
-        assert_eq!(lost, None, "{id} lacks what was acknowledged:\n{}", self.story.join("\n"));
+        assert_eq!(lost, None, "{id} lacks what was acknowledged:\n{}", self.history.join("\n"));
         self.primary = id.clone();
         self.term += 1;
         for (other, node) in &mut self.nodes {
@@ -857,14 +866,15 @@
         let known = self.acknowledged.last().map_or(0, |(place, _)| place + 1);
         self.acknowledged.extend((known..upto).map(|place| (place, log[place])));
     }
-    /// A tenth of a second: what is due happens in its order, and commits go on in between.
-    fn pass(&mut self, ms: u64) {
+    /// Runs for so many milliseconds: events that are due are dispatched in order, and commits go on
+    /// in between.
+    fn run_for(&mut self, ms: u64) {
         for _ in 0..ms / 20 {
             self.now = self.now.plus(20);
             self.write();
             while let Some(next) = self.due.iter().position(|(at, _)| *at <= self.now) {
                 let (_, due) = self.due.swap_remove(next);
-                self.happen(due);
+                self.dispatch(due);
             }
             let (now, primary) = (self.now, self.primary.clone());
             if now.0.is_multiple_of(100) {
@@ -892,8 +902,8 @@
             }
         }
     }
-    /// What strikes databases, drawn.
-    fn trouble(&mut self) {
+    /// Injects a random fault.
+    fn inject_fault(&mut self) {
         let (now, draw) = (self.now, self.dice.below(12));
         let listed: Vec<InstanceId> = self.state_machine.instances.keys().cloned().collect();
         if listed.is_empty() {
@@ -927,10 +937,10 @@
             }
             9 if !node.alive && !leads => self.gone(&id, sequence),
             10 if standing < 5 => return self.join(),
-            11 => return self.lead_anew(),
+            11 => return self.elect_leader(),
             _ => return,
         }
-        self.say(format!("{draw} strikes {id}"));
+        self.record(format!("{draw} strikes {id}"));
     }
 }
 
@@ -942,8 +952,8 @@
         let sync = 1 + (seed % 2) as usize;
         let mut service = Service::new(seed, sync, sync + 1 + (seed % 3) as usize);
         for _ in 0..60 {
-            service.pass(100 + 20 * (seed % 40));
-            service.trouble();
+            service.run_for(100 + 20 * (seed % 40));
+            service.inject_fault();
         }
         (promoted, covered) = (promoted + service.promoted, covered + service.covered);
     }
@@ -955,12 +965,12 @@
 #[test]
 fn a_lead_and_its_intent_change_only_as_the_present_term_allows() {
     let service = || ServiceName::from("s");
-    let led = |term, primary: &str| Command::SetPrimary {
+    let propose_primary = |term, primary: &str| Command::SetPrimary {
         service: service(),
         term: DbTerm(term),
         primary: primary.into(),
     };
-    let intend = |term, target: &str| Command::BeginFailover {
+    let propose_intent = |term, target: &str| Command::BeginFailover {
         service: service(),
         term: DbTerm(term),
         target: target.into(),
@@ -980,17 +990,17 @@
     let (free, bound) = (lead(2, "a", None), lead(2, "a", Some("b")));
     // (lead before, change, lead after, none if the change comes to nothing)
     let cases = [
-        (&free, led(1, "c"), None),
-        (&free, led(2, "c"), None),
-        (&free, led(3, "c"), Some(lead(3, "c", None))),
-        (&bound, led(1, "b"), None),
-        (&bound, led(2, "b"), None),
-        (&bound, led(3, "b"), Some(lead(3, "b", None))),
-        (&free, intend(1, "c"), None),
-        (&free, intend(3, "c"), None),
-        (&free, intend(2, "c"), Some(lead(2, "a", Some("c")))),
-        (&bound, intend(2, "c"), None),
-        (&bound, intend(2, "b"), None),
+        (&free, propose_primary(1, "c"), None),
+        (&free, propose_primary(2, "c"), None),
+        (&free, propose_primary(3, "c"), Some(lead(3, "c", None))),
+        (&bound, propose_primary(1, "b"), None),
+        (&bound, propose_primary(2, "b"), None),
+        (&bound, propose_primary(3, "b"), Some(lead(3, "b", None))),
+        (&free, propose_intent(1, "c"), None),
+        (&free, propose_intent(3, "c"), None),
+        (&free, propose_intent(2, "c"), Some(lead(2, "a", Some("c")))),
+        (&bound, propose_intent(2, "c"), None),
+        (&bound, propose_intent(2, "b"), None),
         (&free, abandon("b"), None),
         (&bound, abandon("c"), None),
         (&bound, abandon("b"), Some(free.clone())),
@@ -1001,9 +1011,9 @@
     ];
     for (before, change, after) in cases {
         let mut state_machine = StateMachine::default();
-        state_machine.apply(&led(2, "a"));
+        state_machine.apply(&propose_primary(2, "a"));
         if let Some(target) = &before.intent {
-            assert_eq!(state_machine.apply(&intend(2, &target.0)), CommandOutcome::Applied);
+            assert_eq!(state_machine.apply(&propose_intent(2, &target.0)), CommandOutcome::Applied);
         }
         assert_eq!(state_machine.leads[&service()], *before);
         let whole = state_machine.clone();
@@ -1015,7 +1025,7 @@
             None => assert_eq!(state_machine, whole, "{change:?} leaves all as it was"),
         }
     }
-    for change in [intend(1, "b"), abandon("b"), returned(1, "d")] {
+    for change in [propose_intent(1, "b"), abandon("b"), returned(1, "d")] {
         let mut state_machine = StateMachine::default();
         assert_eq!(
             state_machine.apply(&change),
@@ -1029,7 +1039,7 @@
 #[test]
 fn who_counts_as_departed() {
     let service = ServiceName::from("s");
-    let led =
+    let propose_primary =
         || Command::SetPrimary { service: service.clone(), term: DbTerm(1), primary: "a".into() };
     let returned = || Command::PrimaryReturned {
         service: service.clone(),
@@ -1038,12 +1048,16 @@
     };
     // (what happens after `a` and `b` were listed, who counts)
     let cases: [(&str, Vec<Command>, &[&str]); 6] = [
-        ("a replica of a led service", vec![led(), goes("b", 9)], &["b"]),
-        ("before there is a lead", vec![goes("b", 9), led()], &[]),
-        ("the primary", vec![led(), goes("a", 9)], &[]),
-        ("a replica that is back", vec![led(), goes("b", 9), comes("b", 10)], &[]),
-        ("a primary under another id", vec![led(), goes("a", 9), returned()], &[]),
-        ("a replica and that one", vec![led(), goes("a", 9), goes("b", 9), returned()], &["b"]),
+        ("a replica of a led service", vec![propose_primary(), goes("b", 9)], &["b"]),
+        ("before there is a lead", vec![goes("b", 9), propose_primary()], &[]),
+        ("the primary", vec![propose_primary(), goes("a", 9)], &[]),
+        ("a replica that is back", vec![propose_primary(), goes("b", 9), comes("b", 10)], &[]),
+        ("a primary under another id", vec![propose_primary(), goes("a", 9), returned()], &[]),
+        (
+            "a replica and that one",
+            vec![propose_primary(), goes("a", 9), goes("b", 9), returned()],
+            &["b"],
+        ),
     ];
     for (what, changes, counted) in cases {
         let mut state_machine = StateMachine::default();
@@ -1080,7 +1094,7 @@
         let mut snapshot = ServiceSnapshot { sync_replicas, ..without_c(&snapshot()) };
         snapshot.databases.push(("d".into(), database(Role::Replica)));
         snapshot.alive.insert("d".into());
-        let mut s = begun(&snapshot, now);
+        let mut s = begin_steady(&snapshot, now);
         tell(&mut s, &snapshot, "d", DatabaseRequest::Continue, 7, now);
         assert_eq!(s.tick(&snapshot, now), []);
         assert_eq!(s.tick(&snapshot, now.plus(2_100)), [describe("a")]);
@@ -1097,13 +1111,13 @@
     // (what `a` says of itself, whether its position is the mark)
     for (leads, term, mark) in [(true, 1, true), (false, 1, false), (true, 2, false)] {
         let (mut s, snapshot) = begin(1);
-        let told = primary(leads, term);
+        let response = primary(leads, term);
         let actions = s.handle_response(
             &snapshot,
             s.attempt,
             &"a".into(),
             DatabaseRequest::Describe,
-            &told,
+            &response,
             now,
         );
         let asked = if mark { vec![describe("b"), describe("d")] } else { Vec::new() };
@@ -1127,8 +1141,15 @@
     ];
     for (sync_replicas, leaves, answers, covered) in cases {
         let (mut s, mut snapshot) = begin(sync_replicas);
-        let told = primary(true, 1);
-        s.handle_response(&snapshot, s.attempt, &"a".into(), DatabaseRequest::Describe, &told, now);
+        let response = primary(true, 1);
+        s.handle_response(
+            &snapshot,
+            s.attempt,
+            &"a".into(),
+            DatabaseRequest::Describe,
+            &response,
+            now,
+        );
         let mut actions = Vec::new();
         for (id, number) in answers {
             assert_eq!(actions, [], "{answers:?}");
@@ -1147,7 +1168,7 @@
 #[test]
 fn a_replica_that_left_again_is_waited_for_anew() {
     let (mut snapshot, now) = (without_c(&snapshot()), Tick(50_000));
-    let mut s = begun(&snapshot, now);
+    let mut s = begin_steady(&snapshot, now);
     let describe = [ask("a", DatabaseRequest::Describe)];
     snapshot.departed.insert("c".into(), 5);
     assert_eq!(s.tick(&snapshot, now), []);
@@ -1163,9 +1184,9 @@
 fn an_answer_counts_for_its_own_attempt_and_its_own_database() {
     let now = Tick(50_000);
     let snapshot = snapshot();
-    let steady = begun(&snapshot, now);
-    let mut doubting = steady.clone();
-    doubting.report_suspicion(
+    let steady = begin_steady(&snapshot, now);
+    let mut suspected = steady.clone();
+    suspected.report_suspicion(
         &snapshot,
         &"n1".into(),
         &"a".into(),
@@ -1173,14 +1194,14 @@
         now,
     );
     let mut fencing = steady.clone();
-    lost(&mut fencing, &snapshot, now);
+    report_lost(&mut fencing, &snapshot, now);
     let mut chosen = fencing.clone();
     tell(&mut chosen, &snapshot, "b", PAUSE, 7, now);
     tell(&mut chosen, &snapshot, "c", PAUSE, 9, now);
     let lead = PrimaryRecord { term: DbTerm(1), primary: "a".into(), intent: Some("c".into()) };
-    let posting_facts = ServiceSnapshot { primary_record: Some(lead), ..snapshot.clone() };
-    let mut posting = chosen.clone();
-    assert_eq!(posting.tick(&posting_facts, now), [FailoverAction::Promote("c".into())]);
+    let promoting_snapshot = ServiceSnapshot { primary_record: Some(lead), ..snapshot.clone() };
+    let mut promoting = chosen.clone();
+    assert_eq!(promoting.tick(&promoting_snapshot, now), [FailoverAction::Promote("c".into())]);
     let others = |own: Attempt| {
         [
             Attempt { number: own.number - 1, ..own },
@@ -1191,26 +1212,27 @@
     };
     // (stage, who, what was asked, the answer)
     let table = [
-        (&doubting, "a", DatabaseRequest::Describe, DatabaseResponse::Unavailable),
-        (&doubting, "a", DatabaseRequest::Describe, row(true, at(7))),
-        (&doubting, "a", DatabaseRequest::Describe, DatabaseResponse::Connected),
+        (&suspected, "a", DatabaseRequest::Describe, DatabaseResponse::Unavailable),
+        (&suspected, "a", DatabaseRequest::Describe, row(true, at(7))),
+        (&suspected, "a", DatabaseRequest::Describe, DatabaseResponse::Connected),
         (&fencing, "a", DatabaseRequest::Describe, row(true, at(7))),
         (&fencing, "c", PAUSE, row(false, at(9))),
         (&fencing, "c", DatabaseRequest::Describe, row(false, at(9))),
     ];
-    for (stage, who, what, told) in &table {
+    for (stage, who, what, response) in &table {
         for attempt in others(stage.attempt) {
             let mut s = (*stage).clone();
-            let actions = s.handle_response(&snapshot, attempt, &(*who).into(), *what, told, now);
+            let actions =
+                s.handle_response(&snapshot, attempt, &(*who).into(), *what, response, now);
             assert_eq!(
                 (actions, &s.state),
                 (vec![], &stage.state),
-                "{attempt:?} {what:?} {told:?}"
+                "{attempt:?} {what:?} {response:?}"
             );
         }
         let mut s = (*stage).clone();
-        s.handle_response(&snapshot, s.attempt, &(*who).into(), *what, told, now);
-        assert_ne!(s.state, stage.state, "its own answer counts: {what:?} {told:?}");
+        s.handle_response(&snapshot, s.attempt, &(*who).into(), *what, response, now);
+        assert_ne!(s.state, stage.state, "its own answer counts: {what:?} {response:?}");
     }
     for outcome in [
         PromotionResponse::NotRunning,
@@ -1218,21 +1240,26 @@
         PromotionResponse::Unknown,
         PromotionResponse::NotAttempted,
     ] {
-        for attempt in others(posting.attempt) {
-            let mut s = posting.clone();
-            let actions =
-                s.handle_promotion_response(&posting_facts, attempt, &"c".into(), outcome, now);
-            assert_eq!((actions, &s.state), (vec![], &posting.state), "{attempt:?} {outcome:?}");
+        for attempt in others(promoting.attempt) {
+            let mut s = promoting.clone();
+            let actions = s.handle_promotion_response(
+                &promoting_snapshot,
+                attempt,
+                &"c".into(),
+                outcome,
+                now,
+            );
+            assert_eq!((actions, &s.state), (vec![], &promoting.state), "{attempt:?} {outcome:?}");
         }
-        let mut s = posting.clone();
+        let mut s = promoting.clone();
         let actions =
-            s.handle_promotion_response(&posting_facts, s.attempt, &"b".into(), outcome, now);
-        assert_eq!((actions, &s.state), (vec![], &posting.state), "of another: {outcome:?}");
+            s.handle_promotion_response(&promoting_snapshot, s.attempt, &"b".into(), outcome, now);
+        assert_eq!((actions, &s.state), (vec![], &promoting.state), "of another: {outcome:?}");
     }
 }
 
 #[test]
-fn an_order_is_ended_by_an_answer_of_this_leader_only() {
+fn a_request_is_completed_by_an_answer_to_this_leader_only() {
     let (snapshot, now) = (snapshot(), Tick(50_000));
     // (the term of the answer that `c` goes on, whether it may be paused)
     for (raft_term, ended) in [(2, false), (3, true), (4, false)] {
@@ -1247,13 +1274,13 @@
             &row(false, at(7)),
             now,
         );
-        let paused = lost(&mut s, &snapshot, now.plus(10));
+        let paused = report_lost(&mut s, &snapshot, now.plus(10));
         assert_eq!(paused.contains(&ask("c", PAUSE)), ended, "term {raft_term}");
     }
 }
 
 #[test]
-fn a_replica_let_go_again_is_asked_until_it_answers_that_order() {
+fn a_replica_resumed_again_is_asked_until_it_answers_that_request() {
     let (snapshot, now) = (snapshot(), Tick(50_000));
     // (whether the answer is to the order of the present attempt, whether `c` is asked again)
     for (present, again) in [(false, true), (true, false)] {
@@ -1261,7 +1288,7 @@
         let first = s.attempt;
         tell(&mut s, &snapshot, "b", DatabaseRequest::Continue, 7, now);
         let now = now.plus(3_100);
-        assert_eq!(lost(&mut s, &snapshot, now), [ask("b", PAUSE), ask("c", PAUSE)]);
+        assert_eq!(report_lost(&mut s, &snapshot, now), [ask("b", PAUSE), ask("c", PAUSE)]);
         for id in ["b", "c"] {
             s.handle_response(
                 &snapshot,
@@ -1296,7 +1323,7 @@
 }
 
 #[test]
-fn a_later_call_has_a_higher_fence() {
+fn a_later_call_has_a_higher_fencing_token() {
     let attempt = |raft_term, number| Attempt { raft_term: Term(raft_term), number };
     // Each is above the one before, but for numbers beyond all that a leader can reach.
     let rising = [(1, 0), (1, 1), (1, 7), (1, (1 << 20) - 1), (2, 0), (2, 1), (9, 0)];
