--- a/examples/scale.rs
+++ b/examples/scale.rs
@@ -94,7 +94,12 @@
         let position = Position { term: DbTerm(1), number: seq };
         let saw = names
             .clone()
-            .map(|service| ObservedPosition { service, term: DbTerm(1), position, after: 100 })
+            .map(|service| ObservedPosition {
+                service,
+                term: DbTerm(1),
+                position,
+                sent_after_ms: 100,
+            })
             .collect();
         let busy = if seq.is_multiple_of(8) {
             (0..3).map(|n| (ServiceName(format!("s{n}")), 100 + (seq % 50) as u32)).collect()
@@ -104,7 +109,15 @@
         let (shares, wants) = (Vec::new(), Vec::new());
         let heard = self.heard.load(Ordering::Relaxed);
         let asks = names.collect();
-        self.tell(ToController::RenewLeases { seq, heard, shares, wants, saw, asks, busy });
+        self.tell(ToController::RenewLeases {
+            seq,
+            last_grant_seq: heard,
+            quotas: shares,
+            demand: wants,
+            observed: saw,
+            bounds_requested: asks,
+            load: busy,
+        });
     }
     fn configured(&self, config: RouteTable) {
         *lock(&self.since) = Instant::now();
@@ -142,7 +155,7 @@
             ToPooler::LeaseGrants { seq, grants, .. } => {
                 self.heard.store(seq, Ordering::Relaxed);
                 let led =
-                    grants.iter().filter(|g| matches!(g.standing, PrimaryStatus::Active { .. }));
+                    grants.iter().filter(|g| matches!(g.status, PrimaryStatus::Active { .. }));
                 self.counts.led.fetch_add(led.count() as u64, Ordering::Relaxed);
             }
             ToPooler::RenewNow => self.renew(),
--- a/src/controller/pooler_subscriptions.rs
+++ b/src/controller/pooler_subscriptions.rs
@@ -94,7 +94,7 @@
                 None => gone.push(id),
             }
         }
-        self.send_to_all_poolers(ToPooler::DirectoryDelta { listed, gone });
+        self.send_to_all_poolers(ToPooler::DirectoryDelta { upserted: listed, removed: gone });
     }
 
     /// Sends a pooler what it is owed, as soon as nothing older waits for it.
@@ -186,7 +186,15 @@
                     self.catch_up(conn, now);
                 }
             }
-            ToController::RenewLeases { seq, heard, shares, wants, saw, asks, busy } => {
+            ToController::RenewLeases {
+                seq,
+                last_grant_seq: heard,
+                quotas: shares,
+                demand: wants,
+                observed: saw,
+                bounds_requested: asks,
+                load: busy,
+            } => {
                 let zone = self.poolers.get(&conn).map(|g| g.zone.as_str()).unwrap_or_default();
                 if let Some(leader_state) = &mut self.leader_state {
                     for (service, busy) in busy {
@@ -207,7 +215,7 @@
                 }
                 self.catch_up(conn, now);
             }
-            ToController::Suspect { service, instance, why } => {
+            ToController::Suspect { service, instance, reason: why } => {
                 debug!(target: "failover", "{service}: {node} doubts {instance} ({why:?})");
                 self.move_on(&service, now, |s, snapshot| {
                     s.report_suspicion(snapshot, &node, &instance, why, now)
@@ -271,7 +279,8 @@
             };
             let share =
                 leader_state.leases.share(&guest.node, &service.name, service.max_connections, now);
-            let grant = LeaseGrant { service: service.name.clone(), standing, share };
+            let grant =
+                LeaseGrant { service: service.name.clone(), status: standing, quota: share };
             grants.extend(leader_state.leases.tell(&guest.node, grant));
         }
         leader_state.leases.renewed(&guest.node, now);
@@ -283,8 +292,14 @@
         let fresh =
             asks.iter().filter_map(|name| leader_state.watermarks.tell(name, now)).collect();
         let subset_ranges = leader_state.subset_assignments.due(&guest.node, whole);
-        let granted =
-            ToPooler::LeaseGrants { seq, lease_ms: LEASE_MS, whole, grants, fresh, subset_ranges };
+        let granted = ToPooler::LeaseGrants {
+            seq,
+            lease_ms: LEASE_MS,
+            complete: whole,
+            grants,
+            position_bounds: fresh,
+            subset_ranges,
+        };
         self.send_conn(conn, &Frame::Controller(granted));
     }
 }
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -26,8 +26,8 @@
                 "heard_ms_ago": now.since(seat.heard),
                 "lease_left_ms": (seat.granted.0 + LEASE_MS).saturating_sub(now.0),
                 "services": seat.told.values().map(|g| serde_json::json!({
-                    "service": g.service, "connections_allowed": g.share,
-                    "term": match &g.standing { PrimaryStatus::Active { term, .. } => Some(term), _ => None },
+                    "service": g.service, "connections_allowed": g.quota,
+                    "term": match &g.status { PrimaryStatus::Active { term, .. } => Some(term), _ => None },
                 })).collect::<Vec<_>>(),
             })
         }).collect();
--- a/src/gateway/leader_messages.rs
+++ b/src/gateway/leader_messages.rs
@@ -42,7 +42,15 @@
         let heard = self.renewals.last_answered.load(Ordering::Relaxed);
         // A gateway holds no leases and reads no positions; only a pooler fills in the rest.
         let (shares, wants, saw, asks) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
-        self.leader.tell(ToController::RenewLeases { seq, heard, shares, wants, saw, asks, busy });
+        self.leader.tell(ToController::RenewLeases {
+            seq,
+            last_grant_seq: heard,
+            quotas: shares,
+            demand: wants,
+            observed: saw,
+            bounds_requested: asks,
+            load: busy,
+        });
     }
 
     /// The demand of each service whose demand has changed enough, in hundredths of a request in
@@ -78,9 +86,10 @@
     }
 
     fn assign_subsets(&self, subset_ranges: Vec<SubsetRange>) {
-        let subsets = subset_ranges
-            .into_iter()
-            .map(|SubsetRange { service, from, upto }| (service, CapacityRange { from, to: upto }));
+        let subsets =
+            subset_ranges.into_iter().map(|SubsetRange { service, start: from, end: upto }| {
+                (service, CapacityRange { from, to: upto })
+            });
         lock(&self.upstreams).assign_subsets(subsets, &self.zone);
     }
 }
@@ -117,7 +126,7 @@
             ToPooler::Directory(entries) => {
                 lock(&self.upstreams).replace_directory(entries, &self.zone);
             }
-            ToPooler::DirectoryDelta { listed, gone } => {
+            ToPooler::DirectoryDelta { upserted: listed, removed: gone } => {
                 lock(&self.upstreams).update_directory(listed, &gone, &self.zone);
             }
             ToPooler::LeaseGrants { seq, subset_ranges, .. } => {
--- a/src/leases/lease_table.rs
+++ b/src/leases/lease_table.rs
@@ -48,7 +48,7 @@
 impl PoolerLeases {
     /// Connections it may have to a database of the service.
     fn holds(&self, service: &ServiceName) -> u32 {
-        let told = self.told.get(service).map_or(0, |g| g.share);
+        let told = self.told.get(service).map_or(0, |g| g.quota);
         told.max(self.reported.get(service).copied().unwrap_or(0))
     }
     fn holdings(&self) -> impl Iterator<Item = (&ServiceName, u32)> {
@@ -57,13 +57,13 @@
     }
     /// When this leader last granted it a lease on the service.
     fn leased(&self, service: &ServiceName) -> Option<Tick> {
-        let led = |g: &&LeaseGrant| matches!(g.standing, PrimaryStatus::Active { .. });
+        let led = |g: &&LeaseGrant| matches!(g.status, PrimaryStatus::Active { .. });
         let now = self.told.get(service).filter(led).map(|_| self.granted);
         now.max(self.ended.get(service).map(|(_, at)| *at))
     }
     /// The lease on this service is renewed no more; it runs out by itself.
     fn end(&mut self, service: &ServiceName) {
-        if let Some(LeaseGrant { standing: PrimaryStatus::Active { term, .. }, .. }) =
+        if let Some(LeaseGrant { status: PrimaryStatus::Active { term, .. }, .. }) =
             self.told.get(service)
         {
             self.ended.insert(service.clone(), (*term, self.granted));
@@ -146,7 +146,7 @@
         if let Some(seat) = self.seats.get_mut(node) {
             seat.ended.clear();
             for grant in seat.told.values_mut() {
-                grant.standing = PrimaryStatus::Absent;
+                grant.status = PrimaryStatus::Absent;
             }
         }
     }
@@ -200,7 +200,7 @@
             // It has dropped what it was told of this service.
             seat.end(service);
             if let Some(grant) = seat.told.get_mut(service) {
-                grant.standing = PrimaryStatus::Absent;
+                grant.status = PrimaryStatus::Absent;
             }
         }
     }
@@ -210,15 +210,15 @@
         let seat = self.seats.get_mut(node)?;
         let service = grant.service.clone();
         // A sealed position is true for the moment it is told in, so it is told each time.
-        let sealed = matches!(grant.standing, PrimaryStatus::Sealed(_));
+        let sealed = matches!(grant.status, PrimaryStatus::Sealed(_));
         if !sealed && seat.told.get(&service) == Some(&grant) {
             return None;
         }
         let before = seat.holds(&service);
-        if seat.told.get(&service).is_none_or(|old| old.standing != grant.standing) {
+        if seat.told.get(&service).is_none_or(|old| old.status != grant.status) {
             seat.end(&service);
         }
-        if matches!(grant.standing, PrimaryStatus::Active { .. }) {
+        if matches!(grant.status, PrimaryStatus::Active { .. }) {
             // A false alarm brings the same term again; what was given back before is old news.
             seat.given_back.remove(&service);
         }
@@ -238,7 +238,7 @@
         let over = |from: Tick| now.since(from) > LEASE_MS + LEASE_SLACK_MS;
         let free = |seat: &PoolerLeases| {
             let ended = seat.ended.get(service);
-            let led = match seat.told.get(service).map(|g| &g.standing) {
+            let led = match seat.told.get(service).map(|g| &g.status) {
                 Some(PrimaryStatus::Active { term, .. }) => Some((*term, seat.granted)),
                 _ => None,
             };
--- a/src/leases/subset_assignments.rs
+++ b/src/leases/subset_assignments.rs
@@ -73,7 +73,7 @@
                 |(f, u): (u32, u32)| f.abs_diff(from).max(u.abs_diff(upto)) * 4 > upto - from;
             if upto > from && (all || claim.told.is_none_or(moved)) {
                 claim.told = Some(claim.subset_range);
-                due.push(SubsetRange { service: service.clone(), from, upto });
+                due.push(SubsetRange { service: service.clone(), start: from, end: upto });
             }
         }
         due
--- a/src/leases/watermarks.rs
+++ b/src/leases/watermarks.rs
@@ -13,7 +13,7 @@
 }
 
 impl ReplicationWatermarks {
-    /// A pooler saw something at least `saw.after` ms after an answer that left here at `answered`.
+    /// A pooler saw something at least `saw.sent_after_ms` ms after an answer that left here at `answered`.
     /// What can't be, or is of a term that does not lead, changes nothing.
     pub fn learn(
         &mut self,
@@ -22,7 +22,7 @@
         saw: &ObservedPosition,
         now: Tick,
     ) {
-        let seen = answered.plus(saw.after);
+        let seen = answered.plus(saw.sent_after_ms);
         let fits = lead.is_some_and(|l| l.term == saw.term) && saw.position.term <= saw.term;
         let newer = self.newest.get(&saw.service).is_none_or(|(at, _)| seen > *at);
         if fits && newer && seen <= now {
@@ -37,6 +37,6 @@
     pub fn tell(&self, service: &ServiceName, now: Tick) -> Option<PositionBound> {
         let (seen, position) = *self.newest.get(service)?;
         // Times are cut to whole milliseconds, so one is kept in hand.
-        Some(PositionBound { service: service.clone(), position, age: now.since(seen) + 1 })
+        Some(PositionBound { service: service.clone(), position, age_ms: now.since(seen) + 1 })
     }
 }
--- a/src/net/rpc/pooler_messages.rs
+++ b/src/net/rpc/pooler_messages.rs
@@ -1,152 +1,210 @@
-//! The messages between a node and the leading controller.
+//! The messages between a node (a pooler or a gateway) and the leading controller.
+//!
+//! Nodes send [`ToController`], the leader answers with [`ToPooler`]; both travel as
+//! [`Frame`](crate::net::rpc::Frame) values on the peer port. This module owns the types only. The
+//! leader's side is in `controller` and `leases`, the nodes' side in `pooler` and `gateway`.
+//!
+//! The encoding is part of the wire protocol: `rmp-serde` writes a struct as an array of its fields,
+//! so their order and number must not change, and an enum variant by its name, so each renamed
+//! variant carries the name it has on the wire in `#[serde(rename)]`. Field names are not written.
 use crate::base::ids::{DbTerm, InstanceId, NodeName, Position, Revision, ServiceName};
 use crate::config::directory::DirectoryEntry;
 use crate::config::route_table::{RouteTable, RouteTableDelta};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Why a pooler believes a database lost.
+/// Why a pooler suspects that a database has failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SuspicionReason {
-    /// Its connections broke or were refused.
+    /// Connections to it broke or were refused.
     #[serde(rename = "Broken")]
     ConnectionsBroken,
-    /// It owes answers and says nothing.
+    /// Statements are pending there and nothing was received within the time-out.
     #[serde(rename = "Silent")]
     NoResponse,
 }
 
+/// What a node sends to the leading controller.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum ToController {
+    /// Opens a connection; the first message on it.
     Hello {
+        /// The node's name in its settings.
         node: NodeName,
-        /// Drawn anew at every start of the process.
+        /// Drawn at random at every start of the process, so that a restart is told from a reconnect.
         incarnation: u64,
+        /// The newest configuration that the node has; 0 if it has none.
         revision: Revision,
+        /// The failure domain that the node runs in.
         zone: String,
     },
+    /// Asks for a renewal of all leases; answered with [`ToPooler::LeaseGrants`].
     #[serde(rename = "Renew")]
     RenewLeases {
+        /// Numbers the renewals of one connection upwards; the answer repeats it.
         seq: u64,
-        /// The last answer that came on this connection; none yet if 0.
-        heard: u64,
-        /// The shares of connections this pooler holds itself to, where they changed since it last
-        /// said so on this connection.
-        shares: Vec<(ServiceName, u32)>,
-        /// How many connections more would be used now, where sessions wait for one.
-        wants: Vec<(ServiceName, u32)>,
-        /// How far primaries were seen, where that moved.
-        saw: Vec<ObservedPosition>,
-        /// Services whose reads want a newer floor than this pooler has.
-        asks: Vec<ServiceName>,
-        /// Requests under way at databases of a service, in hundredths, where that changed much.
-        busy: Vec<(ServiceName, u32)>,
+        /// The `seq` of the last answer that arrived on this connection; 0 before the first.
+        last_grant_seq: u64,
+        /// The connection quotas that the pooler now applies, for the services where they changed
+        /// since it last reported them on this connection.
+        quotas: Vec<(ServiceName, u32)>,
+        /// How many more connections would be used now, for services whose sessions wait for one.
+        demand: Vec<(ServiceName, u32)>,
+        /// The furthest positions seen at primaries, where they advanced.
+        observed: Vec<ObservedPosition>,
+        /// Services whose replica reads need a newer [`PositionBound`] than the pooler has.
+        bounds_requested: Vec<ServiceName>,
+        /// Requests in flight at the databases of a service, in hundredths, where that changed
+        /// considerably. Reported by gateways.
+        load: Vec<(ServiceName, u32)>,
     },
+    /// Reports that a database seems to have failed.
     Suspect {
+        /// The service that the database belongs to.
         service: ServiceName,
+        /// The suspected database.
         instance: InstanceId,
-        why: SuspicionReason,
+        /// What was observed.
+        reason: SuspicionReason,
     },
+    /// Acknowledges a [`ToPooler::Revoke`]: the pooler uses the term no more.
     #[serde(rename = "Revoked")]
     RevokeAck {
+        /// The service whose lease was revoked.
         service: ServiceName,
+        /// The revoked term.
         term: DbTerm,
-        /// The furthest position this pooler saw acknowledged.
+        /// The furthest position that this pooler saw acknowledged; none if it saw none.
         highest: Option<Position>,
     },
-    /// A change came for a version that this pooler does not have: the whole is needed.
+    /// A [`ToPooler::RouteTableDelta`] arrived for a revision that this node does not have: asks for
+    /// the complete table.
     #[serde(rename = "Whole")]
     RequestFullTable,
-    /// Leaving in order: no lease is used any more.
+    /// The node shuts down gracefully: it uses no lease any more.
     #[serde(rename = "Bye")]
     Goodbye,
 }
 
+/// What a controller sends to a node.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum ToPooler {
-    /// Not the leader; perhaps this one is.
+    /// This controller does not lead; the leader's peer address, if it is known.
     #[serde(rename = "Elsewhere")]
     NotLeader(Option<SocketAddr>),
+    /// This controller leads. Sent as the first answer on a connection, and again when the
+    /// membership changes.
     Welcome {
+        /// The peer addresses of all controllers.
         controllers: Vec<SocketAddr>,
     },
+    /// The complete configuration.
     #[serde(rename = "Configured")]
     RouteTable(Box<RouteTable>),
-    /// What differs from a version that the pooler has.
+    /// The difference to a revision that the node has.
     #[serde(rename = "Changed")]
     RouteTableDelta(Box<RouteTableDelta>),
-    /// The whole directory, when a connection begins.
+    /// The complete directory of databases, once at the beginning of a connection.
     Directory(Vec<DirectoryEntry>),
-    /// Changes of the directory, those of a moment at once.
+    /// Changes of the directory, those of a short period in one message.
     #[serde(rename = "Moved")]
     DirectoryDelta {
-        listed: Vec<DirectoryEntry>,
-        gone: Vec<InstanceId>,
+        /// Databases that are new or changed.
+        upserted: Vec<DirectoryEntry>,
+        /// Databases that left the directory.
+        removed: Vec<InstanceId>,
     },
+    /// Answers a [`ToController::RenewLeases`] and renews every lease granted on this connection.
     #[serde(rename = "Granted")]
     LeaseGrants {
+        /// The number of the renewal that this answers.
         seq: u64,
+        /// How long the leases hold, in ms from the moment the renewal was sent.
         lease_ms: u64,
-        /// The first answer on a connection: nothing holds that is not in it.
-        whole: bool,
-        /// What changed. All else that was told on this connection is granted again.
+        /// This is the first answer on the connection: a lease that is not in it does not hold.
+        complete: bool,
+        /// What changed since the last answer. Everything else that was granted on this connection
+        /// is granted again.
         grants: Vec<LeaseGrant>,
-        /// The floors that were asked for.
-        fresh: Vec<PositionBound>,
-        /// The parts of its zone's databases that a gateway's node is to use first.
+        /// The position bounds that were requested, as far as they are known.
+        position_bounds: Vec<PositionBound>,
+        /// Which part of the databases of its zone a gateway is to use first, where that changed.
         subset_ranges: Vec<SubsetRange>,
     },
+    /// Withdraws a lease; answered with [`ToController::RevokeAck`].
     Revoke {
+        /// The service whose lease is withdrawn.
         service: ServiceName,
+        /// This term and all earlier ones must not be used any more.
         term: DbTerm,
     },
-    /// Something changed that a renewal would tell: ask now.
+    /// Something changed that the next renewal would bring: the node is to renew now.
     #[serde(rename = "Renew")]
     RenewNow,
 }
 
-/// A position that the primary of a term told under a lease that still held: it covers every commit
-/// acknowledged before its statement was sent.
+/// A position that the primary of a term reported under a lease that still held. It covers every
+/// commit acknowledged before the statement that asked for it was sent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ObservedPosition {
+    /// The service of the primary.
     pub service: ServiceName,
+    /// The term of the lease.
     pub term: DbTerm,
+    /// The position that the primary reported.
     pub position: Position,
-    /// The statement was sent at least so many ms after the answer that is named as heard.
-    pub after: u64,
+    /// The statement was sent at least this many ms after the answer `last_grant_seq` arrived.
+    pub sent_after_ms: u64,
 }
 
-/// A position that covers every commit acknowledged up to `age` ms before the renewal was asked for.
+/// A position that covers every commit acknowledged up to `age_ms` before the renewal was sent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PositionBound {
+    /// The service it is valid for.
     pub service: ServiceName,
+    /// A replica at or beyond this position has all those commits.
     pub position: Position,
-    pub age: u64,
+    /// Age in ms, counted back from the moment the renewal was sent.
+    pub age_ms: u64,
 }
 
-/// A part of a service's databases in a zone, laid out in one order at all nodes, in millionths of
-/// what they can work on at once.
+/// A range of the databases of a service in one zone, which every node lays out in the same order, in
+/// millionths of their total capacity.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SubsetRange {
+    /// The service it is valid for.
     pub service: ServiceName,
-    pub from: u32,
-    pub upto: u32,
+    /// Where the range begins, in millionths.
+    pub start: u32,
+    /// Where the range ends, in millionths; not included.
+    pub end: u32,
 }
 
+/// What a pooler may use of a service for as long as its lease holds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseGrant {
+    /// The service.
     pub service: ServiceName,
-    pub standing: PrimaryStatus,
-    /// Connections this pooler may have to each database of the service.
-    pub share: u32,
+    /// Whether there is a primary that may be used.
+    pub status: PrimaryStatus,
+    /// How many connections this pooler may have to each database of the service.
+    pub quota: u32,
 }
 
+/// Whether a service has a primary.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PrimaryStatus {
+    /// A primary that may be used under this term.
     #[serde(rename = "Led")]
-    Active { term: DbTerm, primary: InstanceId },
-    /// Nobody can commit; every acknowledged commit lies at or before this position.
+    Active {
+        /// The term of the primary, which fences earlier ones.
+        term: DbTerm,
+        /// The primary.
+        primary: InstanceId,
+    },
+    /// Nobody can commit; every acknowledged commit is at or before this position.
     Sealed(Position),
+    /// No primary may be used.
     #[serde(rename = "Unled")]
     Absent,
 }
--- a/src/pooler/leader_messages.rs
+++ b/src/pooler/leader_messages.rs
@@ -115,13 +115,20 @@
             ToPooler::Directory(entries) => {
                 lock(&self.view).set_directory(entries, Tick::now());
             }
-            ToPooler::DirectoryDelta { listed, gone } => {
+            ToPooler::DirectoryDelta { upserted: listed, removed: gone } => {
                 let mut view = lock(&self.view);
                 let now = Tick::now();
                 gone.iter().for_each(|id| view.remove_database(id, now));
                 listed.into_iter().for_each(|entry| view.upsert_database(entry, now, now));
             }
-            ToPooler::LeaseGrants { seq, lease_ms, whole, grants, fresh, .. } => {
+            ToPooler::LeaseGrants {
+                seq,
+                lease_ms,
+                complete: whole,
+                grants,
+                position_bounds: fresh,
+                ..
+            } => {
                 self.apply_grants(RenewalAnswer { number: seq, lease_ms, whole, grants, fresh });
             }
             ToPooler::Revoke { service, term } => self.revoke(service, term),
@@ -167,7 +174,7 @@
             suspicions.insert(pool.id.clone(), now);
         }
         let (service, instance) = (pool.service.clone(), pool.id.clone());
-        self.send_to_leader(ToController::Suspect { service, instance, why: reason });
+        self.send_to_leader(ToController::Suspect { service, instance, reason });
     }
 
     /// Renews because a session waits for something that the leader may give, a watermark or a
@@ -210,8 +217,15 @@
         let heard = last_answer.map_or(0, |answer| answer.number);
         // A lease counts from here: before the request leaves, and no later than the look above.
         let seq = self.renewals.begin(now);
-        let renewal =
-            ToController::RenewLeases { seq, heard, shares, wants, saw, asks, busy: Vec::new() };
+        let renewal = ToController::RenewLeases {
+            seq,
+            last_grant_seq: heard,
+            quotas: shares,
+            demand: wants,
+            observed: saw,
+            bounds_requested: asks,
+            load: Vec::new(),
+        };
         LeaderConnection::tell_under(&mut leader, renewal);
     }
 
@@ -278,7 +292,7 @@
     let seen = service.take_unreported()?;
     let after = elapsed_lower_bound_ms(last_answer?.at, seen.sent_at)?;
     let (term, position) = (seen.term, seen.position);
-    Some(ObservedPosition { service: name.clone(), term, position, after })
+    Some(ObservedPosition { service: name.clone(), term, position, sent_after_ms: after })
 }
 
 impl ClusterView {
@@ -290,7 +304,7 @@
             self.drop_leases_except(&grants);
         }
         let mut changed = whole || !fresh.is_empty() || !grants.is_empty();
-        for PositionBound { service, position, age } in fresh {
+        for PositionBound { service, position, age_ms: age } in fresh {
             if let Some(service) = self.services.get_mut(&service)
                 && let Some(sent_at) = requested_at.0.checked_sub(age)
             {
@@ -325,7 +339,7 @@
     fn apply_grant(&mut self, grant: LeaseGrant, renewal: u64, requested_at: Tick) {
         let had_lease = self.lease.term().is_some();
         let name = &grant.service;
-        match grant.standing {
+        match grant.status {
             PrimaryStatus::Active { term, primary } => {
                 if !self.revocation.is_some_and(|revocation| revocation.covers(term, renewal)) {
                     if self.lease.term() != Some(term) {
@@ -345,6 +359,6 @@
             self.lease_lost_at = Some(Tick::now());
             info!(target: "lease", "{name}: none is granted");
         }
-        self.quota.size = grant.share;
+        self.quota.size = grant.quota;
     }
 }
--- a/src/simulation/nodes.rs
+++ b/src/simulation/nodes.rs
@@ -121,8 +121,15 @@
             node.sent.pop_first();
         }
         let (shares, wants, saw, asks) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
-        let renewal =
-            ToController::RenewLeases { seq, heard: 0, shares, wants, saw, asks, busy: Vec::new() };
+        let renewal = ToController::RenewLeases {
+            seq,
+            last_grant_seq: 0,
+            quotas: shares,
+            demand: wants,
+            observed: saw,
+            bounds_requested: asks,
+            load: Vec::new(),
+        };
         self.send_to_controller(number, renewal);
     }
 
@@ -155,14 +162,14 @@
                 }
             }
             ToPooler::Directory(_) | ToPooler::DirectoryDelta { .. } => {}
-            ToPooler::LeaseGrants { seq, whole, grants, .. } => {
+            ToPooler::LeaseGrants { seq, complete: whole, grants, .. } => {
                 let Some(asked) = node.sent.get(&seq).copied() else { return };
                 node.sent.retain(|s, _| *s >= seq);
                 if whole {
                     node.leases.clear();
                 }
                 for grant in grants {
-                    match grant.standing {
+                    match grant.status {
                         PrimaryStatus::Active { term, primary } => {
                             let last = node.revoked.get(&grant.service);
                             if last.is_none_or(|(last, upto)| term > *last || seq > *upto) {
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -112,7 +112,7 @@
     Position { term: DbTerm(term), number }
 }
 fn grant(service: &str, standing: PrimaryStatus, share: u32) -> LeaseGrant {
-    LeaseGrant { service: service.into(), standing, share }
+    LeaseGrant { service: service.into(), status: standing, quota: share }
 }
 
 /// Every variant of what is said on the peer port, with other values in each field.
@@ -173,7 +173,8 @@
         JoinResponse::Removed,
         JoinResponse::FoundCluster,
     ];
-    let suspect = |why| ToController::Suspect { service: "s".into(), instance: "i1".into(), why };
+    let suspect =
+        |why| ToController::Suspect { service: "s".into(), instance: "i1".into(), reason: why };
     let revoked =
         |highest| ToController::RevokeAck { service: "s".into(), term: DbTerm(82), highest };
     let to_controller = [
@@ -185,17 +186,17 @@
         },
         ToController::RenewLeases {
             seq: 84,
-            heard: 85,
-            shares: vec![(s.clone(), 86), (t.clone(), 87)],
-            wants: vec![(s.clone(), 88)],
-            saw: vec![ObservedPosition {
+            last_grant_seq: 85,
+            quotas: vec![(s.clone(), 86), (t.clone(), 87)],
+            demand: vec![(s.clone(), 88)],
+            observed: vec![ObservedPosition {
                 service: t.clone(),
                 term: DbTerm(89),
                 position: position(90, 91),
-                after: 92,
+                sent_after_ms: 92,
             }],
-            asks: vec![t.clone(), s.clone()],
-            busy: vec![(t.clone(), 93)],
+            bounds_requested: vec![t.clone(), s.clone()],
+            load: vec![(t.clone(), 93)],
         },
         suspect(SuspicionReason::ConnectionsBroken),
         suspect(SuspicionReason::NoResponse),
@@ -207,14 +208,18 @@
     let granted = |whole| ToPooler::LeaseGrants {
         seq: 101,
         lease_ms: 102,
-        whole,
+        complete: whole,
         grants: vec![
             grant("s", PrimaryStatus::Active { term: DbTerm(103), primary: "i1".into() }, 104),
             grant("t", PrimaryStatus::Sealed(position(105, 106)), 107),
             grant("u", PrimaryStatus::Absent, 108),
         ],
-        fresh: vec![PositionBound { service: t.clone(), position: position(109, 110), age: 111 }],
-        subset_ranges: vec![SubsetRange { service: s.clone(), from: 112, upto: 113 }],
+        position_bounds: vec![PositionBound {
+            service: t.clone(),
+            position: position(109, 110),
+            age_ms: 111,
+        }],
+        subset_ranges: vec![SubsetRange { service: s.clone(), start: 112, end: 113 }],
     };
     let (old, new) = (route_table(121, &TYPES[..3]), route_table(122, &TYPES));
     let mut changed = new.since(&old);
@@ -228,8 +233,8 @@
         ToPooler::RouteTableDelta(Box::new(changed)),
         ToPooler::Directory(vec![listed("i1", false), listed("i2", true)]),
         ToPooler::DirectoryDelta {
-            listed: vec![listed("i3", true)],
-            gone: vec!["i4".into(), "i5".into()],
+            upserted: vec![listed("i3", true)],
+            removed: vec!["i4".into(), "i5".into()],
         },
         granted(true),
         granted(false),
@@ -313,12 +318,29 @@
             Hello { node: n, incarnation: l, revision: r, zone: z },
         ) => (node, incarnation, revision, zone) == (n, l, r, z),
         (
-            RenewLeases { seq, heard, shares, wants, saw, asks, busy },
-            RenewLeases { seq: q, heard: h, shares: s, wants: w, saw: v, asks: k, busy: y },
+            RenewLeases {
+                seq,
+                last_grant_seq: heard,
+                quotas: shares,
+                demand: wants,
+                observed: saw,
+                bounds_requested: asks,
+                load: busy,
+            },
+            RenewLeases {
+                seq: q,
+                last_grant_seq: h,
+                quotas: s,
+                demand: w,
+                observed: v,
+                bounds_requested: k,
+                load: y,
+            },
         ) => (seq, heard, shares, wants, saw, asks, busy) == (q, h, s, w, v, k, y),
-        (Suspect { service, instance, why }, Suspect { service: s, instance: i, why: w }) => {
-            (service, instance, why) == (s, i, w)
-        }
+        (
+            Suspect { service, instance, reason: why },
+            Suspect { service: s, instance: i, reason: w },
+        ) => (service, instance, why) == (s, i, w),
         (RevokeAck { service, term, highest }, RevokeAck { service: s, term: t, highest: h }) => {
             (service, term, highest) == (s, t, h)
         }
@@ -342,12 +364,27 @@
         (RouteTable(a), RouteTable(b)) => a == b,
         (RouteTableDelta(a), RouteTableDelta(b)) => a == b,
         (Directory(a), Directory(b)) => a == b,
-        (DirectoryDelta { listed, gone }, DirectoryDelta { listed: l, gone: g }) => {
-            (listed, gone) == (l, g)
-        }
         (
-            LeaseGrants { seq, lease_ms, whole, grants, fresh, subset_ranges },
-            LeaseGrants { seq: s, lease_ms: l, whole: w, grants: g, fresh: f, subset_ranges: p },
+            DirectoryDelta { upserted: listed, removed: gone },
+            DirectoryDelta { upserted: l, removed: g },
+        ) => (listed, gone) == (l, g),
+        (
+            LeaseGrants {
+                seq,
+                lease_ms,
+                complete: whole,
+                grants,
+                position_bounds: fresh,
+                subset_ranges,
+            },
+            LeaseGrants {
+                seq: s,
+                lease_ms: l,
+                complete: w,
+                grants: g,
+                position_bounds: f,
+                subset_ranges: p,
+            },
         ) => (seq, lease_ms, whole, grants, fresh, subset_ranges) == (s, l, w, g, f, p),
         (Revoke { service, term }, Revoke { service: s, term: t }) => (service, term) == (s, t),
         (RenewNow, RenewNow) => true,
--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -78,8 +78,8 @@
     let led = |term| PrimaryStatus::Active { term: DbTerm(term), primary: "a".into() };
     LeaseGrant {
         service: service.clone(),
-        standing: term.map_or(PrimaryStatus::Absent, led),
-        share,
+        status: term.map_or(PrimaryStatus::Absent, led),
+        quota: share,
     }
 }
 /// A renewal is answered with this.
@@ -995,23 +995,26 @@
         (10_000, 60_000, 60_020, 60_030, 60_040),
     ];
     for (left, in_hand, sent, asked, answered) in cases {
-        let told = silvertack::pooler::replica_reads::elapsed_lower_bound_ms(
-            one(in_hand),
-            one(sent),
-        )
-        .map(|after| {
-            let mut known = ReplicationWatermarks::default();
-            let saw =
-                ObservedPosition { service: s.clone(), term: DbTerm(4), position: at(7), after };
-            known.learn(Some(&lead), leader(left), &saw, leader(answered));
-            known.tell(&s, leader(answered)).expect("told")
-        });
+        let told =
+            silvertack::pooler::replica_reads::elapsed_lower_bound_ms(one(in_hand), one(sent)).map(
+                |after| {
+                    let mut known = ReplicationWatermarks::default();
+                    let saw = ObservedPosition {
+                        service: s.clone(),
+                        term: DbTerm(4),
+                        position: at(7),
+                        sent_after_ms: after,
+                    };
+                    known.learn(Some(&lead), leader(left), &saw, leader(answered));
+                    known.tell(&s, leader(answered)).expect("told")
+                },
+            );
         let Some(fresh) = told else {
             assert!(sent - in_hand < 20, "only what is too close to tell is left out");
             continue;
         };
         // What the other takes for the time of sending, on the true clock.
-        let seen = (other(asked).0 - fresh.age) * 10;
+        let seen = (other(asked).0 - fresh.age_ms) * 10;
         assert!(seen <= sent + 55, "{left} {in_hand} {sent} {asked}");
     }
     // Sent before the answer was in hand: nothing is known of when.
@@ -1051,12 +1054,21 @@
     ];
     for (what, lead_now, term, position, answered, after, known) in cases {
         let mut watermarks = ReplicationWatermarks::default();
-        let before =
-            ObservedPosition { service: s.clone(), term: DbTerm(4), position: first, after: 100 };
+        let before = ObservedPosition {
+            service: s.clone(),
+            term: DbTerm(4),
+            position: first,
+            sent_after_ms: 100,
+        };
         watermarks.learn(Some(&lead), Tick(49_600), &before, now);
-        let saw = ObservedPosition { service: s.clone(), term: DbTerm(term), position, after };
+        let saw = ObservedPosition {
+            service: s.clone(),
+            term: DbTerm(term),
+            position,
+            sent_after_ms: after,
+        };
         watermarks.learn(lead_now, Tick(answered), &saw, now);
-        let told = watermarks.tell(&s, now).map(|f| (f.position, f.age));
+        let told = watermarks.tell(&s, now).map(|f| (f.position, f.age_ms));
         assert_eq!(told, known, "{what}");
         assert_eq!(watermarks.tell(&"other".into(), now), None);
     }
--- a/tests/gateway_parts.rs
+++ b/tests/gateway_parts.rs
@@ -331,12 +331,12 @@
         for n in 0..busy.len() {
             let subset_ranges = subset_assignments.due(&node(n), true);
             assert_eq!(
-                (subset_ranges.len(), subset_ranges[0].from),
+                (subset_ranges.len(), subset_ranges[0].start),
                 (1, upto),
                 "each begins where the last ends"
             );
-            upto = subset_ranges[0].upto;
-            parts.push((subset_ranges[0].upto - subset_ranges[0].from) / 1_000);
+            upto = subset_ranges[0].end;
+            parts.push((subset_ranges[0].end - subset_ranges[0].start) / 1_000);
         }
         assert!(upto >= 999_990);
         parts
@@ -344,7 +344,7 @@
     // The one that wants nothing has 0.3 of the mean of 150.
     assert_eq!(divide(&mut subset_assignments, 3_000), [465, 155, 69, 310]);
     let elsewhere = &subset_assignments.due(&node(9), true)[0];
-    assert_eq!((elsewhere.from, elsewhere.upto), (0, 1_000_000), "a zone by itself");
+    assert_eq!((elsewhere.start, elsewhere.end), (0, 1_000_000), "a zone by itself");
     // A small change is not reported again; a large one is.
     subset_assignments.report(&node(0), "here", items.clone(), 310);
     subset_assignments.divide(|_| true, start.plus(4_100));
@@ -354,7 +354,7 @@
     assert!((0..4).all(|n| subset_assignments.due(&node(n), false).len() == 1));
     // One that is gone has no part.
     subset_assignments.divide(|n| *n != node(0), start.plus(6_300));
-    assert_eq!(subset_assignments.due(&node(1), true)[0].from, 0);
+    assert_eq!(subset_assignments.due(&node(1), true)[0].start, 0);
     assert!(subset_assignments.due(&node(0), true).is_empty());
 }
 
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -46,7 +46,7 @@
     NodeName(format!("n{number}"))
 }
 fn grant(standing: PrimaryStatus, share: u32) -> LeaseGrant {
-    LeaseGrant { service: service(), standing, share }
+    LeaseGrant { service: service(), status: standing, quota: share }
 }
 fn led(term: u64) -> PrimaryStatus {
     PrimaryStatus::Active { term: DbTerm(term), primary: "a".into() }
@@ -543,10 +543,23 @@
         self.controller.effects.sent.clear();
         let (shares, wants, busy) = (Vec::new(), Vec::new(), Vec::new());
         let asks = vec![service()];
-        self.hear(conn, ToController::RenewLeases { seq, heard, shares, wants, saw, asks, busy });
+        self.hear(
+            conn,
+            ToController::RenewLeases {
+                seq,
+                last_grant_seq: heard,
+                quotas: shares,
+                demand: wants,
+                observed: saw,
+                bounds_requested: asks,
+                load: busy,
+            },
+        );
         let answers = std::mem::take(&mut self.controller.effects.sent).into_iter();
         let mut granted = answers.filter_map(|(to, message)| match message {
-            ToPooler::LeaseGrants { seq: of, grants, fresh, .. } if (to, of) == (conn, seq) => {
+            ToPooler::LeaseGrants { seq: of, grants, position_bounds: fresh, .. }
+                if (to, of) == (conn, seq) =>
+            {
                 Some((grants.into_iter().next(), fresh.into_iter().next()))
             }
             _ => None,
@@ -557,15 +570,26 @@
         self.renew_with(conn, 1, 0, Vec::new()).expect("answered").0
     }
     fn standing(&mut self, conn: u64) -> Option<PrimaryStatus> {
-        self.renew(conn).map(|grant| grant.standing)
+        self.renew(conn).map(|grant| grant.status)
     }
     fn share(&mut self, conn: u64) -> Option<u32> {
-        self.renew(conn).map(|grant| grant.share)
+        self.renew(conn).map(|grant| grant.quota)
     }
     fn says(&mut self, conn: u64, share: u32) {
         let (shares, wants, saw) = (vec![(service(), share)], Vec::new(), Vec::new());
         let (seq, heard, asks, busy) = (1, 0, Vec::new(), Vec::new());
-        self.hear(conn, ToController::RenewLeases { seq, heard, shares, wants, saw, asks, busy });
+        self.hear(
+            conn,
+            ToController::RenewLeases {
+                seq,
+                last_grant_seq: heard,
+                quotas: shares,
+                demand: wants,
+                observed: saw,
+                bounds_requested: asks,
+                load: busy,
+            },
+        );
     }
     /// A database answers the question of this kind that it was asked.
     fn answer(&mut self, id: &str, kind: fn(&DatabaseRequest) -> bool, told: DatabaseResponse) {
@@ -590,7 +614,7 @@
     /// The primary is doubted and refuses.
     fn lose_primary(&mut self, conn: u64) {
         let (instance, why) = ("a".into(), SuspicionReason::ConnectionsBroken);
-        self.hear(conn, ToController::Suspect { service: service(), instance, why });
+        self.hear(conn, ToController::Suspect { service: service(), instance, reason: why });
         self.answer("a", |ask| *ask == DatabaseRequest::Describe, DatabaseResponse::Unavailable);
     }
     fn lead(&self) -> &PrimaryRecord {
@@ -685,7 +709,7 @@
                 service: service(),
                 term: DbTerm(1),
                 position: at(6),
-                after: 50,
+                sent_after_ms: 50,
             };
             leader.renew_with(1, 2, 1, vec![saw]).expect("answered");
         }
@@ -756,10 +780,15 @@
         leader.run(1_000);
         leader.renew_with(1, 2, 1, Vec::new()).expect("answered");
         leader.run(500);
-        let saw = ObservedPosition { service: service(), term: DbTerm(1), position: at(7), after };
+        let saw = ObservedPosition {
+            service: service(),
+            term: DbTerm(1),
+            position: at(7),
+            sent_after_ms: after,
+        };
         leader.renew_with(1, 3, heard, vec![saw]).expect("answered");
         let (_, fresh) = leader.renew_with(2, 1, 0, Vec::new()).expect("answered");
-        assert_eq!(fresh.map(|f| f.age), age, "{heard} {after}");
+        assert_eq!(fresh.map(|f| f.age_ms), age, "{heard} {after}");
     }
 }
 
@@ -821,7 +850,7 @@
     assert_eq!(leader.renew_with(1, 2, 1, Vec::new()), None, "no lease is renewed");
     leader.controller.effects.asks.clear();
     let (instance, why) = ("a".into(), SuspicionReason::ConnectionsBroken);
-    leader.hear(1, ToController::Suspect { service: service(), instance, why });
+    leader.hear(1, ToController::Suspect { service: service(), instance, reason: why });
     assert_eq!(leader.controller.effects.asks, [], "no database is asked");
     leader.controller.effects.sent.clear();
     leader.hello(2, "n2");
