--- a/src/controller/core.rs
+++ b/src/controller/core.rs
@@ -16,7 +16,7 @@
 use crate::net::rpc::raft_messages::{EntryPayload, JoinResponse, Member, RaftMessage};
 use crate::net::rpc::{Frame, pack};
 use crate::raft::node::RaftNode;
-use crate::raft::persister::LogPersister;
+use crate::raft::persister::{LogPersister, WriteOutcome};
 use crate::raft::state::PersistentState;
 use crate::state_machine::{
     Command, CommandOutcome, StateMachine, read_change, read_kept, read_state, readable,
@@ -188,7 +188,7 @@
 
     /// Lets the messages leave that may, starts the next write, and applies what was agreed.
     pub(super) fn flush(&mut self, now: Tick) {
-        let troubled = self.persister.troubled(now);
+        let troubled = self.persister.is_storage_failing(now);
         if troubled != self.raft.storage_failing {
             match troubled {
                 true => warn!(target: "disk", "in trouble, another is to lead"),
@@ -197,10 +197,10 @@
         }
         self.raft.set_storage_failing(troubled, now);
         loop {
-            for (to, message) in self.persister.leaving(&mut self.raft) {
+            for (to, message) in self.persister.take_sendable(&mut self.raft) {
                 self.send_raft(to, message, now);
             }
-            if let Some(batch) = self.persister.start(&mut self.raft, now)
+            if let Some(batch) = self.persister.begin_write(&mut self.raft, now)
                 && !self.effects.write(batch)
             {
                 error!(target: "raft", "the thread that writes has ended");
@@ -220,7 +220,11 @@
         {
             error!(target: "disk", "cannot write: {e}");
         }
-        for (to, message) in self.persister.ended(&mut self.raft, saved.is_ok(), now) {
+        let outcome = match saved {
+            Ok(()) => WriteOutcome::Durable,
+            Err(_) => WriteOutcome::Failed,
+        };
+        for (to, message) in self.persister.end_write(&mut self.raft, outcome, now) {
             self.send_raft(to, message, now);
         }
     }
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -119,7 +119,7 @@
         self.raft = RaftNode::new(kept, false, now, self.random);
         self.raft.message_validator = readable;
         self.raft.unsaved = UnsavedChanges::all();
-        self.persister.forget();
+        self.persister.discard_held();
         self.state_machine = StateMachine::default();
         self.applied = LogIndex(0);
         self.configure(None);
--- a/src/controller/process.rs
+++ b/src/controller/process.rs
@@ -13,7 +13,7 @@
 use crate::net::rpc::raft_messages::Member;
 use crate::net::sockets::listen;
 use crate::raft::state::PersistentState;
-use crate::raft::storage::{RaftStorage, WriteBatch};
+use crate::raft::storage::{InitializedStorage, RaftStorage, WriteBatch};
 use log::warn;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -29,10 +29,16 @@
     let signals = Signals::install().map_err(|e| Fatal::Call(e.to_string()))?;
     let first = || first_state(&settings, admin, rand::random::<u64>);
     let opened = || match &settings.data_path {
-        Some(folder) if settings.can_vote() => RaftStorage::found(folder, first),
-        _ => Ok((RaftStorage::none()?, first(), false)),
+        Some(folder) if settings.can_vote() => {
+            RaftStorage::open_or_initialize(folder, first).map_err(Fatal::from)
+        }
+        _ => Ok(InitializedStorage {
+            storage: RaftStorage::in_memory()?,
+            state: first(),
+            restarted: false,
+        }),
     };
-    let (storage, kept, restarted) = loop {
+    let InitializedStorage { storage, state, restarted } = loop {
         match opened() {
             Ok(opened) => break opened,
             // A full or failing disk may be well again later.
@@ -55,7 +61,7 @@
     let effects =
         SocketTransport { conns: HashMap::new(), links: HashMap::new(), storage_thread, tx };
     let mut controller =
-        Controller::new(settings, kept, restarted, rand::random::<u64>, effects, Tick::now())?;
+        Controller::new(settings, state, restarted, rand::random::<u64>, effects, Tick::now())?;
     controller.serve(rx, &signals, Watched::new(path))
 }
 
--- /dev/null
+++ b/src/raft/storage/identity_file.rs
@@ -0,0 +1,98 @@
+//! The identity file beside the database file: which members the data folder has belonged to.
+//!
+//! It survives the database file. So a database file that was lost is not taken for a new disk, on
+//! which the member would vote a second time in a term (the Raft paper, section 5.2), and a database
+//! file of another member is not taken for one's own.
+use crate::base::ids::MemberId;
+use crate::raft::storage::error::StorageError;
+use std::collections::BTreeSet;
+use std::fs::{File, create_dir_all, read_to_string, rename};
+use std::io::{self, ErrorKind, Write};
+use std::path::{Path, PathBuf};
+
+/// The name of the file. It stays, because earlier programs look for it under this name.
+pub(super) const FILE_NAME: &str = "member";
+
+/// Where a new version is written before it replaces the file.
+const TEMPORARY_FILE_NAME: &str = "member.new";
+
+/// The first word of a file whose ids are complete. The first release wrote a single id without it,
+/// and did not update it when a removed member got a new id: such a file is not relied on. The word
+/// stays, because it is in the files of earlier programs.
+const COMPLETE_LIST: &str = "members";
+
+/// The identity file of one data folder, and the members it names.
+pub(super) struct IdentityFile {
+    folder: PathBuf,
+    members: BTreeSet<MemberId>,
+}
+
+impl IdentityFile {
+    /// Names the file of a folder, which is created if it is missing; reads nothing yet.
+    pub(super) fn new(folder: &Path) -> io::Result<Self> {
+        create_dir_all(folder)?;
+        Ok(Self { folder: folder.to_owned(), members: BTreeSet::new() })
+    }
+
+    /// Whether the file exists.
+    pub(super) fn exists(&self) -> bool {
+        self.folder.join(FILE_NAME).exists()
+    }
+
+    /// Whether it names any member that can be relied on.
+    pub(super) fn is_empty(&self) -> bool {
+        self.members.is_empty()
+    }
+
+    /// Reads the members that the file names; none if there is no file, or one without
+    /// [`COMPLETE_LIST`].
+    pub(super) fn read(&mut self) -> Result<(), StorageError> {
+        let text = match read_to_string(self.folder.join(FILE_NAME)) {
+            Ok(text) => text,
+            Err(e) if e.kind() == ErrorKind::NotFound => return Ok(()),
+            Err(e) => return Err(StorageError::IdentityFileUnreadable(e)),
+        };
+        let mut words = text.split_whitespace();
+        if words.next() == Some(COMPLETE_LIST) {
+            let ids: Result<_, _> = words.map(|word| word.parse().map(MemberId)).collect();
+            self.members = ids.map_err(StorageError::IdentityFileDamaged)?;
+        }
+        Ok(())
+    }
+
+    /// Refuses a member that the file does not name, unless it names none.
+    pub(super) fn check(&self, member: MemberId) -> Result<(), StorageError> {
+        if self.members.is_empty() || self.members.contains(&member) {
+            return Ok(());
+        }
+        let expected = self.members.iter().map(MemberId::to_string).collect::<Vec<_>>().join(", ");
+        Err(StorageError::WrongMember { found: member, expected })
+    }
+
+    /// Names one more member, durably before this returns. If that fails, it is not named.
+    pub(super) fn add(&mut self, member: MemberId) -> io::Result<()> {
+        if !self.members.insert(member) {
+            return Ok(());
+        }
+        let written = self.write();
+        if written.is_err() {
+            self.members.remove(&member);
+        }
+        written
+    }
+
+    /// Replaces the file, and syncs it, its folder, and the folder above where that can be opened.
+    fn write(&self) -> io::Result<()> {
+        let ids: Vec<String> = self.members.iter().map(MemberId::to_string).collect();
+        let temporary = self.folder.join(TEMPORARY_FILE_NAME);
+        let mut file = File::create(&temporary)?;
+        file.write_all(format!("{COMPLETE_LIST} {}\n", ids.join(" ")).as_bytes())?;
+        file.sync_all()?;
+        rename(&temporary, self.folder.join(FILE_NAME))?;
+        File::open(&self.folder)?.sync_all()?;
+        match self.folder.parent().map(File::open) {
+            Some(Ok(above)) => above.sync_all(),
+            _ => Ok(()),
+        }
+    }
+}
--- a/src/simulation/machines.rs
+++ b/src/simulation/machines.rs
@@ -75,7 +75,7 @@
             self.schedule.tolerated,
             JOIN_SYNC_MS / 1_000,
         );
-        let (settings, disk) = match (Settings::parse(&text), RaftStorage::none()) {
+        let (settings, disk) = match (Settings::parse(&text), RaftStorage::in_memory()) {
             (Ok(settings), Ok(disk)) => (settings, disk),
             (settings, disk) => {
                 // Neither depends on the schedule; a simulation that can't be set up runs nothing.
@@ -112,7 +112,7 @@
             return;
         }
         if !self.machines[number].settings.bootstrap
-            && matches!(self.machines[number].disk.kept(), Ok(None))
+            && matches!(self.machines[number].disk.load(), Ok(None))
         {
             // An empty machine is given seeds that are there.
             let there = |m: &usize| !self.machines[*m].gone && self.machines[*m].lost <= now;
@@ -122,13 +122,13 @@
         }
         let machine = &mut self.machines[number];
         machine.incarnation += 1;
-        let kept = match machine.disk.kept() {
+        let kept = match machine.disk.load() {
             Ok(Some(kept)) => Ok((kept, true)),
             Ok(None) => {
                 let first = first_state(&machine.settings, address_of(number, ADMIN), draw);
                 let saved = machine
                     .disk
-                    .save(&WriteBatch::of(&first, &crate::raft::state::UnsavedChanges::all()));
+                    .save(&WriteBatch::new(&first, &crate::raft::state::UnsavedChanges::all()));
                 saved.map(|()| (first, false)).map_err(|e| e.to_string())
             }
             Err(e) => Err(e.to_string()),
@@ -166,7 +166,7 @@
             self.report_violation(format!("the simulated disk: {e}"));
         }
         let machine = &mut self.machines[number];
-        if wipe && let Ok(empty) = RaftStorage::none() {
+        if wipe && let Ok(empty) = RaftStorage::in_memory() {
             machine.disk = empty;
         }
         machine.thaw(self.now);
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -2,7 +2,7 @@
 //! may change; what is in the two files of `tests/data` may not, nor the names listed here.
 //!
 //! Both files were written by the program of commit e679ba0: the frames by `encode` of `frames()`,
-//! one behind the other; the state by `RaftStorage::found` of `kept()`, put into SQL by `dump`.
+//! one behind the other; the state by `RaftStorage::open_or_initialize` of `kept()`, put into SQL by `dump`.
 use serde::de::{Deserialize, Deserializer, MapAccess, SeqAccess, Visitor};
 use serde_bytes::ByteBuf;
 use sha2::{Digest as _, Sha256};
@@ -22,7 +22,7 @@
 };
 use silvertack::net::rpc::{Frame, encode, pack, receive_with_layout, unpack};
 use silvertack::raft::state::PersistentState;
-use silvertack::raft::storage::RaftStorage;
+use silvertack::raft::storage::{InitializedStorage, OpenedStorage, RaftStorage};
 use silvertack::state_machine::{Command, CommandOutcome, StateMachine, read_kept};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write as _;
@@ -744,7 +744,7 @@
 #[test]
 fn a_state_folder_is_read_and_written_as_ever() {
     let old = folder_of_then("then");
-    let (storage, read) = RaftStorage::open(&old).expect("opened");
+    let OpenedStorage { storage, state: read } = RaftStorage::open(&old).expect("opened");
     drop(storage);
     let (read, made) = (read.expect("a state"), kept());
     assert_eq!((read.member_id, read.term), (made.member_id, made.term));
@@ -799,7 +799,8 @@
     let new = folder("now");
     for kept in [again, made] {
         let _ = std::fs::remove_dir_all(&new);
-        let (storage, _, restarted) = RaftStorage::found(&new, || kept).expect("founded");
+        let InitializedStorage { storage, restarted, .. } =
+            RaftStorage::open_or_initialize(&new, || kept).expect("founded");
         drop(storage);
         assert!(!restarted);
         assert_eq!(dump(&new), STATE);
@@ -814,7 +815,7 @@
 #[test]
 fn the_names_in_a_state_are_these() {
     let old = folder_of_then("names");
-    let kept = RaftStorage::open(&old).expect("opened").1.expect("a state");
+    let kept = RaftStorage::open(&old).expect("opened").state.expect("a state");
     let _ = std::fs::remove_dir_all(&old);
     let mut found = BTreeSet::new();
     let mut names = Vec::new();
--- a/tests/power_loss.rs
+++ b/tests/power_loss.rs
@@ -3,7 +3,7 @@
 use silvertack::base::ids::{LogIndex, MemberId, NodeName, Term};
 use silvertack::net::rpc::raft_messages::{EntryPayload, LogEntry, Member, Snapshot};
 use silvertack::raft::state::{PersistentState, UnsavedChanges};
-use silvertack::raft::storage::{RaftStorage, WriteBatch};
+use silvertack::raft::storage::{InitializedStorage, OpenedStorage, RaftStorage, WriteBatch};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -43,7 +43,7 @@
             payload: EntryPayload::Command(vec![0; bytes].into()),
         });
         let dirty = UnsavedChanges { log_from: Some(index), ..UnsavedChanges::default() };
-        storage.save(&WriteBatch::of(kept, &dirty)).expect("saved");
+        storage.save(&WriteBatch::new(kept, &dirty)).expect("saved");
     }
 }
 
@@ -91,7 +91,7 @@
     drop(db);
     std::fs::write(folder.join(JOURNAL), [0; 28]).expect("a journal at rest");
     std::fs::hard_link(folder.join(JOURNAL), folder.join("kept")).expect("a second name");
-    drop(RaftStorage::found(&folder, first).expect("founded"));
+    drop(RaftStorage::open_or_initialize(&folder, first).expect("founded"));
     assert!(!folder.join(JOURNAL).exists(), "its name is removed");
     let kept = read(&folder, "kept");
     assert!(kept.as_ref().is_some_and(|k| k.len() > 512), "it went through this journal");
@@ -105,14 +105,15 @@
     let now = |name: &str| read(&base, name);
     // (what had just happened, forms of the WAL, entries that must be there); the rest as it lies.
     let mut cases: Vec<(&str, File, Vec<File>, usize)> = Vec::new();
-    let (mut storage, mut kept, _) = RaftStorage::found(&base, first).expect("founded");
+    let InitializedStorage { mut storage, state: mut kept, .. } =
+        RaftStorage::open_or_initialize(&base, first).expect("founded");
     write(&mut storage, &mut kept, 3, 8);
     let three = now(WAL);
     cases.push(("saved", now(DATABASE), vec![three.clone()], 3));
     drop(storage);
     assert_eq!(now(WAL), None, "an orderly end removes it");
     cases.push(("closed", now(DATABASE), vec![three.clone(), None], 3));
-    let (mut storage, _) = RaftStorage::open(&base).expect("again");
+    let OpenedStorage { mut storage, .. } = RaftStorage::open(&base).expect("again");
     let old = vec![three.clone(), None, now(WAL), Some(Vec::new())];
     cases.push(("opened, nothing saved", now(DATABASE), old, 3));
     // With the first transaction the folder is synced (see the test of the premise).
@@ -129,7 +130,7 @@
     cases.push(("saved past a checkpoint", now(DATABASE), vec![late.clone()], 205));
     drop(storage);
     cases.push(("closed past a checkpoint", now(DATABASE), vec![late.clone(), None], 205));
-    let (storage, _) = RaftStorage::open(&base).expect("again");
+    let OpenedStorage { storage, .. } = RaftStorage::open(&base).expect("again");
     cases.push(("opened past a checkpoint", now(DATABASE), vec![late, None, now(WAL)], 205));
     drop(storage);
     let mark = now("member");
@@ -144,13 +145,14 @@
             let at = lay(&files);
             let why = format!("{what}: {:?}", shape(&files));
             // It is read, and what is saved on top of it is read too.
-            let (mut storage, found) =
+            let OpenedStorage { mut storage, state: found } =
                 RaftStorage::open(&at).unwrap_or_else(|e| panic!("{why}: {e}"));
             let mut found = found.unwrap_or_else(|| panic!("{why}: nothing"));
             assert_eq!(found.log.len(), entries, "{why}");
             write(&mut storage, &mut found, 1, 8);
             drop(storage);
-            let (_, found) = RaftStorage::open(&at).unwrap_or_else(|e| panic!("{why}, then: {e}"));
+            let OpenedStorage { state: found, .. } =
+                RaftStorage::open(&at).unwrap_or_else(|e| panic!("{why}, then: {e}"));
             assert_eq!(found.map(|f| f.log.len()), Some(entries + 1), "{why}, then");
             let _ = std::fs::remove_dir_all(&at);
         }
@@ -162,10 +164,11 @@
 fn a_founding_that_was_not_over_is_begun_again_and_one_that_was_is_not() {
     let base = folder("founding");
     let journal = journal_of_the_founding();
-    let (storage, _) = RaftStorage::open(&base).expect("made");
+    let OpenedStorage { storage, .. } = RaftStorage::open(&base).expect("made");
     let (empty, tables) = (read(&base, DATABASE), read(&base, WAL));
     drop(storage);
-    let (storage, ..) = RaftStorage::found(&base, first).expect("founded");
+    let InitializedStorage { storage, .. } =
+        RaftStorage::open_or_initialize(&base, first).expect("founded");
     let (database, state, mark) = (read(&base, DATABASE), read(&base, WAL), read(&base, "member"));
     drop(storage);
     let (nothing, cut) = (None, Some(Vec::new()));
@@ -210,11 +213,14 @@
         for files in combinations(&forms) {
             let at = lay(&files);
             let why = format!("{what}: {:?}", shape(&files));
-            match (RaftStorage::found(&at, first), founded) {
-                (Ok((storage, kept, was)), Some(founded)) => {
+            match (RaftStorage::open_or_initialize(&at, first), founded) {
+                (
+                    Ok(InitializedStorage { storage, state: kept, restarted: was }),
+                    Some(founded),
+                ) => {
                     assert_eq!((kept.member_id, !was), (MemberId(1), founded), "{why}");
                     drop(storage);
-                    let (_, found) =
+                    let OpenedStorage { state: found, .. } =
                         RaftStorage::open(&at).unwrap_or_else(|e| panic!("{why}: {e}"));
                     assert_eq!(found.map(|f| f.member_id), Some(MemberId(1)), "{why}, then");
                 }
--- a/tests/raft.rs
+++ b/tests/raft.rs
@@ -11,9 +11,9 @@
 use silvertack::net::send_queue::SendQueue;
 use silvertack::raft::limits::MIN_ELECTION_TIMEOUT_MS;
 use silvertack::raft::node::RaftNode;
-use silvertack::raft::persister::LogPersister;
+use silvertack::raft::persister::{LogPersister, WriteOutcome};
 use silvertack::raft::state::{PersistentState, UnsavedChanges};
-use silvertack::raft::storage::{RaftStorage, WriteBatch};
+use silvertack::raft::storage::{InitializedStorage, OpenedStorage, RaftStorage, WriteBatch};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 fn member(id: u64, voter: bool) -> Member {
@@ -413,21 +413,21 @@
 fn storage_returns_what_was_saved_and_refuses_what_it_cannot_read() {
     let folder = std::env::temp_dir().join(format!("silvertack-granary-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
-    let (mut storage, state) = RaftStorage::open(&folder).expect("a new file");
+    let OpenedStorage { mut storage, state } = RaftStorage::open(&folder).expect("a new file");
     assert!(state.is_none());
     let entry =
         |index, term, n| LogEntry { term: Term(term), index: LogIndex(index), payload: command(n) };
     let mut state =
         PersistentState { term: Term(3), voted_for: Some(MemberId(2)), ..initial_state(1, 3) };
     state.log = vec![entry(1, 1, 1), entry(2, 1, 2), entry(3, 1, 3)];
-    storage.save(&WriteBatch::of(&state, &UnsavedChanges::all())).expect("saved");
+    storage.save(&WriteBatch::new(&state, &UnsavedChanges::all())).expect("saved");
     // A conflicting tail is replaced.
     state.log.truncate(1);
     state.log.push(entry(2, 3, 9));
     let tail = UnsavedChanges { log_from: Some(LogIndex(2)), ..UnsavedChanges::default() };
-    storage.save(&WriteBatch::of(&state, &tail)).expect("saved");
+    storage.save(&WriteBatch::new(&state, &tail)).expect("saved");
     drop(storage);
-    let (storage, found) = RaftStorage::open(&folder).expect("again");
+    let OpenedStorage { storage, state: found } = RaftStorage::open(&folder).expect("again");
     let found = found.expect("kept");
     assert_eq!(
         (found.member_id, found.term, found.voted_for),
@@ -450,29 +450,32 @@
     // A list of members that can't be is refused too.
     for wrong in [vec![member(1, true), member(1, true)], vec![member(1, false)]] {
         let _ = std::fs::remove_dir_all(&folder);
-        let (mut storage, _) = RaftStorage::open(&folder).expect("a new file");
+        let OpenedStorage { mut storage, .. } = RaftStorage::open(&folder).expect("a new file");
         let snapshot = Snapshot { members: wrong, ..Snapshot::default() };
         let state =
             PersistentState { member_id: MemberId(1), snapshot, ..PersistentState::default() };
-        storage.save(&WriteBatch::of(&state, &UnsavedChanges::all())).expect("saved");
+        storage.save(&WriteBatch::new(&state, &UnsavedChanges::all())).expect("saved");
         drop(storage);
         let refused = RaftStorage::open(&folder).err().expect("refused").to_string();
         assert!(refused.contains("can't be"), "{refused}");
     }
     // A member's state that is gone is not taken for a new disk; an empty folder is.
     let _ = std::fs::remove_dir_all(&folder);
-    let (storage, first, old) =
-        RaftStorage::found(&folder, || initial_state(1, 3)).expect("founded");
+    let InitializedStorage { storage, state: first, restarted: old } =
+        RaftStorage::open_or_initialize(&folder, || initial_state(1, 3)).expect("founded");
     assert!(!old && first.member_id == MemberId(1));
     drop(storage);
-    let (storage, again, old) = RaftStorage::found(&folder, || initial_state(2, 3)).expect("again");
+    let InitializedStorage { storage, state: again, restarted: old } =
+        RaftStorage::open_or_initialize(&folder, || initial_state(2, 3)).expect("again");
     assert!(old && again.member_id == MemberId(1), "what is on disk wins");
     drop(storage);
     for name in ["hedge.sqlite", "hedge.sqlite-wal"] {
         let _ = std::fs::remove_file(folder.join(name));
     }
-    let refused =
-        RaftStorage::found(&folder, || initial_state(2, 3)).err().expect("refused").to_string();
+    let refused = RaftStorage::open_or_initialize(&folder, || initial_state(2, 3))
+        .err()
+        .expect("refused")
+        .to_string();
     assert!(refused.contains("is gone"), "{refused}");
     let _ = std::fs::remove_dir_all(&folder);
 }
@@ -502,19 +505,23 @@
     };
     // A new term and an entry: both go to the disk, and no message leaves meanwhile.
     raft.step(message(4, append(vec![entry], 1)), now);
-    assert!(persister.leaving(&mut raft).is_empty());
-    assert!(persister.start(&mut raft, now).is_some() && persister.start(&mut raft, now).is_none());
+    assert!(persister.take_sendable(&mut raft).is_empty());
+    assert!(
+        persister.begin_write(&mut raft, now).is_some()
+            && persister.begin_write(&mut raft, now).is_none()
+    );
     raft.step(message(4, append(vec![], 2)), now.plus(100));
-    assert!(persister.leaving(&mut raft).is_empty(), "the term is not on disk");
+    assert!(persister.take_sendable(&mut raft).is_empty(), "the term is not on disk");
     // The disk refuses: the same goes there again, and still nothing was promised.
-    assert!(persister.ended(&mut raft, false, now.plus(110)).is_empty());
+    assert!(persister.end_write(&mut raft, WriteOutcome::Failed, now.plus(110)).is_empty());
     assert!(
-        persister.troubled(now.plus(110)) && persister.start(&mut raft, now.plus(120)).is_none()
+        persister.is_storage_failing(now.plus(110))
+            && persister.begin_write(&mut raft, now.plus(120)).is_none()
     );
-    assert!(persister.start(&mut raft, now.plus(400)).is_some());
-    let freed = persister.ended(&mut raft, true, now.plus(401));
+    assert!(persister.begin_write(&mut raft, now.plus(400)).is_some());
+    let freed = persister.end_write(&mut raft, WriteOutcome::Durable, now.plus(401));
     assert_eq!(acked(&freed), [0], "a heartbeat's answer, as of when it came");
-    assert_eq!(acked(&persister.leaving(&mut raft)), [1], "and the entry once it is there");
+    assert_eq!(acked(&persister.take_sendable(&mut raft)), [1], "and the entry once it is there");
     // From here on only entries wait: a heartbeat is answered while the disk stalls.
     let second = LogEntry { term: Term(4), index: LogIndex(2), payload: command(2) };
     let previous = LogPosition::new(Term(4), LogIndex(1));
@@ -525,7 +532,7 @@
         sent_at: 3,
     };
     raft.step(message(4, kind), now.plus(500));
-    assert!(persister.start(&mut raft, now.plus(500)).is_some());
+    assert!(persister.begin_write(&mut raft, now.plus(500)).is_some());
     let kind = RaftMessageKind::AppendEntries {
         previous: LogPosition::new(Term(4), LogIndex(2)),
         entries: vec![],
@@ -533,11 +540,15 @@
         sent_at: 4,
     };
     raft.step(message(4, kind), now.plus(900));
-    assert_eq!(acked(&persister.leaving(&mut raft)), [1]);
-    assert!(!persister.troubled(now.plus(900)) && persister.troubled(now.plus(1_400)), "stalled");
-    persister.ended(&mut raft, true, now.plus(1_500));
-    assert_eq!(acked(&persister.leaving(&mut raft)), [2]);
-    assert!(!persister.troubled(now.plus(1_500)));
+    assert_eq!(acked(&persister.take_sendable(&mut raft)), [1]);
+    assert!(
+        !persister.is_storage_failing(now.plus(900))
+            && persister.is_storage_failing(now.plus(1_400)),
+        "stalled"
+    );
+    persister.end_write(&mut raft, WriteOutcome::Durable, now.plus(1_500));
+    assert_eq!(acked(&persister.take_sendable(&mut raft)), [2]);
+    assert!(!persister.is_storage_failing(now.plus(1_500)));
 }
 
 #[test]
@@ -651,15 +662,15 @@
     let base = std::env::temp_dir().join(format!("silvertack-torn-{}", std::process::id()));
     let (whole, torn) = (base.join("whole"), base.join("torn"));
     let _ = std::fs::remove_dir_all(&base);
-    let (mut storage, mut state, _) =
-        RaftStorage::found(&whole, || initial_state(1, 3)).expect("founded");
+    let InitializedStorage { mut storage, mut state, .. } =
+        RaftStorage::open_or_initialize(&whole, || initial_state(1, 3)).expect("founded");
     let wal = whole.join("hedge.sqlite-wal");
     // What the file of the journal held after each write that was confirmed.
     let mut synced = vec![std::fs::metadata(&wal).map_or(0, |m| m.len())];
     for n in 1..=3u64 {
         state.log.push(LogEntry { term: Term(1), index: LogIndex(n), payload: command(n as u8) });
         let unsaved = UnsavedChanges { log_from: Some(LogIndex(n)), ..UnsavedChanges::default() };
-        storage.save(&WriteBatch::of(&state, &unsaved)).expect("saved");
+        storage.save(&WriteBatch::new(&state, &unsaved)).expect("saved");
         synced.push(std::fs::metadata(&wal).expect("journal").len());
     }
     let journal = std::fs::read(&wal).expect("journal");
@@ -681,7 +692,7 @@
         let from = bytes.len() - garbage;
         bytes[from..].fill(0x5a);
         std::fs::write(torn.join("hedge.sqlite-wal"), bytes).expect("torn");
-        let (_, found) = RaftStorage::open(&torn).expect("recovered");
+        let OpenedStorage { state: found, .. } = RaftStorage::open(&torn).expect("recovered");
         assert_eq!(found.expect("kept").log.len(), entries, "{length} bytes, {garbage} garbage");
     }
     // With nothing of it left, it is not taken for a new disk.
@@ -1267,7 +1278,7 @@
 #[test]
 fn a_vote_is_sent_only_once_it_is_on_disk_however_often_a_write_fails() {
     for failed in [0, 1, 3] {
-        let mut storage = RaftStorage::none().expect("in memory");
+        let mut storage = RaftStorage::in_memory().expect("in memory");
         let (mut voter, mut persister, mut now) =
             (replica(3, 5, &[1]), LogPersister::default(), ELECTED);
         let last = LogPosition::new(Term(1), LogIndex(1));
@@ -1278,22 +1289,29 @@
             last_log: last,
         };
         voter.step(message(2, 6, ask), now);
-        assert!(persister.leaving(&mut voter).is_empty(), "{failed} writes fail");
+        assert!(persister.take_sendable(&mut voter).is_empty(), "{failed} writes fail");
         for _ in 0..failed {
             now = now.plus(1_000);
-            assert!(persister.start(&mut voter, now).is_some(), "{failed} writes fail");
-            assert!(persister.leaving(&mut voter).is_empty(), "{failed} writes fail");
-            assert!(persister.ended(&mut voter, false, now).is_empty(), "{failed} writes fail");
-            assert!(persister.leaving(&mut voter).is_empty(), "{failed} writes fail");
+            assert!(persister.begin_write(&mut voter, now).is_some(), "{failed} writes fail");
+            assert!(persister.take_sendable(&mut voter).is_empty(), "{failed} writes fail");
+            assert!(
+                persister.end_write(&mut voter, WriteOutcome::Failed, now).is_empty(),
+                "{failed} writes fail"
+            );
+            assert!(persister.take_sendable(&mut voter).is_empty(), "{failed} writes fail");
         }
         now = now.plus(1_000);
-        let batch = persister.start(&mut voter, now).expect("the vote is still to be written");
-        assert!(persister.leaving(&mut voter).is_empty(), "{failed} writes fail");
+        let batch =
+            persister.begin_write(&mut voter, now).expect("the vote is still to be written");
+        assert!(persister.take_sendable(&mut voter).is_empty(), "{failed} writes fail");
         storage.save(&batch).expect("saved");
-        let left: Vec<RaftMessageKind> =
-            persister.ended(&mut voter, true, now).into_iter().map(|(_, m)| m.kind).collect();
+        let left: Vec<RaftMessageKind> = persister
+            .end_write(&mut voter, WriteOutcome::Durable, now)
+            .into_iter()
+            .map(|(_, m)| m.kind)
+            .collect();
         assert_eq!(left, [RaftMessageKind::VoteResponse { pre_vote: false, granted: true }]);
-        let on_disk = storage.kept().expect("read").expect("kept");
+        let on_disk = storage.load().expect("read").expect("kept");
         assert_eq!((on_disk.term, on_disk.voted_for), (Term(6), Some(MemberId(2))));
     }
 }
--- a/tests/storage.rs
+++ b/tests/storage.rs
@@ -17,7 +17,7 @@
 };
 use silvertack::raft::node::RaftNode;
 use silvertack::raft::state::{PersistentState, UnsavedChanges};
-use silvertack::raft::storage::{RaftStorage, WriteBatch};
+use silvertack::raft::storage::{InitializedStorage, OpenedStorage, RaftStorage, WriteBatch};
 use silvertack::state_machine::{Command, CommandOutcome, StateMachine, read_kept, readable};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::{Read, Write};
@@ -91,7 +91,7 @@
 #[test]
 fn a_disk_of_the_previous_landing_is_read() {
     let folder = old_folder("old");
-    let (_, kept) = RaftStorage::open(&folder).expect("opened");
+    let OpenedStorage { state: kept, .. } = RaftStorage::open(&folder).expect("opened");
     let kept = kept.expect("a state");
     let voted = Some(MemberId(1));
     assert_eq!((kept.member_id, kept.term, kept.voted_for), (MemberId(1), Term(3), voted));
@@ -655,10 +655,11 @@
     };
     let keep = |change: fn(&mut PersistentState)| {
         move |folder: &Path| {
-            let (mut storage, kept) = RaftStorage::open(folder).expect("opened");
+            let OpenedStorage { mut storage, state: kept } =
+                RaftStorage::open(folder).expect("opened");
             let mut kept = kept.expect("a state");
             change(&mut kept);
-            storage.save(&WriteBatch::of(&kept, &UnsavedChanges::all())).expect("saved");
+            storage.save(&WriteBatch::new(&kept, &UnsavedChanges::all())).expect("saved");
         }
     };
     // (what, what becomes of the folder, a part of what is said)
@@ -716,8 +717,9 @@
         spoil(&folder);
         let file = folder.join("hedge.sqlite");
         let before = std::fs::read(&file).expect("bytes");
-        let read =
-            RaftStorage::open(&folder).and_then(|(_, kept)| read_kept(&kept.expect("a state")));
+        let read = RaftStorage::open(&folder)
+            .map_err(Fatal::from)
+            .and_then(|opened| read_kept(&opened.state.expect("a state")));
         let refused = read.err().unwrap_or_else(|| panic!("{what}: read"));
         assert!(
             matches!(refused, Fatal::State(_)) && refused.exit_code() == 3,
@@ -735,22 +737,23 @@
     let marked = || std::fs::read_to_string(folder.join("member")).expect("mark");
     // The landed program did not keep the mark when a removed member began anew.
     std::fs::write(folder.join("member"), "77").expect("mark");
-    let (mut storage, kept) = RaftStorage::open(&folder).expect("not relied on");
+    let OpenedStorage { mut storage, state: kept } =
+        RaftStorage::open(&folder).expect("not relied on");
     assert_eq!(marked(), "members 1\n");
     let mut kept = PersistentState { member_id: MemberId(5), ..kept.expect("a state") };
-    storage.save(&WriteBatch::of(&kept, &UnsavedChanges::all())).expect("saved");
+    storage.save(&WriteBatch::new(&kept, &UnsavedChanges::all())).expect("saved");
     drop(storage);
     assert_eq!(marked(), "members 1 5\n");
     // As if the machine had stopped between the mark and the state.
     std::fs::write(folder.join("member"), "members 1 5 6\n").expect("mark");
-    let (mut storage, found) = RaftStorage::open(&folder).expect("again");
+    let OpenedStorage { mut storage, state: found } = RaftStorage::open(&folder).expect("again");
     assert_eq!(found.expect("a state").member_id, MemberId(5));
     // Where the mark can't be written, neither is the state.
     std::fs::create_dir_all(folder.join("member.new")).expect("in the way");
     kept.member_id = MemberId(7);
-    assert!(storage.save(&WriteBatch::of(&kept, &UnsavedChanges::all())).is_err());
+    assert!(storage.save(&WriteBatch::new(&kept, &UnsavedChanges::all())).is_err());
     drop(storage);
-    let (_, found) = RaftStorage::open(&folder).expect("again");
+    let OpenedStorage { state: found, .. } = RaftStorage::open(&folder).expect("again");
     assert_eq!(found.expect("a state").member_id, MemberId(5));
     let _ = std::fs::remove_dir_all(&folder);
 }
@@ -977,7 +980,8 @@
             snapshot,
             ..PersistentState::default()
         };
-        let (storage, ..) = RaftStorage::found(&folder, || kept).expect("founded");
+        let InitializedStorage { storage, .. } =
+            RaftStorage::open_or_initialize(&folder, || kept).expect("founded");
         drop(storage);
         folder
     };
@@ -1006,7 +1010,7 @@
     assert_eq!(controller.ended(), Some(3), "{}", controller.log());
     let said = "not taken from the leader: entry 1 can't be read: of layout 2";
     assert!(controller.log().contains(said), "{}", controller.log());
-    let (_, kept) = RaftStorage::open(&controller.folder).expect("opened");
+    let OpenedStorage { state: kept, .. } = RaftStorage::open(&controller.folder).expect("opened");
     assert!(kept.expect("a state").log.is_empty());
 }
 
@@ -1090,7 +1094,7 @@
             snapshot,
             ..PersistentState::default()
         };
-        drop(RaftStorage::found(&folder, || kept).expect("founded"));
+        drop(RaftStorage::open_or_initialize(&folder, || kept).expect("founded"));
         Process::start_at(&folder, id as u8, ports, &seeds)
     };
     let now = || vec![real(1), real(2), real(3)];
