--- a/src/controller/peer_listener.rs
+++ b/src/controller/peer_listener.rs
@@ -3,7 +3,7 @@
 use crate::base::worker_pool::{must_start, start_thread};
 use crate::controller::effects::Input;
 use crate::controller::transport::Event;
-use crate::net::rpc::{Frame, receive_with_layout};
+use crate::net::rpc::{Frame, ReceivedFrame, receive_with_layout};
 use crate::net::sockets::{keep_alive, listen, tune};
 use log::warn;
 use std::net::SocketAddr;
@@ -42,14 +42,14 @@
                 let mut reader = std::io::BufReader::with_capacity(4096, stream);
                 loop {
                     match receive_with_layout(&mut reader) {
-                        Ok((frame, layout)) => {
+                        Ok(ReceivedFrame { frame, sender_layout }) => {
                             let said = match &frame {
                                 Frame::Raft { message, .. } => Some(message.from),
                                 Frame::Join { member, .. } => Some(member.id),
                                 _ => None,
                             };
                             if let Some(said) = said {
-                                drop(tx.send(Event::Input(Input::PeerLayout(said, layout))));
+                                drop(tx.send(Event::Input(Input::PeerLayout(said, sender_layout))));
                             }
                             if tx.send(Event::Input(Input::Frame(id, frame))).is_err() {
                                 return;
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -2,7 +2,8 @@
 //! may change; what is in the two files of `tests/data` may not, nor the names listed here.
 //!
 //! Both files were written by the program of commit e679ba0: the frames by `encode` of `frames()`,
-//! one behind the other; the state by `RaftStorage::open_or_initialize` of `kept()`, put into SQL by `dump`.
+//! one behind the other; the state by `RaftStorage::open_or_initialize` of `kept()`, put into SQL by
+//! `dump`.
 use serde::de::{Deserialize, Deserializer, MapAccess, SeqAccess, Visitor};
 use serde_bytes::ByteBuf;
 use sha2::{Digest as _, Sha256};
@@ -20,7 +21,7 @@
     EntryPayload, JoinResponse, LogEntry, LogPosition, Member, RaftMessage, RaftMessageKind,
     Snapshot,
 };
-use silvertack::net::rpc::{Frame, encode, pack, receive_with_layout, unpack};
+use silvertack::net::rpc::{Frame, ReceivedFrame, encode, pack, receive_with_layout, unpack};
 use silvertack::raft::state::PersistentState;
 use silvertack::raft::storage::{InitializedStorage, OpenedStorage, RaftStorage};
 use silvertack::state_machine::{Command, CommandOutcome, StateMachine, read_kept};
@@ -505,7 +506,8 @@
     let mut read = Vec::new();
     while !rest.is_empty() {
         let start = rest;
-        let (frame, layout) = receive_with_layout(&mut rest).expect("a frame");
+        let ReceivedFrame { frame, sender_layout: layout } =
+            receive_with_layout(&mut rest).expect("a frame");
         assert_eq!(layout, 2);
         read.push((frame, &start[..start.len() - rest.len()]));
     }
--- a/tests/storage.rs
+++ b/tests/storage.rs
@@ -13,7 +13,8 @@
     EntryPayload, LogEntry, LogPosition, Member, RaftMessage, RaftMessageKind, Snapshot,
 };
 use silvertack::net::rpc::{
-    FIRST_LAYOUT, Frame, LAYOUT, encode, pack, receive, receive_with_layout, send, unpack,
+    FIRST_LAYOUT, Frame, LAYOUT, ReceivedFrame, encode, pack, receive, receive_with_layout, send,
+    unpack,
 };
 use silvertack::raft::node::RaftNode;
 use silvertack::raft::state::{PersistentState, UnsavedChanges};
@@ -277,7 +278,8 @@
             *all += room;
             while line.flying.front().is_some_and(|(at, _)| *at <= now) {
                 let (_, bytes) = line.flying.pop_front().expect("a frame");
-                let (frame, layout) = receive_with_layout(&mut &bytes[..]).expect("readable");
+                let ReceivedFrame { frame, sender_layout: layout } =
+                    receive_with_layout(&mut &bytes[..]).expect("readable");
                 let Frame::Raft { message, .. } = frame else { panic!("of the controllers") };
                 if self.old.contains(to) && matches!(message.kind, RaftMessageKind::Chunk { .. }) {
                     // Too large a frame for the landed program, which closes the connection.
@@ -872,7 +874,7 @@
     for (what, bytes, wanted) in cases {
         let read = receive_with_layout(&mut &bytes[..]);
         match (read, wanted) {
-            (Ok((_, layout)), Ok(wanted)) => assert_eq!(layout, wanted, "{what}"),
+            (Ok(read), Ok(wanted)) => assert_eq!(read.sender_layout, wanted, "{what}"),
             (Err(e), Err(said)) => assert!(e.to_string().contains(said), "{what}: {e}"),
             (read, _) => panic!("{what}: {read:?}"),
         }
