--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -356,8 +356,8 @@
     let raft = &cluster.machines[at].raft;
     let missing = raft.last_position().index.0 - last.index.0;
     assert!(missing < 20, "it has missed a little: {missing}");
-    let sent_at = cluster.sent_to.1 as u64;
-    assert!(sent_at <= 2 * missing, "{sent_at} entries for {missing} that it had missed");
+    let sent = cluster.sent_to.1 as u64;
+    assert!(sent <= 2 * missing, "{sent} entries for {missing} that it had missed");
     assert!(cluster.acknowledged.iter().all(|command| cluster.log_holds(at, *command)));
 }
 
