--- a/src/failover/snapshot.rs
+++ b/src/failover/snapshot.rs
@@ -1,4 +1,4 @@
-//! What a failover is told about its service at each step.
+//! The input of a failover step: its service as the leader sees it.
 
 use crate::base::ids::{InstanceId, Position, ServiceName, Term};
 use crate::config::directory::Instance;
--- a/src/failover/state.rs
+++ b/src/failover/state.rs
@@ -89,7 +89,7 @@
 /// What the recorded primary's answer says about it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PrimaryAnswer {
-    /// It leads the recorded term, as far as it can be told.
+    /// It leads the recorded term, as far as the answer shows.
     Leads,
     /// It can't be reached, doesn't answer, or isn't the primary of the recorded term.
     DoesNotLead,
@@ -108,7 +108,7 @@
     }
 }
 
-/// What poolers are told about the leases of a service while its primary changes.
+/// What the controller reports to poolers about the leases of a service while its primary changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseStatus {
     /// Leases on the present term are being revoked, and none is granted.
@@ -133,7 +133,7 @@
     pub(super) suspicion: Suspicion,
     /// When a change was last called off.
     pub(super) called_off_at: Option<Tick>,
-    /// When a former primary was last told to step down.
+    /// When a former primary was last asked to step down.
     stepped_down_at: Option<Tick>,
 }
 
@@ -166,7 +166,7 @@
         (failover, actions)
     }
 
-    /// What poolers are told about the leases of the service.
+    /// What the controller reports to poolers about the leases of the service.
     pub fn lease_status(&self) -> LeaseStatus {
         LeaseStatus { revoking: self.revoking, sealed: self.sealed }
     }
--- a/src/failover/timing.rs
+++ b/src/failover/timing.rs
@@ -101,7 +101,7 @@
 /// After a change was called off, the next one is planned no sooner than this.
 pub(super) const PLANNED_CHANGE_RETRY_MS: u64 = 1_000;
 
-/// A former primary is told to step down this often.
+/// A former primary is asked to step down at most this often.
 pub(super) const STEP_DOWN_RETRY_MS: u64 = 1_000;
 
 /// An intent that wasn't seen committed is proposed again after this time.
