--- a/src/gateway/client_connection.rs
+++ b/src/gateway/client_connection.rs
@@ -133,7 +133,7 @@
 /// Why a request could not be read from a client.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ReceiveError {
-    /// The request is answered with this refusal, and the connection ends.
+    /// The client gets this refusal, and the connection ends.
     #[error("refused: {0:?}")]
     Refused(Refusal),
     /// The client has closed the connection.
@@ -209,6 +209,7 @@
         Ok(())
     }
 
+    /// Writes all of `bytes`, and fails if the client accepts none of it for too long.
     pub(super) fn write(&self, bytes: &[u8]) -> io::Result<()> {
         let mut stream = self.stream;
         stream.write_all(bytes)
--- a/src/gateway/endpoint_access.rs
+++ b/src/gateway/endpoint_access.rs
@@ -170,7 +170,7 @@
         let last = Tick(self.unusable_response_logged.load(Ordering::Relaxed));
         if now.since(last) >= FAULT_LOG_INTERVAL_MS {
             self.unusable_response_logged.store(now.0, Ordering::Relaxed);
-            warn!(target: "gateway", "no usable answer came from a database");
+            warn!(target: "gateway", "no usable response came from a database");
         }
     }
 }
--- a/src/gateway/http1/body.rs
+++ b/src/gateway/http1/body.rs
@@ -85,16 +85,20 @@
                 Ok(input.len())
             }
             DecoderState::Length(left) => {
-                let (count, left) = copy_up_to(left, input, output);
-                self.state =
-                    if left == 0 { DecoderState::Complete } else { DecoderState::Length(left) };
+                let count = copy_up_to(left, input, output);
+                self.state = match left - count as u64 {
+                    0 => DecoderState::Complete,
+                    left => DecoderState::Length(left),
+                };
                 Ok(count)
             }
             DecoderState::ChunkHead => self.decode_chunk_head(input),
             DecoderState::Chunk(left) => {
-                let (count, left) = copy_up_to(left, input, output);
-                self.state =
-                    if left == 0 { DecoderState::ChunkEnd } else { DecoderState::Chunk(left) };
+                let count = copy_up_to(left, input, output);
+                self.state = match left - count as u64 {
+                    0 => DecoderState::ChunkEnd,
+                    left => DecoderState::Chunk(left),
+                };
                 Ok(count)
             }
             DecoderState::ChunkEnd => self.decode_chunk_end(input),
@@ -142,11 +146,11 @@
     }
 }
 
-/// Copies at most `left` bytes; returns how many were copied and how many are left.
-fn copy_up_to(left: u64, input: &[u8], output: &mut Vec<u8>) -> (usize, u64) {
+/// Copies at most `left` bytes, and returns how many were copied.
+fn copy_up_to(left: u64, input: &[u8], output: &mut Vec<u8>) -> usize {
     let count = input.len().min(usize::try_from(left).unwrap_or(usize::MAX));
     output.extend_from_slice(&input[..count]);
-    (count, left - count as u64)
+    count
 }
 
 /// One chunk of a chunked body, with its size and line ends.
--- a/src/gateway/leader_messages.rs
+++ b/src/gateway/leader_messages.rs
@@ -22,8 +22,8 @@
     sequence: AtomicU64,
     /// The tick when the last one was sent.
     last_sent: AtomicU64,
-    /// The sequence number of the last one that was answered on this connection.
-    last_answered: AtomicU64,
+    /// The sequence number of the last one that the leader acknowledged on this connection.
+    last_acknowledged: AtomicU64,
 }
 
 impl Gateway {
@@ -39,7 +39,7 @@
         let last_sent = Tick(self.renewals.last_sent.swap(now.0, Ordering::Relaxed));
         let busy = self.demand_report(now.since(last_sent));
         let seq = self.renewals.sequence.fetch_add(1, Ordering::Relaxed) + 1;
-        let heard = self.renewals.last_answered.load(Ordering::Relaxed);
+        let heard = self.renewals.last_acknowledged.load(Ordering::Relaxed);
         // A gateway holds no leases and reads no positions; only a pooler fills in the rest.
         let (shares, wants, saw, asks) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
         self.leader.tell(ToController::RenewLeases {
@@ -106,7 +106,7 @@
     }
 
     fn linked(&self) {
-        self.renewals.last_answered.store(0, Ordering::Relaxed);
+        self.renewals.last_acknowledged.store(0, Ordering::Relaxed);
         for service in lock(&self.upstreams).services.values_mut() {
             service.demand.forget_report();
         }
@@ -130,7 +130,7 @@
                 lock(&self.upstreams).update_directory(listed, &gone, &self.zone);
             }
             ToPooler::LeaseGrants { seq, subset_ranges, .. } => {
-                self.renewals.last_answered.store(seq, Ordering::Relaxed);
+                self.renewals.last_acknowledged.store(seq, Ordering::Relaxed);
                 if subset_ranges.is_empty() {
                     return;
                 }
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -29,8 +29,8 @@
 /// The time between two rounds of maintenance while draining.
 const DRAINING_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs a gateway until it is told to end. `path` is the settings file, which is read again when it
-/// has changed.
+/// Runs a gateway until it is signalled to end. `path` is the settings file, which is read again
+/// when it has changed.
 ///
 /// # Errors
 /// If a listener or thread that it can't do without is not to be had, or the settings name none.
--- a/src/gateway/request_context.rs
+++ b/src/gateway/request_context.rs
@@ -16,8 +16,11 @@
 /// Everything that is fixed for one request, and its body as far as it is held.
 pub(super) struct RequestContext<'a> {
     pub(super) head: &'a RequestHead,
+    /// The route that the request's host and path chose.
     pub(super) route: &'a RouteEntry,
+    /// The service that the route leads to.
     pub(super) service: &'a ServiceName,
+    /// When its head was complete.
     pub(super) arrived: Tick,
     /// When the client stops waiting for a response.
     pub(super) deadline: Tick,
@@ -28,6 +31,7 @@
 }
 
 impl RequestContext<'_> {
+    /// Whether the route allows the request to be executed more than once.
     pub(super) fn idempotency(&self) -> Idempotency {
         match self.route.route_type.repeatable() {
             true => Idempotency::Idempotent,
--- a/src/gateway/upstreams.rs
+++ b/src/gateway/upstreams.rs
@@ -49,6 +49,7 @@
 pub(super) struct Endpoint {
     pub(super) service: ServiceName,
     pub(super) address: SocketAddr,
+    /// Its failure domain.
     pub(super) zone: String,
     /// How many requests it can execute at once.
     pub(super) capacity: u32,
@@ -64,7 +65,9 @@
 #[derive(Default)]
 pub(super) struct UpstreamService {
     endpoints: Vec<InstanceId>,
+    /// How long responses other than errors take; decides when a hedged request is due.
     pub(super) latency: LatencyEstimator,
+    /// How much work this node has there, for the leader.
     pub(super) demand: DemandMeter,
     /// The part of the zone's capacity that this node uses first.
     subset: Option<CapacityRange>,
