--- a/src/gateway/forwarding.rs
+++ b/src/gateway/forwarding.rs
@@ -138,7 +138,8 @@
         }
     }
 
-    /// Only the first attempt waits for an endpoint with room; the budget pays for each other one.
+    /// Only the first attempt waits for an endpoint with room; the budget pays for each other one,
+    /// also where no endpoint is left for it.
     fn acquire_next_endpoint(&self, is_retry: bool) -> Option<AcquiredEndpoint> {
         let deadline = self.request.acquire_deadline();
         if is_retry && !lock(&self.gateway.retry_budget).try_spend(Tick::now()) {
@@ -171,6 +172,7 @@
                 Err(ReceiveError::Refused(refusal)) => {
                     // The end of the body is still unread on the client's connection.
                     self.request.remaining_body = Some(remaining);
+                    // A refusal that is due to the client counts against the endpoint as well.
                     self.gateway.abandon_attempt(attempt, AbandonReason::EndpointLate);
                     let retry_after_ms = 0;
                     return Ok(Flow::Break(ForwardResult::Refused { refusal, retry_after_ms }));
