--- a/src/controller/admin_handler.rs
+++ b/src/controller/admin_handler.rs
@@ -1,4 +1,6 @@
-//! Answers the calls on the admin address.
+//! Handles the calls on the admin address: recognises the operation, rejects what can't be read,
+//! redirects to the leader, and answers or proposes. A caller may have stopped waiting, so failed
+//! sends of answers are ignored throughout.
 use crate::base::ids::InstanceId;
 use crate::base::time::Tick;
 use crate::config::directory::Heartbeat;
@@ -10,119 +12,171 @@
 use log::warn;
 use std::sync::mpsc::SyncSender;
 
-impl<E: Effects> Controller<E> {
-    pub(super) fn answer_http(&mut self, request: Request, reply: SyncSender<Response>, now: Tick) {
-        // A caller that no longer waits is none of our business.
-        let say = |response: Response| drop(reply.try_send(response));
-        let path = request.path.split('?').next().unwrap_or_default().to_owned();
+/// Longest id of an instance in a path, in bytes.
+const MAX_INSTANCE_ID_BYTES: usize = 200;
+
+/// What a call asks for.
+enum Operation {
+    ReadStatus,
+    ReadConfiguration,
+    Submit(Command),
+}
+
+impl Operation {
+    /// The operation that a request names; the refusal if there is none, or its body can't be
+    /// read.
+    fn parse(request: &Request, path: &str) -> Result<Self, Response> {
         let method = request.method.as_str();
-        let instance = path.strip_prefix("/instances/").filter(|id| {
-            !id.is_empty()
-                && id.len() <= 200
-                && id.bytes().all(|b| b.is_ascii_graphic() && b != b'/')
-        });
-        let known = match (path.as_str(), instance) {
-            ("/configuration", _) => ["GET", "PUT"].contains(&method),
-            ("/status", _) => method == "GET",
-            (_, Some(_)) => ["PUT", "DELETE"].contains(&method),
-            _ => return say(Response::refusal(404, "no such path")),
-        };
-        if !known {
-            return say(Response::refusal(405, "not with this method"));
+        let wrong_method = || Err(Response::refusal(405, "not with this method"));
+        if path == "/configuration" {
+            return match method {
+                "GET" => Ok(Self::ReadConfiguration),
+                "PUT" => read_configuration(request).map(Self::Submit),
+                _ => wrong_method(),
+            };
         }
         if path == "/status" {
-            return say(Response::json(200, self.status(now).to_string().into_bytes()));
+            return match method {
+                "GET" => Ok(Self::ReadStatus),
+                _ => wrong_method(),
+            };
         }
-        // What can't be read is refused by any controller.
-        let parsed = match (method, instance) {
-            ("PUT", None) => match read_configuration(&request) {
-                Ok(change) => Some(change),
-                Err(response) => return say(response),
-            },
-            ("PUT", Some(id)) => match serde_json::from_slice::<Heartbeat>(&request.body) {
-                Ok(heartbeat) if is_word(&heartbeat.instance.target_service.0) => {
-                    Some(Command::Heartbeat {
-                        id: InstanceId(id.to_owned()),
-                        instance: heartbeat.instance,
-                        sequence: heartbeat.sequence,
-                    })
-                }
-                Ok(_) => return say(Response::refusal(400, "target_service is no word")),
-                Err(e) => return say(Response::refusal(400, &format!("cannot be read: {e}"))),
-            },
-            // One that says goodbye has ended: whatever is still under way of it is late.
-            ("DELETE", Some(id)) => {
-                Some(Command::RemoveInstance { id: InstanceId(id.to_owned()), sequence: u64::MAX })
+        let Some(id) = instance_id(path) else {
+            return Err(Response::refusal(404, "no such path"));
+        };
+        match method {
+            "PUT" => read_heartbeat(request, id).map(Self::Submit),
+            // An instance that removes itself has ended: heartbeats of it still on the way are late.
+            "DELETE" => Ok(Self::Submit(Command::RemoveInstance { id, sequence: u64::MAX })),
+            _ => wrong_method(),
+        }
+    }
+}
+
+fn instance_id(path: &str) -> Option<InstanceId> {
+    let id = path.strip_prefix("/instances/")?;
+    let valid = !id.is_empty()
+        && id.len() <= MAX_INSTANCE_ID_BYTES
+        && id.bytes().all(|b| b.is_ascii_graphic() && b != b'/');
+    valid.then(|| InstanceId(id.to_owned()))
+}
+
+fn read_heartbeat(request: &Request, id: InstanceId) -> Result<Command, Response> {
+    match serde_json::from_slice::<Heartbeat>(&request.body) {
+        Ok(heartbeat) if is_word(&heartbeat.instance.target_service.0) => Ok(Command::Heartbeat {
+            id,
+            instance: heartbeat.instance,
+            sequence: heartbeat.sequence,
+        }),
+        Ok(_) => Err(Response::refusal(400, "target_service is no word")),
+        Err(e) => Err(Response::refusal(400, &format!("cannot be read: {e}"))),
+    }
+}
+
+impl<E: Effects> Controller<E> {
+    /// Handles a call; the answer is sent to `reply` now, or once it is confirmed or committed.
+    pub(super) fn handle_admin_request(
+        &mut self,
+        request: Request,
+        reply: SyncSender<Response>,
+        now: Tick,
+    ) {
+        let path = request.path.split('?').next().unwrap_or_default();
+        let accepted = Operation::parse(&request, path)
+            .and_then(|operation| self.accept_operation(operation, path, now));
+        let call = match accepted {
+            Err(response) => return drop(reply.try_send(response)),
+            Ok(Operation::ReadStatus) => {
+                let body = self.status(now).to_string().into_bytes();
+                return drop(reply.try_send(Response::json(200, body)));
+            }
+            Ok(Operation::Submit(Command::Heartbeat { id, instance, sequence })) => {
+                return self.handle_heartbeat(id, instance, sequence, reply, now);
             }
-            _ => None,
+            Ok(Operation::Submit(command)) => AdminCall::Command(command),
+            Ok(Operation::ReadConfiguration) => AdminCall::ReadConfiguration,
         };
+        let decided = self.reads.ask(&mut self.raft, &self.state_machine, call, reply, now);
+        self.execute_decisions(decided, now);
+        // A single controller has no other to wait for.
+        self.answer_confirmed_reads(now);
+    }
+
+    /// Lets through the operations that this controller may carry out now: the status always, all
+    /// others as the leader of a quorum with a readable state.
+    fn accept_operation(
+        &mut self,
+        operation: Operation,
+        path: &str,
+        now: Tick,
+    ) -> Result<Operation, Response> {
+        if matches!(operation, Operation::ReadStatus) {
+            return Ok(operation);
+        }
         if !self.raft.is_leader() {
-            return say(match self.leads_at() {
-                Some((_, admin)) => Response::elsewhere(format!("http://{admin}{path}")),
+            return Err(match self.leader_address() {
+                Some(leader) => Response::elsewhere(format!("http://{}{path}", leader.admin)),
                 None => Response::refusal(503, "no leader"),
             });
         }
         // Without a quorum nothing can be confirmed, and a new leader may not have applied yet what
         // the one before acknowledged.
         if !self.raft.holds_leader_lease(now) {
-            return say(Response::refusal(503, "no quorum"));
+            return Err(Response::refusal(503, "no quorum"));
         }
-        self.apply(now);
+        self.apply_committed_entries(now);
         if self.unreadable.is_some() {
-            return say(Response::refusal(503, "stopping"));
+            return Err(Response::refusal(503, "stopping"));
         }
+        if matches!(operation, Operation::Submit(_)) && !self.state_machine.begun() {
+            self.check_founding(now)?;
+        }
+        Ok(operation)
+    }
+
+    /// Rejects the first command of a new Raft group until it has the voters that it needs.
+    fn check_founding(&self, now: Tick) -> Result<(), Response> {
         let tolerated = self.settings.tolerated();
-        if parsed.is_some() && !self.state_machine.begun() {
-            let (voters, needed) = (self.raft.voters().len(), 2 * tolerated + 1);
-            if !self.raft.may_bootstrap(tolerated, now) {
-                let why = format!("being founded: {voters} of {needed} controllers vote");
-                return say(Response::refusal(503, &why));
-            }
-            if voters < needed {
-                warn!(target: "raft", "begins with {voters} voters of {needed}: not as many \
-                    machines may be lost as fault_tolerance says");
-            }
+        let (voters, needed) = (self.raft.voters().len(), 2 * tolerated + 1);
+        if !self.raft.may_bootstrap(tolerated, now) {
+            let why = format!("being founded: {voters} of {needed} controllers vote");
+            return Err(Response::refusal(503, &why));
         }
-        let call = match parsed {
-            Some(Command::Heartbeat { id, instance, sequence }) => {
-                return self.handle_heartbeat(id, instance, sequence, reply, now);
-            }
-            Some(change) => AdminCall::Command(change),
-            None => AdminCall::ReadConfiguration,
-        };
-        let ready = self.reads.ask(&mut self.raft, &self.state_machine, call, reply, now);
-        self.carry_through(ready, now);
-        // One that is alone has nobody to wait for.
-        self.answer_reads(now);
+        if voters < needed {
+            warn!(target: "raft", "begins with {voters} voters of {needed}: not as many \
+                machines may be lost as fault_tolerance says");
+        }
+        Ok(())
     }
 
-    pub(super) fn answer_reads(&mut self, now: Tick) {
-        let settled = self.reads.settled(&self.raft, &self.state_machine, self.applied, now);
-        self.carry_through(settled, now);
+    /// Answers the reads that are confirmed or have timed out.
+    pub(super) fn answer_confirmed_reads(&mut self, now: Tick) {
+        let decided = self.reads.settled(&self.raft, &self.state_machine, self.applied, now);
+        self.execute_decisions(decided, now);
     }
-    pub(super) fn carry_through(
+
+    fn execute_decisions(
         &mut self,
-        verdicts: impl IntoIterator<Item = (SyncSender<Response>, CallDecision)>,
+        decided: impl IntoIterator<Item = (SyncSender<Response>, CallDecision)>,
         now: Tick,
     ) {
-        for (reply, verdict) in verdicts {
-            match verdict {
-                // A caller that no longer waits is none of our business.
+        for (reply, decision) in decided {
+            match decision {
                 CallDecision::Answer(response) => drop(reply.try_send(response)),
-                CallDecision::Propose(change) => self.await_change(&change, reply, now),
+                CallDecision::Propose(command) => self.propose_for_caller(&command, reply, now),
             }
         }
     }
+
     /// Proposes what a caller asked for; it is answered when that is committed and applied.
-    pub(super) fn await_change(
+    pub(super) fn propose_for_caller(
         &mut self,
-        change: &Command,
+        command: &Command,
         reply: SyncSender<Response>,
         now: Tick,
     ) {
-        match self.propose(change, now) {
+        match self.propose(command, now) {
             Some(index) => self.proposed.add(self.raft.state.term, index, reply),
-            // A caller that no longer waits is none of our business.
             None => drop(reply.try_send(Response::refusal(503, "no leader"))),
         }
     }
--- /dev/null
+++ b/src/controller/committed_entries.rs
@@ -0,0 +1,203 @@
+//! Applies committed log entries to the state machine, and acts on what they change. An entry that
+//! can't be read here stops the controller: it must not go on with an older state.
+use crate::base::ids::{InstanceId, Revision};
+use crate::base::time::Tick;
+use crate::config::configuration::Configuration;
+use crate::config::route_table::RouteTable;
+use crate::controller::admin_api::judged;
+use crate::controller::core::Controller;
+use crate::controller::effects::Effects;
+use crate::net::http::Response;
+use crate::net::rpc::raft_messages::{EntryPayload, Member};
+use crate::state_machine::{Command, CommandOutcome, read_change, read_state};
+use log::info;
+use std::sync::mpsc::SyncSender;
+
+/// Route tables kept, the current one among them. A pooler that has one of them is sent only what
+/// changed since, any other the whole table.
+const MAX_ROUTE_TABLES: usize = 8;
+
+impl<E: Effects> Controller<E> {
+    /// Applies the entries that are committed and not applied yet. If one can't be read, the
+    /// reason is noted in `unreadable` and nothing is applied any more.
+    pub(super) fn apply_committed_entries(&mut self, now: Tick) {
+        if self.raft.commit_index <= self.applied || self.unreadable.is_some() {
+            return;
+        }
+        if let Err(why) = self.apply_readable_entries(now) {
+            self.unreadable = Some(why);
+        }
+    }
+
+    fn apply_readable_entries(&mut self, now: Tick) -> Result<(), String> {
+        let snapshot = &self.raft.state.snapshot;
+        if snapshot.last_included.index > self.applied {
+            self.state_machine = read_state(snapshot)?;
+            self.directory_frame = None;
+            self.applied = snapshot.last_included.index;
+        }
+        let mut new_members = None;
+        for entry in self.raft.committed_entries_after(self.applied) {
+            // Read first: an entry that can't be read does not count as applied.
+            let command = match &entry.payload {
+                EntryPayload::Command(bytes) => Some(read_change(entry.index, bytes)?),
+                EntryPayload::NoOp | EntryPayload::Membership(_) => None,
+            };
+            self.applied = entry.index;
+            let caller = self.proposed.take(&entry);
+            if let EntryPayload::Membership(members) = &entry.payload {
+                self.join.remove_members(members);
+                self.effects.keep_links(members);
+                new_members = Some(members.clone());
+            }
+            if let Some(command) = command {
+                self.apply_command(&command, caller, now);
+            }
+        }
+        if let Some(members) = new_members {
+            self.announce_members(&members);
+        }
+        if self.config.as_ref().map_or(Revision(0), |c| c.revision) != self.state_machine.revision {
+            self.activate_configuration(now)?;
+        }
+        let state_machine = &self.state_machine;
+        self.raft.compact_log(self.applied, || state_machine.write());
+        Ok(())
+    }
+
+    fn announce_members(&mut self, members: &[Member]) {
+        let describe =
+            |m: &Member| format!("{}{}", m.node, if m.voter { "" } else { " (learning)" });
+        let names: Vec<_> = members.iter().map(describe).collect();
+        self.send_controller_list();
+        info!(target: "raft", "members: {}", names.join(", "));
+    }
+
+    /// Makes the configuration in the state machine the current one, and sends its route table.
+    fn activate_configuration(&mut self, now: Tick) -> Result<(), String> {
+        info!(target: "state", "configuration {} is in force", self.state_machine.revision);
+        let config = self.state_machine.configuration()?;
+        self.set_configuration(config);
+        self.route_tables.extend(self.config.as_ref().map(RouteTable::of));
+        if self.route_tables.len() > MAX_ROUTE_TABLES {
+            self.route_tables.pop_front();
+        }
+        let conns: Vec<u64> = self.poolers.keys().copied().collect();
+        for conn in conns {
+            self.send_due_updates(conn, now);
+        }
+        Ok(())
+    }
+
+    /// Sets the current configuration, and drops what was derived from the one before.
+    pub(super) fn set_configuration(&mut self, config: Option<Configuration>) {
+        let services = config.iter().flat_map(|c| &c.services);
+        self.services = services.map(|s| (s.name.clone(), s.clone())).collect();
+        self.config = config;
+        self.route_table_frames.clear();
+        if let Some(leader_state) = &mut self.leader_state {
+            leader_state.pending_updates.stir_all();
+        }
+    }
+
+    /// Applies a command, answers the caller that waits for it, and acts on what it changed.
+    fn apply_command(
+        &mut self,
+        command: &Command,
+        caller: Option<SyncSender<Response>>,
+        now: Tick,
+    ) {
+        let previous_primary = match command {
+            Command::PrimaryReturned { service, .. } => {
+                self.state_machine.leads.get(service).map(|record| record.primary.clone())
+            }
+            _ => None,
+        };
+        let outcome = self.state_machine.apply(command);
+        if let Some(reply) = caller {
+            let answer = match command {
+                Command::Heartbeat { .. } => self.heartbeat_response(),
+                _ => judged(&outcome),
+            };
+            // The caller may no longer wait.
+            drop(reply.try_send(answer));
+        }
+        if outcome != CommandOutcome::Applied {
+            return;
+        }
+        log_applied(command);
+        match command {
+            Command::Heartbeat { id, instance, .. } => {
+                self.note_directory_change(id, now);
+                let (service, role) = (&instance.target_service, instance.database_role);
+                self.step_failover(service, now, |failover, snapshot| {
+                    failover.handle_heartbeat(snapshot, id, role, now)
+                });
+                self.tick_failover(service, now);
+            }
+            Command::RemoveInstance { id, .. } => self.note_directory_change(id, now),
+            Command::SetPrimary { .. }
+            | Command::BeginFailover { .. }
+            | Command::AbandonFailover { .. }
+            | Command::PrimaryReturned { .. } => {
+                self.handle_primary_change(command, previous_primary, now);
+            }
+            // The configuration is activated once all committed entries are applied.
+            Command::PutConfiguration { .. } | Command::ForgetDeparted { .. } => {}
+        }
+    }
+
+    /// Acts on a command that changes the primary of a service or the intent to change it.
+    fn handle_primary_change(
+        &mut self,
+        command: &Command,
+        previous_primary: Option<InstanceId>,
+        now: Tick,
+    ) {
+        let (Command::SetPrimary { service, .. }
+        | Command::BeginFailover { service, .. }
+        | Command::AbandonFailover { service, .. }
+        | Command::PrimaryReturned { service, .. }) = command
+        else {
+            return;
+        };
+        // A primary that returned ends the record of the instance that it was before.
+        if let Some(previous) = &previous_primary {
+            self.note_directory_change(previous, now);
+        }
+        self.tick_failover(service, now);
+        if let Some(leader_state) = &mut self.leader_state {
+            leader_state.pending_updates.stir(service);
+        }
+        self.directory_updates.renewal_due |=
+            matches!(command, Command::SetPrimary { .. } | Command::PrimaryReturned { .. });
+    }
+}
+
+fn log_applied(command: &Command) {
+    match command {
+        // Logged when it is activated.
+        Command::PutConfiguration { .. } => {}
+        Command::Heartbeat { id, instance, .. } => {
+            info!(target: "state", "{id} of {}: {:?}, {:?}", instance.target_service,
+                instance.database_role, instance.lifecycle_state);
+        }
+        Command::RemoveInstance { id, .. } => info!(target: "state", "{id} is gone"),
+        Command::SetPrimary { service, term, primary } => {
+            info!(target: "failover", "{service}: {primary} leads term {term}");
+        }
+        Command::BeginFailover { service, target, .. } => {
+            info!(target: "failover", "{service}: {target} is to take over");
+        }
+        Command::AbandonFailover { service, target } => {
+            info!(target: "failover", "{service}: {target} is not running, given up");
+        }
+        Command::PrimaryReturned { service, term, primary } => {
+            info!(target: "failover", "{service}: {primary} is the primary of term {term}, back");
+        }
+        Command::ForgetDeparted { service, departed } => {
+            let names: Vec<String> = departed.keys().map(|id| id.to_string()).collect();
+            info!(target: "failover", "{service}: others have what {} had", names.join(", "));
+        }
+    }
+}
--- a/src/controller/event_loop.rs
+++ b/src/controller/event_loop.rs
@@ -1,4 +1,5 @@
-//! The loop of the controller's process: waits for events and moves the controller on.
+//! The event loop of the controller's process: waits for events and for the time of the next step,
+//! hands both to `Controller`, reads changed settings, and ends the process in order.
 use crate::base::errors::Fatal;
 use crate::base::signals::Signals;
 use crate::base::time::Tick;
@@ -11,77 +12,100 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::Duration;
 
-/// How often peers are looked at that did not take all at once.
-const PUMP_MS: u64 = 5;
+/// Milliseconds between two attempts to send to peers that did not take everything at once.
+const FLUSH_INTERVAL_MS: u64 = 5;
+
+/// Milliseconds between two checks for idle connections and changed settings.
+const HOUSEKEEPING_INTERVAL_MS: u64 = 1_000;
+
+/// Milliseconds that a leader asked to stop waits for another to take over.
+const TRANSFER_TIMEOUT_MS: u64 = 500;
+
+/// Events handled after the one that was waited for, before the next step.
+const MAX_FURTHER_EVENTS: usize = 64;
 
 impl Controller<SocketTransport> {
+    /// Runs the controller until it is asked to stop.
+    ///
+    /// # Errors
+    /// `Fatal::State` if something that is committed can't be read here.
     pub(crate) fn serve(
         &mut self,
-        rx: Receiver<Event>,
+        events: Receiver<Event>,
         signals: &Signals,
         mut watched: Watched,
     ) -> Result<(), Fatal> {
-        let mut leaving: Option<Tick> = None;
-        let mut looked = Tick::now();
+        let mut stopping_since: Option<Tick> = None;
+        let mut last_housekeeping = Tick::now();
         loop {
-            let wait = self.due(Tick::now());
-            let wait = if self.effects.pumping() { wait.min(PUMP_MS) } else { wait };
-            match rx.recv_timeout(Duration::from_millis(wait)) {
-                Ok(event) => {
-                    self.hear(event, Tick::now());
-                    for _ in 0..64 {
-                        let Ok(event) = rx.try_recv() else { break };
-                        self.hear(event, Tick::now());
-                    }
-                }
-                Err(RecvTimeoutError::Timeout) => {}
-                Err(RecvTimeoutError::Disconnected) => return Ok(()),
+            if !self.handle_next_events(&events) {
+                return Ok(());
             }
             let now = Tick::now();
-            self.turn(now)?;
-            if now.since(looked) > 1_000 {
-                looked = now;
+            self.step(now)?;
+            if now.since(last_housekeeping) > HOUSEKEEPING_INTERVAL_MS {
+                last_housekeeping = now;
                 let poolers = &self.poolers;
                 self.effects.drop_useless(|conn| poolers.contains_key(&conn), now);
                 if let Some(settings) = watched.poll(signals.take_hup()) {
                     self.settings = settings;
                 }
             }
-            if signals.terminated() && leaving.is_none() {
+            if signals.terminated() && stopping_since.is_none() {
                 info!(target: "raft", "stopping");
-                leaving = Some(now);
-                self.leave(now);
+                stopping_since = Some(now);
+                self.transfer_leadership(now);
             }
-            // The hand-over needs a moment; a follower can go at once.
-            if leaving.is_some_and(|t| !self.raft.is_leader() || now.since(t) > 500) {
+            // The transfer of leadership needs a moment; a follower can end at once.
+            let ended = |since| !self.raft.is_leader() || now.since(since) > TRANSFER_TIMEOUT_MS;
+            if stopping_since.is_some_and(ended) {
                 info!(target: "raft", "stopped");
                 return Ok(());
             }
         }
     }
 
-    fn hear(&mut self, event: Event, now: Tick) {
+    /// Waits for an event until the next step is due, and handles it with those that follow it.
+    /// False if no event can arrive any more.
+    fn handle_next_events(&mut self, events: &Receiver<Event>) -> bool {
+        let wait = self.millis_until_step(Tick::now());
+        let wait = if self.effects.pumping() { wait.min(FLUSH_INTERVAL_MS) } else { wait };
+        match events.recv_timeout(Duration::from_millis(wait)) {
+            Ok(event) => {
+                self.handle_event(event, Tick::now());
+                for _ in 0..MAX_FURTHER_EVENTS {
+                    let Ok(event) = events.try_recv() else { break };
+                    self.handle_event(event, Tick::now());
+                }
+                true
+            }
+            Err(RecvTimeoutError::Timeout) => true,
+            Err(RecvTimeoutError::Disconnected) => false,
+        }
+    }
+
+    fn handle_event(&mut self, event: Event, now: Tick) {
         match event {
-            Event::Opened(id, stream) => {
-                self.effects.conns.insert(id, PeerConnection::new(stream, now));
+            Event::Opened(conn, stream) => {
+                self.effects.conns.insert(conn, PeerConnection::new(stream, now));
             }
-            Event::Linked(member, line) => {
+            Event::Linked(member, connection) => {
                 if let Some(link) = self.effects.links.get_mut(&member) {
                     link.dialing = false;
-                    link.line = line;
+                    link.line = connection;
                 }
             }
             Event::Input(input) => {
                 match &input {
                     Input::Frame(conn, _) => {
-                        if let Some(line) = self.effects.conns.get_mut(conn) {
-                            line.heard = Some(now);
+                        if let Some(connection) = self.effects.conns.get_mut(conn) {
+                            connection.heard = Some(now);
                         }
                     }
                     Input::Closed(conn) => drop(self.effects.conns.remove(conn)),
                     _ => {}
                 }
-                self.take(input, now);
+                self.handle_input(input, now);
             }
         }
     }
--- a/src/controller/failover_driver.rs
+++ b/src/controller/failover_driver.rs
@@ -1,102 +1,146 @@
-//! Runs the failover of each service.
+//! Runs the failover of each service on the leader: hands `Failover` what happened with a snapshot
+//! of the service, and carries out the actions that it returns.
 use crate::base::ids::{InstanceId, ServiceName};
 use crate::base::time::Tick;
 use crate::config::settings::Rollout;
 use crate::controller::core::Controller;
 use crate::controller::effects::Effects;
 use crate::failover::{
-    Attempt, Failover, FailoverAction, FailoverState, LeaseStatus, ServiceSnapshot,
+    Attempt, DatabaseRequest, DatabaseResponse, Failover, FailoverAction, FailoverState,
+    LeaseStatus, PromotionResponse, ServiceSnapshot,
 };
 use crate::net::rpc::pooler_messages::ToPooler;
 use crate::net::rpc::{Frame, LAYOUT, encode};
 use crate::state_machine::Command;
 use log::{debug, info, warn};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Questions to databases under way at once, and waiting.
-const MAX_ASKS: usize = 96;
+/// Requests to databases in flight at once. Each occupies a thread, and unreachable databases take
+/// long to answer.
+const MAX_REQUESTS_IN_FLIGHT: usize = 96;
 
-const QUESTIONS_WAITING: usize = 4_096;
+/// Requests to databases that wait for one in flight to end.
+const MAX_QUEUED_REQUESTS: usize = 4_096;
 
-/// A database whose heartbeats miss this many intervals is doubted.
-const MISSED_BEATS: u64 = 3;
+/// Heartbeat intervals without a heartbeat after which an instance no longer counts as alive.
+const MISSED_HEARTBEATS: u64 = 3;
+
+/// A request to a database, and the failover attempt that needs it.
+#[derive(PartialEq)]
+struct QueuedRequest {
+    service: ServiceName,
+    instance: InstanceId,
+    request: DatabaseRequest,
+    attempt: Attempt,
+}
+
+/// The requests to databases: how many are in flight, and those that wait.
+#[derive(Default)]
+pub(super) struct DatabaseRequests {
+    in_flight: usize,
+    queue: VecDeque<QueuedRequest>,
+}
+
+impl DatabaseRequests {
+    /// How many wait to be sent.
+    pub(super) fn queued(&self) -> usize {
+        self.queue.len()
+    }
+    /// Drops those that wait, as this controller no longer leads.
+    pub(super) fn clear_queue(&mut self) {
+        self.queue.clear();
+    }
+    /// Adds a request. One that waits already is not added again, nor one beyond the bound: the
+    /// failover that needs the answer sends it again.
+    fn push(&mut self, request: QueuedRequest) {
+        if self.queue.len() < MAX_QUEUED_REQUESTS && !self.queue.contains(&request) {
+            self.queue.push_back(request);
+        }
+    }
+}
 
 impl<E: Effects> Controller<E> {
-    pub(super) fn snapshot(&self, service: &ServiceName, now: Tick) -> ServiceSnapshot {
-        let primary_record = self.state_machine.leads.get(service).cloned();
-        let patience = MISSED_BEATS * self.settings.heartbeat_ms;
+    /// What the failover of `service` decides on: the applied state, and what the leader knows of
+    /// heartbeats and leases.
+    fn service_snapshot(&self, service: &ServiceName, now: Tick) -> ServiceSnapshot {
+        let databases = self.state_machine.of_service(service);
         let mut snapshot = ServiceSnapshot {
             service: service.clone(),
             raft_term: self.raft.state.term,
-            databases: self
-                .state_machine
-                .of_service(service)
-                .map(|(id, i)| (id.clone(), i.clone()))
-                .collect(),
+            databases: databases.map(|(id, i)| (id.clone(), i.clone())).collect(),
             departed: BTreeMap::new(),
             alive: BTreeSet::new(),
             sync_replicas: self.services.get(service).map_or(0, |s| s.sync_replicas),
             leases_expired: false,
             released_up_to: None,
-            primary_record,
+            primary_record: self.state_machine.leads.get(service).cloned(),
         };
-        // Without synchronous replicas no copy is counted on.
+        // Without synchronous replicas no commit relies on a departed replica.
         if snapshot.sync_replicas > 0 {
             snapshot.departed = self.state_machine.departed(service);
         }
-        if let Some(leader_state) = &self.leader_state {
-            let heartbeats = |id: &&InstanceId| {
-                leader_state.heartbeats.get(*id).is_some_and(|(at, _)| now.since(*at) < patience)
-            };
-            snapshot.alive =
-                snapshot.databases.iter().map(|(id, _)| id).filter(heartbeats).cloned().collect();
-            let steady = |s: &Failover| s.state == FailoverState::Steady;
-            if let Some(lead) = &snapshot.primary_record
-                && !leader_state.failovers.get(service).is_some_and(steady)
-            {
-                snapshot.leases_expired = leader_state.leases.gone(service, lead.term, now);
-                let (seen, trusting) =
-                    (leader_state.watermarks.newest(service), snapshot.sync_replicas == 0);
-                snapshot.released_up_to =
-                    leader_state.leases.given_back(service, lead.term, seen, trusting, now);
-            }
+        let Some(leader_state) = &self.leader_state else {
+            return snapshot;
+        };
+        let patience = MISSED_HEARTBEATS * self.settings.heartbeat_ms;
+        let alive = |id: &&InstanceId| {
+            let last = leader_state.heartbeats.get(*id);
+            last.is_some_and(|last| now.since(last.received_at) < patience)
+        };
+        snapshot.alive =
+            snapshot.databases.iter().map(|(id, _)| id).filter(alive).cloned().collect();
+        let steady = |f: &Failover| f.state == FailoverState::Steady;
+        if let Some(record) = &snapshot.primary_record
+            && !leader_state.failovers.get(service).is_some_and(steady)
+        {
+            snapshot.leases_expired = leader_state.leases.gone(service, record.term, now);
+            let newest = leader_state.watermarks.newest(service);
+            let trusting = snapshot.sync_replicas == 0;
+            snapshot.released_up_to =
+                leader_state.leases.given_back(service, record.term, newest, trusting, now);
         }
         snapshot
     }
 
-    /// Takes one step of a service's failover and carries out what it asks for.
-    pub(super) fn move_on(
+    /// Takes one step of the failover of `service`, and carries out the actions it returns. Does
+    /// nothing unless this controller leads, and has applied what is committed or runs this
+    /// failover already.
+    pub(super) fn step_failover(
         &mut self,
         service: &ServiceName,
         now: Tick,
         step: impl FnOnce(&mut Failover, &ServiceSnapshot) -> Vec<FailoverAction>,
     ) {
-        // The databases of a gateway are alike: none of them leads.
+        // The databases of a gateway are equal: none is a primary.
         if !self.raft.holds_leader_lease(now) || self.settings.rollout == Rollout::Api {
             return;
         }
-        let snapshot = self.snapshot(service, now);
+        let snapshot = self.service_snapshot(service, now);
         let behind = self.applied < self.raft.commit_index;
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        // What an earlier leader decided may stand in the next entry.
+        // The next entry may hold what an earlier leader decided.
         if behind && !leader_state.failovers.contains_key(service) {
             return;
         }
         let mut actions = Vec::new();
-        let known = leader_state.failovers.get(service).map(Failover::lease_status);
+        let status_before = leader_state.failovers.get(service).map(Failover::lease_status);
         let failover = leader_state.failovers.entry(service.clone()).or_insert_with(|| {
-            let (begun, first) = Failover::begin(&snapshot, now);
-            actions = first;
-            begun
+            let (failover, first_actions) = Failover::begin(&snapshot, now);
+            actions = first_actions;
+            failover
         });
-        let before = std::mem::discriminant(&failover.state);
+        let state_before = std::mem::discriminant(&failover.state);
         actions.extend(step(failover, &snapshot));
-        let lease_status = failover.lease_status();
-        if known != Some(lease_status) {
+        let (lease_status, attempt) = (failover.lease_status(), failover.attempt);
+        let active = failover.state != FailoverState::Steady || !actions.is_empty();
+        if state_before != std::mem::discriminant(&failover.state) {
+            info!(target: "failover", "{service}: now {}", failover.state.status_text());
+        }
+        if status_before != Some(lease_status) {
             leader_state.pending_updates.stir(service);
-            // A sealed position is true for the moment it is told in, so it is told each time.
+            // A sealed position holds only for the moment it is sent in, so it is in each answer.
             match lease_status {
                 LeaseStatus { revoking: true, sealed: Some(_) } => {
                     leader_state.sealed.insert(service.clone())
@@ -104,21 +148,21 @@
                 _ => leader_state.sealed.remove(service),
             };
         }
-        let stirs = failover.state != FailoverState::Steady || !actions.is_empty();
-        match stirs {
-            true => leader_state.stirred.insert(service.clone()),
-            false => leader_state.stirred.remove(service),
+        match active {
+            true => leader_state.active_services.insert(service.clone()),
+            false => leader_state.active_services.remove(service),
         };
-        if before != std::mem::discriminant(&failover.state) {
-            info!(target: "failover", "{service}: now {}", failover.state.status_text());
-        }
-        let attempt = failover.attempt;
         for action in actions {
-            self.carry_out(service, action, attempt, now);
+            self.execute_action(service, action, attempt, now);
         }
     }
 
-    pub(super) fn carry_out(
+    /// Lets the failover of `service` act on the time that has passed.
+    pub(super) fn tick_failover(&mut self, service: &ServiceName, now: Tick) {
+        self.step_failover(service, now, |failover, snapshot| failover.tick(snapshot, now));
+    }
+
+    fn execute_action(
         &mut self,
         service: &ServiceName,
         action: FailoverAction,
@@ -131,49 +175,83 @@
             ) if !self.raft.all_peers_read_layout(LAYOUT) => {
                 debug!(target: "failover", "{service}: waits until all controllers are exchanged");
             }
-            FailoverAction::Propose(change) => {
-                self.propose(&change, now);
+            FailoverAction::Propose(command) => {
+                self.propose(&command, now);
             }
             FailoverAction::RevokeLeases(term) => {
-                // Ahead of whatever waits.
-                let frame =
-                    encode(&Frame::Controller(ToPooler::Revoke { service: service.clone(), term }));
+                let message = ToPooler::Revoke { service: service.clone(), term };
+                let frame = encode(&Frame::Controller(message));
                 for conn in self.poolers.keys() {
                     self.effects.send_first(*conn, frame.clone());
                 }
-                self.pump(now);
+                self.flush_connections(now);
             }
-            FailoverAction::SendRequest(id, ask) => {
-                // The same question twice is one; beyond the bound whoever needs it asks again.
-                let question = (service.clone(), id, ask, attempt);
-                if self.questions.len() < QUESTIONS_WAITING && !self.questions.contains(&question) {
-                    self.questions.push_back(question);
-                }
-                self.ask_on();
+            FailoverAction::SendRequest(instance, request) => {
+                let service = service.clone();
+                let request = QueuedRequest { service, instance, request, attempt };
+                self.database_requests.push(request);
+                self.send_database_requests();
             }
             FailoverAction::Promote(target) => {
                 let Some(provider) = &self.settings.provider else {
                     warn!(target: "failover", "no provider is set, {service} can't be moved");
                     return;
                 };
-                let (at, holder) = (provider.address, &self.settings.node_name);
-                self.effects.post_failover(at, holder, service, &target, attempt);
+                let (address, holder) = (provider.address, &self.settings.node_name);
+                self.effects.post_failover(address, holder, service, &target, attempt);
             }
         }
     }
 
-    /// Asks databases what waits to be asked, so many at a time: dark ones take long to answer.
-    pub(super) fn ask_on(&mut self) {
-        while self.asking < MAX_ASKS
-            && let Some((service, id, ask, attempt)) = self.questions.pop_front()
+    /// Sends queued requests up to the bound of those in flight.
+    fn send_database_requests(&mut self) {
+        while self.database_requests.in_flight < MAX_REQUESTS_IN_FLIGHT
+            && let Some(next) = self.database_requests.queue.pop_front()
         {
-            let Some(record) = self.state_machine.instances.get(&id) else {
+            let QueuedRequest { service, instance, request, attempt } = next;
+            let Some(record) = self.state_machine.instances.get(&instance) else {
                 continue;
             };
             let address = record.instance.address;
-            let started = self.effects.ask_database(&service, &id, address, ask, attempt);
-            // Without a thread it is not asked; whoever needs the answer asks again.
-            self.asking += usize::from(started);
+            let started = self.effects.ask_database(&service, &instance, address, request, attempt);
+            // Without a thread it is not sent; the failover that needs the answer retries.
+            self.database_requests.in_flight += usize::from(started);
+        }
+    }
+
+    /// Handles what came of a request to a database.
+    pub(super) fn handle_database_response(
+        &mut self,
+        service: &ServiceName,
+        instance: &InstanceId,
+        request: DatabaseRequest,
+        attempt: Attempt,
+        response: &DatabaseResponse,
+        now: Tick,
+    ) {
+        // `Connected` is not the end of a request: another response follows.
+        if *response != DatabaseResponse::Connected {
+            self.database_requests.in_flight -= 1;
+            self.send_database_requests();
+            info!(target: "failover", "{service}: {instance} on {request:?}: {response:?}");
         }
+        self.step_failover(service, now, |failover, snapshot| {
+            failover.handle_response(snapshot, attempt, instance, request, response, now)
+        });
+    }
+
+    /// Handles the platform's answer to a promotion.
+    pub(super) fn handle_promotion_response(
+        &mut self,
+        service: &ServiceName,
+        target: &InstanceId,
+        attempt: Attempt,
+        response: PromotionResponse,
+        now: Tick,
+    ) {
+        info!(target: "failover", "{service}: promote of {target}: {response:?}");
+        self.step_failover(service, now, |failover, snapshot| {
+            failover.handle_promotion_response(snapshot, attempt, target, response, now)
+        });
     }
 }
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -1,4 +1,5 @@
-//! Heartbeats of databases.
+//! Heartbeats of databases: a heartbeat counts as a sign of life at once, its content only once it
+//! is committed. The admin handler calls this; instances that fall silent leave the directory.
 use crate::base::ids::InstanceId;
 use crate::base::time::Tick;
 use crate::config::directory::{Instance, Role};
@@ -8,12 +9,21 @@
 use crate::state_machine::Command;
 use std::sync::mpsc::SyncSender;
 
-/// One that stays silent this long is dropped from the directory.
-pub(super) const FORGOTTEN_MS: u64 = 60_000;
+/// Milliseconds without a heartbeat after which an instance is removed from the directory.
+const INSTANCE_EXPIRY_MS: u64 = 60_000;
+
+/// What the leader knows of an instance's heartbeats.
+pub(super) struct LastHeartbeat {
+    /// When the newest one was received.
+    pub(super) received_at: Tick,
+    /// Its sequence number; 0 if none was received yet.
+    pub(super) sequence: u64,
+}
 
 impl<E: Effects> Controller<E> {
-    /// The answer to a heartbeat: later ones are to come here at once, without another controller between.
-    pub(super) fn beaten(&self) -> Response {
+    /// The answer to a heartbeat: it names this controller, so that later heartbeats come to the
+    /// leader without a redirect.
+    pub(super) fn heartbeat_response(&self) -> Response {
         match self.settings.listeners.admin {
             Some(admin) => {
                 let body = serde_json::json!({ "heartbeat_url": admin }).to_string();
@@ -23,6 +33,8 @@
         }
     }
 
+    /// Handles a heartbeat received by the leader. One that changes nothing is answered at once,
+    /// all others when they are committed and applied.
     pub(super) fn handle_heartbeat(
         &mut self,
         id: InstanceId,
@@ -32,26 +44,59 @@
         now: Tick,
     ) {
         let (service, role) = (instance.target_service.clone(), instance.database_role);
-        // That it was heard is known at once; what it said counts only once it is committed.
-        let mut newest = false;
-        if let Some(leader_state) = &mut self.leader_state {
-            let heard = leader_state.heartbeats.entry(id.clone()).or_insert((now, 0));
-            newest = sequence > heard.1;
-            if newest {
-                *heard = (now, sequence);
-            }
-        }
+        let newest = self.record_heartbeat(&id, sequence, now);
         if self.state_machine.news(&id, &instance, sequence) {
-            self.await_change(&Command::Heartbeat { id, instance, sequence }, reply, now);
-        } else {
-            drop(reply.try_send(self.beaten()));
-            // A replica, or the primary that is known, says nothing new by this.
-            let known = self.state_machine.leads.get(&service).is_some_and(|l| l.primary == id);
-            if newest && role == Role::Primary && !known {
-                self.move_on(&service, now, |s, snapshot| {
-                    s.handle_heartbeat(snapshot, &id, role, now)
-                });
+            let command = Command::Heartbeat { id, instance, sequence };
+            return self.propose_for_caller(&command, reply, now);
+        }
+        // The caller may no longer wait.
+        drop(reply.try_send(self.heartbeat_response()));
+        // Only a primary that is not the known one matters to the failover.
+        let known_primary = self.state_machine.leads.get(&service).is_some_and(|l| l.primary == id);
+        if newest && role == Role::Primary && !known_primary {
+            self.step_failover(&service, now, |failover, snapshot| {
+                failover.handle_heartbeat(snapshot, &id, role, now)
+            });
+        }
+    }
+
+    /// Notes a sign of life. Whether the heartbeat is newer than all received before.
+    fn record_heartbeat(&mut self, id: &InstanceId, sequence: u64, now: Tick) -> bool {
+        let Some(leader_state) = &mut self.leader_state else {
+            return false;
+        };
+        let last = leader_state
+            .heartbeats
+            .entry(id.clone())
+            .or_insert(LastHeartbeat { received_at: now, sequence: 0 });
+        let newest = sequence > last.sequence;
+        if newest {
+            *last = LastHeartbeat { received_at: now, sequence };
+        }
+        newest
+    }
+
+    /// Proposes to remove the instances that have been silent for too long; a primary stays.
+    pub(super) fn remove_silent_instances(&mut self, now: Tick) {
+        let Some(leader_state) = &mut self.leader_state else {
+            return;
+        };
+        let state_machine = &self.state_machine;
+        let expired: Vec<InstanceId> = leader_state
+            .heartbeats
+            .iter()
+            .filter(|(id, last)| {
+                now.since(last.received_at) > INSTANCE_EXPIRY_MS
+                    && state_machine.instances.contains_key(*id)
+                    && !state_machine.leads.values().any(|l| l.primary == **id)
+            })
+            .map(|(id, _)| id.clone())
+            .collect();
+        for id in expired {
+            if let Some(leader_state) = &mut self.leader_state {
+                leader_state.heartbeats.remove(&id);
             }
+            self.propose(&Command::RemoveInstance { id, sequence: 0 }, now);
         }
     }
 }
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,12 +1,14 @@
 //! The controller: consensus, replicated state, failover and leases behind one step function.
 pub mod admin_api;
 mod admin_handler;
+mod committed_entries;
 pub mod core;
 pub mod effects;
 mod event_loop;
 mod failover_driver;
 mod heartbeats;
 mod leader_state;
+mod lease_renewals;
 pub mod linearizable_reads;
 mod membership;
 pub(crate) mod outgoing_calls;
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -1,65 +1,91 @@
-//! The status report.
+//! The status report: `GET /status` answers with it on each controller, leader or not.
+//!
+//! The keys are an interface that operators' tools read, and `tests/interfaces.rs` pins them. So
+//! they keep words that the code no longer uses: `stiles` are the poolers and gateways, `epoch` is
+//! the Raft term, `entry` the last index of the log, and `questions_waiting` counts the requests to
+//! databases that are queued.
 use crate::base::time::Tick;
 use crate::controller::core::Controller;
 use crate::controller::effects::Effects;
 use crate::leases::lease_table::LEASE_MS;
-use crate::net::rpc::pooler_messages::PrimaryStatus;
+use crate::net::rpc::pooler_messages::{LeaseGrant, PrimaryStatus};
+use serde_json::{Value, json};
 
 impl<E: Effects> Controller<E> {
-    pub(super) fn status(&self, now: Tick) -> serde_json::Value {
-        let members: Vec<_> = self
-            .raft
-            .members()
-            .iter()
-            .map(|m| serde_json::json!({ "id": m.id.0, "node": m.node, "peer": m.peer, "admin": m.admin, "voter": m.voter }))
-            .collect();
-        let databases: Vec<_> = self
-            .state_machine
-            .instances
-            .iter()
-            .map(|(id, r)| serde_json::json!({ "id": id, "database": r.instance, "sequence": r.sequence }))
-            .collect();
-        let poolers: Vec<_> = self.leader_state.iter().flat_map(|o| &o.leases.seats).map(|(node, seat)| {
-            serde_json::json!({
-                "node": node,
-                "connected": seat.conn.is_some(),
-                "heard_ms_ago": now.since(seat.heard),
-                "lease_left_ms": (seat.granted.0 + LEASE_MS).saturating_sub(now.0),
-                "services": seat.told.values().map(|g| serde_json::json!({
-                    "service": g.service, "connections_allowed": g.quota,
-                    "term": match &g.status { PrimaryStatus::Active { term, .. } => Some(term), _ => None },
-                })).collect::<Vec<_>>(),
-            })
-        }).collect();
-        let services: Vec<_> = self
-            .state_machine
-            .leads
-            .iter()
-            .map(|(service, lead)| {
-                let stage = self.leader_state.as_ref().and_then(|o| o.failovers.get(service));
-                serde_json::json!({
-                    "service": service, "term": lead.term, "primary": lead.primary,
-                    "intent": lead.intent, "stage": stage.map(|s| s.state.status_text()),
-                })
-            })
-            .collect();
-        serde_json::json!({
+    pub(super) fn status(&self, now: Tick) -> Value {
+        json!({
             "node": self.settings.node_name,
             "role": "controller",
             "member": self.raft.state.member_id.0,
             "leader": self.leader().map(|m| m.node.0.clone()),
-            "leader_admin": self.leads_at().map(|l| l.1),
+            "leader_admin": self.leader_address().map(|l| l.admin),
             "leads": self.raft.holds_leader_lease(now),
             "epoch": self.raft.state.term,
             "entry": self.raft.last_position().index,
             "committed": self.raft.commit_index,
-            "members": members,
+            "members": self.member_statuses(),
             "revision": self.state_machine.revision,
-            "databases": databases,
-            "services": services,
-            "stiles": poolers,
+            "databases": self.database_statuses(),
+            "services": self.service_statuses(),
+            "stiles": self.pooler_statuses(now),
             "peers": self.effects.peers(),
-            "questions_waiting": self.questions.len(),
+            "questions_waiting": self.database_requests.queued(),
         })
     }
+
+    fn member_statuses(&self) -> Vec<Value> {
+        let members = self.raft.members().iter();
+        members
+            .map(|m| {
+                json!({
+                    "id": m.id.0, "node": m.node, "peer": m.peer, "admin": m.admin,
+                    "voter": m.voter,
+                })
+            })
+            .collect()
+    }
+
+    fn database_statuses(&self) -> Vec<Value> {
+        let instances = self.state_machine.instances.iter();
+        instances
+            .map(|(id, r)| json!({ "id": id, "database": r.instance, "sequence": r.sequence }))
+            .collect()
+    }
+
+    fn service_statuses(&self) -> Vec<Value> {
+        let records = self.state_machine.leads.iter();
+        records
+            .map(|(service, record)| {
+                let leader_state = self.leader_state.as_ref();
+                let failover = leader_state.and_then(|l| l.failovers.get(service));
+                json!({
+                    "service": service, "term": record.term, "primary": record.primary,
+                    "intent": record.intent, "stage": failover.map(|f| f.state.status_text()),
+                })
+            })
+            .collect()
+    }
+
+    fn pooler_statuses(&self, now: Tick) -> Vec<Value> {
+        let poolers = self.leader_state.iter().flat_map(|l| &l.leases.seats);
+        poolers
+            .map(|(node, leases)| {
+                json!({
+                    "node": node,
+                    "connected": leases.conn.is_some(),
+                    "heard_ms_ago": now.since(leases.heard),
+                    "lease_left_ms": (leases.granted.0 + LEASE_MS).saturating_sub(now.0),
+                    "services": leases.told.values().map(grant_status).collect::<Vec<_>>(),
+                })
+            })
+            .collect()
+    }
+}
+
+fn grant_status(grant: &LeaseGrant) -> Value {
+    let term = match &grant.status {
+        PrimaryStatus::Active { term, .. } => Some(term),
+        _ => None,
+    };
+    json!({ "service": grant.service, "connections_allowed": grant.quota, "term": term })
 }
--- a/src/simulation/events.rs
+++ b/src/simulation/events.rs
@@ -112,7 +112,7 @@
         let machine = &mut self.machines[number];
         let now = Tick(self.now + machine.clock_offset);
         if let Some(controller) = &mut machine.controller {
-            controller.take(Input::PeerLayout(message.from, LAYOUT), now);
+            controller.handle_input(Input::PeerLayout(message.from, LAYOUT), now);
         }
         let frame = Frame::Raft { to, message: Box::new(message) };
         self.step(number, Some(Input::Frame(0, frame)));
--- a/src/simulation/machines.rs
+++ b/src/simulation/machines.rs
@@ -193,14 +193,14 @@
         let Some(controller) = &mut machine.controller else { return };
         let now = Tick(self.now + machine.clock_offset);
         if let Some(input) = input {
-            controller.take(input, now);
+            controller.handle_input(input, now);
         }
-        if let Err(e) = controller.turn(now) {
+        if let Err(e) = controller.step(now) {
             return self.report_violation(format!("n{number} stops: {e}"));
         }
         machine.wake += 1;
         let wake = Event::Wake(number, machine.incarnation, machine.wake);
-        let due = controller.due(now).max(1);
+        let due = controller.millis_until_step(now).max(1);
         let mut wanted = std::mem::take(&mut controller.effects);
         controller.effects.open = std::mem::take(&mut wanted.open);
         self.schedule_after(held + due, wake);
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -485,10 +485,10 @@
         this
     }
     fn turn(&mut self) {
-        self.controller.turn(self.now).expect("readable");
+        self.controller.step(self.now).expect("readable");
         while std::mem::take(&mut self.controller.effects.writes) {
-            self.controller.take(Input::Saved(Ok(())), self.now);
-            self.controller.turn(self.now).expect("readable");
+            self.controller.handle_input(Input::Saved(Ok(())), self.now);
+            self.controller.step(self.now).expect("readable");
             self.exchange();
         }
         self.exchange();
@@ -508,10 +508,11 @@
                 follower.log_persisted(follower.last_position());
                 for (to, answer) in follower.outbox.drain(..) {
                     let message = Box::new(answer);
-                    self.controller.take(Input::Frame(0, Frame::Raft { to, message }), self.now);
+                    self.controller
+                        .handle_input(Input::Frame(0, Frame::Raft { to, message }), self.now);
                 }
             }
-            self.controller.turn(self.now).expect("readable");
+            self.controller.step(self.now).expect("readable");
         }
     }
     fn run(&mut self, ms: u64) {
@@ -521,7 +522,7 @@
         }
     }
     fn hear(&mut self, conn: u64, message: ToController) {
-        self.controller.take(Input::Frame(conn, Frame::Pooler(message)), self.now);
+        self.controller.handle_input(Input::Frame(conn, Frame::Pooler(message)), self.now);
         self.turn();
     }
     fn hello(&mut self, conn: u64, name: &str) {
@@ -529,7 +530,7 @@
         self.hear(conn, ToController::Hello { node, incarnation: 1, revision, zone });
     }
     fn close(&mut self, conn: u64) {
-        self.controller.take(Input::Closed(conn), self.now);
+        self.controller.handle_input(Input::Closed(conn), self.now);
         self.turn();
     }
     /// A renewal with what was seen; gives its answer's grant and watermark of the service.
@@ -596,7 +597,8 @@
         let asks = &mut self.controller.effects.asks;
         let place = asks.iter().position(|(of, ask, _)| *of == id.into() && kind(ask));
         let (id, ask, attempt) = asks.remove(place.unwrap_or_else(|| panic!("{id} is not asked")));
-        self.controller.take(Input::DatabaseResponse(service(), id, ask, attempt, told), self.now);
+        self.controller
+            .handle_input(Input::DatabaseResponse(service(), id, ask, attempt, told), self.now);
         self.turn();
     }
     fn asked(&self, id: &str, kind: fn(&DatabaseRequest) -> bool) -> bool {
@@ -666,7 +668,7 @@
         let (target, attempt) = leader.controller.effects.posts.pop().expect("promoted");
         let posted =
             Input::PromotionResponse(service(), target, attempt, PromotionResponse::Accepted);
-        leader.controller.take(posted, leader.now);
+        leader.controller.handle_input(posted, leader.now);
         leader.run(600);
         leader.answer("c", |ask| *ask == DatabaseRequest::Describe, row(true, 2, 9));
         leader.run(100);
@@ -887,7 +889,7 @@
             });
             let (reply, answer) = sync_channel(1);
             let heartbeat = call("PUT", "/instances/a", &body);
-            leader.controller.take(Input::Http(heartbeat, reply), leader.now);
+            leader.controller.handle_input(Input::Http(heartbeat, reply), leader.now);
             leader.turn();
             assert_eq!(answer.try_recv().map(|a| a.status), Ok(200), "{sequence}");
         }
@@ -917,7 +919,7 @@
     for (to, heard) in [(1, true), (2, false), (9, false)] {
         let mut leader = Leader::of(3, 1, &[]);
         let frame = Frame::Raft { to: MemberId(to), message: message() };
-        leader.controller.take(Input::Frame(0, frame), leader.now);
+        leader.controller.handle_input(Input::Frame(0, frame), leader.now);
         assert_eq!(leader.controller.raft().is_leader(), !heard, "to {to}");
     }
 }
@@ -928,7 +930,7 @@
     leader.cut = true;
     let (reply, answer) = sync_channel(1);
     let order = call("DELETE", "/instances/b", &serde_json::Value::Null);
-    leader.controller.take(Input::Http(order, reply), leader.now);
+    leader.controller.handle_input(Input::Http(order, reply), leader.now);
     leader.turn();
     assert!(answer.try_recv().is_err(), "it waits for the quorum");
     let previous = LogPosition::new(Term(0), LogIndex(0));
@@ -936,7 +938,9 @@
     let kind =
         RaftMessageKind::AppendEntries { previous, entries, commit_index: commit, sent_at: sent };
     let message = Box::new(RaftMessage { from: MemberId(2), term: Term(99), kind });
-    leader.controller.take(Input::Frame(0, Frame::Raft { to: MemberId(1), message }), leader.now);
+    leader
+        .controller
+        .handle_input(Input::Frame(0, Frame::Raft { to: MemberId(1), message }), leader.now);
     leader.turn();
     assert_eq!(answer.try_recv().map(|a| a.status), Ok(503));
 }
