--- a/src/raft/storage/write_batch.rs
+++ b/src/raft/storage/write_batch.rs
@@ -40,7 +40,7 @@
     /// Encodes those parts of `state` that `changes` names.
     pub fn new(state: &PersistentState, changes: &UnsavedChanges) -> Self {
         Self {
-            hard_state: changes.hard_state.then(|| HardState {
+            hard_state: changes.hard_state.then_some(HardState {
                 member_id: state.member_id,
                 term: state.term,
                 voted_for: state.voted_for,
