--- a/src/pooler/leader_messages.rs
+++ b/src/pooler/leader_messages.rs
@@ -21,7 +21,7 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Renewals whose answers are still told apart.
+/// Renewals that are remembered to match their answers.
 const MAX_UNANSWERED_RENEWALS: usize = 16;
 
 /// A database is reported to the leader this often at most, in ms.
@@ -115,21 +115,20 @@
             ToPooler::Directory(entries) => {
                 lock(&self.view).set_directory(entries, Tick::now());
             }
-            ToPooler::DirectoryDelta { upserted: listed, removed: gone } => {
+            ToPooler::DirectoryDelta { upserted, removed } => {
                 let mut view = lock(&self.view);
                 let now = Tick::now();
-                gone.iter().for_each(|id| view.remove_database(id, now));
-                listed.into_iter().for_each(|entry| view.upsert_database(entry, now, now));
+                removed.iter().for_each(|id| view.remove_database(id, now));
+                upserted.into_iter().for_each(|entry| view.upsert_database(entry, now, now));
             }
-            ToPooler::LeaseGrants {
-                seq,
-                lease_ms,
-                complete: whole,
-                grants,
-                position_bounds: fresh,
-                ..
-            } => {
-                self.apply_grants(RenewalAnswer { number: seq, lease_ms, whole, grants, fresh });
+            ToPooler::LeaseGrants { seq, lease_ms, complete, grants, position_bounds, .. } => {
+                self.apply_grants(RenewalAnswer {
+                    number: seq,
+                    lease_ms,
+                    complete,
+                    grants,
+                    position_bounds,
+                });
             }
             ToPooler::Revoke { service, term } => self.revoke(service, term),
             ToPooler::RenewNow => self.renew(),
@@ -143,11 +142,11 @@
     /// The duration of a lease, from when its renewal was sent.
     lease_ms: u64,
     /// The first answer on a connection: no lease holds that is not in it.
-    whole: bool,
+    complete: bool,
     /// What has changed. All else that was granted on this connection is renewed.
     grants: Vec<LeaseGrant>,
     /// The watermarks that were asked for.
-    fresh: Vec<PositionBound>,
+    position_bounds: Vec<PositionBound>,
 }
 
 impl Pooler {
@@ -201,29 +200,29 @@
         let mut leader = self.leader.held();
         let now = Tick::now();
         let last_answer = *lock(&self.renewals.last_answer);
-        let (mut shares, mut wants) = (Vec::new(), Vec::new());
-        let (mut saw, mut asks) = (Vec::new(), Vec::new());
+        let (mut quotas, mut demand) = (Vec::new(), Vec::new());
+        let (mut observed, mut bounds_requested) = (Vec::new(), Vec::new());
         for (name, service) in &mut lock(&self.view).services {
-            shares.extend(service.take_quota_report().map(|quota| (name.clone(), quota)));
+            quotas.extend(service.take_quota_report().map(|quota| (name.clone(), quota)));
             let unmet_demand = service.unmet_demand();
             if unmet_demand > 0 {
-                wants.push((name.clone(), unmet_demand));
+                demand.push((name.clone(), unmet_demand));
             }
-            saw.extend(take_observed_position(name, service, last_answer));
+            observed.extend(take_observed_position(name, service, last_answer));
             if service.needs_watermark(now) {
-                asks.push(name.clone());
+                bounds_requested.push(name.clone());
             }
         }
-        let heard = last_answer.map_or(0, |answer| answer.number);
+        let last_grant_seq = last_answer.map_or(0, |answer| answer.number);
         // A lease counts from here: before the request leaves, and no later than the look above.
         let seq = self.renewals.begin(now);
         let renewal = ToController::RenewLeases {
             seq,
-            last_grant_seq: heard,
-            quotas: shares,
-            demand: wants,
-            observed: saw,
-            bounds_requested: asks,
+            last_grant_seq,
+            quotas,
+            demand,
+            observed,
+            bounds_requested,
             load: Vec::new(),
         };
         LeaderConnection::tell_under(&mut leader, renewal);
@@ -259,7 +258,7 @@
         }
     }
 
-    /// Asks for the whole table where the delta is from one that is not known here.
+    /// Asks for the complete table where the delta is from one that is not known here.
     fn apply_route_table_delta(&self, delta: &RouteTableDelta) {
         let table = self.route_table();
         if table.as_ref().is_some_and(|table| table.revision >= delta.revision) {
@@ -282,31 +281,31 @@
     }
 }
 
-/// The position to report for a service, if there is a new one and it was seen after the last answer
-/// of the leader, which the leader counts its time from.
+/// The position to report for a service, if there is a new one and it was observed after the last
+/// answer of the leader, from which the leader counts the time.
 fn take_observed_position(
     name: &ServiceName,
     service: &mut ServiceView,
     last_answer: Option<NumberedTick>,
 ) -> Option<ObservedPosition> {
-    let seen = service.take_unreported()?;
-    let after = elapsed_lower_bound_ms(last_answer?.at, seen.sent_at)?;
-    let (term, position) = (seen.term, seen.position);
-    Some(ObservedPosition { service: name.clone(), term, position, sent_after_ms: after })
+    let unreported = service.take_unreported()?;
+    let sent_after_ms = elapsed_lower_bound_ms(last_answer?.at, unreported.sent_at)?;
+    let (term, position) = (unreported.term, unreported.position);
+    Some(ObservedPosition { service: name.clone(), term, position, sent_after_ms })
 }
 
 impl ClusterView {
     /// Puts the answer to a renewal sent at `requested_at` in force. True if it brings anything that
     /// sessions may wait for.
     fn apply_grants(&mut self, answer: RenewalAnswer, requested_at: Tick) -> bool {
-        let RenewalAnswer { number, lease_ms, whole, grants, fresh } = answer;
-        if whole {
+        let RenewalAnswer { number, lease_ms, complete, grants, position_bounds } = answer;
+        if complete {
             self.drop_leases_except(&grants);
         }
-        let mut changed = whole || !fresh.is_empty() || !grants.is_empty();
-        for PositionBound { service, position, age_ms: age } in fresh {
+        let mut changed = complete || !position_bounds.is_empty() || !grants.is_empty();
+        for PositionBound { service, position, age_ms } in position_bounds {
             if let Some(service) = self.services.get_mut(&service)
-                && let Some(sent_at) = requested_at.0.checked_sub(age)
+                && let Some(sent_at) = requested_at.0.checked_sub(age_ms)
             {
                 service.watermarks.observe(Tick(sent_at), position);
             }
