--- a/src/node/grace_period.rs
+++ b/src/node/grace_period.rs
@@ -1,7 +1,7 @@
 //! The timing of a graceful shutdown.
 
-/// The platform probes readiness each second and needs two failures, so new clients come for so long
-/// after draining began, in ms.
+/// The platform probes readiness each second and needs two failures, so new clients come for so
+/// long after draining began, in ms.
 const READINESS_NOTICED_MS: u64 = 2_300;
 
 /// The process ends so long before the end of its grace period, in ms, whoever is still connected.
--- a/src/pooler/cluster_view.rs
+++ b/src/pooler/cluster_view.rs
@@ -1,5 +1,5 @@
-//! The cluster as this pooler knows it: the routes, the directory of databases, and for each service
-//! the lease on its primary and the watermarks for its reads.
+//! The cluster as this pooler knows it: the routes, the directory of databases, and for each
+//! service the lease on its primary and the watermarks for its reads.
 //!
 //! `Pooler` guards one `ClusterView` by a lock. `leader_messages` changes it as the leader sends
 //! updates; sessions look up in it where a statement may run.
@@ -19,7 +19,8 @@
 /// A change of primary takes about so long, in ms.
 const FAILOVER_MS: u64 = 1_000;
 
-/// While a change of primary lasts, a client is to come back after this time at the earliest, in ms.
+/// While a change of primary lasts, a client is to come back after this time at the earliest, in
+/// ms.
 const MIN_RETRY_IN_FAILOVER_MS: u64 = 150;
 
 /// The time in ms after which a client is to come back if nothing is known of a primary.
--- a/src/pooler/leader_messages.rs
+++ b/src/pooler/leader_messages.rs
@@ -70,8 +70,8 @@
         number
     }
 
-    /// The answer to a renewal arrived. Returns when the renewal was sent; for one that is not known
-    /// any more, the earliest time there is.
+    /// The answer to a renewal arrived. Returns when the renewal was sent; for one that is not
+    /// known any more, the earliest time there is.
     fn answered(&self, number: u64) -> Tick {
         *lock(&self.last_answer) = Some(NumberedTick { number, at: Tick::now() });
         let sent_at = {
@@ -270,8 +270,8 @@
         }
     }
 
-    /// Puts the answer to a renewal in force. Even one to a renewal long forgotten is applied, since
-    /// the leader won't repeat it; its leases are then long over.
+    /// Puts the answer to a renewal in force. Even one to a renewal long forgotten is applied,
+    /// since the leader won't repeat it; its leases are then long over.
     fn apply_grants(&self, answer: RenewalAnswer) {
         let requested_at = self.renewals.answered(answer.number);
         let changed = lock(&self.view).apply_grants(answer, requested_at);
@@ -295,8 +295,8 @@
 }
 
 impl ClusterView {
-    /// Puts the answer to a renewal sent at `requested_at` in force. True if it brings anything that
-    /// sessions may wait for.
+    /// Puts the answer to a renewal sent at `requested_at` in force. True if it brings anything
+    /// that sessions may wait for.
     fn apply_grants(&mut self, answer: RenewalAnswer, requested_at: Tick) -> bool {
         let RenewalAnswer { number, lease_ms, complete, grants, position_bounds } = answer;
         if complete {
--- a/src/pooler/leases.rs
+++ b/src/pooler/leases.rs
@@ -37,8 +37,8 @@
         })
     }
 
-    /// The quota in force, if it was not reported to the leader yet. A smaller quota is in force only
-    /// once no more connections than that are open; `open` counts them.
+    /// The quota in force, if it was not reported to the leader yet. A smaller quota is in force
+    /// only once no more connections than that are open; `open` counts them.
     pub fn take_report(&mut self, open: impl FnOnce() -> u32) -> Option<u32> {
         let shrinks = self.reported.is_none_or(|reported| reported > self.size);
         let in_force = if shrinks { open().max(self.size) } else { self.size };
--- a/src/pooler/server.rs
+++ b/src/pooler/server.rs
@@ -203,8 +203,8 @@
         lock(&self.view).retry_after_ms(service, Tick::now())
     }
 
-    /// Whether no leader has answered for so long that nothing can be served here. Other poolers may
-    /// well be able to, so sessions with nothing under way are better off there.
+    /// Whether no leader has answered for so long that nothing can be served here. Other poolers
+    /// may well be able to, so sessions with nothing under way are better off there.
     pub(crate) fn leader_lost(&self, now: Tick) -> bool {
         now.since(self.renewals.last_answered_at()) > LEADER_LOST_MS
     }
--- a/src/pooler/sessions.rs
+++ b/src/pooler/sessions.rs
@@ -161,8 +161,8 @@
 }
 
 impl Pooler {
-    /// Starts a session for a client, if there is room for it and a leader. Otherwise the connection
-    /// is closed at once, and the client goes on to another node.
+    /// Starts a session for a client, if there is room for it and a leader. Otherwise the
+    /// connection is closed at once, and the client goes on to another node.
     pub(super) fn admit(self: &Arc<Self>, stream: TcpStream) {
         let id = self.next_session_id.fetch_add(1, Ordering::Relaxed);
         let now = Tick::now();
@@ -218,8 +218,8 @@
         lock(&self.sessions).remove(&id);
     }
 
-    /// Ends sessions whose clients have been quiet for too long, and closes connections to databases
-    /// that the quotas don't allow any more.
+    /// Ends sessions whose clients have been quiet for too long, and closes connections to
+    /// databases that the quotas don't allow any more.
     pub(super) fn enforce_limits(&self, now: Tick) {
         let transaction_idle_ms = self
             .route_table()
