--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -1,4 +1,6 @@
-//! What reaches a controller, and what it does to the world outside.
+//! The boundary of the controller's step: `Input` is what reaches a controller, `Effects` what it
+//! does to the world outside. The process carries effects out with sockets, threads and a disk, the
+//! simulation and the tests with queues in virtual time.
 use crate::base::ids::{InstanceId, MemberId, ServiceName};
 use crate::base::time::Tick;
 use crate::failover::{Attempt, DatabaseRequest, DatabaseResponse, PromotionResponse};
@@ -12,41 +14,49 @@
 
 /// What reaches a controller.
 pub enum Input {
-    /// What came over a connection on the peer port.
+    /// A frame from a connection on the peer port, and the number of the connection.
     Frame(u64, Frame),
-    /// The layout that a controller reads, ahead of each frame that names it.
+    /// The newest frame layout that a controller can read, ahead of each frame that names it.
     PeerLayout(MemberId, u8),
+    /// A connection on the peer port has ended.
     Closed(u64),
+    /// A call on the admin address, and where its answer goes.
     Http(Request, SyncSender<Response>),
+    /// What came of `Effects::ask_database`: the service and the database, what it was asked, the
+    /// failover attempt that asked, and its answer.
     DatabaseResponse(ServiceName, InstanceId, DatabaseRequest, Attempt, DatabaseResponse),
+    /// What came of `Effects::post_failover`: the service, the instance to be promoted, the failover
+    /// attempt that asked, and the platform's answer.
     PromotionResponse(ServiceName, InstanceId, Attempt, PromotionResponse),
-    /// What a controller said to the wish to join, or to the question whether this id still belongs.
+    /// What came of `Effects::ask_standing`: the member id that the request named, the peer address
+    /// of the controller that was asked, and its answer; none if it could not be reached.
     JoinResponse(MemberId, SocketAddr, Option<JoinResponse>),
-    /// The write under way has ended, with its error if it failed.
+    /// The write in flight has ended, with its error if it failed.
     Saved(Result<(), String>),
 }
 
-/// What a controller does to the world outside. The program does it with sockets, threads and a disk, the
-/// model in the tests with queues in virtual time. Nothing here waits.
+/// What a controller does to the world outside. No method waits.
 pub trait Effects {
-    /// Sends another controller a consensus message, or drops it: the Raft group asks again for what got lost.
+    /// Sends a Raft message to another controller, or drops it: Raft retries what gets lost.
     fn send_raft(&mut self, to: MemberId, address: SocketAddr, message: RaftMessage, now: Tick);
-    /// Connections to all others are of no use any more.
+    /// Closes the connections to controllers that are not in `members`.
     fn keep_links(&mut self, members: &[Member]);
-    /// Starts to write; `Input::Saved` follows. False if nothing writes any more.
+    /// Starts a write; `Input::Saved` follows. False if the storage thread has ended.
     fn write(&mut self, batch: WriteBatch) -> bool;
-    /// Asks a controller to be taken in, or whether one still belongs; `Input::Standing` follows.
-    fn ask_standing(&mut self, at: SocketAddr, member: Member, was: bool);
-    /// Asks a database one thing; `Input::Told` follows, unless this is false.
+    /// Asks a controller for membership, or with `was_member` whether `member` still is one;
+    /// `Input::JoinResponse` follows.
+    fn ask_standing(&mut self, address: SocketAddr, member: Member, was_member: bool);
+    /// Sends a database a request; `Input::DatabaseResponse` follows, unless this is false.
     fn ask_database(
         &mut self,
         service: &ServiceName,
-        id: &InstanceId,
+        instance: &InstanceId,
         address: SocketAddr,
-        ask: DatabaseRequest,
+        request: DatabaseRequest,
         attempt: Attempt,
     ) -> bool;
-    /// Calls the platform; `Input::Posted` follows.
+    /// Calls the platform at `provider` to promote `target`, in the name of `holder`;
+    /// `Input::PromotionResponse` follows.
     fn post_failover(
         &mut self,
         provider: SocketAddr,
@@ -55,14 +65,14 @@
         target: &InstanceId,
         attempt: Attempt,
     );
-    /// Sends a frame over a connection on the peer port, behind all that waits there.
+    /// Queues a frame on a connection of the peer port, behind all that is queued there.
     fn send(&mut self, conn: u64, frame: Arc<[u8]>);
-    /// The same, ahead of all that has not begun to leave.
+    /// Queues a frame ahead of all of which no byte has been sent.
     fn send_first(&mut self, conn: u64, frame: Arc<[u8]>);
-    /// How many bytes wait to leave over a connection; none if it has ended.
+    /// Bytes queued on a connection; none if it has ended.
     fn waiting(&self, conn: u64) -> Option<usize>;
-    /// Goes on with the peers that did not take everything at once; gives the connections among them.
+    /// Sends more of what is queued; returns the connections of the peer port that had any.
     fn pump(&mut self) -> Vec<u64>;
-    /// How many connections there are on the peer port.
+    /// The number of connections on the peer port.
     fn peers(&self) -> usize;
 }
