--- a/src/controller/committed_entries.rs
+++ b/src/controller/committed_entries.rs
@@ -47,7 +47,7 @@
             let caller = self.proposed.take(&entry);
             if let EntryPayload::Membership(members) = &entry.payload {
                 self.join.remove_members(members);
-                self.effects.keep_links(members);
+                self.effects.retain_peer_links(members);
                 new_members = Some(members.clone());
             }
             if let Some(command) = command {
--- a/src/controller/core.rs
+++ b/src/controller/core.rs
@@ -195,7 +195,7 @@
                 self.send_raft_message(to, message, now);
             }
             if let Some(batch) = self.persister.begin_write(&mut self.raft, now)
-                && !self.effects.write(batch)
+                && !self.effects.start_write(batch)
             {
                 error!(target: "raft", "the thread that writes has ended");
             }
@@ -235,7 +235,7 @@
 
     /// Sends more to the peers that did not take everything at once.
     pub(super) fn flush_connections(&mut self, now: Tick) {
-        for conn in self.effects.pump() {
+        for conn in self.effects.flush() {
             self.send_due_updates(conn, now);
         }
     }
@@ -247,13 +247,15 @@
             Input::PeerLayout(member, layout) => self.raft.record_peer_layout(member, layout),
             Input::Closed(conn) => self.handle_closed_connection(conn, now),
             Input::Http(request, reply) => self.handle_admin_request(request, reply, now),
-            Input::DatabaseResponse(service, id, request, attempt, response) => {
-                self.handle_database_response(&service, &id, request, attempt, &response, now);
+            Input::DatabaseResponse { service, instance, request, attempt, response } => {
+                self.handle_database_response(
+                    &service, &instance, request, attempt, &response, now,
+                );
             }
-            Input::PromotionResponse(service, id, attempt, response) => {
-                self.handle_promotion_response(&service, &id, attempt, response, now);
+            Input::PromotionResponse { service, target, attempt, response } => {
+                self.handle_promotion_response(&service, &target, attempt, response, now);
             }
-            Input::JoinResponse(requested_id, from, answer) => {
+            Input::JoinResponse { requested_id, from, answer } => {
                 self.handle_join_response(requested_id, from, answer, now);
             }
             Input::Saved(result) => self.handle_write_result(result, now),
--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -22,15 +22,39 @@
     Closed(u64),
     /// A call on the admin address, and where its answer goes.
     Http(Request, SyncSender<Response>),
-    /// What came of `Effects::ask_database`: the service and the database, what it was asked, the
-    /// failover attempt that asked, and its answer.
-    DatabaseResponse(ServiceName, InstanceId, DatabaseRequest, Attempt, DatabaseResponse),
-    /// What came of `Effects::post_failover`: the service, the instance to be promoted, the failover
-    /// attempt that asked, and the platform's answer.
-    PromotionResponse(ServiceName, InstanceId, Attempt, PromotionResponse),
-    /// What came of `Effects::ask_standing`: the member id that the request named, the peer address
-    /// of the controller that was asked, and its answer; none if it could not be reached.
-    JoinResponse(MemberId, SocketAddr, Option<JoinResponse>),
+    /// What came of `Effects::call_database`.
+    DatabaseResponse {
+        /// The service of the database.
+        service: ServiceName,
+        /// The database.
+        instance: InstanceId,
+        /// What it was asked.
+        request: DatabaseRequest,
+        /// The failover attempt that asked.
+        attempt: Attempt,
+        /// What it answered, or why it did not.
+        response: DatabaseResponse,
+    },
+    /// What came of `Effects::request_promotion`.
+    PromotionResponse {
+        /// The service that is to get a new primary.
+        service: ServiceName,
+        /// The instance to be promoted.
+        target: InstanceId,
+        /// The failover attempt that asked.
+        attempt: Attempt,
+        /// What the platform answered, or that it did not.
+        response: PromotionResponse,
+    },
+    /// What came of `Effects::request_membership`.
+    JoinResponse {
+        /// The member id that the request named.
+        requested_id: MemberId,
+        /// Peer address of the controller that was asked.
+        from: SocketAddr,
+        /// Its answer; none if it could not be reached.
+        answer: Option<JoinResponse>,
+    },
     /// The write in flight has ended, with its error if it failed.
     Saved(Result<(), String>),
 }
@@ -40,14 +64,14 @@
     /// Sends a Raft message to another controller, or drops it: Raft retries what gets lost.
     fn send_raft(&mut self, to: MemberId, address: SocketAddr, message: RaftMessage, now: Tick);
     /// Closes the connections to controllers that are not in `members`.
-    fn keep_links(&mut self, members: &[Member]);
+    fn retain_peer_links(&mut self, members: &[Member]);
     /// Starts a write; `Input::Saved` follows. False if the storage thread has ended.
-    fn write(&mut self, batch: WriteBatch) -> bool;
+    fn start_write(&mut self, batch: WriteBatch) -> bool;
     /// Asks a controller for membership, or with `was_member` whether `member` still is one;
     /// `Input::JoinResponse` follows.
-    fn ask_standing(&mut self, address: SocketAddr, member: Member, was_member: bool);
+    fn request_membership(&mut self, address: SocketAddr, member: Member, was_member: bool);
     /// Sends a database a request; `Input::DatabaseResponse` follows, unless this is false.
-    fn ask_database(
+    fn call_database(
         &mut self,
         service: &ServiceName,
         instance: &InstanceId,
@@ -57,7 +81,7 @@
     ) -> bool;
     /// Calls the platform at `provider` to promote `target`, in the name of `holder`;
     /// `Input::PromotionResponse` follows.
-    fn post_failover(
+    fn request_promotion(
         &mut self,
         provider: SocketAddr,
         holder: &str,
@@ -70,9 +94,9 @@
     /// Queues a frame ahead of all of which no byte has been sent.
     fn send_first(&mut self, conn: u64, frame: Arc<[u8]>);
     /// Bytes queued on a connection; none if it has ended.
-    fn waiting(&self, conn: u64) -> Option<usize>;
+    fn queued_bytes(&self, conn: u64) -> Option<usize>;
     /// Sends more of what is queued; returns the connections of the peer port that had any.
-    fn pump(&mut self) -> Vec<u64>;
+    fn flush(&mut self) -> Vec<u64>;
     /// The number of connections on the peer port.
-    fn peers(&self) -> usize;
+    fn connection_count(&self) -> usize;
 }
--- a/src/controller/failover_driver.rs
+++ b/src/controller/failover_driver.rs
@@ -198,7 +198,7 @@
                     return;
                 };
                 let (address, holder) = (provider.address, &self.settings.node_name);
-                self.effects.post_failover(address, holder, service, &target, attempt);
+                self.effects.request_promotion(address, holder, service, &target, attempt);
             }
         }
     }
@@ -213,7 +213,8 @@
                 continue;
             };
             let address = record.instance.address;
-            let started = self.effects.ask_database(&service, &instance, address, request, attempt);
+            let started =
+                self.effects.call_database(&service, &instance, address, request, attempt);
             // Without a thread it is not sent; the failover that needs the answer retries.
             self.database_requests.in_flight += usize::from(started);
         }
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -103,7 +103,7 @@
         }
         addresses.remove(&member.peer);
         for address in addresses {
-            self.effects.ask_standing(address, member.clone(), was_member);
+            self.effects.request_membership(address, member.clone(), was_member);
         }
     }
 
@@ -147,7 +147,7 @@
             && self.join.accepted_by != Some(from)
         {
             self.join.accepted_by = Some(from);
-            self.effects.keep_links(self.raft.members());
+            self.effects.retain_peer_links(self.raft.members());
         }
         match answer {
             JoinResponse::NotLeader(Some(leader)) if self.join.redirected_to.is_none() => {
@@ -213,7 +213,7 @@
         self.set_configuration(None);
         self.route_tables.clear();
         self.directory_frame = None;
-        self.effects.keep_links(&[]);
+        self.effects.retain_peer_links(&[]);
         self.join.candidates.clear();
     }
 
--- a/src/controller/pooler_subscriptions.rs
+++ b/src/controller/pooler_subscriptions.rs
@@ -113,7 +113,7 @@
     fn broadcast(&mut self, message: ToPooler) {
         let frame = encode(&Frame::Controller(message));
         for (conn, subscriber) in &mut self.poolers {
-            let queued = self.effects.waiting(*conn).unwrap_or(0);
+            let queued = self.effects.queued_bytes(*conn).unwrap_or(0);
             if queued + frame.len() <= MAX_QUEUED_DELTA_BYTES {
                 self.effects.send(*conn, frame.clone());
             } else {
@@ -156,7 +156,7 @@
 
     /// Sends a node all that is due to it, if nothing older is queued for it.
     pub(super) fn send_due_updates(&mut self, conn: u64, now: Tick) {
-        if self.effects.waiting(conn) != Some(0) {
+        if self.effects.queued_bytes(conn) != Some(0) {
             return;
         }
         self.send_due_directory(conn);
@@ -275,7 +275,7 @@
         let Greeting { conn, node, incarnation, revision, zone } = greeting;
         // Its connection may have ended while the greeting was deferred; nothing would end its
         // leases.
-        if self.effects.waiting(conn).is_none() {
+        if self.effects.queued_bytes(conn).is_none() {
             return;
         }
         info!(target: "poolers", "{node} is here");
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -28,7 +28,7 @@
             "databases": self.database_statuses(),
             "services": self.service_statuses(),
             "stiles": self.pooler_statuses(now),
-            "peers": self.effects.peers(),
+            "peers": self.effects.connection_count(),
             "questions_waiting": self.database_requests.queued(),
         })
     }
--- a/src/controller/transport.rs
+++ b/src/controller/transport.rs
@@ -99,22 +99,22 @@
             });
         }
     }
-    fn keep_links(&mut self, members: &[Member]) {
+    fn retain_peer_links(&mut self, members: &[Member]) {
         self.links.retain(|id, _| members.iter().any(|m| m.id == *id));
     }
-    fn write(&mut self, batch: WriteBatch) -> bool {
+    fn start_write(&mut self, batch: WriteBatch) -> bool {
         self.storage_thread.send(batch).is_ok()
     }
-    fn ask_standing(&mut self, at: SocketAddr, member: Member, was: bool) {
+    fn request_membership(&mut self, at: SocketAddr, member: Member, was: bool) {
         let tx = self.tx.clone();
         start_thread(move || {
             let me = member.id;
             // Asked again soon; one that is down is no reason to stop.
             let answer = ask_standing(at, member, was).ok();
-            drop(tx.send(Event::Input(Input::JoinResponse(me, at, answer))));
+            drop(tx.send(Event::Input(Input::JoinResponse { requested_id: me, from: at, answer })));
         });
     }
-    fn ask_database(
+    fn call_database(
         &mut self,
         service: &ServiceName,
         id: &InstanceId,
@@ -128,22 +128,28 @@
             let reached = || {
                 if ask == DatabaseRequest::Describe {
                     let (service, id) = (service.clone(), id.clone());
-                    let told = Input::DatabaseResponse(
+                    let told = Input::DatabaseResponse {
                         service,
-                        id,
-                        ask,
+                        instance: id,
+                        request: ask,
                         attempt,
-                        DatabaseResponse::Connected,
-                    );
+                        response: DatabaseResponse::Connected,
+                    };
                     drop(tx.send(Event::Input(told)));
                 }
             };
             let told = ask_database(&service, &id, address, ask, reached);
             // The core may have ended meanwhile.
-            drop(tx.send(Event::Input(Input::DatabaseResponse(service, id, ask, attempt, told))));
+            drop(tx.send(Event::Input(Input::DatabaseResponse {
+                service,
+                instance: id,
+                request: ask,
+                attempt,
+                response: told,
+            })));
         })
     }
-    fn post_failover(
+    fn request_promotion(
         &mut self,
         provider: SocketAddr,
         holder: &str,
@@ -158,12 +164,21 @@
             let posted =
                 post_failover(provider, &holder, attempt.fencing_token(), &service, &target);
             // The core may have ended meanwhile.
-            drop(tx.send(Event::Input(Input::PromotionResponse(service, target, attempt, posted))));
+            drop(tx.send(Event::Input(Input::PromotionResponse {
+                service,
+                target,
+                attempt,
+                response: posted,
+            })));
         });
         if !started {
             let (tx, service, target) = again;
-            let busy =
-                Input::PromotionResponse(service, target, attempt, PromotionResponse::NotAttempted);
+            let busy = Input::PromotionResponse {
+                service,
+                target,
+                attempt,
+                response: PromotionResponse::NotAttempted,
+            };
             drop(tx.send(Event::Input(busy)));
         }
     }
@@ -178,10 +193,10 @@
             line.out.push_first(frame);
         }
     }
-    fn waiting(&self, conn: u64) -> Option<usize> {
+    fn queued_bytes(&self, conn: u64) -> Option<usize> {
         self.conns.get(&conn).map(|l| l.out.waiting())
     }
-    fn pump(&mut self) -> Vec<u64> {
+    fn flush(&mut self) -> Vec<u64> {
         for link in self.links.values_mut() {
             if link.line.as_mut().is_some_and(|l| l.pump().is_err()) {
                 link.line = None;
@@ -192,7 +207,7 @@
         waiting.iter().for_each(|conn| self.pump_conn(*conn));
         waiting
     }
-    fn peers(&self) -> usize {
+    fn connection_count(&self) -> usize {
         self.conns.len()
     }
 }
--- a/src/simulation/databases.rs
+++ b/src/simulation/databases.rs
@@ -327,7 +327,7 @@
                 (response, 1 + late)
             }
         };
-        let input = Input::DatabaseResponse(service, id, request, attempt, response);
+        let input = Input::DatabaseResponse { service, instance: id, request, attempt, response };
         self.schedule_after(after, Event::ControllerInput(from, incarnation, input));
     }
 
@@ -356,7 +356,7 @@
             Event::ControllerInput(
                 from,
                 incarnation,
-                Input::PromotionResponse(service, target, attempt, posted),
+                Input::PromotionResponse { service, target, attempt, response: posted },
             ),
         );
     }
--- a/src/simulation/events.rs
+++ b/src/simulation/events.rs
@@ -157,7 +157,10 @@
                 };
                 self.close(conn);
                 if self.machines[asker].incarnation == incarnation {
-                    self.step(asker, Some(Input::JoinResponse(me, at, answer)));
+                    self.step(
+                        asker,
+                        Some(Input::JoinResponse { requested_id: me, from: at, answer }),
+                    );
                 }
             }
             None => {}
--- a/src/simulation/machines.rs
+++ b/src/simulation/machines.rs
@@ -261,7 +261,11 @@
             let after = held + if up { 1_000 } else { 3 };
             return self.schedule_after(
                 after,
-                Event::ControllerInput(from, incarnation, Input::JoinResponse(me, at, None)),
+                Event::ControllerInput(
+                    from,
+                    incarnation,
+                    Input::JoinResponse { requested_id: me, from: at, answer: None },
+                ),
             );
         };
         self.last_number += 1;
--- a/src/simulation/recorded_effects.rs
+++ b/src/simulation/recorded_effects.rs
@@ -25,15 +25,15 @@
     fn send_raft(&mut self, to: MemberId, address: SocketAddr, message: RaftMessage, _: Tick) {
         self.raft.push((address, to, message));
     }
-    fn keep_links(&mut self, _: &[Member]) {}
-    fn write(&mut self, batch: WriteBatch) -> bool {
+    fn retain_peer_links(&mut self, _: &[Member]) {}
+    fn start_write(&mut self, batch: WriteBatch) -> bool {
         self.batch = Some(batch);
         true
     }
-    fn ask_standing(&mut self, at: SocketAddr, member: Member, was: bool) {
+    fn request_membership(&mut self, at: SocketAddr, member: Member, was: bool) {
         self.standing.push((at, member, was));
     }
-    fn ask_database(
+    fn call_database(
         &mut self,
         service: &ServiceName,
         id: &InstanceId,
@@ -44,7 +44,7 @@
         self.asks.push((service.clone(), id.clone(), ask, attempt));
         true
     }
-    fn post_failover(
+    fn request_promotion(
         &mut self,
         _: SocketAddr,
         _: &str,
@@ -60,13 +60,13 @@
     fn send_first(&mut self, conn: u64, frame: Arc<[u8]>) {
         self.frames.push_front((conn, frame));
     }
-    fn waiting(&self, conn: u64) -> Option<usize> {
+    fn queued_bytes(&self, conn: u64) -> Option<usize> {
         self.open.contains(&conn).then_some(0)
     }
-    fn pump(&mut self) -> Vec<u64> {
+    fn flush(&mut self) -> Vec<u64> {
         Vec::new()
     }
-    fn peers(&self) -> usize {
+    fn connection_count(&self) -> usize {
         self.open.len()
     }
 }
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -365,13 +365,13 @@
     fn send_raft(&mut self, to: MemberId, _: SocketAddr, message: RaftMessage, _: Tick) {
         self.raft.push((to, message));
     }
-    fn keep_links(&mut self, _: &[Member]) {}
-    fn write(&mut self, _: WriteBatch) -> bool {
+    fn retain_peer_links(&mut self, _: &[Member]) {}
+    fn start_write(&mut self, _: WriteBatch) -> bool {
         self.writes = true;
         true
     }
-    fn ask_standing(&mut self, _: SocketAddr, _: Member, _: bool) {}
-    fn ask_database(
+    fn request_membership(&mut self, _: SocketAddr, _: Member, _: bool) {}
+    fn call_database(
         &mut self,
         _: &ServiceName,
         id: &InstanceId,
@@ -382,7 +382,7 @@
         self.asks.push((id.clone(), ask, attempt));
         true
     }
-    fn post_failover(
+    fn request_promotion(
         &mut self,
         _: SocketAddr,
         _: &str,
@@ -398,13 +398,13 @@
     fn send_first(&mut self, conn: u64, frame: Arc<[u8]>) {
         self.keep(conn, &frame);
     }
-    fn waiting(&self, _: u64) -> Option<usize> {
+    fn queued_bytes(&self, _: u64) -> Option<usize> {
         Some(0)
     }
-    fn pump(&mut self) -> Vec<u64> {
+    fn flush(&mut self) -> Vec<u64> {
         Vec::new()
     }
-    fn peers(&self) -> usize {
+    fn connection_count(&self) -> usize {
         0
     }
 }
@@ -597,8 +597,16 @@
         let asks = &mut self.controller.effects.asks;
         let place = asks.iter().position(|(of, ask, _)| *of == id.into() && kind(ask));
         let (id, ask, attempt) = asks.remove(place.unwrap_or_else(|| panic!("{id} is not asked")));
-        self.controller
-            .handle_input(Input::DatabaseResponse(service(), id, ask, attempt, told), self.now);
+        self.controller.handle_input(
+            Input::DatabaseResponse {
+                service: service(),
+                instance: id,
+                request: ask,
+                attempt,
+                response: told,
+            },
+            self.now,
+        );
         self.turn();
     }
     fn asked(&self, id: &str, kind: fn(&DatabaseRequest) -> bool) -> bool {
@@ -666,8 +674,12 @@
             assert_eq!(leader.standing(2), Some(PrimaryStatus::Sealed(at(9))), "{what}: each time");
         }
         let (target, attempt) = leader.controller.effects.posts.pop().expect("promoted");
-        let posted =
-            Input::PromotionResponse(service(), target, attempt, PromotionResponse::Accepted);
+        let posted = Input::PromotionResponse {
+            service: service(),
+            target,
+            attempt,
+            response: PromotionResponse::Accepted,
+        };
         leader.controller.handle_input(posted, leader.now);
         leader.run(600);
         leader.answer("c", |ask| *ask == DatabaseRequest::Describe, row(true, 2, 9));
