--- a/src/pooler/mod.rs
+++ b/src/pooler/mod.rs
@@ -3,7 +3,7 @@
 //! Owns the clients' connections and those to the databases. A session's statement runs on the
 //! primary only under a lease that the leading controller granted, and on a replica only at a
 //! position that is fresh enough for its route. The loss of a database connection is hidden from
-//! the client where nothing can be lost or done twice by it, and reported otherwise. `main` calls
+//! the client where nothing can be lost or done twice by it, and reported otherwise. `cli` calls
 //! `process::run`; `reroute`, `admission`, `latency`, `leases` and `replica_reads` are pure and can
 //! be tested without sockets.
 pub mod admission;
