--- a/src/controller/core.rs
+++ b/src/controller/core.rs
@@ -55,7 +55,9 @@
     pub(super) poolers: BTreeMap<u64, Subscriber>,
     /// Greetings that came before this leader had applied all that was committed.
     pub(super) deferred_greetings: Vec<Greeting>,
+    /// What is collected for all nodes before it is sent.
     pub(super) directory_updates: DirectoryUpdates,
+    /// This controller's own join requests, and those it received.
     pub(super) join: JoinState,
     /// Only while this controller leads.
     pub(super) leader_state: Option<LeaderState>,
@@ -63,6 +65,7 @@
     pub(super) proposed: PendingProposals<SyncSender<Response>>,
     /// Callers that wait until this controller is confirmed as the leader.
     pub(super) reads: LinearizableReads<SyncSender<Response>>,
+    /// Requests of failovers to databases.
     pub(super) database_requests: DatabaseRequests,
     /// The source of member ids and of the spread of election time-outs.
     pub(super) random: fn() -> u64,
@@ -224,6 +227,8 @@
         }
     }
 
+    /// Sends a Raft message to a member, or to the leader that accepted this controller; drops it
+    /// if the address is unknown.
     fn send_raft_message(&mut self, to: MemberId, message: RaftMessage, now: Tick) {
         let member = self.raft.members().iter().find(|m| m.id == to);
         // A new controller knows no members yet, and one that was away may not know the leader.
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -12,6 +12,7 @@
 use serde_json::{Value, json};
 
 impl<E: Effects> Controller<E> {
+    /// The whole report.
     pub(super) fn status(&self, now: Tick) -> Value {
         json!({
             "node": self.settings.node_name,
