--- a/src/cli.rs
+++ b/src/cli.rs
@@ -204,7 +204,8 @@
             println!("{}: ok", settings.node_name);
         }
         Check::Configuration { file } => {
-            let config = Configuration::read(&read(&file)?).map_err(Fatal::Configuration)?;
+            let config = Configuration::read(&read(&file)?)
+                .map_err(|e| Fatal::Configuration(e.to_string()))?;
             println!("revision {}: ok, {} routes", config.revision, config.route_rules.len());
         }
     }
@@ -237,7 +238,7 @@
         }
         ConfigurationCall::Put { address, file, base } => {
             let body = read(&file)?;
-            Configuration::read(&body).map_err(Fatal::Configuration)?;
+            Configuration::read(&body).map_err(|e| Fatal::Configuration(e.to_string()))?;
             call(address, "PUT", "/configuration", &[("If-Match", base.to_string())], &body)?;
             println!("taken");
             Ok(())
--- a/src/config/configuration.rs
+++ b/src/config/configuration.rs
@@ -2,7 +2,18 @@
 use crate::base::ids::{Revision, ServiceName};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
-use validator::{Validate, ValidationError};
+use validator::{Validate, ValidationError, ValidationErrors};
+
+/// Why a configuration is not accepted. The operator is shown the text.
+#[derive(Debug, thiserror::Error)]
+pub enum ConfigurationError {
+    /// Not JSON, or not of the form of a configuration.
+    #[error("cannot be read: {0}")]
+    Unreadable(#[from] serde_json::Error),
+    /// A value is out of its range, or values contradict each other.
+    #[error("{}", .0.to_string().replace('\n', "; "))]
+    Invalid(#[from] ValidationErrors),
+}
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Validate)]
 #[validate(schema(function = "whole"))]
@@ -169,11 +180,13 @@
 }
 
 impl Configuration {
-    /// Reads and checks the bytes an operator sent; the text says what is wrong.
-    pub fn read(body: &[u8]) -> Result<Self, String> {
-        let config: Configuration =
-            serde_json::from_slice(body).map_err(|e| format!("cannot be read: {e}"))?;
-        config.validate().map_err(|e| e.to_string().replace('\n', "; "))?;
+    /// Decodes and validates a configuration as the operator sent it, in JSON.
+    ///
+    /// # Errors
+    /// The bytes are not a configuration, or one that can't be put in force.
+    pub fn read(body: &[u8]) -> Result<Self, ConfigurationError> {
+        let config: Configuration = serde_json::from_slice(body)?;
+        config.validate()?;
         Ok(config)
     }
 }
--- a/src/controller/admin_api.rs
+++ b/src/controller/admin_api.rs
@@ -23,17 +23,20 @@
 impl AdminCall {
     pub fn judge(self, state_machine: &StateMachine) -> CallDecision {
         let effect = match &self {
-            Self::ReadConfiguration if state_machine.body.is_empty() => {
+            Self::ReadConfiguration if state_machine.configuration_body().is_empty() => {
                 return CallDecision::Answer(Response::refusal(404, "no configuration yet"));
             }
             Self::ReadConfiguration => {
-                return CallDecision::Answer(Response::json(200, state_machine.body.to_vec()));
+                return CallDecision::Answer(Response::json(
+                    200,
+                    state_machine.configuration_body().to_vec(),
+                ));
             }
             Self::Command(Command::PutConfiguration { base, revision, body }) => {
-                state_machine.judge(*base, *revision, body)
+                state_machine.evaluate_configuration(*base, *revision, body)
             }
             Self::Command(Command::RemoveInstance { id, .. })
-                if !state_machine.instances.contains_key(id) =>
+                if !state_machine.instances().contains_key(id) =>
             {
                 CommandOutcome::NoChange
             }
@@ -81,6 +84,6 @@
             revision: config.revision,
             body: ByteBuf::from(request.body.clone()),
         }),
-        Err(why) => refuse(&why),
+        Err(error) => refuse(&error.to_string()),
     }
 }
--- a/src/controller/admin_handler.rs
+++ b/src/controller/admin_handler.rs
@@ -128,7 +128,7 @@
         if self.unreadable.is_some() {
             return Err(Response::refusal(503, "stopping"));
         }
-        if matches!(operation, Operation::Submit(_)) && !self.state_machine.begun() {
+        if matches!(operation, Operation::Submit(_)) && !self.state_machine.is_initialized() {
             self.check_founding(now)?;
         }
         Ok(operation)
--- a/src/controller/committed_entries.rs
+++ b/src/controller/committed_entries.rs
@@ -9,7 +9,7 @@
 use crate::controller::effects::Effects;
 use crate::net::http::Response;
 use crate::net::rpc::raft_messages::{EntryPayload, Member};
-use crate::state_machine::{Command, CommandOutcome, read_change, read_state};
+use crate::state_machine::{Command, CommandOutcome, StateError, decode_command, decode_snapshot};
 use log::info;
 use std::sync::mpsc::SyncSender;
 
@@ -29,10 +29,10 @@
         }
     }
 
-    fn apply_readable_entries(&mut self, now: Tick) -> Result<(), String> {
+    fn apply_readable_entries(&mut self, now: Tick) -> Result<(), StateError> {
         let snapshot = &self.raft.state.snapshot;
         if snapshot.last_included.index > self.applied {
-            self.state_machine = read_state(snapshot)?;
+            self.state_machine = decode_snapshot(snapshot)?;
             self.directory_frame = None;
             self.applied = snapshot.last_included.index;
         }
@@ -40,7 +40,7 @@
         for entry in self.raft.committed_entries_after(self.applied) {
             // Read first: an entry that can't be read does not count as applied.
             let command = match &entry.payload {
-                EntryPayload::Command(bytes) => Some(read_change(entry.index, bytes)?),
+                EntryPayload::Command(bytes) => Some(decode_command(entry.index, bytes)?),
                 EntryPayload::NoOp | EntryPayload::Membership(_) => None,
             };
             self.applied = entry.index;
@@ -57,11 +57,12 @@
         if let Some(members) = new_members {
             self.announce_members(&members);
         }
-        if self.config.as_ref().map_or(Revision(0), |c| c.revision) != self.state_machine.revision {
+        if self.config.as_ref().map_or(Revision(0), |c| c.revision) != self.state_machine.revision()
+        {
             self.activate_configuration(now)?;
         }
         let state_machine = &self.state_machine;
-        self.raft.compact_log(self.applied, || state_machine.write());
+        self.raft.compact_log(self.applied, || state_machine.to_snapshot());
         Ok(())
     }
 
@@ -74,8 +75,8 @@
     }
 
     /// Makes the configuration in the state machine the current one, and sends its route table.
-    fn activate_configuration(&mut self, now: Tick) -> Result<(), String> {
-        info!(target: "state", "configuration {} is in force", self.state_machine.revision);
+    fn activate_configuration(&mut self, now: Tick) -> Result<(), StateError> {
+        info!(target: "state", "configuration {} is in force", self.state_machine.revision());
         let config = self.state_machine.configuration()?;
         self.set_configuration(config);
         self.route_tables.extend(self.config.as_ref().map(RouteTable::of));
@@ -109,7 +110,7 @@
     ) {
         let previous_primary = match command {
             Command::PrimaryReturned { service, .. } => {
-                self.state_machine.leads.get(service).map(|record| record.primary.clone())
+                self.state_machine.primaries().get(service).map(|record| record.primary.clone())
             }
             _ => None,
         };
--- a/src/controller/core.rs
+++ b/src/controller/core.rs
@@ -16,12 +16,14 @@
     DIRECTORY_BATCH_MS, DirectoryUpdates, Greeting, Subscriber,
 };
 use crate::net::http::Response;
-use crate::net::rpc::raft_messages::{EntryPayload, RaftMessage};
+use crate::net::rpc::raft_messages::{EntryPayload, RaftMessage, RaftMessageKind};
 use crate::net::rpc::{Frame, pack};
 use crate::raft::node::RaftNode;
 use crate::raft::persister::{LogPersister, WriteOutcome};
 use crate::raft::state::PersistentState;
-use crate::state_machine::{Command, StateMachine, read_kept, readable};
+use crate::state_machine::{
+    Command, StateError, StateMachine, read_persistent_state, validate_message,
+};
 use log::{error, info, warn};
 use serde_bytes::ByteBuf;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -75,7 +77,12 @@
     pub(super) logged_leader: Option<MemberId>,
     /// Why something that is committed can't be read here; from then on nothing is answered or
     /// done on this state.
-    pub(super) unreadable: Option<String>,
+    pub(super) unreadable: Option<StateError>,
+}
+
+/// The state machine's check of Raft messages, in the form that the Raft node takes.
+pub(super) fn validate_raft_message(kind: &RaftMessageKind) -> Result<(), String> {
+    validate_message(kind).map_err(|e| e.to_string())
 }
 
 impl<E: Effects> Controller<E> {
@@ -95,8 +102,8 @@
         let applied = state.snapshot.last_included.index;
         info!(target: "raft", "member {} starts at term {}, entry {}", state.member_id, state.term,
             state.log.last().map_or(applied, |e| e.index));
-        let state_machine = read_kept(&state)?;
-        let config = state_machine.configuration().map_err(Fatal::State)?;
+        let state_machine = read_persistent_state(&state)?;
+        let config = state_machine.configuration().map_err(|e| Fatal::State(e.to_string()))?;
         let mut controller = Self {
             raft: RaftNode::new(state, restarted, now, random),
             settings,
@@ -121,7 +128,7 @@
             logged_leader: None,
             unreadable: None,
         };
-        controller.raft.message_validator = readable;
+        controller.raft.message_validator = validate_raft_message;
         controller.set_configuration(config);
         Ok(controller)
     }
--- a/src/controller/failover_driver.rs
+++ b/src/controller/failover_driver.rs
@@ -63,7 +63,7 @@
     /// What the failover of `service` decides on: the applied state, and what the leader knows of
     /// heartbeats and leases.
     fn service_snapshot(&self, service: &ServiceName, now: Tick) -> ServiceSnapshot {
-        let databases = self.state_machine.of_service(service);
+        let databases = self.state_machine.instances_of(service);
         let mut snapshot = ServiceSnapshot {
             service: service.clone(),
             raft_term: self.raft.state.term,
@@ -73,11 +73,11 @@
             sync_replicas: self.services.get(service).map_or(0, |s| s.sync_replicas),
             leases_expired: false,
             released_up_to: None,
-            primary_record: self.state_machine.leads.get(service).cloned(),
+            primary_record: self.state_machine.primaries().get(service).cloned(),
         };
         // Without synchronous replicas no commit relies on a departed replica.
         if snapshot.sync_replicas > 0 {
-            snapshot.departed = self.state_machine.departed(service);
+            snapshot.departed = self.state_machine.departed_replicas(service);
         }
         let Some(leader_state) = &self.leader_state else {
             return snapshot;
@@ -209,7 +209,7 @@
             && let Some(next) = self.database_requests.queue.pop_front()
         {
             let QueuedRequest { service, instance, request, attempt } = next;
-            let Some(record) = self.state_machine.instances.get(&instance) else {
+            let Some(record) = self.state_machine.instances().get(&instance) else {
                 continue;
             };
             let address = record.instance.address;
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -45,14 +45,15 @@
     ) {
         let (service, role) = (instance.target_service.clone(), instance.database_role);
         let newest = self.record_heartbeat(&id, sequence, now);
-        if self.state_machine.news(&id, &instance, sequence) {
+        if self.state_machine.accepts_heartbeat(&id, &instance, sequence) {
             let command = Command::Heartbeat { id, instance, sequence };
             return self.propose_for_caller(&command, reply, now);
         }
         // The caller may no longer wait.
         drop(reply.try_send(self.heartbeat_response()));
         // Only a primary that is not the known one matters to the failover.
-        let known_primary = self.state_machine.leads.get(&service).is_some_and(|l| l.primary == id);
+        let known_primary =
+            self.state_machine.primaries().get(&service).is_some_and(|l| l.primary == id);
         if newest && role == Role::Primary && !known_primary {
             self.step_failover(&service, now, |failover, snapshot| {
                 failover.handle_heartbeat(snapshot, &id, role, now)
@@ -87,8 +88,8 @@
             .iter()
             .filter(|(id, last)| {
                 now.since(last.received_at) > INSTANCE_EXPIRY_MS
-                    && state_machine.instances.contains_key(*id)
-                    && !state_machine.leads.values().any(|l| l.primary == **id)
+                    && state_machine.instances().contains_key(*id)
+                    && !state_machine.primaries().values().any(|l| l.primary == **id)
             })
             .map(|(id, _)| id.clone())
             .collect();
--- a/src/controller/leader_state.rs
+++ b/src/controller/leader_state.rs
@@ -47,7 +47,7 @@
 impl LeaderState {
     /// The state right after the election: each known instance counts as heard of now.
     fn new(state_machine: &StateMachine, now: Tick) -> Self {
-        let instances = state_machine.instances.iter();
+        let instances = state_machine.instances().iter();
         let heard = |sequence| LastHeartbeat { received_at: now, sequence };
         Self {
             leases: LeaseTable::new(now),
@@ -153,7 +153,10 @@
             return;
         }
         leader_state.refresh_leases(now);
-        let known = self.state_machine.by_service.keys().chain(self.state_machine.leads.keys());
+        let known = self
+            .state_machine
+            .services_with_instances()
+            .chain(self.state_machine.primaries().keys());
         let services: BTreeSet<ServiceName> = known.cloned().collect();
         for service in services {
             self.tick_failover(&service, now);
--- a/src/controller/lease_renewals.rs
+++ b/src/controller/lease_renewals.rs
@@ -74,7 +74,7 @@
         let answer = subscriber.and_then(|s| s.answers.iter().find(|a| a.seq == last_grant_seq));
         if let (Some(answer), Some(leader_state)) = (answer, &mut self.leader_state) {
             for position in observed {
-                let record = self.state_machine.leads.get(&position.service);
+                let record = self.state_machine.primaries().get(&position.service);
                 leader_state.watermarks.learn(record, answer.sent_at, position, now);
             }
         }
@@ -100,7 +100,7 @@
             };
         let mut grants = Vec::new();
         for service in due.into_iter().filter_map(|name| self.services.get(name)) {
-            let record = self.state_machine.leads.get(&service.name);
+            let record = self.state_machine.primaries().get(&service.name);
             let failover = leader_state.failovers.get(&service.name);
             let status = primary_status(record, failover);
             let limit = service.max_connections;
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -2,14 +2,14 @@
 //! join requests and their answers and once in each step; nothing here waits.
 use crate::base::ids::{LogIndex, MemberId};
 use crate::base::time::Tick;
-use crate::controller::core::Controller;
+use crate::controller::core::{Controller, validate_raft_message};
 use crate::controller::effects::Effects;
 use crate::controller::process::{as_member, fresh_id};
 use crate::net::rpc::Frame;
 use crate::net::rpc::raft_messages::{EntryPayload, JoinResponse, Member, Snapshot};
 use crate::raft::node::RaftNode;
 use crate::raft::state::{PersistentState, UnsavedChanges};
-use crate::state_machine::{StateMachine, readable};
+use crate::state_machine::StateMachine;
 use log::info;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -205,7 +205,7 @@
             ..PersistentState::default()
         };
         self.raft = RaftNode::new(state, false, now, self.random);
-        self.raft.message_validator = readable;
+        self.raft.message_validator = validate_raft_message;
         self.raft.unsaved = UnsavedChanges::all();
         self.persister.discard_held();
         self.state_machine = StateMachine::default();
--- a/src/controller/pooler_subscriptions.rs
+++ b/src/controller/pooler_subscriptions.rs
@@ -146,7 +146,7 @@
         updates.changed_since = None;
         let (mut upserted, mut removed) = (Vec::new(), Vec::new());
         for id in std::mem::take(&mut updates.changed) {
-            match self.state_machine.instances.get(&id) {
+            match self.state_machine.instances().get(&id) {
                 Some(record) => upserted.push(DirectoryEntry::of(&id, &record.instance)),
                 None => removed.push(id),
             }
@@ -174,7 +174,7 @@
         if !std::mem::take(&mut subscriber.directory_due) {
             return;
         }
-        let instances = &self.state_machine.instances;
+        let instances = &self.state_machine.instances();
         let encode_directory = || {
             let listed = instances.iter().map(|(id, r)| DirectoryEntry::of(id, &r.instance));
             encode(&Frame::Controller(ToPooler::Directory(listed.collect())))
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -25,7 +25,7 @@
             "entry": self.raft.last_position().index,
             "committed": self.raft.commit_index,
             "members": self.member_statuses(),
-            "revision": self.state_machine.revision,
+            "revision": self.state_machine.revision(),
             "databases": self.database_statuses(),
             "services": self.service_statuses(),
             "stiles": self.pooler_statuses(now),
@@ -47,14 +47,14 @@
     }
 
     fn database_statuses(&self) -> Vec<Value> {
-        let instances = self.state_machine.instances.iter();
+        let instances = self.state_machine.instances().iter();
         instances
             .map(|(id, r)| json!({ "id": id, "database": r.instance, "sequence": r.sequence }))
             .collect()
     }
 
     fn service_statuses(&self) -> Vec<Value> {
-        let records = self.state_machine.leads.iter();
+        let records = self.state_machine.primaries().iter();
         records
             .map(|(service, record)| {
                 let leader_state = self.leader_state.as_ref();
--- a/src/failover/snapshot.rs
+++ b/src/failover/snapshot.rs
@@ -18,7 +18,7 @@
     /// Every listed database of the service.
     pub databases: Vec<(InstanceId, Instance)>,
     /// Replicas that left and may hold the only copy of a commit, each with the sequence number of
-    /// its last heartbeat; see `StateMachine::departed`.
+    /// its last heartbeat; see `StateMachine::departed_replicas`.
     pub departed: BTreeMap<InstanceId, u64>,
     /// The listed databases whose heartbeats came in time.
     pub alive: BTreeSet<InstanceId>,
--- a/src/simulation/checker.rs
+++ b/src/simulation/checker.rs
@@ -78,9 +78,9 @@
                 wrong = Some(format!("the state at entry {applied} differs at n{number}"));
             }
             let newest = self.committed_configurations.last().map_or(Revision(0), |f| f.revision);
-            if state_machine.revision > newest {
-                let body = state_machine.body.to_vec();
-                let (revision, at) = (state_machine.revision, self.now);
+            if state_machine.revision() > newest {
+                let body = state_machine.configuration_body().to_vec();
+                let (revision, at) = (state_machine.revision(), self.now);
                 self.committed_configurations.push(CommittedConfiguration {
                     revision,
                     base: newest,
@@ -134,10 +134,10 @@
             return self.report_violation(format!("in the end {} lead", leading.len()));
         };
         let Some(controller) = &self.machines[leader].controller else { return };
-        let (revision, applied) = (controller.state_machine().revision, controller.applied());
+        let (revision, applied) = (controller.state_machine().revision(), controller.applied());
         let voters = controller.raft().members().iter().filter(|m| m.voter).count();
         let listed =
-            controller.state_machine().instances.keys().find(|id| self.goodbyes.contains(*id));
+            controller.state_machine().instances().keys().find(|id| self.goodbyes.contains(*id));
         let behind = self
             .machines
             .iter()
--- a/src/simulation/databases.rs
+++ b/src/simulation/databases.rs
@@ -166,7 +166,7 @@
         let (id, reported) = (self.databases[number].id.clone(), self.databases[number].reported);
         let best = self.machines.iter().filter_map(|m| m.controller.as_ref());
         let best = best.max_by_key(|s| s.applied()).map(|s| s.state_machine());
-        let listed = best.and_then(|a| a.instances.get(&id)).map(|r| r.instance.lifecycle_state);
+        let listed = best.and_then(|a| a.instances().get(&id)).map(|r| r.instance.lifecycle_state);
         if request.method == "DELETE" {
             if listed.is_some() {
                 self.report_violation(format!("{id} said goodbye and is still listed"));
--- /dev/null
+++ b/src/state_machine/configuration_history.rs
@@ -0,0 +1,120 @@
+//! The configuration in force and the digests of those accepted before.
+use super::commands::CommandOutcome;
+use super::validation::StateError;
+use crate::base::ids::Revision;
+use crate::config::configuration::Configuration;
+use serde::{Deserialize, Serialize};
+use serde_bytes::{ByteArray, ByteBuf};
+use sha2::{Digest as _, Sha256};
+use std::collections::BTreeMap;
+
+/// The number of accepted configurations whose digests are kept. One takes about 40 bytes of a
+/// snapshot.
+const ACCEPTED_DIGESTS_KEPT: usize = 4096;
+
+/// The operator's configuration, with what is needed to recognize a retry of an earlier one.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub(super) struct ConfigurationHistory {
+    /// The configuration in force, byte for byte as it was sent; empty before the first.
+    pub(super) body: ByteBuf,
+    /// The revision in force; 0 before the first.
+    pub(super) revision: Revision,
+    /// The digest of each accepted configuration, so that a retry is recognized.
+    pub(super) accepted: BTreeMap<Revision, BodyDigest>,
+}
+
+impl ConfigurationHistory {
+    /// What `Command::PutConfiguration` would result in now.
+    pub(super) fn evaluate(
+        &self,
+        base: Revision,
+        revision: Revision,
+        body: &[u8],
+    ) -> CommandOutcome {
+        // A retry of an accepted configuration succeeds for ever, also after newer ones.
+        if self.accepted.get(&revision).is_some_and(|digest| digest.matches(body)) {
+            CommandOutcome::NoChange
+        } else if base != self.revision {
+            match self.may_have_expired(revision) {
+                true => CommandOutcome::HistoryExpired,
+                false => CommandOutcome::StaleBase,
+            }
+        } else if revision <= self.revision {
+            CommandOutcome::RevisionNotAbove
+        } else {
+            CommandOutcome::Applied
+        }
+    }
+
+    /// Whether the revision may have been accepted and its digest dropped since.
+    fn may_have_expired(&self, revision: Revision) -> bool {
+        self.accepted.len() >= ACCEPTED_DIGESTS_KEPT
+            && self.accepted.first_key_value().is_some_and(|(oldest, _)| revision < *oldest)
+    }
+
+    /// Puts a configuration in force if [`Self::evaluate`] allows it.
+    pub(super) fn put(
+        &mut self,
+        base: Revision,
+        revision: Revision,
+        body: &ByteBuf,
+    ) -> CommandOutcome {
+        let outcome = self.evaluate(base, revision, body);
+        if outcome == CommandOutcome::Applied {
+            self.accepted.insert(revision, BodyDigest::of(body));
+            while self.accepted.len() > ACCEPTED_DIGESTS_KEPT {
+                self.accepted.pop_first();
+            }
+            self.revision = revision;
+            self.body = body.clone();
+        }
+        outcome
+    }
+
+    /// The configuration in force, or none before the first.
+    pub(super) fn configuration(&self) -> Result<Option<Configuration>, StateError> {
+        if self.body.is_empty() {
+            return Ok(None);
+        }
+        Configuration::read(&self.body)
+            .map(Some)
+            .map_err(|source| StateError::Configuration { revision: self.revision, source })
+    }
+
+    /// Whether all digests are of the kind that the first layout of the stored state knows.
+    pub(super) fn fits_first_layout(&self) -> bool {
+        self.accepted.values().all(|digest| matches!(digest, BodyDigest::Fnv(..)))
+    }
+}
+
+/// Distinguishes a retry from another body with the same revision.
+///
+/// Part of the stored form: untagged, so the variants are told apart by their shape.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(untagged)]
+pub(super) enum BodyDigest {
+    Sha256(ByteArray<32>),
+    /// Length and 64-bit FNV-1a hash, from states written before SHA-256 was used. A body is
+    /// compared in the kind that was stored for it; no new digests of this kind are made.
+    Fnv(u64, u64),
+}
+
+impl BodyDigest {
+    fn of(body: &[u8]) -> Self {
+        Self::Sha256(ByteArray::new(Sha256::digest(body).into()))
+    }
+
+    fn matches(&self, body: &[u8]) -> bool {
+        match self {
+            Self::Sha256(_) => *self == Self::of(body),
+            Self::Fnv(length, hash) => *length == body.len() as u64 && *hash == fnv_1a(body),
+        }
+    }
+}
+
+/// The 64-bit FNV-1a hash.
+fn fnv_1a(bytes: &[u8]) -> u64 {
+    const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+    const PRIME: u64 = 0x0100_0000_01b3;
+    bytes.iter().fold(OFFSET_BASIS, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(PRIME))
+}
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -24,7 +24,7 @@
 use silvertack::net::rpc::{Frame, ReceivedFrame, encode, pack, receive_with_layout, unpack};
 use silvertack::raft::state::PersistentState;
 use silvertack::raft::storage::{InitializedStorage, OpenedStorage, RaftStorage};
-use silvertack::state_machine::{Command, CommandOutcome, StateMachine, read_kept};
+use silvertack::state_machine::{Command, CommandOutcome, StateMachine, read_persistent_state};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write as _;
 use std::net::SocketAddr;
@@ -682,7 +682,8 @@
     let taken = BTreeMap::from([(160, (OLD_BODY.len(), fnv(OLD_BODY)))]);
     let empty = BTreeMap::<String, ()>::new();
     let first = (bytes(OLD_BODY), 160, taken, &empty, Vec::<()>::new(), &empty);
-    let mut state_machine = StateMachine::read(&pack(&first)).expect("of the first layout");
+    let mut state_machine =
+        StateMachine::from_snapshot(&pack(&first)).expect("of the first layout");
     let body = ByteBuf::from(order(161, &TYPES[..2]));
     for change in [
         Command::PutConfiguration { base: Revision(160), revision: Revision(161), body },
@@ -715,7 +716,7 @@
         snapshot: Snapshot {
             last_included: LogPosition::new(Term(231), LogIndex(232)),
             members: members(),
-            state: ByteBuf::from(state().write()),
+            state: ByteBuf::from(state().to_snapshot()),
         },
     }
 }
@@ -754,19 +755,19 @@
     assert_eq!(read.log, made.log);
     assert_eq!(read.snapshot, made.snapshot);
 
-    let mut state_machine = StateMachine::read(&read.snapshot.state).expect("a state");
+    let mut state_machine = StateMachine::from_snapshot(&read.snapshot.state).expect("a state");
     assert_eq!(state_machine, state());
-    assert_eq!(read_kept(&read).expect("readable"), state_machine);
-    assert_eq!(state_machine.write(), *read.snapshot.state);
-    let record = &state_machine.instances[&"d2".into()];
+    assert_eq!(read_persistent_state(&read).expect("readable"), state_machine);
+    assert_eq!(state_machine.to_snapshot(), *read.snapshot.state);
+    let record = &state_machine.instances()[&"d2".into()];
     let draining = instance(213, Lifecycle::Draining, Role::Replica);
     assert_eq!((&record.instance, record.sequence), (&draining, 214));
-    let lead = &state_machine.leads[&"s".into()];
+    let lead = &state_machine.primaries()[&"s".into()];
     assert_eq!((lead.term, lead.primary.0.as_str()), (DbTerm(200), "d1"));
     assert_eq!(lead.intent, Some("d2".into()));
-    assert_eq!(state_machine.leads[&"t".into()].intent, None);
+    assert_eq!(state_machine.primaries()[&"t".into()].intent, None);
     let departed = BTreeMap::from([("d3".into(), 204), ("d4".into(), 205)]);
-    assert_eq!(state_machine.departed(&"s".into()), departed);
+    assert_eq!(state_machine.departed_replicas(&"s".into()), departed);
     // Both kinds of digests know their own body and no other, and who left stays away.
     let now = order(161, &TYPES[..2]);
     for (revision, body, effect) in [
@@ -776,13 +777,13 @@
         (161, OLD_BODY, CommandOutcome::StaleBase),
     ] {
         assert_eq!(
-            state_machine.judge(Revision(3), Revision(revision), body),
+            state_machine.evaluate_configuration(Revision(3), Revision(revision), body),
             effect,
             "{revision}"
         );
     }
     for (sequence, news) in [(204, false), (205, true)] {
-        assert_eq!(state_machine.news(&"d3".into(), &draining, sequence), news);
+        assert_eq!(state_machine.accepts_heartbeat(&"d3".into(), &draining, sequence), news);
     }
 
     // Written again from the values.
@@ -797,7 +798,7 @@
         assert_eq!(entry, *made);
         again.log.push(entry);
     }
-    again.snapshot.state = ByteBuf::from(state().write());
+    again.snapshot.state = ByteBuf::from(state().to_snapshot());
     let new = folder("now");
     for kept in [again, made] {
         let _ = std::fs::remove_dir_all(&new);
--- a/tests/configuration_changes.rs
+++ b/tests/configuration_changes.rs
@@ -72,7 +72,7 @@
         let state = &kept.snapshot.state;
         let state_machine = match state.is_empty() {
             true => StateMachine::default(),
-            false => StateMachine::read(state).expect("state"),
+            false => StateMachine::from_snapshot(state).expect("state"),
         };
         let applied = kept.snapshot.last_included.index;
         let raft = RaftNode::new(kept, restarted, now, spread);
@@ -101,7 +101,7 @@
         let mut answers = Vec::new();
         if self.raft.state.snapshot.last_included.index > self.applied {
             self.state_machine =
-                StateMachine::read(&self.raft.state.snapshot.state).expect("state");
+                StateMachine::from_snapshot(&self.raft.state.snapshot.state).expect("state");
             self.applied = self.raft.state.snapshot.last_included.index;
         }
         for entry in self.raft.committed_entries_after(self.applied) {
@@ -468,7 +468,7 @@
                 let live =
                     |(id, n): &(&u64, &Node)| **id != old && n.raft.holds_leader_lease(site.now);
                 leader = *site.nodes.iter().find(live).expect("another").0;
-                let has = site.nodes[&leader].state_machine.revision == Revision(5);
+                let has = site.nodes[&leader].state_machine.revision() == Revision(5);
                 assert_eq!(has, what != nobody, "{what}");
             }
             "power lost" => {
@@ -515,7 +515,7 @@
         assert_eq!(site.status(first), heard, "{what}");
         for node in site.nodes.values() {
             assert_eq!(
-                (node.state_machine.revision, &node.state_machine.body),
+                (node.state_machine.revision(), node.state_machine.configuration_body()),
                 (Revision(7), &body(7, 'd'))
             );
         }
@@ -566,7 +566,7 @@
         ("not above", put(newest, 3, 'b'), Some(400)),
         ("the next", put(newest, newest + 3, 'a'), None),
     ];
-    let restored = StateMachine::read(&pack(&state_machine)).expect("as it was packed");
+    let restored = StateMachine::from_snapshot(&pack(&state_machine)).expect("as it was packed");
     for (what, call, expected) in cases {
         assert_eq!(status(call.clone().judge(&state_machine)), expected, "{what}");
         assert_eq!(status(call.judge(&restored)), expected, "{what}, restored");
@@ -580,7 +580,7 @@
                a12a21809080";
     let byte = |at| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex");
     let bytes: Vec<u8> = (0..hex.len()).step_by(2).map(byte).collect();
-    let mut state_machine = StateMachine::read(&bytes).expect("the older layout");
+    let mut state_machine = StateMachine::from_snapshot(&bytes).expect("the older layout");
     let put = |base, revision, body: &str| Command::PutConfiguration {
         base: Revision(base),
         revision: Revision(revision),
@@ -602,7 +602,8 @@
             effect,
             "{base} {revision} {body}"
         );
-        state_machine = StateMachine::read(&pack(&state_machine)).expect("both kinds side by side");
+        state_machine =
+            StateMachine::from_snapshot(&pack(&state_machine)).expect("both kinds side by side");
     }
 }
 
--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -895,14 +895,18 @@
     state_machine.apply(&heartbeat(&stays, 3));
     // Heard once and perhaps lost with its leader: a repeat must not pass as known.
     for _ in 0..3 {
-        assert!(state_machine.news(&id, &leaves, 5));
+        assert!(state_machine.accepts_heartbeat(&id, &leaves, 5));
     }
     assert_eq!(state_machine.apply(&heartbeat(&leaves, 5)), CommandOutcome::Applied);
     // (what is told, its sequence, whether it is news)
     for (told, sequence, news) in [(&leaves, 5, false), (&leaves, 9, false), (&stays, 4, false)] {
-        assert_eq!(state_machine.news(&id, told, sequence), news, "{told:?} {sequence}");
+        assert_eq!(
+            state_machine.accepts_heartbeat(&id, told, sequence),
+            news,
+            "{told:?} {sequence}"
+        );
     }
-    assert_eq!(state_machine.instances[&id].instance, leaves);
+    assert_eq!(state_machine.instances()[&id].instance, leaves);
     // It said goodbye: a heartbeat that was under way for long comes after all.
     state_machine.apply(&Command::RemoveInstance { id: id.clone(), sequence: u64::MAX });
     assert_eq!(state_machine.apply(&heartbeat(&leaves, 40)), CommandOutcome::NoChange);
@@ -914,7 +918,8 @@
     });
     state_machine.apply(&Command::RemoveInstance { id: "b".into(), sequence: 0 });
     assert!(
-        !state_machine.news(&"b".into(), &stays, 7) && state_machine.news(&"b".into(), &stays, 8)
+        !state_machine.accepts_heartbeat(&"b".into(), &stays, 7)
+            && state_machine.accepts_heartbeat(&"b".into(), &stays, 8)
     );
 }
 
@@ -953,10 +958,13 @@
     // Two built on the same version reach the log, one behind the other.
     assert_eq!(state_machine.apply(&put(3, 5, 2)), CommandOutcome::Applied);
     assert_eq!(state_machine.apply(&put(3, 6, 9)), CommandOutcome::StaleBase);
-    assert_eq!((state_machine.revision, &state_machine.body), (Revision(5), &body(2)));
+    assert_eq!(
+        (state_machine.revision(), state_machine.configuration_body()),
+        (Revision(5), &body(2))
+    );
     // Another leader has it from a snapshot.
     let bytes = pack(&state_machine);
-    let mut other = StateMachine::read(&bytes).expect("as it was packed");
+    let mut other = StateMachine::from_snapshot(&bytes).expect("as it was packed");
     assert_eq!(other, state_machine);
     // (base, revision, body, what comes of it)
     let cases = [
@@ -968,7 +976,10 @@
         (5, 4, 7, CommandOutcome::RevisionNotAbove),
     ];
     for (base, revision, n, effect) in cases {
-        assert_eq!(other.judge(Revision(base), Revision(revision), &body(n)), effect);
+        assert_eq!(
+            other.evaluate_configuration(Revision(base), Revision(revision), &body(n)),
+            effect
+        );
         other.apply(&put(base, revision, n));
         assert_eq!(other, state_machine, "{base} {revision} {n} changes nothing");
     }
--- a/tests/failover_replicas.rs
+++ b/tests/failover_replicas.rs
@@ -440,8 +440,9 @@
 #[test]
 fn who_left_is_kept_until_others_have_what_it_had() {
     let s = ServiceName::from("s");
-    let departed =
-        |state_machine: &StateMachine| state_machine.departed(&s).into_iter().collect::<Vec<_>>();
+    let departed = |state_machine: &StateMachine| {
+        state_machine.departed_replicas(&s).into_iter().collect::<Vec<_>>()
+    };
     let covered = |pairs: &[(&str, u64)]| {
         let departed = pairs.iter().map(|(id, last)| (InstanceId::from(*id), *last)).collect();
         Command::ForgetDeparted { service: s.clone(), departed }
@@ -452,7 +453,7 @@
     }
     assert_eq!(departed(&state_machine), [("b".into(), u64::MAX), ("c".into(), 4)]);
     // Another leader has it from a snapshot.
-    state_machine = StateMachine::read(&pack(&state_machine)).expect("as it was packed");
+    state_machine = StateMachine::from_snapshot(&pack(&state_machine)).expect("as it was packed");
     // `c` comes back and leaves with more, while others were found to have what it had before.
     state_machine.apply(&comes("c", 8));
     assert_eq!(departed(&state_machine), [("b".into(), u64::MAX)]);
@@ -511,11 +512,11 @@
     }
     assert_eq!(state_machine.apply(&returned), CommandOutcome::Applied);
     assert!(
-        state_machine.departed(&"s".into()).is_empty()
-            && !state_machine.instances.contains_key(&"a".into())
+        state_machine.departed_replicas(&"s".into()).is_empty()
+            && !state_machine.instances().contains_key(&"a".into())
     );
     assert_eq!(state_machine.apply(&comes("a", 9)), CommandOutcome::NoChange);
-    snapshot.primary_record = state_machine.leads.get(&"s".into()).cloned();
+    snapshot.primary_record = state_machine.primaries().get(&"s".into()).cloned();
     snapshot.databases.remove(0);
     assert!(s.tick(&snapshot, now.plus(1_000)).contains(&ask("d", DatabaseRequest::Describe)));
     let actions = s.handle_response(
@@ -540,7 +541,8 @@
         state_machine.apply(&goes(&format!("d{i}"), u64::MAX));
     }
     let bytes = pack(&state_machine);
-    for mut state_machine in [state_machine, StateMachine::read(&bytes).expect("as it was packed")]
+    for mut state_machine in
+        [state_machine, StateMachine::from_snapshot(&bytes).expect("as it was packed")]
     {
         for i in 0..1_000 {
             assert_eq!(
@@ -563,12 +565,12 @@
     let instances = BTreeMap::<String, (Instance, u64)>::new();
     let leads = BTreeMap::from([("s", &lead)]);
     let bytes = pack(&(body, revision, taken, instances, gone, leads));
-    let state_machine = StateMachine::read(&bytes).expect("read");
-    assert_eq!(state_machine.leads[&"s".into()], lead);
-    assert!(state_machine.departed(&"s".into()).is_empty());
+    let state_machine = StateMachine::from_snapshot(&bytes).expect("read");
+    assert_eq!(state_machine.primaries()[&"s".into()], lead);
+    assert!(state_machine.departed_replicas(&"s".into()).is_empty());
     for (id, sequence, news) in [("x", 9, false), ("x", 10, true), ("y", 2, false)] {
         assert_eq!(
-            state_machine.news(&id.into(), &database(Role::Replica), sequence),
+            state_machine.accepts_heartbeat(&id.into(), &database(Role::Replica), sequence),
             news,
             "{id}"
         );
@@ -726,13 +728,13 @@
     }
     fn snapshot(&self) -> ServiceSnapshot {
         let there = |id: &&InstanceId| self.nodes[*id].alive && !self.nodes[*id].dark;
-        let listed = self.state_machine.instances.iter();
+        let listed = self.state_machine.instances().iter();
         ServiceSnapshot {
             raft_term: Term(self.raft_term),
-            primary_record: self.state_machine.leads.get(&"s".into()).cloned(),
+            primary_record: self.state_machine.primaries().get(&"s".into()).cloned(),
             databases: listed.map(|(id, r)| (id.clone(), r.instance.clone())).collect(),
-            departed: self.state_machine.departed(&"s".into()),
-            alive: self.state_machine.instances.keys().filter(there).cloned().collect(),
+            departed: self.state_machine.departed_replicas(&"s".into()),
+            alive: self.state_machine.instances().keys().filter(there).cloned().collect(),
             sync_replicas: self.sync as u32,
             leases_expired: true,
             ..snapshot()
@@ -879,7 +881,7 @@
             let (now, primary) = (self.now, self.primary.clone());
             if now.0.is_multiple_of(100) {
                 self.step(|s, snapshot| s.tick(snapshot, now));
-                let lead = self.state_machine.leads[&"s".into()].primary.clone();
+                let lead = self.state_machine.primaries()[&"s".into()].primary.clone();
                 let unheard = !self.nodes[&lead].alive || self.nodes[&lead].dark;
                 if unheard {
                     self.step(|s, snapshot| {
@@ -905,7 +907,7 @@
     /// Injects a random fault.
     fn inject_fault(&mut self) {
         let (now, draw) = (self.now, self.dice.below(12));
-        let listed: Vec<InstanceId> = self.state_machine.instances.keys().cloned().collect();
+        let listed: Vec<InstanceId> = self.state_machine.instances().keys().cloned().collect();
         if listed.is_empty() {
             return self.join();
         }
@@ -1015,13 +1017,13 @@
         if let Some(target) = &before.intent {
             assert_eq!(state_machine.apply(&propose_intent(2, &target.0)), CommandOutcome::Applied);
         }
-        assert_eq!(state_machine.leads[&service()], *before);
+        assert_eq!(state_machine.primaries()[&service()], *before);
         let whole = state_machine.clone();
         let effect =
             if after.is_some() { CommandOutcome::Applied } else { CommandOutcome::NoChange };
         assert_eq!(state_machine.apply(&change), effect, "{before:?} {change:?}");
         match after {
-            Some(after) => assert_eq!(state_machine.leads[&service()], after, "{change:?}"),
+            Some(after) => assert_eq!(state_machine.primaries()[&service()], after, "{change:?}"),
             None => assert_eq!(state_machine, whole, "{change:?} leaves all as it was"),
         }
     }
@@ -1064,7 +1066,8 @@
         for change in [comes("a", 1), comes("b", 1)].iter().chain(&changes) {
             assert_eq!(state_machine.apply(change), CommandOutcome::Applied, "{what}: {change:?}");
         }
-        let departed: Vec<InstanceId> = state_machine.departed(&service).into_keys().collect();
+        let departed: Vec<InstanceId> =
+            state_machine.departed_replicas(&service).into_keys().collect();
         let counted: Vec<InstanceId> = counted.iter().map(|id| InstanceId::from(*id)).collect();
         assert_eq!(departed, counted, "{what}");
     }
--- a/tests/gateway_parts.rs
+++ b/tests/gateway_parts.rs
@@ -2,7 +2,7 @@
 use silvertack::base::errors::Refusal;
 use silvertack::base::ids::{InstanceId, NodeName, ServiceName};
 use silvertack::base::time::Tick;
-use silvertack::config::configuration::Configuration;
+use silvertack::config::configuration::{Configuration, ConfigurationError};
 use silvertack::config::route_table::RouteTable;
 use silvertack::gateway::attempts::{
     AttemptOutcome, AttemptPolicy, Idempotency, NextStep, RetryConditions,
@@ -243,7 +243,7 @@
     assert!(!outlier.is_ejected(now.plus(9_100)), "a success ends the row of ejections");
 }
 
-fn route_table(routes: serde_json::Value) -> Result<RouteTable, String> {
+fn route_table(routes: serde_json::Value) -> Result<RouteTable, ConfigurationError> {
     let services = serde_json::json!([{ "name": "a", "max_connections": 4 }, { "name": "b", "max_connections": 4 }]);
     let body = serde_json::json!({ "revision": 1, "route_rules": routes, "services": services });
     Configuration::read(body.to_string().as_bytes()).map(|c| RouteTable::of(&c))
@@ -303,7 +303,7 @@
         ("target_service_or_weighted_targets", route("h", "/", serde_json::json!({}))),
     ];
     for (why, route) in bad {
-        let error = route_table(serde_json::json!([route])).expect_err(why);
+        let error = route_table(serde_json::json!([route])).expect_err(why).to_string();
         assert!(error.contains(why), "{error}");
     }
 }
--- a/tests/interfaces.rs
+++ b/tests/interfaces.rs
@@ -418,7 +418,11 @@
     assert_eq!(serde_json::to_value(&read).expect("JSON"), order);
     let mut more = order.clone();
     more["limits"]["of_later"] = 1.into();
-    assert_eq!(Configuration::read(more.to_string().as_bytes()), Ok(read), "others are ignored");
+    assert_eq!(
+        Configuration::read(more.to_string().as_bytes()).expect("read"),
+        read,
+        "others are ignored"
+    );
 }
 
 /// Every key, none with its default.
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -466,7 +466,7 @@
         let snapshot = Snapshot {
             last_included: LogPosition::new(Term(1), LogIndex(5)),
             members: (1..=voters).map(member).collect(),
-            state: serde_bytes::ByteBuf::from(state_machine.write()),
+            state: serde_bytes::ByteBuf::from(state_machine.to_snapshot()),
         };
         let kept = |id| PersistentState {
             member_id: MemberId(id),
@@ -628,7 +628,7 @@
         self.answer("a", |ask| *ask == DatabaseRequest::Describe, DatabaseResponse::Unavailable);
     }
     fn lead(&self) -> &PrimaryRecord {
-        &self.controller.state_machine().leads[&service()]
+        &self.controller.state_machine().primaries()[&service()]
     }
 }
 type Granted = Option<(Option<LeaseGrant>, Option<PositionBound>)>;
--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -328,11 +328,11 @@
         body: serde_bytes::ByteBuf::from(b"{}".to_vec()),
     };
     let mut state_machine = StateMachine::default();
-    assert!(!state_machine.begun());
+    assert!(!state_machine.is_initialized());
     state_machine.apply(&configure);
-    assert!(state_machine.begun());
-    let again = StateMachine::read(&pack(&state_machine)).expect("read");
-    assert!(again.begun(), "after a fold, and on a disk of before");
+    assert!(state_machine.is_initialized());
+    let again = StateMachine::from_snapshot(&pack(&state_machine)).expect("read");
+    assert!(again.is_initialized(), "after a fold, and on a disk of before");
 }
 
 #[test]
--- a/tests/storage.rs
+++ b/tests/storage.rs
@@ -19,7 +19,9 @@
 use silvertack::raft::node::RaftNode;
 use silvertack::raft::state::{PersistentState, UnsavedChanges};
 use silvertack::raft::storage::{InitializedStorage, OpenedStorage, RaftStorage, WriteBatch};
-use silvertack::state_machine::{Command, CommandOutcome, StateMachine, read_kept, readable};
+use silvertack::state_machine::{
+    Command, CommandOutcome, StateMachine, read_persistent_state, validate_message,
+};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -56,6 +58,11 @@
 /// What stands in that folder and in the frames.
 fn old_state() -> StateMachine {
     let body = br#"{"revision":12,"route_rules":[{"name":"strict","hostname":"strict","path_prefix":"/","route_type":"primary","timeout_ms":2000,"target_latency_ms":250,"priority":1,"target_service":"s","max_attempts":2,"stale_ms":1500}],"services":[{"name":"s","health_check_path":"/health","max_connections":16,"sync_replicas":1}],"limits":{"txn_idle_ms":3000}}"#;
+    old_state_with([&body[..], b"\n"].concat())
+}
+
+/// The same with another configuration of its revision.
+fn old_state_with(body: Vec<u8>) -> StateMachine {
     let heartbeat = |id: &str, database_role, sequence| Command::Heartbeat {
         id: id.into(),
         instance: Instance {
@@ -75,7 +82,7 @@
         Command::PutConfiguration {
             base: Revision(0),
             revision: Revision(12),
-            body: ByteBuf::from([&body[..], b"\n"].concat()),
+            body: ByteBuf::from(body),
         },
         heartbeat("a", Role::Primary, 4),
         heartbeat("b", Role::Replica, 5),
@@ -103,23 +110,42 @@
     let members = [member(1, true), member(2, true), member(3, false)];
     assert_eq!(kept.snapshot.members, members);
     // The same but for what that program did not keep: another digest of the order, and who departed.
-    let (read, made) = (StateMachine::read(&kept.snapshot.state).expect("a state"), old_state());
-    assert_eq!((&read.body, read.revision), (&made.body, made.revision));
-    assert_eq!((&read.instances, &read.leads), (&made.instances, &made.leads));
-    assert!(read.departed(&"s".into()).is_empty() && !made.departed(&"s".into()).is_empty());
-    for (body, effect) in
-        [(&made.body[..], CommandOutcome::NoChange), (b"{}", CommandOutcome::StaleBase)]
-    {
-        assert_eq!(read.judge(Revision(3), Revision(12), body), effect, "an order sent again");
+    let (read, made) =
+        (StateMachine::from_snapshot(&kept.snapshot.state).expect("a state"), old_state());
+    assert_eq!(
+        (read.configuration_body(), read.revision()),
+        (made.configuration_body(), made.revision())
+    );
+    assert_eq!((&read.instances(), &read.primaries()), (&made.instances(), &made.primaries()));
+    assert!(
+        read.departed_replicas(&"s".into()).is_empty()
+            && !made.departed_replicas(&"s".into()).is_empty()
+    );
+    for (body, effect) in [
+        (&made.configuration_body()[..], CommandOutcome::NoChange),
+        (b"{}", CommandOutcome::StaleBase),
+    ] {
+        assert_eq!(
+            read.evaluate_configuration(Revision(3), Revision(12), body),
+            effect,
+            "an order sent again"
+        );
     }
-    let late = &made.instances[&"b".into()].instance;
+    let late = &made.instances()[&"b".into()].instance;
     for (sequence, news) in [(9, false), (10, true)] {
-        assert_eq!(read.news(&"c".into(), late, sequence), news, "a late beat of one that left");
+        assert_eq!(
+            read.accepts_heartbeat(&"c".into(), late, sequence),
+            news,
+            "a late beat of one that left"
+        );
     }
     // Going back is possible as long as nothing new is in it, and of the new layout it is read again.
-    assert_eq!(read.write(), *kept.snapshot.state);
-    assert_eq!(made.write()[0], 2);
-    assert_eq!(StateMachine::read(&made.write()).expect("a state").write(), made.write());
+    assert_eq!(read.to_snapshot(), *kept.snapshot.state);
+    assert_eq!(made.to_snapshot()[0], 2);
+    assert_eq!(
+        StateMachine::from_snapshot(&made.to_snapshot()).expect("a state").to_snapshot(),
+        made.to_snapshot()
+    );
     assert_eq!(kept.log.iter().map(|e| e.index.0).collect::<Vec<_>>(), [9, 10, 11, 12]);
     let EntryPayload::Command(bytes) = &kept.log[3].payload else { panic!("a change") };
     let led = Command::SetPrimary { service: "s".into(), term: DbTerm(4), primary: "b".into() };
@@ -721,7 +747,7 @@
         let before = std::fs::read(&file).expect("bytes");
         let read = RaftStorage::open(&folder)
             .map_err(Fatal::from)
-            .and_then(|opened| read_kept(&opened.state.expect("a state")));
+            .and_then(|opened| read_persistent_state(&opened.state.expect("a state")));
         let refused = read.err().unwrap_or_else(|| panic!("{what}: read"));
         assert!(
             matches!(refused, Fatal::State(_)) && refused.exit_code() == 3,
@@ -779,8 +805,7 @@
         sent_at: 1,
     };
     let good = Command::AbandonFailover { service: "s".into(), target: "b".into() };
-    let mut other = old_state();
-    other.body = ByteBuf::from(b"{}".to_vec());
+    let other = old_state_with(b"{}".to_vec());
     // (what, message, a part of what is said; nothing where it is taken)
     let cases = [
         ("a change", append(vec![entry(9, 3, pack(&good))]), ""),
@@ -792,7 +817,7 @@
             append(vec![entry(9, 3, pack(&good)), entry(10, 3, unknown)]),
             "entry 10",
         ),
-        ("a state of this layout", snapshot(old_state().write()), ""),
+        ("a state of this layout", snapshot(old_state().to_snapshot()), ""),
         ("a newer state", snapshot([&[3][..], &pack(&old_state())].concat()), "of layout 3"),
         ("a state with a configuration that is none", snapshot(pack(&other)), "configuration 12"),
         ("no state", snapshot(Vec::new()), "entry 20"),
@@ -808,7 +833,7 @@
             ..PersistentState::default()
         };
         let mut raft = RaftNode::new(kept, true, Tick(9_000), || 10);
-        raft.message_validator = readable;
+        raft.message_validator = |kind| validate_message(kind).map_err(|e| e.to_string());
         raft.step(RaftMessage { from: MemberId(1), term: Term(3), kind }, Tick(9_500));
         raft.log_persisted(raft.last_position());
         let acked = raft
@@ -1019,7 +1044,7 @@
 #[test]
 fn a_late_beat_brings_nothing_back_though_hundreds_left_since() {
     let mut state_machine = old_state();
-    let instance = state_machine.instances[&InstanceId::from("b")].instance.clone();
+    let instance = state_machine.instances()[&InstanceId::from("b")].instance.clone();
     let heartbeat = |n: u64| Command::Heartbeat {
         id: InstanceId(format!("d{n}")),
         instance: instance.clone(),
@@ -1032,11 +1057,11 @@
             sequence: u64::MAX,
         });
     }
-    let mut state_machine = StateMachine::read(&pack(&state_machine)).expect("read");
+    let mut state_machine = StateMachine::from_snapshot(&pack(&state_machine)).expect("read");
     for n in 0..2_000 {
         state_machine.apply(&heartbeat(n));
     }
-    assert_eq!(state_machine.instances.len(), 2, "only those that never left");
+    assert_eq!(state_machine.instances().len(), 2, "only those that never left");
     assert!(pack(&state_machine).len() < 64 << 10, "and they take little room");
 }
 
