--- a/src/controller/failover_driver.rs
+++ b/src/controller/failover_driver.rs
@@ -9,6 +9,7 @@
     Attempt, DatabaseRequest, DatabaseResponse, Failover, FailoverAction, FailoverState,
     LeaseStatus, PromotionResponse, ServiceSnapshot,
 };
+use crate::leases::lease_table::CoverageRule;
 use crate::net::rpc::pooler_messages::ToPooler;
 use crate::net::rpc::{Frame, LAYOUT, encode};
 use crate::state_machine::Command;
@@ -93,11 +94,14 @@
         if let Some(record) = &snapshot.primary_record
             && !leader_state.failovers.get(service).is_some_and(steady)
         {
-            snapshot.leases_expired = leader_state.leases.gone(service, record.term, now);
-            let newest = leader_state.watermarks.newest(service);
-            let trusting = snapshot.sync_replicas == 0;
+            snapshot.leases_expired = leader_state.leases.all_released(service, record.term, now);
+            let newest = leader_state.watermarks.latest(service);
+            let rule = match snapshot.sync_replicas {
+                0 => CoverageRule::WatermarkOrTimeout,
+                _ => CoverageRule::Watermark,
+            };
             snapshot.released_up_to =
-                leader_state.leases.given_back(service, record.term, newest, trusting, now);
+                leader_state.leases.released_up_to(service, record.term, newest, rule, now);
         }
         snapshot
     }
--- a/src/controller/leader_state.rs
+++ b/src/controller/leader_state.rs
@@ -7,7 +7,7 @@
 use crate::controller::heartbeats::LastHeartbeat;
 use crate::controller::pending_updates::PendingUpdates;
 use crate::failover::Failover;
-use crate::leases::lease_table::{LeaseTable, SHARE_HELD_MS};
+use crate::leases::lease_table::LeaseTable;
 use crate::leases::subset_assignments::SubsetAssignments;
 use crate::leases::watermarks::ReplicationWatermarks;
 use crate::net::http::Response;
@@ -67,9 +67,9 @@
     /// services are due in the next answer to each pooler.
     fn refresh_leases(&mut self, now: Tick) {
         self.swept_at = now;
-        self.subset_assignments.divide(|node| self.leases.seats.contains_key(node), now);
-        let expired = now.since(self.leases.elected) >= SHARE_HELD_MS;
-        if self.leases.forget_old(now) || expired != self.earlier_shares_expired {
+        self.subset_assignments.rebalance(|node| self.leases.poolers.contains_key(node), now);
+        let expired = self.leases.knows_all_quotas(now);
+        if self.leases.expire_lost(now) || expired != self.earlier_shares_expired {
             self.earlier_shares_expired = expired;
             self.pending_updates.stir_all();
         }
--- a/src/controller/lease_renewals.rs
+++ b/src/controller/lease_renewals.rs
@@ -43,14 +43,14 @@
         let zone = self.poolers.get(&conn).map(|s| s.zone.as_str()).unwrap_or_default();
         if let Some(leader_state) = &mut self.leader_state {
             for (service, load) in load {
-                leader_state.subset_assignments.report(node, zone, service, load);
+                leader_state.subset_assignments.report_load(node, zone, service, load);
             }
-            for service in leader_state.leases.report(node, quotas, now) {
+            for service in leader_state.leases.report_quotas(node, quotas, now) {
                 leader_state.pending_updates.stir(&service);
             }
             for (service, more) in demand {
                 if self.services.contains_key(&service) {
-                    leader_state.leases.want(node, &service, more, now);
+                    leader_state.leases.request_quota(node, &service, more, now);
                 }
             }
         }
@@ -75,7 +75,7 @@
         if let (Some(answer), Some(leader_state)) = (answer, &mut self.leader_state) {
             for position in observed {
                 let record = self.state_machine.primaries().get(&position.service);
-                leader_state.watermarks.learn(record, answer.sent_at, position, now);
+                leader_state.watermarks.observe(record, answer.sent_at, position, now);
             }
         }
     }
@@ -91,7 +91,7 @@
         let node = &subscriber.node;
         let complete = subscriber.updates_sent.is_none();
         let mut unsent = std::mem::take(&mut subscriber.released);
-        unsent.extend(leader_state.leases.lent(node).cloned());
+        unsent.extend(leader_state.leases.services_with_requests(node).cloned());
         let sent = subscriber.updates_sent;
         let due: BTreeSet<&ServiceName> =
             match sent.and_then(|n| leader_state.pending_updates.since(n)) {
@@ -104,11 +104,11 @@
             let failover = leader_state.failovers.get(&service.name);
             let status = primary_status(record, failover);
             let limit = service.max_connections;
-            let quota = leader_state.leases.share(node, &service.name, limit, now);
+            let quota = leader_state.leases.quota(node, &service.name, limit, now);
             let grant = LeaseGrant { service: service.name.clone(), status, quota };
-            grants.extend(leader_state.leases.tell(node, grant));
+            grants.extend(leader_state.leases.grant(node, grant));
         }
-        leader_state.leases.renewed(node, now);
+        leader_state.leases.renew(node, now);
         subscriber.updates_sent = Some(leader_state.pending_updates.newest());
         if subscriber.answers.len() == MAX_REMEMBERED_ANSWERS {
             subscriber.answers.pop_front();
@@ -116,8 +116,9 @@
         subscriber.answers.push_back(SentAnswer { seq: renewal.seq, sent_at: now });
         let requested = renewal.bounds_requested.iter();
         let position_bounds =
-            requested.filter_map(|name| leader_state.watermarks.tell(name, now)).collect();
-        let subset_ranges = leader_state.subset_assignments.due(&subscriber.node, complete);
+            requested.filter_map(|name| leader_state.watermarks.bound(name, now)).collect();
+        let subset_ranges =
+            leader_state.subset_assignments.take_updates(&subscriber.node, complete);
         let seq = renewal.seq;
         let answer = ToPooler::LeaseGrants {
             seq,
--- a/src/controller/pooler_subscriptions.rs
+++ b/src/controller/pooler_subscriptions.rs
@@ -213,8 +213,8 @@
             return;
         };
         // A newer connection of the same node replaces what an older one still brings.
-        let leases = self.leader_state.as_ref().and_then(|l| l.leases.seats.get(&node));
-        if leases.is_none_or(|l| l.conn != Some(conn)) {
+        let leases = self.leader_state.as_ref().and_then(|l| l.leases.poolers.get(&node));
+        if leases.is_none_or(|l| l.connection != Some(conn)) {
             return;
         }
         match message {
@@ -236,7 +236,7 @@
             }
             ToController::RevokeAck { service, term, highest } => {
                 if let Some(leader_state) = &mut self.leader_state {
-                    leader_state.leases.give_back(&node, &service, term, highest);
+                    leader_state.leases.acknowledge_revocation(&node, &service, term, highest);
                 }
                 if let Some(subscriber) = self.poolers.get_mut(&conn) {
                     subscriber.released.insert(service);
@@ -244,7 +244,7 @@
             }
             ToController::Goodbye => {
                 if let Some(leader_state) = &mut self.leader_state {
-                    leader_state.leases.leave(&node);
+                    leader_state.leases.release_all(&node);
                 }
             }
         }
@@ -280,7 +280,7 @@
         }
         info!(target: "poolers", "{node} is here");
         if let Some(leader_state) = &mut self.leader_state {
-            leader_state.leases.seat(&node, incarnation, conn, now);
+            leader_state.leases.register(&node, incarnation, conn, now);
             leader_state.pending_updates.stir_all();
         }
         let subscriber = Subscriber {
@@ -304,7 +304,7 @@
     pub(super) fn handle_closed_connection(&mut self, conn: u64, now: Tick) {
         if let Some(Subscriber { node, .. }) = self.poolers.remove(&conn)
             && let Some(leader_state) = &mut self.leader_state
-            && leader_state.leases.lose(conn, now).is_some()
+            && leader_state.leases.disconnect(conn, now).is_some()
         {
             leader_state.pending_updates.stir_all();
             info!(target: "poolers", "{node} lost");
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -68,15 +68,15 @@
     }
 
     fn pooler_statuses(&self, now: Tick) -> Vec<Value> {
-        let poolers = self.leader_state.iter().flat_map(|l| &l.leases.seats);
+        let poolers = self.leader_state.iter().flat_map(|l| &l.leases.poolers);
         poolers
             .map(|(node, leases)| {
                 json!({
                     "node": node,
-                    "connected": leases.conn.is_some(),
-                    "heard_ms_ago": now.since(leases.heard),
-                    "lease_left_ms": (leases.granted.0 + LEASE_MS).saturating_sub(now.0),
-                    "services": leases.told.values().map(grant_status).collect::<Vec<_>>(),
+                    "connected": leases.connection.is_some(),
+                    "heard_ms_ago": now.since(leases.last_contact),
+                    "lease_left_ms": (leases.granted_at.0 + LEASE_MS).saturating_sub(now.0),
+                    "services": leases.grants.values().map(grant_status).collect::<Vec<_>>(),
                 })
             })
             .collect()
--- a/src/leases/lease_table.rs
+++ b/src/leases/lease_table.rs
@@ -1,352 +1,331 @@
-//! The leases that poolers hold on primaries, and their quotas of connections.
+//! The leases on primaries that the leading controller has granted to poolers.
+//!
+//! A pooler may use a primary only under a lease. The controller asks this table when every lease on
+//! a term has expired or was given up, and how far commits can have been acknowledged under them,
+//! before it lets a failover go on.
+use super::quotas::{LOST_QUOTA_MS, PoolerQuotas, QuotaTotals};
+use super::watermarks::Watermark;
 use crate::base::ids::{DbTerm, NodeName, Position, ServiceName};
 use crate::base::time::Tick;
 use crate::net::rpc::pooler_messages::{LeaseGrant, PrimaryStatus};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 
-/// How long a pooler may use what it was last granted, from when it asked.
+/// How long a pooler may use what it was last granted, in milliseconds from when it asked.
 pub const LEASE_MS: u64 = 1_800;
 
-/// For what a clock may be off by a little.
+/// Added to a lease where its expiry is awaited, in milliseconds: clocks may run at slightly
+/// different rates.
 const LEASE_SLACK_MS: u64 = 50;
 
-/// Connections of a lost pooler are counted this long: a database drops a dark end after 3 s.
-pub(crate) const SHARE_HELD_MS: u64 = 4_500;
+/// How long a lost pooler is kept, in milliseconds. It may have acknowledged later commits than it
+/// reported; replicas have received those by then.
+const LOST_POOLER_MS: u64 = 10_000;
 
-/// A lost pooler may have passed on more than it told; others have seen further after this time.
-const UNTOLD_MS: u64 = 10_000;
-
-/// What a pooler gets from a new leader that has not heard of any share yet.
-const YOUNG_SHARE: u32 = 4;
-
-/// What was lent beyond a pooler's part is taken back when it wanted no more for so long.
-const LENT_MS: u64 = 3_000;
-
-/// Connections to each database kept back for the controllers' own questions.
-const RESERVE: u32 = 4;
-
-/// One pooler, as the leader accounts for it.
+/// One pooler: its connection to this leader, its leases and its quotas.
 #[derive(Clone, Debug, Default)]
 pub struct PoolerLeases {
-    pub incarnation: u64,
-    pub conn: Option<u64>,
-    pub lost: Option<Tick>,
-    /// Its connections are counted no more, unless it comes back.
-    released: bool,
-    /// What it was last told. Whoever leads in here is leased to it as of `granted`.
-    pub(crate) told: BTreeMap<ServiceName, LeaseGrant>,
-    pub(crate) granted: Tick,
-    /// Leases that were not renewed further, and when they were last granted.
-    ended: BTreeMap<ServiceName, (DbTerm, Tick)>,
-    given_back: BTreeMap<ServiceName, (DbTerm, Option<Position>)>,
-    reported: BTreeMap<ServiceName, u32>,
-    /// Connections it could use beyond its part, and when it said so.
-    wants: BTreeMap<ServiceName, (u32, Tick)>,
-    pub(crate) heard: Tick,
+    /// Identifies the process; drawn at random when it starts.
+    incarnation: u64,
+    /// The connection it last registered on; none while it is lost.
+    pub connection: Option<u64>,
+    /// When its connection was lost.
+    lost_at: Option<Tick>,
+    /// Its quotas are no longer counted, unless it comes back.
+    pub(super) quota_released: bool,
+    /// What it was last granted on its connection. A service with an active primary in here is leased
+    /// to it as of `granted_at`.
+    pub(crate) grants: BTreeMap<ServiceName, LeaseGrant>,
+    /// When its leases were last renewed.
+    pub(crate) granted_at: Tick,
+    /// Leases that are no longer renewed and expire by themselves.
+    ended: BTreeMap<ServiceName, LeasePeriod>,
+    revocations: BTreeMap<ServiceName, AcknowledgedRevocation>,
+    pub(super) quotas: PoolerQuotas,
+    /// When its last message came.
+    pub(crate) last_contact: Tick,
+}
+
+/// A lease on the primary of a term, and when it was last granted.
+#[derive(Clone, Copy, Debug)]
+struct LeasePeriod {
+    term: DbTerm,
+    granted_at: Tick,
+}
+
+/// A pooler has stopped to use its lease on a term.
+#[derive(Clone, Copy, Debug)]
+struct AcknowledgedRevocation {
+    term: DbTerm,
+    /// The highest position that the pooler saw acknowledged.
+    highest: Option<Position>,
 }
 
 impl PoolerLeases {
-    /// Connections it may have to a database of the service.
-    fn holds(&self, service: &ServiceName) -> u32 {
-        let told = self.told.get(service).map_or(0, |g| g.quota);
-        told.max(self.reported.get(service).copied().unwrap_or(0))
-    }
-    fn holdings(&self) -> impl Iterator<Item = (&ServiceName, u32)> {
-        let names: BTreeSet<&ServiceName> = self.told.keys().chain(self.reported.keys()).collect();
-        names.into_iter().map(|name| (name, self.holds(name)))
+    /// The current lease on a service.
+    fn active_lease(&self, service: &ServiceName) -> Option<LeasePeriod> {
+        match self.grants.get(service)?.status {
+            PrimaryStatus::Active { term, .. } => {
+                Some(LeasePeriod { term, granted_at: self.granted_at })
+            }
+            PrimaryStatus::Sealed(_) | PrimaryStatus::Absent => None,
+        }
     }
+
     /// When this leader last granted it a lease on the service.
-    fn leased(&self, service: &ServiceName) -> Option<Tick> {
-        let led = |g: &&LeaseGrant| matches!(g.status, PrimaryStatus::Active { .. });
-        let now = self.told.get(service).filter(led).map(|_| self.granted);
-        now.max(self.ended.get(service).map(|(_, at)| *at))
+    fn last_granted(&self, service: &ServiceName) -> Option<Tick> {
+        let active = self.active_lease(service).map(|lease| lease.granted_at);
+        active.max(self.ended.get(service).map(|lease| lease.granted_at))
+    }
+
+    /// The lease on this service is no longer renewed; it expires by itself.
+    fn end_lease(&mut self, service: &ServiceName) {
+        if let Some(lease) = self.active_lease(service) {
+            self.ended.insert(service.clone(), lease);
+        }
     }
-    /// The lease on this service is renewed no more; it runs out by itself.
-    fn end(&mut self, service: &ServiceName) {
-        if let Some(LeaseGrant { status: PrimaryStatus::Active { term, .. }, .. }) =
-            self.told.get(service)
-        {
-            self.ended.insert(service.clone(), (*term, self.granted));
+
+    /// Whether it can no longer use a lease on `term` or an earlier one.
+    fn is_released(&self, service: &ServiceName, term: DbTerm, now: Tick) -> bool {
+        if self.revocations.get(service).is_some_and(|revocation| revocation.term >= term) {
+            return true;
         }
+        let mut leases =
+            self.ended.get(service).copied().into_iter().chain(self.active_lease(service));
+        leases.all(|lease| lease.term > term || has_expired(lease.granted_at, now))
+    }
+
+    fn is_lost_for(&self, duration_ms: u64, now: Tick) -> bool {
+        self.lost_at.is_some_and(|lost_at| now.since(lost_at) >= duration_ms)
     }
 }
 
-/// Which pooler may use what until when. A value; the leader keeps one while it leads.
+/// When a lease granted at this time can no longer be in use.
+fn lease_end(granted_at: Tick) -> Tick {
+    granted_at.plus(LEASE_MS + LEASE_SLACK_MS)
+}
+
+fn has_expired(granted_at: Tick, now: Tick) -> bool {
+    now.since(granted_at) > LEASE_MS + LEASE_SLACK_MS
+}
+
+/// When the commits acknowledged under a lease that was never given up count as known.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum CoverageRule {
+    /// Only when a watermark covers them.
+    Watermark,
+    /// Also when the lease ended long ago. For a service without synchronous replicas: nothing
+    /// ever proves that its replicas have a commit, and a failover would wait for ever.
+    WatermarkOrTimeout,
+}
+
+/// Which pooler may use which primary until when, and how many connections to it; kept while this
+/// controller leads.
 ///
-/// One lease covers all services of a pooler. An answer to a renewal renews whatever it was told
-/// before on the same connection, so only what changed is told.
+/// One lease covers all services of a pooler. An answer to a renewal renews everything that was
+/// granted before on the same connection, so only changes are sent.
 #[derive(Clone, Debug, Default)]
 pub struct LeaseTable {
-    pub seats: BTreeMap<NodeName, PoolerLeases>,
-    pub(crate) elected: Tick,
-    live: u32,
-    /// For each service, the connections that all poolers may have.
-    held: BTreeMap<ServiceName, u32>,
-    /// The most that any pooler said it has.
-    most: BTreeMap<ServiceName, u32>,
-    /// Until when a pooler whose word will never come may have passed on commits of a service.
-    unheard: BTreeMap<ServiceName, Tick>,
-}
-
-/// When a lease granted then can be in use no more.
-fn lease_end(granted: Tick) -> Tick {
-    granted.plus(LEASE_MS + LEASE_SLACK_MS)
+    /// The poolers that are connected, or were until lately.
+    pub poolers: BTreeMap<NodeName, PoolerLeases>,
+    pub(super) elected_at: Tick,
+    /// The number of connected poolers.
+    pub(super) connected: u32,
+    pub(super) totals: QuotaTotals,
+    /// For each service, when the leases of poolers that were forgotten, or started anew, without
+    /// giving up their lease have expired.
+    unacknowledged_until: BTreeMap<ServiceName, Tick>,
 }
 
 impl LeaseTable {
-    pub fn new(elected: Tick) -> Self {
-        Self { elected, ..Self::default() }
-    }
-    fn count(&mut self, service: &ServiceName, before: u32, now: u32) {
-        if before != now {
-            let held = self.held.entry(service.clone()).or_default();
-            *held = (*held + now).saturating_sub(before);
-        }
-    }
-    fn count_all(&mut self, seat: &PoolerLeases, add: bool) {
-        for (service, holds) in seat.holdings() {
-            let (before, now) = if add { (0, holds) } else { (holds, 0) };
-            self.count(service, before, now);
-        }
+    /// The table of a leader elected at `elected_at`, which knows no pooler yet.
+    pub fn new(elected_at: Tick) -> Self {
+        Self { elected_at, ..Self::default() }
     }
-    pub fn seat(&mut self, node: &NodeName, incarnation: u64, conn: u64, now: Tick) {
-        let mut seat = self.seats.remove(node).unwrap_or_default();
-        if seat.conn.is_none() {
-            self.live += 1;
+
+    /// Takes in a pooler that connects. Its leases and quotas stay if it is the same process;
+    /// everything is granted anew on the new connection.
+    pub fn register(&mut self, node: &NodeName, incarnation: u64, connection: u64, now: Tick) {
+        let mut pooler = self.poolers.remove(node).unwrap_or_default();
+        if pooler.connection.is_none() {
+            self.connected += 1;
         }
-        if seat.incarnation != incarnation {
-            // The old process is gone and its connections with it; what it passed on is not known.
-            if !seat.released {
-                self.count_all(&seat, false);
+        if pooler.incarnation != incarnation {
+            // The old process has ended and its connections with it; up to which commit it
+            // acknowledged is not known.
+            if !pooler.quota_released {
+                self.totals.remove_pooler(&pooler);
             }
-            self.never_heard(&seat);
-            seat = PoolerLeases { incarnation, ..PoolerLeases::default() };
-        } else if seat.released {
-            self.count_all(&seat, true);
+            self.forget_leases(&pooler);
+            pooler = PoolerLeases { incarnation, ..PoolerLeases::default() };
+        } else if pooler.quota_released {
+            self.totals.add_pooler(&pooler);
         }
-        // On a new connection everything is told anew.
-        let known: Vec<ServiceName> = seat.told.keys().cloned().collect();
-        for service in known {
-            let before = seat.holds(&service);
-            seat.end(&service);
-            seat.reported.insert(service, before);
+        let granted: Vec<ServiceName> = pooler.grants.keys().cloned().collect();
+        for service in granted {
+            let quota = pooler.quota_in_use(&service);
+            pooler.end_lease(&service);
+            pooler.quotas.reported.insert(service, quota);
         }
-        seat.told.clear();
-        (seat.conn, seat.lost, seat.released, seat.heard) = (Some(conn), None, false, now);
-        self.seats.insert(node.clone(), seat);
+        pooler.grants.clear();
+        pooler.connection = Some(connection);
+        pooler.lost_at = None;
+        pooler.quota_released = false;
+        pooler.last_contact = now;
+        self.poolers.insert(node.clone(), pooler);
     }
-    pub fn lose(&mut self, conn: u64, now: Tick) -> Option<NodeName> {
-        let (node, seat) = self.seats.iter_mut().find(|(_, s)| s.conn == Some(conn))?;
-        seat.conn = None;
-        seat.lost = Some(now);
-        self.live = self.live.saturating_sub(1);
+
+    /// A connection has ended. Returns the pooler that used it.
+    pub fn disconnect(&mut self, connection: u64, now: Tick) -> Option<NodeName> {
+        let (node, pooler) =
+            self.poolers.iter_mut().find(|(_, pooler)| pooler.connection == Some(connection))?;
+        pooler.connection = None;
+        pooler.lost_at = Some(now);
+        self.connected = self.connected.saturating_sub(1);
         Some(node.clone())
     }
-    pub fn leave(&mut self, node: &NodeName) {
-        if let Some(seat) = self.seats.get_mut(node) {
-            seat.ended.clear();
-            for grant in seat.told.values_mut() {
+
+    /// A pooler shuts down in order and uses none of its leases any more.
+    pub fn release_all(&mut self, node: &NodeName) {
+        if let Some(pooler) = self.poolers.get_mut(node) {
+            pooler.ended.clear();
+            for grant in pooler.grants.values_mut() {
                 grant.status = PrimaryStatus::Absent;
             }
         }
     }
-    /// Counts the connections of poolers that were lost long ago no more, and forgets the poolers
-    /// themselves later. True if some connections are free for others now.
-    pub fn forget_old(&mut self, now: Tick) -> bool {
-        let over = |s: &PoolerLeases, ms| s.lost.is_some_and(|t| now.since(t) >= ms);
-        let names: Vec<NodeName> = self
-            .seats
-            .iter()
-            .filter(|(_, s)| !s.released && over(s, SHARE_HELD_MS))
-            .map(|(name, _)| name.clone())
-            .collect();
-        let freed = !names.is_empty();
-        for name in names {
-            if let Some(mut seat) = self.seats.remove(&name) {
-                self.count_all(&seat, false);
-                seat.released = true;
-                self.seats.insert(name, seat);
+
+    /// Stops to count the quotas of poolers that were lost some time ago, and forgets the poolers
+    /// themselves later. Returns whether connections have become free for other poolers.
+    pub fn expire_lost(&mut self, now: Tick) -> bool {
+        let mut freed = false;
+        for pooler in self.poolers.values_mut() {
+            if !pooler.quota_released && pooler.is_lost_for(LOST_QUOTA_MS, now) {
+                self.totals.remove_pooler(pooler);
+                pooler.quota_released = true;
+                freed = true;
             }
         }
-        let old: Vec<NodeName> = self
-            .seats
+        let forgotten: Vec<NodeName> = self
+            .poolers
             .iter()
-            .filter(|(_, s)| over(s, UNTOLD_MS))
-            .map(|(name, _)| name.clone())
+            .filter(|(_, pooler)| pooler.is_lost_for(LOST_POOLER_MS, now))
+            .map(|(node, _)| node.clone())
             .collect();
-        for seat in old.iter().filter_map(|name| self.seats.remove(name)).collect::<Vec<_>>() {
-            self.never_heard(&seat);
+        for node in forgotten {
+            if let Some(pooler) = self.poolers.remove(&node) {
+                self.forget_leases(&pooler);
+            }
         }
         freed
     }
-    /// What this pooler passed on will not be told any more.
-    fn never_heard(&mut self, seat: &PoolerLeases) {
-        for service in seat.told.keys().chain(seat.ended.keys()) {
-            if let Some(granted) = seat.leased(service) {
-                let end = self.unheard.entry(service.clone()).or_default();
-                *end = lease_end(granted).max(*end);
+
+    /// This pooler will not report up to which commit it acknowledged under its leases.
+    fn forget_leases(&mut self, pooler: &PoolerLeases) {
+        for service in pooler.grants.keys().chain(pooler.ended.keys()) {
+            if let Some(granted_at) = pooler.last_granted(service) {
+                let until = self.unacknowledged_until.entry(service.clone()).or_default();
+                *until = lease_end(granted_at).max(*until);
             }
         }
     }
-    pub fn give_back(
+
+    /// A pooler has stopped to use its lease on `term`; `highest` is the highest position that it
+    /// saw acknowledged.
+    pub fn acknowledge_revocation(
         &mut self,
         node: &NodeName,
         service: &ServiceName,
         term: DbTerm,
         highest: Option<Position>,
     ) {
-        if let Some(seat) = self.seats.get_mut(node) {
-            seat.given_back.insert(service.clone(), (term, highest));
-            // It has dropped what it was told of this service.
-            seat.end(service);
-            if let Some(grant) = seat.told.get_mut(service) {
+        if let Some(pooler) = self.poolers.get_mut(node) {
+            let revocation = AcknowledgedRevocation { term, highest };
+            pooler.revocations.insert(service.clone(), revocation);
+            // The pooler has dropped its grant of this service.
+            pooler.end_lease(service);
+            if let Some(grant) = pooler.grants.get_mut(service) {
                 grant.status = PrimaryStatus::Absent;
             }
         }
     }
-    /// What a pooler is to be told of a service now; none if that is what it was told last.
-    /// `renewed` follows once all services have been through.
-    pub fn tell(&mut self, node: &NodeName, grant: LeaseGrant) -> Option<LeaseGrant> {
-        let seat = self.seats.get_mut(node)?;
+
+    /// The grant to send to a pooler; none if it has the same already. [`Self::renew`] follows once
+    /// all services have been granted.
+    pub fn grant(&mut self, node: &NodeName, grant: LeaseGrant) -> Option<LeaseGrant> {
+        let pooler = self.poolers.get_mut(node)?;
         let service = grant.service.clone();
-        // A sealed position is true for the moment it is told in, so it is told each time.
-        let sealed = matches!(grant.status, PrimaryStatus::Sealed(_));
-        if !sealed && seat.told.get(&service) == Some(&grant) {
+        let old = pooler.grants.get(&service);
+        // A sealed position holds for the moment it is sent in, so it is sent each time.
+        let is_sealed = matches!(grant.status, PrimaryStatus::Sealed(_));
+        if !is_sealed && old == Some(&grant) {
             return None;
         }
-        let before = seat.holds(&service);
-        if seat.told.get(&service).is_none_or(|old| old.status != grant.status) {
-            seat.end(&service);
+        let status_changed = old.is_none_or(|old| old.status != grant.status);
+        let before = pooler.quota_in_use(&service);
+        if status_changed {
+            pooler.end_lease(&service);
         }
         if matches!(grant.status, PrimaryStatus::Active { .. }) {
-            // A false alarm brings the same term again; what was given back before is old news.
-            seat.given_back.remove(&service);
+            // After a false alarm the same term is granted again; what was acknowledged before it
+            // is out of date.
+            pooler.revocations.remove(&service);
         }
-        seat.told.insert(service.clone(), grant.clone());
-        let now = seat.holds(&service);
-        self.count(&service, before, now);
+        pooler.grants.insert(service.clone(), grant.clone());
+        let after = pooler.quota_in_use(&service);
+        self.totals.update(&service, before, after);
         Some(grant)
     }
-    /// The answer leaves: all that is told to lead is leased as of now.
-    pub fn renewed(&mut self, node: &NodeName, now: Tick) {
-        if let Some(seat) = self.seats.get_mut(node) {
-            seat.granted = now;
+
+    /// The answer to a renewal is sent: every active grant of the pooler is leased as of now.
+    pub fn renew(&mut self, node: &NodeName, now: Tick) {
+        if let Some(pooler) = self.poolers.get_mut(node) {
+            pooler.granted_at = now;
         }
     }
-    /// No lease on `term` or an earlier one can still be in use.
-    pub fn gone(&self, service: &ServiceName, term: DbTerm, now: Tick) -> bool {
-        let over = |from: Tick| now.since(from) > LEASE_MS + LEASE_SLACK_MS;
-        let free = |seat: &PoolerLeases| {
-            let ended = seat.ended.get(service);
-            let led = match seat.told.get(service).map(|g| &g.status) {
-                Some(PrimaryStatus::Active { term, .. }) => Some((*term, seat.granted)),
-                _ => None,
-            };
-            seat.given_back.get(service).is_some_and(|(t, _)| *t >= term)
-                || ended.copied().into_iter().chain(led).all(|(held, at)| held > term || over(at))
-        };
-        over(self.elected) && self.seats.values().all(free)
+
+    /// Whether no lease on `term` or an earlier one can still be in use, those that earlier leaders
+    /// granted included.
+    pub fn all_released(&self, service: &ServiceName, term: DbTerm, now: Tick) -> bool {
+        has_expired(self.elected_at, now)
+            && self.poolers.values().all(|pooler| pooler.is_released(service, term, now))
     }
-    /// The furthest position passed on, once it is certain. Each pooler has to have said it, or to be
-    /// covered: `seen`, the newest pair of `Freshness`, says that its position covers every commit
-    /// acknowledged before its time, so a pooler whose lease had ended by then has passed on nothing
-    /// beyond it. The same holds for poolers that are gone, and for those of before the election, of
-    /// whom this leader may not even know. With `trusting` it is enough that all that was long ago:
-    /// for a service whose replicas vouch for nothing, as there would be no way out otherwise.
-    pub fn given_back(
+
+    /// The highest position that may have been acknowledged under leases on `term`, once it is
+    /// certain; the inner value is none if nothing was.
+    ///
+    /// Every pooler must have reported its highest position, or be covered: the `watermark` covers
+    /// every commit acknowledged before its time, so a pooler whose lease had ended by then has
+    /// acknowledged nothing beyond it. The same holds for poolers that were forgotten, and for
+    /// those that had a lease of an earlier leader, of which this one may not even know.
+    pub fn released_up_to(
         &self,
         service: &ServiceName,
         term: DbTerm,
-        seen: Option<(Tick, Position)>,
-        trusting: bool,
+        watermark: Option<Watermark>,
+        rule: CoverageRule,
         now: Tick,
     ) -> Option<Option<Position>> {
-        let covered = |end: Tick| {
-            let long_ago = trusting && now.since(end) >= UNTOLD_MS - LEASE_MS;
-            long_ago || seen.is_some_and(|(at, _)| at >= end)
+        let is_covered = |end: Tick| {
+            let timed_out = rule == CoverageRule::WatermarkOrTimeout
+                && now.since(end) >= LOST_POOLER_MS - LEASE_MS;
+            timed_out || watermark.is_some_and(|watermark| watermark.as_of >= end)
         };
-        let before = lease_end(self.elected);
-        let unheard = self.unheard.get(service).copied();
-        if !covered(unheard.unwrap_or_default().max(before)) {
+        let earlier_leaders = lease_end(self.elected_at);
+        let forgotten = self.unacknowledged_until.get(service).copied().unwrap_or_default();
+        if !is_covered(forgotten.max(earlier_leaders)) {
             return None;
         }
-        let word = |seat: &PoolerLeases| match seat.given_back.get(service) {
-            Some((t, highest)) if *t >= term => Some(*highest),
-            _ => covered(seat.leased(service).map_or(before, lease_end)).then_some(None),
-        };
-        let seen = seen.map(|(_, position)| position);
-        self.seats.values().map(word).try_fold(seen, |most, one| Some(most.max(one?)))
-    }
-    /// A pooler is heard of, with the shares it holds itself to where these changed.
-    /// Tells of which services others may get more now.
-    pub fn report(
-        &mut self,
-        node: &NodeName,
-        shares: Vec<(ServiceName, u32)>,
-        now: Tick,
-    ) -> Vec<ServiceName> {
-        let mut stirred = Vec::new();
-        let Some(seat) = self.seats.get_mut(node) else {
-            return stirred;
-        };
-        seat.heard = now;
-        for (service, share) in shares {
-            let Some(seat) = self.seats.get_mut(node) else {
-                break;
-            };
-            let before = seat.holds(&service);
-            seat.reported.insert(service.clone(), share);
-            let after = seat.holds(&service);
-            self.count(&service, before, after);
-            let most = self.most.entry(service.clone()).or_default();
-            let more = share > *most;
-            *most = share.max(*most);
-            if after < before || more {
-                stirred.push(service);
-            }
-        }
-        stirred
-    }
-    /// A pooler has sessions that wait for more connections than its part.
-    pub fn want(&mut self, node: &NodeName, service: &ServiceName, more: u32, now: Tick) {
-        if let Some(seat) = self.seats.get_mut(node) {
-            let more = more.saturating_add(seat.holds(service));
-            seat.wants.insert(service.clone(), (more, now));
-        }
-    }
-    /// The services of which a pooler has more than its part, or wants to. Whatever is lent has to be
-    /// looked at until it is back.
-    pub fn lent(&self, node: &NodeName) -> impl Iterator<Item = &ServiceName> {
-        self.seats.get(node).into_iter().flat_map(|s| s.wants.keys())
-    }
-    /// Divides `total` among the live poolers; what another still holds is not given twice. What the
-    /// division leaves over is lent to those who lately wanted more.
-    pub fn share(&mut self, node: &NodeName, service: &ServiceName, total: u32, now: Tick) -> u32 {
-        let total = total.saturating_sub(RESERVE.min(total / 4));
-        let part = (total / self.live.max(1)).max(1);
-        let mut target = part;
-        if let Some(seat) = self.seats.get_mut(node)
-            && let Some((wanted, at)) = seat.wants.get(service).copied()
-        {
-            if now.since(at) < LENT_MS {
-                let over = |s: &PoolerLeases| s.holds(service).saturating_sub(part);
-                let others = self.seats.iter().filter(|(name, _)| *name != node);
-                let lent: u32 = others.map(|(_, s)| over(s)).sum();
-                let left =
-                    total.saturating_sub(part.saturating_mul(self.live)).saturating_sub(lent);
-                target = part.saturating_add(left).min(wanted.max(part));
-            } else if seat.holds(service) <= part {
-                seat.wants.remove(service);
+        let highest_of = |pooler: &PoolerLeases| match pooler.revocations.get(service) {
+            Some(revocation) if revocation.term >= term => Some(revocation.highest),
+            _ => {
+                let end = pooler.last_granted(service).map_or(earlier_leaders, lease_end);
+                is_covered(end).then_some(None)
             }
-        }
-        let own = self.seats.get(node).filter(|s| !s.released).map_or(0, |s| s.holds(service));
-        let all = self.held.get(service).copied().unwrap_or(0);
-        let share = target.min(total.saturating_sub(all.saturating_sub(own)));
-        // A new leader does not know all who hold something. Until it must, nobody gets more than
-        // the most that one of them says it has: the leader before gave everyone the same.
-        if now.since(self.elected) < SHARE_HELD_MS {
-            return share.min(self.most.get(service).copied().unwrap_or(0).max(YOUNG_SHARE));
-        }
-        share
+        };
+        let covered = watermark.map(|watermark| watermark.position);
+        self.poolers
+            .values()
+            .map(highest_of)
+            .try_fold(covered, |highest, of_pooler| Some(highest.max(of_pooler?)))
     }
 }
--- a/src/leases/subset_assignments.rs
+++ b/src/leases/subset_assignments.rs
@@ -1,81 +1,123 @@
 //! Which subset of a zone's databases each gateway node uses first.
+//!
+//! Where one node sends most of a database's load, its own count of requests in flight is nearly
+//! the true load. The assignment is a hint: nothing breaks while two nodes have different ones.
 use crate::base::ids::{NodeName, ServiceName};
 use crate::base::time::Tick;
 use crate::net::rpc::pooler_messages::SubsetRange;
 use std::collections::BTreeMap;
 
-/// Which part of its zone's databases each node of a gateway uses first. Where one node sees most of
-/// a database's load, its own count of requests under way is nearly the truth. A hint: nothing breaks
-/// where two nodes believe different things. A value; kept while this one leads.
+/// How often the databases are divided anew, in milliseconds.
+const REBALANCE_INTERVAL_MS: u64 = 1_000;
+
+/// A new leader waits this long, in milliseconds, for the load reports of all nodes.
+const FIRST_REPORTS_MS: u64 = 2_500;
+
+/// The least weight of a node, as a part of the mean load: a node with little load still gets a part
+/// of the databases.
+const MIN_WEIGHT: f64 = 0.3;
+
+/// All databases of a service in a zone, in the unit of [`SubsetRange`].
+const FULL_RANGE: f64 = 1e6;
+
+/// A node is notified when a bound moves by more than its range divided by this.
+const NOTIFY_FRACTION: u32 = 4;
+
+/// The subset of each gateway node, kept while this controller leads.
 #[derive(Clone, Debug)]
 pub struct SubsetAssignments {
-    elected: Tick,
-    divided: Tick,
-    claims: BTreeMap<(String, ServiceName), BTreeMap<NodeName, SubsetClaim>>,
+    elected_at: Tick,
+    rebalanced_at: Tick,
+    groups: BTreeMap<SubsetGroup, BTreeMap<NodeName, SubsetClaim>>,
 }
 
+/// The databases of a service in one zone, which the nodes of that zone share.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct SubsetGroup {
+    zone: String,
+    service: ServiceName,
+}
+
+/// What one node uses of a group.
 #[derive(Clone, Debug, Default)]
 struct SubsetClaim {
-    /// Requests under way, in hundredths.
-    busy: u32,
-    subset_range: (u32, u32),
-    told: Option<(u32, u32)>,
+    /// Requests in flight, in hundredths.
+    load: u32,
+    assigned: Bounds,
+    /// What the node was last notified of.
+    notified: Option<Bounds>,
 }
 
-/// How often the databases are divided anew.
-const DIVIDE_MS: u64 = 1_000;
-
-/// A new leader hears of all demands first.
-const CLAIMS_COME_MS: u64 = 2_500;
-
-/// Where nodes want little, they still have a part of what they would have if all wanted the same.
-const LEAST_PART: f64 = 0.3;
+/// Where a subset begins and ends, in millionths of the group's capacity.
+#[derive(Clone, Copy, Debug, Default)]
+struct Bounds {
+    start: u32,
+    end: u32,
+}
 
-/// All of a zone's databases of a service.
-const WHOLE_PLOT: f64 = 1e6;
+impl Bounds {
+    /// Whether the difference to `old` is worth a notification.
+    fn moved_from(self, old: Bounds) -> bool {
+        let moved = old.start.abs_diff(self.start).max(old.end.abs_diff(self.end));
+        moved * NOTIFY_FRACTION > self.end - self.start
+    }
+}
 
 impl SubsetAssignments {
-    pub fn new(elected: Tick) -> Self {
-        Self { elected, divided: elected, claims: BTreeMap::new() }
+    /// No assignments yet, of a leader elected at `elected_at`.
+    pub fn new(elected_at: Tick) -> Self {
+        Self { elected_at, rebalanced_at: elected_at, groups: BTreeMap::new() }
     }
-    pub fn report(&mut self, node: &NodeName, zone: &str, service: ServiceName, busy: u32) {
-        let claims = self.claims.entry((zone.to_owned(), service)).or_default();
-        claims.entry(node.clone()).or_default().busy = busy;
+
+    /// Takes in how many requests a node has in flight at databases of a service, in hundredths.
+    pub fn report_load(&mut self, node: &NodeName, zone: &str, service: ServiceName, load: u32) {
+        let group = SubsetGroup { zone: zone.to_owned(), service };
+        self.groups.entry(group).or_default().entry(node.clone()).or_default().load = load;
     }
-    /// Divides the databases by demand among the nodes that are there, now and then.
-    pub fn divide(&mut self, there: impl Fn(&NodeName) -> bool, now: Tick) {
-        if now.since(self.elected) < CLAIMS_COME_MS || now.since(self.divided) < DIVIDE_MS {
+
+    /// Divides the databases by load among the nodes that are connected, if it is due.
+    pub fn rebalance(&mut self, is_connected: impl Fn(&NodeName) -> bool, now: Tick) {
+        if now.since(self.elected_at) < FIRST_REPORTS_MS
+            || now.since(self.rebalanced_at) < REBALANCE_INTERVAL_MS
+        {
             return;
         }
-        self.divided = now;
-        for claims in self.claims.values_mut() {
-            claims.retain(|node, _| there(node));
-            let mean =
-                claims.values().map(|c| f64::from(c.busy)).sum::<f64>() / claims.len() as f64;
-            let weight = |c: &SubsetClaim| f64::from(c.busy).max(mean * LEAST_PART).max(1.0);
-            let all: f64 = claims.values().map(weight).sum();
-            let mut upto = 0.0;
-            for claim in claims.values_mut() {
-                let from = upto;
-                upto += weight(claim) / all * WHOLE_PLOT;
-                claim.subset_range = (from as u32, upto as u32);
-            }
+        self.rebalanced_at = now;
+        for claims in self.groups.values_mut() {
+            claims.retain(|node, _| is_connected(node));
+            divide(claims);
         }
-        self.claims.retain(|_, claims| !claims.is_empty());
+        self.groups.retain(|_, claims| !claims.is_empty());
     }
-    /// The plots that a node is to be told of: those that moved by a good part of themselves, or all.
-    pub fn due(&mut self, node: &NodeName, all: bool) -> Vec<SubsetRange> {
-        let mut due = Vec::new();
-        for ((_, service), claims) in &mut self.claims {
+
+    /// The subsets that a node has to be notified of: those that have moved enough, or all with
+    /// `include_unchanged`. They count as notified from now on.
+    pub fn take_updates(&mut self, node: &NodeName, include_unchanged: bool) -> Vec<SubsetRange> {
+        let mut updates = Vec::new();
+        for (group, claims) in &mut self.groups {
             let Some(claim) = claims.get_mut(node) else { continue };
-            let (from, upto) = claim.subset_range;
-            let moved =
-                |(f, u): (u32, u32)| f.abs_diff(from).max(u.abs_diff(upto)) * 4 > upto - from;
-            if upto > from && (all || claim.told.is_none_or(moved)) {
-                claim.told = Some(claim.subset_range);
-                due.push(SubsetRange { service: service.clone(), start: from, end: upto });
+            let assigned @ Bounds { start, end } = claim.assigned;
+            let is_due = |notified: Option<Bounds>| {
+                include_unchanged || notified.is_none_or(|old| assigned.moved_from(old))
+            };
+            if end > start && is_due(claim.notified) {
+                claim.notified = Some(assigned);
+                updates.push(SubsetRange { service: group.service.clone(), start, end });
             }
         }
-        due
+        updates
+    }
+}
+
+/// Assigns the nodes of a group consecutive ranges in proportion to their load.
+fn divide(claims: &mut BTreeMap<NodeName, SubsetClaim>) {
+    let mean = claims.values().map(|c| f64::from(c.load)).sum::<f64>() / claims.len() as f64;
+    let weight = |claim: &SubsetClaim| f64::from(claim.load).max(mean * MIN_WEIGHT).max(1.0);
+    let total: f64 = claims.values().map(weight).sum();
+    let mut end = 0.0;
+    for claim in claims.values_mut() {
+        let start = end;
+        end += weight(claim) / total * FULL_RANGE;
+        claim.assigned = Bounds { start: start as u32, end: end as u32 };
     }
 }
--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -8,8 +8,8 @@
     DatabaseRequest, DatabaseResponse, Failover, FailoverAction, FailoverState, PromotionResponse,
     ServiceSnapshot,
 };
-use silvertack::leases::lease_table::{LEASE_MS, LeaseTable};
-use silvertack::leases::watermarks::ReplicationWatermarks;
+use silvertack::leases::lease_table::{CoverageRule, LEASE_MS, LeaseTable};
+use silvertack::leases::watermarks::{ReplicationWatermarks, Watermark};
 use silvertack::net::rpc::pack;
 use silvertack::net::rpc::pooler_messages::{
     LeaseGrant, ObservedPosition, PrimaryStatus, SuspicionReason,
@@ -89,8 +89,8 @@
     grant: LeaseGrant,
     now: Tick,
 ) -> Option<LeaseGrant> {
-    let told = book.tell(node, grant);
-    book.renewed(node, now);
+    let told = book.grant(node, grant);
+    book.renew(node, now);
     told
 }
 /// A new leader took over, and the replicas confirmed that they have resumed.
@@ -750,26 +750,42 @@
     let start = Tick(100_000);
     let mut book = LeaseTable::new(start);
     assert!(
-        !book.gone(&s, DbTerm(1), start.plus(LEASE_MS)),
+        !book.all_released(&s, DbTerm(1), start.plus(LEASE_MS)),
         "another leader may have granted before"
     );
     let now = start.plus(20_000);
-    assert!(book.gone(&s, DbTerm(1), now));
-    book.seat(&n1, 1, 10, now);
-    book.seat(&n2, 1, 11, now);
+    assert!(book.all_released(&s, DbTerm(1), now));
+    book.register(&n1, 1, 10, now);
+    book.register(&n2, 1, 11, now);
     granted(&mut book, &n1, grant(&s, Some(1), 8), now);
     granted(&mut book, &n2, grant(&s, Some(1), 8), now);
-    book.give_back(&n1, &s, DbTerm(1), Some(at(5)));
-    assert!(!book.gone(&s, DbTerm(1), now.plus(10)));
-    assert_eq!(book.given_back(&s, DbTerm(1), None, true, now), None, "one has not said");
+    book.acknowledge_revocation(&n1, &s, DbTerm(1), Some(at(5)));
+    assert!(!book.all_released(&s, DbTerm(1), now.plus(10)));
+    assert_eq!(
+        book.released_up_to(&s, DbTerm(1), None, CoverageRule::WatermarkOrTimeout, now),
+        None,
+        "one has not said"
+    );
     // A pooler that is lost keeps its lease until it runs out, and what it passed on is not known.
-    book.lose(11, now.plus(20));
-    assert!(!book.gone(&s, DbTerm(1), now.plus(LEASE_MS)));
-    assert!(book.gone(&s, DbTerm(1), now.plus(LEASE_MS + 100)));
-    assert_eq!(book.given_back(&s, DbTerm(1), None, true, now.plus(LEASE_MS + 100)), None);
-    book.give_back(&n2, &s, DbTerm(1), Some(at(8)));
-    assert_eq!(book.given_back(&s, DbTerm(1), None, true, now), Some(Some(at(8))));
-    assert!(book.gone(&s, DbTerm(1), now.plus(30)), "given back is gone at once");
+    book.disconnect(11, now.plus(20));
+    assert!(!book.all_released(&s, DbTerm(1), now.plus(LEASE_MS)));
+    assert!(book.all_released(&s, DbTerm(1), now.plus(LEASE_MS + 100)));
+    assert_eq!(
+        book.released_up_to(
+            &s,
+            DbTerm(1),
+            None,
+            CoverageRule::WatermarkOrTimeout,
+            now.plus(LEASE_MS + 100)
+        ),
+        None
+    );
+    book.acknowledge_revocation(&n2, &s, DbTerm(1), Some(at(8)));
+    assert_eq!(
+        book.released_up_to(&s, DbTerm(1), None, CoverageRule::WatermarkOrTimeout, now),
+        Some(Some(at(8)))
+    );
+    assert!(book.all_released(&s, DbTerm(1), now.plus(30)), "given back is gone at once");
 }
 
 #[test]
@@ -778,39 +794,40 @@
     let (elected, now) = (Tick(100_000), Tick(150_000));
     let late = now.plus(30_000);
     let end = LEASE_MS + 50;
+    let watermark = |as_of, number| Some(Watermark { as_of, position: at(number) });
     // (what became of the second pooler, what was seen when, the furthest position that is certain)
     let cases = [
         ("there", None, None),
         ("lost", None, None),
-        ("lost", Some((now.plus(end - 1), at(9))), None),
-        ("lost", Some((now.plus(end), at(9))), Some(Some(at(9)))),
-        ("lost", Some((now.plus(end), at(3))), Some(Some(at(5)))),
+        ("lost", watermark(now.plus(end - 1), 9), None),
+        ("lost", watermark(now.plus(end), 9), Some(Some(at(9)))),
+        ("lost", watermark(now.plus(end), 3), Some(Some(at(5)))),
         ("restarted", None, None),
-        ("restarted", Some((now.plus(end), at(9))), Some(Some(at(9)))),
+        ("restarted", watermark(now.plus(end), 9), Some(Some(at(9)))),
         ("gave back", None, None),
-        ("gave back", Some((elected.plus(end), at(2))), Some(Some(at(8)))),
+        ("gave back", watermark(elected.plus(end), 2), Some(Some(at(8)))),
     ];
     for (what, seen, certain) in cases {
         let mut book = LeaseTable::new(elected);
         for (node, conn) in [("n1", 10), ("n2", 11)] {
-            book.seat(&node.into(), 1, conn, now);
+            book.register(&node.into(), 1, conn, now);
             granted(&mut book, &node.into(), grant(&s, Some(1), 8), now);
         }
-        book.give_back(&"n1".into(), &s, DbTerm(1), Some(at(5)));
+        book.acknowledge_revocation(&"n1".into(), &s, DbTerm(1), Some(at(5)));
         match what {
             "lost" => {
-                book.lose(11, now.plus(20));
-                book.forget_old(late);
-                assert!(!book.seats.contains_key(&"n2".into()));
+                book.disconnect(11, now.plus(20));
+                book.expire_lost(late);
+                assert!(!book.poolers.contains_key(&"n2".into()));
             }
             "restarted" => {
-                book.seat(&"n2".into(), 2, 12, now.plus(20));
-                book.give_back(&"n2".into(), &s, DbTerm(1), None);
+                book.register(&"n2".into(), 2, 12, now.plus(20));
+                book.acknowledge_revocation(&"n2".into(), &s, DbTerm(1), None);
             }
-            "gave back" => book.give_back(&"n2".into(), &s, DbTerm(1), Some(at(8))),
+            "gave back" => book.acknowledge_revocation(&"n2".into(), &s, DbTerm(1), Some(at(8))),
             _ => {}
         }
-        let told = book.given_back(&s, DbTerm(1), seen, false, late);
+        let told = book.released_up_to(&s, DbTerm(1), seen, CoverageRule::Watermark, late);
         assert_eq!(told, certain, "{what}, {seen:?}");
     }
 }
@@ -820,16 +837,19 @@
     let (node, s) = (NodeName::from("n1"), ServiceName::from("s"));
     let now = Tick(100_000);
     let mut book = LeaseTable::new(Tick(0));
-    book.seat(&node, 1, 10, now);
+    book.register(&node, 1, 10, now);
     let told = grant(&s, Some(1), 8);
     assert_eq!(granted(&mut book, &node, told.clone(), now), Some(told.clone()));
     assert_eq!(granted(&mut book, &node, told.clone(), now), None, "nothing changed");
-    book.give_back(&node, &s, DbTerm(1), None);
-    assert!(book.gone(&s, DbTerm(1), now.plus(10)));
+    book.acknowledge_revocation(&node, &s, DbTerm(1), None);
+    assert!(book.all_released(&s, DbTerm(1), now.plus(10)));
     // The pooler dropped it, so it has to be told in full again.
     assert_eq!(granted(&mut book, &node, told.clone(), now.plus(20)), Some(told));
-    assert!(!book.gone(&s, DbTerm(1), now.plus(30)));
-    assert_eq!(book.given_back(&s, DbTerm(1), None, true, now.plus(30)), None);
+    assert!(!book.all_released(&s, DbTerm(1), now.plus(30)));
+    assert_eq!(
+        book.released_up_to(&s, DbTerm(1), None, CoverageRule::WatermarkOrTimeout, now.plus(30)),
+        None
+    );
 }
 
 #[test]
@@ -838,15 +858,15 @@
     let now = Tick(100_000);
     let mut book = LeaseTable::new(now);
     // A pooler that just started comes first, then those that hold eight each.
-    book.seat(&"fresh".into(), 1, 0, now);
-    assert_eq!(book.share(&"fresh".into(), &s, 92, now), 4);
+    book.register(&"fresh".into(), 1, 0, now);
+    assert_eq!(book.quota(&"fresh".into(), &s, 92, now), 4);
     for i in 1..10 {
         let node = NodeName(format!("n{i}"));
-        book.seat(&node, 1, i, now);
-        book.report(&node, vec![(s.clone(), 8)], now);
-        assert_eq!(book.share(&node, &s, 92, now.plus(i)), 8, "{node} keeps what it had");
+        book.register(&node, 1, i, now);
+        book.report_quotas(&node, vec![(s.clone(), 8)], now);
+        assert_eq!(book.quota(&node, &s, 92, now.plus(i)), 8, "{node} keeps what it had");
     }
-    assert_eq!(book.share(&"fresh".into(), &s, 92, now.plus(20)), 8);
+    assert_eq!(book.quota(&"fresh".into(), &s, 92, now.plus(20)), 8);
 }
 
 #[test]
@@ -859,18 +879,18 @@
     // Stiles come one after the other, some leave, and each asks in turn.
     for round in 0..60u64 {
         now = now.plus(450);
-        book.forget_old(now);
+        book.expire_lost(now);
         for (i, node) in nodes.iter().enumerate() {
             let here = (i as u64) < round / 2 + 1 && !(round > 40 && i % 3 == 0);
             if here {
-                if book.seats.get(node).is_none_or(|s| s.conn.is_none()) {
-                    book.seat(node, 1, i as u64, now);
+                if book.poolers.get(node).is_none_or(|p| p.connection.is_none()) {
+                    book.register(node, 1, i as u64, now);
                 }
-                book.report(node, vec![(s.clone(), held[i])], now);
-                held[i] = book.share(node, &s, 92, now);
+                book.report_quotas(node, vec![(s.clone(), held[i])], now);
+                held[i] = book.quota(node, &s, 92, now);
                 granted(&mut book, node, grant(&s, None, held[i]), now);
             } else if held[i] > 0 {
-                book.lose(i as u64, now);
+                book.disconnect(i as u64, now);
                 // Its connections end within three seconds of its loss.
                 held[i] = if round > 48 { 0 } else { held[i] };
             }
@@ -930,18 +950,18 @@
     // (what happens to the lease on s after its renewal at +500)
     for (what, how) in [("told so", 0), ("a new connection", 1), ("given to another", 2)] {
         let mut book = LeaseTable::new(Tick(0));
-        book.seat(&node, 1, 10, now);
+        book.register(&node, 1, 10, now);
         granted(&mut book, &node, grant(&s, Some(1), 8), now);
         granted(&mut book, &node, grant(&t, Some(1), 8), now.plus(500));
         match how {
             0 => drop(granted(&mut book, &node, grant(&s, None, 8), now.plus(1_000))),
-            1 => book.seat(&node, 1, 11, now.plus(1_000)),
+            1 => book.register(&node, 1, 11, now.plus(1_000)),
             _ => drop(granted(&mut book, &node, grant(&s, Some(2), 8), now.plus(1_000))),
         }
         let until = 500 + LEASE_MS;
-        assert!(!book.gone(&s, DbTerm(1), now.plus(until)), "{what}");
-        assert!(book.gone(&s, DbTerm(1), now.plus(until + 100)), "{what}");
-        assert_eq!(book.gone(&s, DbTerm(2), now.plus(until + 100)), how != 2, "{what}");
+        assert!(!book.all_released(&s, DbTerm(1), now.plus(until)), "{what}");
+        assert!(book.all_released(&s, DbTerm(1), now.plus(until + 100)), "{what}");
+        assert_eq!(book.all_released(&s, DbTerm(2), now.plus(until + 100)), how != 2, "{what}");
     }
 }
 
@@ -1016,8 +1036,8 @@
                         position: at(7),
                         sent_after_ms: after,
                     };
-                    known.learn(Some(&lead), leader(left), &saw, leader(answered));
-                    known.tell(&s, leader(answered)).expect("told")
+                    known.observe(Some(&lead), leader(left), &saw, leader(answered));
+                    known.bound(&s, leader(answered)).expect("told")
                 },
             );
         let Some(fresh) = told else {
@@ -1071,17 +1091,17 @@
             position: first,
             sent_after_ms: 100,
         };
-        watermarks.learn(Some(&lead), Tick(49_600), &before, now);
+        watermarks.observe(Some(&lead), Tick(49_600), &before, now);
         let saw = ObservedPosition {
             service: s.clone(),
             term: DbTerm(term),
             position,
             sent_after_ms: after,
         };
-        watermarks.learn(lead_now, Tick(answered), &saw, now);
-        let told = watermarks.tell(&s, now).map(|f| (f.position, f.age_ms));
+        watermarks.observe(lead_now, Tick(answered), &saw, now);
+        let told = watermarks.bound(&s, now).map(|f| (f.position, f.age_ms));
         assert_eq!(told, known, "{what}");
-        assert_eq!(watermarks.tell(&"other".into(), now), None);
+        assert_eq!(watermarks.bound(&"other".into(), now), None);
     }
 }
 
@@ -1112,9 +1132,9 @@
     let mut book = LeaseTable::new(Tick(0));
     let start = Tick(100_000);
     for i in 0..4 {
-        book.seat(&node(i), 1, i, start);
+        book.register(&node(i), 1, i, start);
         granted(&mut book, &node(i), grant(&s, None, 2), start);
-        book.report(&node(i), vec![(s.clone(), 2)], start);
+        book.report_quotas(&node(i), vec![(s.clone(), 2)], start);
     }
     // Nine to give in all. (when, who, how many more it wants or what it says it has, its share)
     let cases = [
@@ -1133,14 +1153,14 @@
     for (after, who, wants, says, share) in cases {
         let (now, who) = (start.plus(after), node(who));
         if let Some(more) = wants {
-            book.want(&who, &s, more, now);
+            book.request_quota(&who, &s, more, now);
         }
-        book.report(&who, says.map(|n| (s.clone(), n)).into_iter().collect(), now);
-        let given = book.share(&who, &s, 12, now);
+        book.report_quotas(&who, says.map(|n| (s.clone(), n)).into_iter().collect(), now);
+        let given = book.quota(&who, &s, 12, now);
         granted(&mut book, &who, grant(&s, None, given), now);
         assert_eq!(given, share, "{who} at {after}");
     }
-    assert_eq!(book.lent(&node(0)).count(), 0, "and is looked at no more");
+    assert_eq!(book.services_with_requests(&node(0)).count(), 0, "and is looked at no more");
 }
 
 /// The planned change: `a` is about to end, `b` is to take over, `c` is paused.
--- a/tests/gateway_parts.rs
+++ b/tests/gateway_parts.rs
@@ -316,20 +316,20 @@
     let node = |n: usize| NodeName(format!("n{n}"));
     let busy = [300, 100, 0, 200];
     for (n, busy) in busy.iter().enumerate() {
-        subset_assignments.report(&node(n), "here", items.clone(), *busy);
+        subset_assignments.report_load(&node(n), "here", items.clone(), *busy);
     }
-    subset_assignments.report(&node(9), "elsewhere", items.clone(), 50);
-    subset_assignments.divide(|_| true, start.plus(1_000));
+    subset_assignments.report_load(&node(9), "elsewhere", items.clone(), 50);
+    subset_assignments.rebalance(|_| true, start.plus(1_000));
     assert!(
-        subset_assignments.due(&node(0), false).is_empty(),
+        subset_assignments.take_updates(&node(0), false).is_empty(),
         "not before all have had time to report"
     );
     let divide = |subset_assignments: &mut SubsetAssignments, ms: u64| {
-        subset_assignments.divide(|n| *n != node(8), start.plus(ms));
+        subset_assignments.rebalance(|n| *n != node(8), start.plus(ms));
         let mut upto = 0;
         let mut parts = Vec::new();
         for n in 0..busy.len() {
-            let subset_ranges = subset_assignments.due(&node(n), true);
+            let subset_ranges = subset_assignments.take_updates(&node(n), true);
             assert_eq!(
                 (subset_ranges.len(), subset_ranges[0].start),
                 (1, upto),
@@ -343,19 +343,19 @@
     };
     // The one that wants nothing has 0.3 of the mean of 150.
     assert_eq!(divide(&mut subset_assignments, 3_000), [465, 155, 69, 310]);
-    let elsewhere = &subset_assignments.due(&node(9), true)[0];
+    let elsewhere = &subset_assignments.take_updates(&node(9), true)[0];
     assert_eq!((elsewhere.start, elsewhere.end), (0, 1_000_000), "a zone by itself");
     // A small change is not reported again; a large one is.
-    subset_assignments.report(&node(0), "here", items.clone(), 310);
-    subset_assignments.divide(|_| true, start.plus(4_100));
-    assert!((0..4).all(|n| subset_assignments.due(&node(n), false).is_empty()));
-    subset_assignments.report(&node(0), "here", items.clone(), 900);
-    subset_assignments.divide(|_| true, start.plus(5_200));
-    assert!((0..4).all(|n| subset_assignments.due(&node(n), false).len() == 1));
+    subset_assignments.report_load(&node(0), "here", items.clone(), 310);
+    subset_assignments.rebalance(|_| true, start.plus(4_100));
+    assert!((0..4).all(|n| subset_assignments.take_updates(&node(n), false).is_empty()));
+    subset_assignments.report_load(&node(0), "here", items.clone(), 900);
+    subset_assignments.rebalance(|_| true, start.plus(5_200));
+    assert!((0..4).all(|n| subset_assignments.take_updates(&node(n), false).len() == 1));
     // One that is gone has no part.
-    subset_assignments.divide(|n| *n != node(0), start.plus(6_300));
-    assert_eq!(subset_assignments.due(&node(1), true)[0].start, 0);
-    assert!(subset_assignments.due(&node(0), true).is_empty());
+    subset_assignments.rebalance(|n| *n != node(0), start.plus(6_300));
+    assert_eq!(subset_assignments.take_updates(&node(1), true)[0].start, 0);
+    assert!(subset_assignments.take_updates(&node(0), true).is_empty());
 }
 
 #[test]
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -7,8 +7,9 @@
 use silvertack::controller::core::Controller;
 use silvertack::controller::effects::{Effects, Input};
 use silvertack::failover::{Attempt, DatabaseRequest, DatabaseResponse, PromotionResponse};
-use silvertack::leases::lease_table::{LEASE_MS, LeaseTable};
+use silvertack::leases::lease_table::{CoverageRule, LEASE_MS, LeaseTable};
 use silvertack::leases::subset_assignments::SubsetAssignments;
+use silvertack::leases::watermarks::Watermark;
 use silvertack::net::http::Request;
 use silvertack::net::rpc::pooler_messages::{
     LeaseGrant, ObservedPosition, PositionBound, PrimaryStatus, SuspicionReason, ToController,
@@ -55,18 +56,18 @@
 fn book(poolers: u64) -> LeaseTable {
     let mut book = LeaseTable::new(Tick(0));
     for n in 0..poolers {
-        book.seat(&node(n), 1, n, START);
+        book.register(&node(n), 1, n, START);
     }
     book
 }
 /// A renewal is answered with this.
 fn granted(book: &mut LeaseTable, to: u64, standing: PrimaryStatus, share: u32, now: Tick) {
-    book.tell(&node(to), grant(standing, share));
-    book.renewed(&node(to), now);
+    book.grant(&node(to), grant(standing, share));
+    book.renew(&node(to), now);
 }
 /// A pooler asks for its quota of `total` and is told it.
 fn quota(book: &mut LeaseTable, of: u64, total: u32, now: Tick) -> u32 {
-    let share = book.share(&node(of), &service(), total, now);
+    let share = book.quota(&node(of), &service(), total, now);
     granted(book, of, PrimaryStatus::Absent, share, now);
     share
 }
@@ -100,22 +101,22 @@
         let revoke =
             |book: &mut LeaseTable| granted(book, 0, PrimaryStatus::Absent, 8, START.plus(5));
         let give_back = |book: &mut LeaseTable, term| {
-            book.give_back(&node(0), &service(), DbTerm(term), Some(at(5)));
+            book.acknowledge_revocation(&node(0), &service(), DbTerm(term), Some(at(5)));
         };
         match then {
             "revoked" => revoke(&mut book),
             "term 1 given back" => give_back(&mut book, 1),
             "term 2 given back" => give_back(&mut book, 2),
             "term 3 given back" => give_back(&mut book, 3),
-            "lost" => drop(book.lose(0, START.plus(5))),
-            "goodbye" => book.leave(&node(0)),
+            "lost" => drop(book.disconnect(0, START.plus(5))),
+            "goodbye" => book.release_all(&node(0)),
             "revoked, goodbye" => {
                 revoke(&mut book);
-                book.leave(&node(0));
+                book.release_all(&node(0));
             }
             _ => assert_eq!(then, "nothing"),
         }
-        assert_eq!(book.gone(&service(), TERM, START.plus(after)), gone, "{what}");
+        assert_eq!(book.all_released(&service(), TERM, START.plus(after)), gone, "{what}");
     }
 }
 
@@ -123,25 +124,26 @@
 fn a_new_leader_waits_for_leases_of_which_it_may_not_know() {
     let book = LeaseTable::new(START);
     for (after, gone) in [(0, false), (LEASE_ENDS_MS, false), (LEASE_ENDS_MS + 1, true)] {
-        assert_eq!(book.gone(&service(), TERM, START.plus(after)), gone, "after {after}");
+        assert_eq!(book.all_released(&service(), TERM, START.plus(after)), gone, "after {after}");
     }
 }
 
 /// The watermark of a revoked term is certain once every pooler has said it or is covered.
 #[test]
 fn the_watermark_needs_a_word_on_this_term_or_a_sight_after_the_lease() {
-    let seen = |after: u64| Some((START.plus(after), at(9)));
+    let watermark = |as_of, number| Some(Watermark { as_of, position: at(number) });
+    let seen = |after: u64| watermark(START.plus(after), 9);
     // (what becomes of the pooler, what was seen, what is certain)
     let cases = [
         ("gave this term back", None, None),
-        ("gave this term back", Some((Tick(LEASE_ENDS_MS), at(3))), Some(Some(at(5)))),
-        ("gave an older term back", Some((Tick(LEASE_ENDS_MS), at(3))), None),
+        ("gave this term back", watermark(Tick(LEASE_ENDS_MS), 3), Some(Some(at(5)))),
+        ("gave an older term back", watermark(Tick(LEASE_ENDS_MS), 3), None),
         ("gave an older term back", seen(LEASE_ENDS_MS - 1), None),
         ("gave an older term back", seen(LEASE_ENDS_MS), Some(Some(at(9)))),
-        ("revoked", Some((Tick(LEASE_ENDS_MS), at(3))), None),
+        ("revoked", watermark(Tick(LEASE_ENDS_MS), 3), None),
         ("revoked", seen(LEASE_ENDS_MS - 1), None),
         ("revoked", seen(LEASE_ENDS_MS), Some(Some(at(9)))),
-        ("another process", Some((Tick(LEASE_ENDS_MS), at(3))), None),
+        ("another process", watermark(Tick(LEASE_ENDS_MS), 3), None),
         ("another process", seen(LEASE_ENDS_MS - 1), None),
         ("another process", seen(LEASE_ENDS_MS), Some(Some(at(9)))),
     ];
@@ -150,17 +152,25 @@
         granted(&mut book, 0, led(2), 8, START);
         let now = START.plus(100);
         match what {
-            "gave this term back" => book.give_back(&node(0), &service(), TERM, Some(at(5))),
+            "gave this term back" => {
+                book.acknowledge_revocation(&node(0), &service(), TERM, Some(at(5)))
+            }
             "gave an older term back" => {
-                book.give_back(&node(0), &service(), DbTerm(1), Some(at(5)));
+                book.acknowledge_revocation(&node(0), &service(), DbTerm(1), Some(at(5)));
             }
             "another process" => {
-                book.seat(&node(0), 2, 1, now);
-                book.give_back(&node(0), &service(), TERM, None);
+                book.register(&node(0), 2, 1, now);
+                book.acknowledge_revocation(&node(0), &service(), TERM, None);
             }
             _ => granted(&mut book, 0, PrimaryStatus::Absent, 8, now),
         }
-        let told = book.given_back(&service(), TERM, seen, false, START.plus(30_000));
+        let told = book.released_up_to(
+            &service(),
+            TERM,
+            seen,
+            CoverageRule::Watermark,
+            START.plus(30_000),
+        );
         assert_eq!(told, certain, "{what}, {seen:?}");
     }
 }
@@ -171,14 +181,15 @@
         let mut book = book(2);
         granted(&mut book, 0, led(2), 4, START.plus(first));
         granted(&mut book, 1, led(2), 4, START.plus(second));
-        book.lose(0, START.plus(2_100));
-        book.lose(1, START.plus(2_100));
+        book.disconnect(0, START.plus(2_100));
+        book.disconnect(1, START.plus(2_100));
         let now = START.plus(2_100 + WORD_AWAITED_MS);
-        book.forget_old(now);
-        assert!(book.seats.is_empty());
+        book.expire_lost(now);
+        assert!(book.poolers.is_empty());
         for (after, certain) in [(0, false), (1_999, false), (2_000, true)] {
-            let seen = Some((START.plus(LEASE_ENDS_MS + after), at(9)));
-            let told = book.given_back(&service(), TERM, seen, false, now);
+            let as_of = START.plus(LEASE_ENDS_MS + after);
+            let seen = Some(Watermark { as_of, position: at(9) });
+            let told = book.released_up_to(&service(), TERM, seen, CoverageRule::Watermark, now);
             assert_eq!(told, certain.then_some(Some(at(9))), "{first} {second}, {after}");
         }
     }
@@ -194,15 +205,15 @@
         (WORD_AWAITED_MS, true, false),
     ] {
         let mut lost = book(1);
-        lost.lose(0, START);
-        assert_eq!(lost.forget_old(START.plus(after)), freed, "after {after}");
-        assert_eq!(lost.seats.contains_key(&node(0)), known, "after {after}");
+        lost.disconnect(0, START);
+        assert_eq!(lost.expire_lost(START.plus(after)), freed, "after {after}");
+        assert_eq!(lost.poolers.contains_key(&node(0)), known, "after {after}");
         // Back on a new connection it is lost no more, however much later that is looked at.
         let mut back = book(1);
-        back.lose(0, START);
-        back.seat(&node(0), 1, 1, START.plus(1_000));
-        assert!(!back.forget_old(START.plus(after)), "back, after {after}");
-        assert!(back.seats.contains_key(&node(0)), "back, after {after}");
+        back.disconnect(0, START);
+        back.register(&node(0), 1, 1, START.plus(1_000));
+        assert!(!back.expire_lost(START.plus(after)), "back, after {after}");
+        assert!(back.poolers.contains_key(&node(0)), "back, after {after}");
     }
 }
 
@@ -221,11 +232,11 @@
     for (standing, anew, again) in cases {
         let mut book = book(1);
         let told = grant(standing, 4);
-        assert_eq!(book.tell(&node(0), told.clone()), Some(told.clone()));
+        assert_eq!(book.grant(&node(0), told.clone()), Some(told.clone()));
         if anew {
-            book.seat(&node(0), 1, 1, START.plus(10));
+            book.register(&node(0), 1, 1, START.plus(10));
         }
-        assert_eq!(book.tell(&node(0), told.clone()), again.then_some(told.clone()), "{told:?}");
+        assert_eq!(book.grant(&node(0), told.clone()), again.then_some(told.clone()), "{told:?}");
     }
 }
 
@@ -245,24 +256,24 @@
     for (what, after, own, others) in cases {
         let mut book = book(1);
         assert_eq!(quota(&mut book, 0, total, START), 9);
-        book.seat(&node(1), 1, 1, START);
+        book.register(&node(1), 1, 1, START);
         assert_eq!(quota(&mut book, 1, total, START), 0, "nothing is left");
         let now = START.plus(after);
         match what {
-            "another connection" => book.seat(&node(0), 1, 2, START),
-            "another process" => book.seat(&node(0), 2, 2, START),
-            "lost" | "lost and back" => drop(book.lose(0, START)),
+            "another connection" => book.register(&node(0), 1, 2, START),
+            "another process" => book.register(&node(0), 2, 2, START),
+            "lost" | "lost and back" => drop(book.disconnect(0, START)),
             _ => assert_eq!(what, "there"),
         }
-        book.forget_old(now);
-        assert_eq!(book.share(&node(1), &service(), total, now), others, "{what}");
+        book.expire_lost(now);
+        assert_eq!(book.quota(&node(1), &service(), total, now), others, "{what}");
         if what == "lost and back" {
             // The other was given all meanwhile, and the first still has what it had.
             granted(&mut book, 1, PrimaryStatus::Absent, 9, now);
-            book.seat(&node(0), 1, 2, now);
+            book.register(&node(0), 1, 2, now);
         }
         if let Some(own) = own {
-            assert_eq!(book.share(&node(0), &service(), total, now), own, "{what}");
+            assert_eq!(book.quota(&node(0), &service(), total, now), own, "{what}");
         }
     }
 }
@@ -271,7 +282,7 @@
 fn a_pooler_on_a_second_connection_is_one_pooler() {
     let mut book = book(1);
     for conn in 1..4 {
-        book.seat(&node(0), 1, conn, START);
+        book.register(&node(0), 1, conn, START);
     }
     assert_eq!(quota(&mut book, 0, 12, START), 9);
 }
@@ -297,8 +308,8 @@
     // (ms after the election, what the only pooler it knows gets of 88)
     for (after, share) in [(0, 4), (1_000, 4), (QUOTA_HELD_MS - 1, 4), (QUOTA_HELD_MS, 88)] {
         let mut book = LeaseTable::new(START);
-        book.seat(&node(0), 1, 0, START);
-        assert_eq!(book.share(&node(0), &service(), 92, START.plus(after)), share, "{after}");
+        book.register(&node(0), 1, 0, START);
+        assert_eq!(book.quota(&node(0), &service(), 92, START.plus(after)), share, "{after}");
     }
 }
 
@@ -310,7 +321,7 @@
     let cases =
         [(0, 9, true), (0, 9, false), (1, 9, false), (0, 4, true), (0, 2, false), (1, 10, true)];
     for (row, (who, share, stirred)) in cases.into_iter().enumerate() {
-        let names = book.report(&node(who), vec![(service(), share)], START);
+        let names = book.report_quotas(&node(who), vec![(service(), share)], START);
         assert_eq!(names == [service()], stirred, "row {row}: {names:?}");
     }
 }
@@ -319,29 +330,29 @@
 #[test]
 fn what_is_lent_is_lent_once_and_looked_at_until_it_is_back() {
     let mut book = book(4);
-    book.want(&node(0), &service(), 5, START);
+    book.request_quota(&node(0), &service(), 5, START);
     assert_eq!(quota(&mut book, 0, 12, START), 3);
     // The others have not taken their parts yet, which are theirs all the same.
-    book.want(&node(1), &service(), 5, START);
+    book.request_quota(&node(1), &service(), 5, START);
     assert_eq!(quota(&mut book, 1, 12, START), 2, "it is lent already");
     // (ms later, what the first says it has, its quota, whether it is looked at after that)
     for (after, says, share, looked) in
         [(2_999, 3, 3, true), (3_000, 3, 2, true), (3_100, 3, 2, true), (3_200, 2, 2, false)]
     {
         let now = START.plus(after);
-        book.report(&node(0), vec![(service(), says)], now);
+        book.report_quotas(&node(0), vec![(service(), says)], now);
         assert_eq!(quota(&mut book, 0, 12, now), share, "after {after}");
-        assert_eq!(book.lent(&node(0)).count() == 1, looked, "after {after}");
+        assert_eq!(book.services_with_requests(&node(0)).count() == 1, looked, "after {after}");
     }
 }
 
 #[test]
 fn a_part_is_told_once_on_a_connection_and_again_on_the_next() {
     let mut subset_assignments = SubsetAssignments::new(START);
-    subset_assignments.report(&node(0), "here", service(), 100);
-    subset_assignments.divide(|_| true, START.plus(3_000));
+    subset_assignments.report_load(&node(0), "here", service(), 100);
+    subset_assignments.rebalance(|_| true, START.plus(3_000));
     for (row, (all, told)) in [(false, 1), (false, 0), (true, 1)].into_iter().enumerate() {
-        assert_eq!(subset_assignments.due(&node(0), all).len(), told, "row {row}");
+        assert_eq!(subset_assignments.take_updates(&node(0), all).len(), told, "row {row}");
     }
 }
 
