--- a/examples/scale.rs
+++ b/examples/scale.rs
@@ -146,7 +146,7 @@
         match message {
             ToPooler::RouteTable(config) => self.configured(*config),
             ToPooler::RouteTableDelta(changed) => {
-                let next = lock(&self.config).as_ref().and_then(|c| c.with(&changed));
+                let next = lock(&self.config).as_ref().and_then(|c| c.apply(&changed));
                 match next {
                     Some(config) => self.configured(config),
                     None => self.tell(ToController::RequestFullTable),
--- a/src/config/configuration.rs
+++ b/src/config/configuration.rs
@@ -1,4 +1,7 @@
-//! The configuration that the operator sends: routes, services and limits.
+//! The configuration that the operator sends as JSON: routes, services and limits.
+//!
+//! A controller validates it before it puts it in force, and again when it reads it from the
+//! replicated state.
 use crate::base::ids::{Revision, ServiceName};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
@@ -15,108 +18,139 @@
     Invalid(#[from] ValidationErrors),
 }
 
+/// The operator's configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Validate)]
-#[validate(schema(function = "whole"))]
+#[validate(schema(function = "validate_references"))]
 pub struct Configuration {
-    #[validate(custom(function = "above_zero"))]
+    /// The version number that the operator gave it; each new one must be higher.
+    #[validate(custom(function = "validate_revision"))]
     pub revision: Revision,
+    /// The routes by host name and path prefix.
     #[validate(nested)]
     pub route_rules: Vec<Route>,
-    // Far more than any deployment has; a route entry counts them with 16 bits.
+    /// The services that routes lead to. The limit is far above any deployment; a route entry
+    /// refers to a service by a 16-bit index.
     #[validate(nested, length(max = 60_000))]
     pub services: Vec<Service>,
+    /// Limits of client sessions and requests.
     #[serde(default)]
     #[validate(nested)]
     pub limits: SessionLimits,
 }
 
+/// How the statements or requests of a route are handled. The first three are for poolers, the
+/// others for gateways.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RouteType {
+    /// All statements run on the primary.
     Primary,
+    /// Reads may run on a replica that lags by at most `stale_ms`.
     Bounded,
+    /// Reads may run on a replica that has the session's own writes.
     ReadYourWrites,
-    /// At a gateway: may run more than once.
+    /// A request may run more than once.
     Idempotent,
-    /// At a gateway: at most once for each try of a client.
+    /// A request runs at most once for each attempt of the client.
     NonIdempotent,
-    /// At a gateway: as idempotent, with a large answer.
+    /// As `Idempotent`, with a large response.
     Download,
 }
 
 impl RouteType {
-    /// Whether a request may run a second time.
-    pub fn repeatable(self) -> bool {
+    /// Whether a request may be sent to a second database after it may have run on a first.
+    pub fn is_idempotent(self) -> bool {
         matches!(self, RouteType::Idempotent | RouteType::Download)
     }
 }
 
+/// A route: from a host name and a path prefix to one or more services.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Validate)]
-#[validate(schema(function = "aimed"))]
+#[validate(schema(function = "validate_targets"))]
 pub struct Route {
+    /// A name for the operator; nothing refers to it.
     #[validate(length(min = 1))]
     pub name: String,
+    /// The host name of a request; at a pooler, the name of the database that a client asks for.
     #[validate(length(min = 1, max = 255))]
     pub hostname: String,
-    #[serde(default = "slash")]
+    /// The prefix of the paths that the route is for; the longest matching one wins.
+    #[serde(default = "default_path_prefix")]
     pub path_prefix: String,
+    /// How statements or requests are handled.
     pub route_type: RouteType,
+    /// How long a statement or request may take, in milliseconds.
     #[validate(range(min = 1))]
     pub timeout_ms: u64,
+    /// The latency target, in milliseconds; 0 for none.
     #[serde(default)]
     pub target_latency_ms: u64,
+    /// Where sessions wait for a connection, lower values are served first.
     #[serde(default)]
     pub priority: u8,
+    /// The one service of the route, unless `weighted_targets` are given.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub target_service: Option<ServiceName>,
-    /// Instead of one service: several, each with a part of the requests.
+    /// Instead of one service: several, each with a share of the requests.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[validate(length(max = 1_000))]
     pub weighted_targets: Vec<Target>,
-    #[serde(default = "one")]
+    /// How often a statement or request is attempted at the most.
+    #[serde(default = "default_max_attempts")]
     #[validate(range(min = 1))]
     pub max_attempts: u32,
+    /// How far a replica may lag behind for reads of a `Bounded` route, in milliseconds.
     #[serde(default)]
     pub stale_ms: u64,
 }
 
 impl Route {
-    /// The services that it leads to, with their weights.
+    /// The services that the route leads to, with their weights.
     pub(crate) fn targets(&self) -> impl Iterator<Item = (&ServiceName, u32)> {
-        let one = self.target_service.iter().map(|service| (service, 1));
-        one.chain(self.weighted_targets.iter().map(|t| (&t.target_service, t.weight)))
+        let single = self.target_service.iter().map(|service| (service, 1));
+        single.chain(self.weighted_targets.iter().map(|t| (&t.target_service, t.weight)))
     }
 }
 
+/// One of several services of a route.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Target {
+    /// The service.
     pub target_service: ServiceName,
+    /// Its share of the requests, in proportion to the sum of all weights.
     pub weight: u32,
 }
 
+/// A service: one primary database and its replicas, or the equal databases of a gateway.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Validate)]
 pub struct Service {
-    #[validate(custom(function = "named"))]
+    /// Its name; one word.
+    #[validate(custom(function = "validate_service_name"))]
     pub name: ServiceName,
+    /// The connections that each database of the service accepts.
     #[validate(range(min = 1))]
     pub max_connections: u32,
+    /// How many replicas have a commit before it is acknowledged.
     #[serde(default)]
     pub sync_replicas: u32,
 }
 
+/// Limits of client sessions and requests.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Validate)]
 #[serde(default)]
 pub struct SessionLimits {
+    /// How long a transaction may be idle, in milliseconds.
     #[validate(range(min = 1))]
     pub txn_idle_ms: u64,
-    /// The head of a request, its first line counted.
+    /// The size of the head of a request, its first line included.
     #[validate(range(min = 1))]
     pub max_header_bytes: usize,
+    /// The size of the body of a request.
     pub max_body_bytes: u64,
-    /// How long a client may take to send a head.
+    /// How long a client may take to send the head of a request, in milliseconds.
     #[validate(range(min = 1))]
     pub header_timeout_ms: u64,
-    /// How long a connection may rest between two requests.
+    /// How long a connection may be idle between two requests, in milliseconds.
     #[validate(range(min = 1))]
     pub idle_timeout_ms: u64,
 }
@@ -133,26 +167,29 @@
     }
 }
 
-fn slash() -> String {
+fn default_path_prefix() -> String {
     "/".to_owned()
 }
 
-pub(crate) fn one() -> u32 {
+fn default_max_attempts() -> u32 {
     1
 }
 
-fn above_zero(revision: &Revision) -> Result<(), ValidationError> {
+// The codes of the validation errors are part of the texts that operators are shown.
+
+fn validate_revision(revision: &Revision) -> Result<(), ValidationError> {
     if revision.0 == 0 { Err(ValidationError::new("above_zero")) } else { Ok(()) }
 }
 
-fn named(name: &ServiceName) -> Result<(), ValidationError> {
+fn validate_service_name(name: &ServiceName) -> Result<(), ValidationError> {
     if name.0.is_empty() || name.0.contains(char::is_whitespace) {
         return Err(ValidationError::new("one_word"));
     }
     Ok(())
 }
 
-fn aimed(route: &Route) -> Result<(), ValidationError> {
+/// A route has either one service or weighted targets, and some target gets requests.
+fn validate_targets(route: &Route) -> Result<(), ValidationError> {
     if route.target_service.is_some() != route.weighted_targets.is_empty() {
         return Err(ValidationError::new("target_service_or_weighted_targets"));
     }
@@ -162,17 +199,19 @@
     Ok(())
 }
 
-fn whole(config: &Configuration) -> Result<(), ValidationError> {
+/// Service names are unique, routes lead to known services, and no two routes have the same host
+/// name and path prefix.
+fn validate_references(config: &Configuration) -> Result<(), ValidationError> {
     let mut services = BTreeSet::new();
-    if !config.services.iter().all(|s| services.insert(&s.name)) {
+    if !config.services.iter().all(|service| services.insert(&service.name)) {
         return Err(ValidationError::new("service_named_twice"));
     }
-    let mut places = BTreeSet::new();
+    let mut keys = BTreeSet::new();
     for route in &config.route_rules {
         if !route.targets().all(|(service, _)| services.contains(service)) {
             return Err(ValidationError::new("unknown_service"));
         }
-        if !places.insert((&route.hostname, &route.path_prefix)) {
+        if !keys.insert((&route.hostname, &route.path_prefix)) {
             return Err(ValidationError::new("same_host_and_prefix"));
         }
     }
--- a/src/config/route_table.rs
+++ b/src/config/route_table.rs
@@ -1,34 +1,57 @@
-//! What a node needs of a configuration, and what differs between two versions.
+//! What a node needs of a configuration, and the difference between two versions of it.
+//!
+//! The controller sends a [`RouteTable`] to each node that connects, and a [`RouteTableDelta`]
+//! where the node has an earlier version. Both are encoded by the order of their fields.
 use crate::base::ids::{Revision, ServiceName};
 use crate::config::configuration::{Configuration, Route, RouteType, SessionLimits};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What a node needs of a route. Links to nodes may be thin, and there may be thousands.
+/// What a node needs of a route. There may be thousands, and links to nodes may be slow.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RouteEntry {
+    /// As [`Route::hostname`].
     pub hostname: String,
+    /// As [`Route::path_prefix`].
     pub path_prefix: String,
-    #[serde(with = "numbered")]
+    /// As [`Route::route_type`].
+    #[serde(with = "route_type_number")]
     pub route_type: RouteType,
+    /// As [`Route::timeout_ms`].
     pub timeout_ms: u64,
+    /// As [`Route::target_latency_ms`].
     pub target_latency_ms: u64,
+    /// As [`Route::priority`].
     pub priority: u8,
+    /// As [`Route::max_attempts`].
     pub max_attempts: u32,
+    /// As [`Route::stale_ms`].
     pub stale_ms: u64,
-    /// The places of its services among all, and their weights.
-    targets: Vec<(u16, u32)>,
+    targets: Vec<WeightedService>,
+}
+
+/// A service of a route. Encoded as an array of two numbers.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+struct WeightedService {
+    /// The index in [`RouteTable::services`].
+    index: u16,
+    weight: u32,
 }
 
 impl RouteEntry {
-    fn place(&self) -> (&str, &str) {
+    /// What entries are sorted by; no two entries of a table have the same.
+    fn key(&self) -> (&str, &str) {
         (&self.hostname, &self.path_prefix)
     }
 }
 
-mod numbered {
+/// Encodes a route type as its number.
+mod route_type_number {
     use super::RouteType;
-    use serde::{Deserialize, Deserializer, Serializer, de::Error};
+    use serde::de::Error;
+    use serde::{Deserialize, Deserializer, Serializer};
+
+    /// The types in the order of their numbers.
     const ALL: [RouteType; 6] = [
         RouteType::Primary,
         RouteType::Bounded,
@@ -37,33 +60,47 @@
         RouteType::NonIdempotent,
         RouteType::Download,
     ];
-    pub fn serialize<S: Serializer>(kind: &RouteType, to: S) -> Result<S::Ok, S::Error> {
-        to.serialize_u8(*kind as u8)
+
+    pub(super) fn serialize<S: Serializer>(
+        route_type: &RouteType,
+        serializer: S,
+    ) -> Result<S::Ok, S::Error> {
+        serializer.serialize_u8(*route_type as u8)
     }
-    pub fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<RouteType, D::Error> {
-        let number = u8::deserialize(from)?;
+
+    pub(super) fn deserialize<'de, D: Deserializer<'de>>(
+        deserializer: D,
+    ) -> Result<RouteType, D::Error> {
+        let number = u8::deserialize(deserializer)?;
         ALL.get(usize::from(number))
             .copied()
             .ok_or_else(|| D::Error::custom("no such type of route"))
     }
 }
 
-/// What a node needs of a configuration: a route entry for each host and prefix, in their order.
+/// What a node needs of a configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RouteTable {
+    /// The revision of the configuration.
     pub revision: Revision,
+    /// The routes, sorted by host name and path prefix.
     entries: Vec<RouteEntry>,
+    /// The names of the services, in the order of the configuration.
     pub services: Vec<ServiceName>,
+    /// Limits of client sessions and requests.
     pub limits: SessionLimits,
 }
 
 impl RouteTable {
+    /// The route table of a validated configuration.
     pub fn of(config: &Configuration) -> Self {
-        let places: BTreeMap<&ServiceName, usize> =
-            config.services.iter().enumerate().map(|(at, s)| (&s.name, at)).collect();
-        // A checked configuration names only services it has, and no place twice.
-        let place =
-            |(service, weight): (&ServiceName, u32)| Some((*places.get(service)? as u16, weight));
+        let indexes: BTreeMap<&ServiceName, usize> =
+            config.services.iter().enumerate().map(|(index, s)| (&s.name, index)).collect();
+        // A validated configuration refers only to services that it has, and has fewer of them than
+        // 16 bits can count.
+        let target = |(service, weight): (&ServiceName, u32)| {
+            Some(WeightedService { index: *indexes.get(service)? as u16, weight })
+        };
         let entry = |route: &Route| RouteEntry {
             hostname: route.hostname.clone(),
             path_prefix: route.path_prefix.clone(),
@@ -73,10 +110,10 @@
             priority: route.priority,
             max_attempts: route.max_attempts,
             stale_ms: route.stale_ms,
-            targets: route.targets().filter_map(place).collect(),
+            targets: route.targets().filter_map(target).collect(),
         };
         let mut entries: Vec<RouteEntry> = config.route_rules.iter().map(entry).collect();
-        entries.sort_by(|a, b| a.place().cmp(&b.place()));
+        entries.sort_by(|a, b| a.key().cmp(&b.key()));
         Self {
             revision: config.revision,
             entries,
@@ -84,89 +121,111 @@
             limits: config.limits.clone(),
         }
     }
-    /// The route entry of a database name, and the service it leads to. Of several routes with that name,
-    /// the one with the first prefix counts.
+
+    /// The route entry of a database name, and the service that it leads to. Of several routes with
+    /// that name, the one with the first prefix counts.
     pub fn entry_for_hostname(&self, hostname: &str) -> Option<(&RouteEntry, &ServiceName)> {
-        let at = self.entries.partition_point(|l| l.hostname.as_str() < hostname);
-        let entry = self.entries.get(at).filter(|l| l.hostname == hostname)?;
+        let index = self.entries.partition_point(|entry| entry.hostname.as_str() < hostname);
+        let entry = self.entries.get(index).filter(|entry| entry.hostname == hostname)?;
         Some((entry, self.service(entry, 0)?))
     }
-    /// The route entry of a request: of those for its host, the one with the longest prefix of its path.
+
+    /// The route entry of a request: of those for its host, the one with the longest prefix of its
+    /// path. Prefixes end with a slash.
     pub fn entry_for_path(&self, hostname: &str, path: &str) -> Option<&RouteEntry> {
-        let slashes = path.bytes().enumerate().rev().filter(|(_, b)| *b == b'/').map(|(at, _)| at);
+        let bytes = path.bytes().enumerate().rev();
+        let slashes = bytes.filter(|(_, byte)| *byte == b'/').map(|(at, _)| at);
         slashes
             .map(|at| &path[..=at])
             .find_map(|prefix| {
-                self.entries.binary_search_by(|l| l.place().cmp(&(hostname, prefix))).ok()
+                self.entries.binary_search_by(|entry| entry.key().cmp(&(hostname, prefix))).ok()
             })
-            .map(|at| &self.entries[at])
+            .map(|index| &self.entries[index])
     }
-    /// The service that a route entry leads to for one of its requests. The same request is led to the
-    /// same service at every node.
+
+    /// The service that a route entry leads to for one of its requests. The same request leads to
+    /// the same service at every node.
     pub fn service(&self, entry: &RouteEntry, request: u64) -> Option<&ServiceName> {
-        let sum: u64 = entry.targets.iter().map(|(_, weight)| u64::from(*weight)).sum();
-        let mut left = request.checked_rem(sum)?;
-        for (service, weight) in &entry.targets {
-            match left.checked_sub(u64::from(*weight)) {
-                Some(less) => left = less,
-                None => return self.services.get(usize::from(*service)),
+        let sum: u64 = entry.targets.iter().map(|target| u64::from(target.weight)).sum();
+        let mut rest = request.checked_rem(sum)?;
+        for target in &entry.targets {
+            match rest.checked_sub(u64::from(target.weight)) {
+                Some(less) => rest = less,
+                None => return self.services.get(usize::from(target.index)),
             }
         }
         None
     }
-    /// What has to be known to come here from `base`.
-    pub fn since(&self, base: &RouteTable) -> RouteTableDelta {
+
+    /// The difference from `base` to this version.
+    pub fn delta_from(&self, base: &RouteTable) -> RouteTableDelta {
         RouteTableDelta {
             base: base.revision,
             revision: self.revision,
-            entries: runs(&base.entries, &self.entries, RouteEntry::place),
-            services: runs(&base.services, &self.services, |s| s.0.as_str()),
+            entries: delta_runs(&base.entries, &self.entries, RouteEntry::key),
+            services: delta_runs(&base.services, &self.services, |s| s.0.as_str()),
             limits: self.limits.clone(),
         }
     }
-    /// The version that `changed` leads to from this one; none if it is not meant for this one.
-    pub fn with(&self, changed: &RouteTableDelta) -> Option<RouteTable> {
-        if changed.base != self.revision {
+
+    /// The version that `delta` makes of this one; none if it is based on another one.
+    pub fn apply(&self, delta: &RouteTableDelta) -> Option<RouteTable> {
+        if delta.base != self.revision {
             return None;
         }
         Some(RouteTable {
-            revision: changed.revision,
-            entries: laid_out(&self.entries, &changed.entries)?,
-            services: laid_out(&self.services, &changed.services)?,
-            limits: changed.limits.clone(),
+            revision: delta.revision,
+            entries: apply_runs(&self.entries, &delta.entries)?,
+            services: apply_runs(&self.services, &delta.services)?,
+            limits: delta.limits.clone(),
         })
     }
 }
 
-/// The way from one version to another.
+/// The difference from one version of the route table to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RouteTableDelta {
+    /// The revision that it applies to.
     pub base: Revision,
+    /// The revision that it leads to.
     pub revision: Revision,
+    /// How the new entries are made from the old.
     pub entries: Vec<DeltaRun<RouteEntry>>,
+    /// How the new services are made from the old.
     pub services: Vec<DeltaRun<ServiceName>>,
+    /// The new limits.
     pub limits: SessionLimits,
 }
 
-/// A part of a list: as it stood in the old one, or new.
+/// A run of items of the new list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum DeltaRun<T> {
-    Same { from: usize, count: usize },
+    /// The same items as in the old list.
+    Same {
+        /// The index of the first in the old list.
+        from: usize,
+        /// How many.
+        count: usize,
+    },
+    /// Items that are not in the old list.
     New(Vec<T>),
 }
 
-fn runs<'a, T: Clone + PartialEq, K: Ord>(
+/// The runs that make the list `new` from `old`.
+fn delta_runs<'a, T: Clone + PartialEq, K: Ord>(
     old: &'a [T],
     new: &'a [T],
     key: impl Fn(&'a T) -> K,
 ) -> Vec<DeltaRun<T>> {
-    let places: BTreeMap<K, usize> = old.iter().enumerate().map(|(i, t)| (key(t), i)).collect();
+    let indexes: BTreeMap<K, usize> = old.iter().enumerate().map(|(i, t)| (key(t), i)).collect();
     let mut runs: Vec<DeltaRun<T>> = Vec::new();
     for item in new {
-        let same = places.get(&key(item)).copied().filter(|at| old[*at] == *item);
+        let same = indexes.get(&key(item)).copied().filter(|index| old[*index] == *item);
         match (runs.last_mut(), same) {
-            (Some(DeltaRun::Same { from, count }), Some(at)) if *from + *count == at => *count += 1,
-            (_, Some(at)) => runs.push(DeltaRun::Same { from: at, count: 1 }),
+            (Some(DeltaRun::Same { from, count }), Some(index)) if *from + *count == index => {
+                *count += 1;
+            }
+            (_, Some(index)) => runs.push(DeltaRun::Same { from: index, count: 1 }),
             (Some(DeltaRun::New(items)), None) => items.push(item.clone()),
             (_, None) => runs.push(DeltaRun::New(vec![item.clone()])),
         }
@@ -174,7 +233,8 @@
     runs
 }
 
-fn laid_out<T: Clone>(old: &[T], runs: &[DeltaRun<T>]) -> Option<Vec<T>> {
+/// The list that the runs make from `old`; none if they refer to items that `old` does not have.
+fn apply_runs<T: Clone>(old: &[T], runs: &[DeltaRun<T>]) -> Option<Vec<T>> {
     let mut new = Vec::new();
     for run in runs {
         match run {
--- a/src/controller/event_loop.rs
+++ b/src/controller/event_loop.rs
@@ -3,7 +3,7 @@
 use crate::base::errors::Fatal;
 use crate::base::signals::Signals;
 use crate::base::time::Tick;
-use crate::config::settings::Watched;
+use crate::config::settings::SettingsWatcher;
 use crate::controller::core::Controller;
 use crate::controller::effects::Input;
 use crate::controller::peer_connections::PeerConnection;
@@ -33,7 +33,7 @@
         &mut self,
         events: Receiver<Event>,
         signals: &Signals,
-        mut watched: Watched,
+        mut watched: SettingsWatcher,
     ) -> Result<(), Fatal> {
         let mut stopping_since: Option<Tick> = None;
         let mut last_housekeeping = Tick::now();
--- a/src/controller/pooler_subscriptions.rs
+++ b/src/controller/pooler_subscriptions.rs
@@ -193,7 +193,7 @@
         let frame = self.route_table_frames.entry(from).or_insert_with(|| {
             let base = self.route_tables.iter().find(|table| table.revision == from);
             encode(&Frame::Controller(match base {
-                Some(base) => ToPooler::RouteTableDelta(Box::new(current.since(base))),
+                Some(base) => ToPooler::RouteTableDelta(Box::new(current.delta_from(base))),
                 None => ToPooler::RouteTable(Box::new(current.clone())),
             }))
         });
--- a/src/controller/process.rs
+++ b/src/controller/process.rs
@@ -4,7 +4,7 @@
 use crate::base::signals::Signals;
 use crate::base::time::Tick;
 use crate::base::worker_pool::must_start;
-use crate::config::settings::{Settings, Watched};
+use crate::config::settings::{Settings, SettingsWatcher};
 use crate::controller::core::Controller;
 use crate::controller::effects::Input;
 use crate::controller::peer_listener::accept_peers;
@@ -62,7 +62,7 @@
         SocketTransport { conns: HashMap::new(), links: HashMap::new(), storage_thread, tx };
     let mut controller =
         Controller::new(settings, state, restarted, rand::random::<u64>, effects, Tick::now())?;
-    controller.serve(rx, &signals, Watched::new(path))
+    controller.serve(rx, &signals, SettingsWatcher::new(path))
 }
 
 /// The thread that waits for the disk, so that nothing else does.
--- a/src/gateway/leader_messages.rs
+++ b/src/gateway/leader_messages.rs
@@ -79,7 +79,7 @@
 
     /// Applies a change of the route table, or asks for a whole one if the change doesn't fit.
     fn apply_route_table_delta(&self, delta: &RouteTableDelta) {
-        match self.route_table().and_then(|known| known.with(delta)) {
+        match self.route_table().and_then(|known| known.apply(delta)) {
             Some(route_table) => self.apply_route_table(route_table),
             None => self.leader.tell(ToController::RequestFullTable),
         }
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -5,7 +5,7 @@
 use crate::base::sync::lock;
 use crate::base::time::Tick;
 use crate::base::worker_pool::must_start;
-use crate::config::settings::{Settings, Watched};
+use crate::config::settings::{Settings, SettingsWatcher};
 use crate::gateway::client_connection::ClientConnection;
 use crate::gateway::server::Gateway;
 use crate::net::http;
@@ -35,7 +35,7 @@
 /// # Errors
 /// If a listener or thread that it can't do without is not to be had, or the settings name none.
 pub fn run(path: PathBuf, settings: Settings) -> Result<(), Fatal> {
-    let mut watched = Watched::new(path);
+    let mut watched = SettingsWatcher::new(path);
     let frontend = required_listener(settings.listeners.frontend, "frontend", "gateway")?;
     let readiness = required_listener(settings.listeners.readiness, "readiness", "gateway")?;
     let signals = Signals::install().map_err(|e| Fatal::Call(e.to_string()))?;
@@ -62,7 +62,11 @@
 
 /// Waits until the leader has sent what is needed to serve. Until then a gateway does not listen:
 /// a client that can't connect goes on to another node at once.
-fn await_configuration(gateway: &Gateway, signals: &Signals, watched: &mut Watched) -> Startup {
+fn await_configuration(
+    gateway: &Gateway,
+    signals: &Signals,
+    watched: &mut SettingsWatcher,
+) -> Startup {
     while !gateway.is_configured() {
         if signals.terminated() {
             return Startup::Terminated;
@@ -90,7 +94,12 @@
 
 /// Keeps in touch with the leader, closes expired connections and takes over changed settings;
 /// returns when a graceful shutdown is complete.
-fn maintain(gateway: &Gateway, signals: &Signals, mut watched: Watched, mut settings: Settings) {
+fn maintain(
+    gateway: &Gateway,
+    signals: &Signals,
+    mut watched: SettingsWatcher,
+    mut settings: Settings,
+) {
     let mut draining_since: Option<Tick> = None;
     loop {
         let draining = draining_since.is_some();
--- a/src/gateway/request_context.rs
+++ b/src/gateway/request_context.rs
@@ -33,7 +33,7 @@
 impl RequestContext<'_> {
     /// Whether the route allows the request to be executed more than once.
     pub(super) fn idempotency(&self) -> Idempotency {
-        match self.route.route_type.repeatable() {
+        match self.route.route_type.is_idempotent() {
             true => Idempotency::Idempotent,
             false => Idempotency::NonIdempotent,
         }
--- a/src/pooler/leader_messages.rs
+++ b/src/pooler/leader_messages.rs
@@ -264,7 +264,7 @@
         if table.as_ref().is_some_and(|table| table.revision >= delta.revision) {
             return;
         }
-        match table.and_then(|table| table.with(delta)) {
+        match table.and_then(|table| table.apply(delta)) {
             Some(table) => self.apply_route_table(table),
             None => self.send_to_leader(ToController::RequestFullTable),
         }
--- a/src/pooler/process.rs
+++ b/src/pooler/process.rs
@@ -3,7 +3,7 @@
 use crate::base::signals::Signals;
 use crate::base::time::Tick;
 use crate::base::worker_pool::must_start;
-use crate::config::settings::{Settings, Watched};
+use crate::config::settings::{Settings, SettingsWatcher};
 use crate::net::http;
 use crate::net::rpc::pooler_messages::ToController;
 use crate::net::sockets::listen;
@@ -36,7 +36,7 @@
 /// Settings that lack a listener, a listener that can't be opened, or a machine that has no thread
 /// or descriptor left.
 pub fn run(path: PathBuf, settings: Settings) -> Result<(), Fatal> {
-    let watched = Watched::new(path);
+    let watched = SettingsWatcher::new(path);
     let clients_at = required_listener(settings.listeners.frontend, "frontend", "pooler")?;
     let readiness_at = required_listener(settings.listeners.readiness, "readiness", "pooler")?;
     let signals = Signals::install().map_err(|e| Fatal::Call(e.to_string()))?;
@@ -56,7 +56,7 @@
 struct Process {
     pooler: Arc<Pooler>,
     signals: Signals,
-    watched: Watched,
+    watched: SettingsWatcher,
     settings: Settings,
 }
 
--- a/src/simulation/nodes.rs
+++ b/src/simulation/nodes.rs
@@ -156,7 +156,7 @@
             }
             ToPooler::RouteTable(route_table) => self.apply_route_table(number, *route_table),
             ToPooler::RouteTableDelta(changed) => {
-                match node.config.as_ref().and_then(|c| c.with(&changed)) {
+                match node.config.as_ref().and_then(|c| c.apply(&changed)) {
                     Some(route_table) => self.apply_route_table(number, route_table),
                     None => self.send_to_controller(number, ToController::RequestFullTable),
                 }
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -223,7 +223,7 @@
         subset_ranges: vec![SubsetRange { service: s.clone(), start: 112, end: 113 }],
     };
     let (old, new) = (route_table(121, &TYPES[..3]), route_table(122, &TYPES));
-    let mut changed = new.since(&old);
+    let mut changed = new.delta_from(&old);
     changed.services = vec![DeltaRun::Same { from: 1, count: 1 }, DeltaRun::New(vec!["v".into()])];
     changed.limits = limits(130);
     let to_pooler = [
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,7 +1,7 @@
 //! Settings: what is refused and why, and what a changed file does.
 use silvertack::config::configuration::Configuration;
 use silvertack::config::route_table::{DeltaRun, RouteTable, RouteTableDelta};
-use silvertack::config::settings::{Settings, Watched};
+use silvertack::config::settings::{Settings, SettingsWatcher};
 use silvertack::net::rpc::{pack, unpack};
 
 const GOOD: &str = "node_name = \"one\"\nip_address = \"10.0.0.1\"\nzone = \"z\"\nport_range = [7440, 7455]\n\
@@ -31,7 +31,7 @@
 fn an_invalid_file_at_reload_keeps_the_old_settings() {
     let file = std::env::temp_dir().join(format!("silvertack-watch-{}.toml", std::process::id()));
     std::fs::write(&file, GOOD).expect("written");
-    let mut watched = Watched::new(file.clone());
+    let mut watched = SettingsWatcher::new(file.clone());
     assert!(watched.poll(false).is_none(), "nothing changed");
     std::fs::write(&file, "node_name = ").expect("written");
     assert!(watched.poll(true).is_none(), "invalid: the old ones stay");
@@ -70,26 +70,26 @@
         ("all", config(5, &[("p", 1)], &["s", "u"]), 1),
     ];
     for (what, new, sent) in cases {
-        let changed = new.since(&base);
+        let changed = new.delta_from(&base);
         let count: usize = changed
             .entries
             .iter()
             .map(|r| if let DeltaRun::New(n) = r { n.len() } else { 0 })
             .sum();
         assert_eq!(count, sent, "{what}");
-        assert_eq!(base.with(&changed).as_ref(), Some(&new), "{what}");
+        assert_eq!(base.apply(&changed).as_ref(), Some(&new), "{what}");
         let (frame, whole) = (pack(&changed), pack(&new));
         assert!(
             unpack::<RouteTableDelta>(&frame).is_ok_and(|c| c == changed),
             "{what}: as a frame"
         );
         assert_eq!(unpack::<RouteTable>(&whole).ok(), Some(new), "{what}");
-        assert_eq!(config(4, &[("a", 5)], &["s"]).with(&changed), None, "{what}: of another base");
+        assert_eq!(config(4, &[("a", 5)], &["s"]).apply(&changed), None, "{what}: of another base");
     }
     // A place that the base does not have makes nothing of it, and no mix.
-    let mut wrong = base.since(&base);
+    let mut wrong = base.delta_from(&base);
     wrong.entries = vec![DeltaRun::Same { from: 3, count: 2 }];
-    assert_eq!(base.with(&wrong), None);
+    assert_eq!(base.apply(&wrong), None);
     wrong.entries = vec![DeltaRun::Same { from: 1, count: usize::MAX }];
-    assert_eq!(base.with(&wrong), None);
+    assert_eq!(base.apply(&wrong), None);
 }
--- a/tests/subscribers.rs
+++ b/tests/subscribers.rs
@@ -123,7 +123,7 @@
         let has = || status(ready)["revision"].as_u64();
         let whole = |route_table: &RouteTable| ToPooler::RouteTable(Box::new(route_table.clone()));
         let changed = |from: &RouteTable, to: &RouteTable| {
-            ToPooler::RouteTableDelta(Box::new(to.since(from)))
+            ToPooler::RouteTableDelta(Box::new(to.delta_from(from)))
         };
 
         let (mut link, had) = welcome(&leader);
