--- a/examples/scale.rs
+++ b/examples/scale.rs
@@ -86,7 +86,7 @@
     fn tell(&self, message: ToController) {
         let bytes = encode(&Frame::Pooler(message.clone())).len() as u64;
         self.counts.bytes_out.fetch_add(bytes, Ordering::Relaxed);
-        self.link.tell(message);
+        self.link.send(message);
     }
     fn renew(&self) {
         let seq = self.seq.fetch_add(1, Ordering::Relaxed) + 1;
@@ -135,11 +135,11 @@
             zone: self.zone.clone(),
         }
     }
-    fn linked(&self) {}
-    fn begin(&self) {
+    fn on_connected(&self) {}
+    fn on_ready(&self) {
         self.renew();
     }
-    fn hear(&self, message: ToPooler) {
+    fn on_message(&self, message: ToPooler) {
         let bytes = encode(&Frame::Controller(message.clone())).len() as u64;
         self.counts.bytes_in.fetch_add(bytes, Ordering::Relaxed);
         self.counts.frames_in.fetch_add(1, Ordering::Relaxed);
@@ -367,7 +367,7 @@
         let keeping = Arc::clone(&node);
         std::thread::Builder::new()
             .stack_size(128 << 10)
-            .spawn(move || keeping.link.keep(&*keeping))?;
+            .spawn(move || keeping.link.run(&*keeping))?;
         nodes.push(node);
     }
     let has = |revision: u64| nodes.iter().all(|n| n.revision.load(Ordering::SeqCst) >= revision);
--- a/src/controller/outgoing_calls.rs
+++ b/src/controller/outgoing_calls.rs
@@ -4,7 +4,7 @@
 use crate::net::http;
 use crate::net::rpc::raft_messages::{JoinResponse, Member};
 use crate::net::rpc::{Frame, receive, send};
-use crate::net::sockets::{REACH, dial};
+use crate::net::sockets::{PEER_CONNECT_TIMEOUT, connect_stream};
 use crate::net::statement_protocol;
 use log::warn;
 use std::io::Write;
@@ -17,7 +17,7 @@
     member: Member,
     was: bool,
 ) -> std::io::Result<JoinResponse> {
-    let mut stream = dial(at, REACH, Duration::from_secs(1))?;
+    let mut stream = connect_stream(at, PEER_CONNECT_TIMEOUT, Duration::from_secs(1))?;
     stream.set_read_timeout(Some(Duration::from_secs(1)))?;
     send(&mut stream, &Frame::Join { member, was })?;
     match receive(&mut stream)? {
@@ -44,7 +44,7 @@
     };
     let exchange = move || -> std::io::Result<DatabaseResponse> {
         let limit = Duration::from_millis(300);
-        let mut stream = dial(address, limit, Duration::from_secs(1))?;
+        let mut stream = connect_stream(address, limit, Duration::from_secs(1))?;
         reached();
         stream.set_read_timeout(Some(Duration::from_millis(1_000)))?;
         stream.write_all(format!("CONNECT {service} steward {id}\r\n").as_bytes())?;
--- a/src/controller/peer_listener.rs
+++ b/src/controller/peer_listener.rs
@@ -4,7 +4,7 @@
 use crate::controller::effects::Input;
 use crate::controller::transport::Event;
 use crate::net::rpc::{Frame, ReceivedFrame, receive_with_layout};
-use crate::net::sockets::{keep_alive, listen, tune};
+use crate::net::sockets::{configure_stream, enable_keep_alive, listen};
 use log::warn;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -32,8 +32,8 @@
             start_thread(move || {
                 let _held = held;
                 let dark = Duration::from_secs(3);
-                let ready = tune(&stream, dark)
-                    .and_then(|()| keep_alive(&stream, dark))
+                let ready = configure_stream(&stream, dark)
+                    .and_then(|()| enable_keep_alive(&stream, dark))
                     .and_then(|()| stream.try_clone());
                 let Ok(writer) = ready else { return };
                 if tx.send(Event::Opened(id, writer)).is_err() {
--- a/src/controller/transport.rs
+++ b/src/controller/transport.rs
@@ -9,7 +9,7 @@
 use crate::net::http::{Request, Response};
 use crate::net::rpc::raft_messages::{Member, RaftMessage};
 use crate::net::rpc::{Frame, encode};
-use crate::net::sockets::{REACH, dial};
+use crate::net::sockets::{PEER_CONNECT_TIMEOUT, connect_stream};
 use crate::raft::storage::WriteBatch;
 use log::info;
 use std::collections::HashMap;
@@ -88,7 +88,7 @@
             link.retry = now.plus(100);
             let tx = self.tx.clone();
             link.dialing = start_thread(move || {
-                let stream = dial(address, REACH, Duration::from_secs(2));
+                let stream = connect_stream(address, PEER_CONNECT_TIMEOUT, Duration::from_secs(2));
                 let line = stream.ok().map(|stream| {
                     let mut line = PeerConnection::new(stream, Tick::now());
                     line.out.push(frame);
--- a/src/gateway/client_connection.rs
+++ b/src/gateway/client_connection.rs
@@ -9,7 +9,8 @@
 use crate::base::worker_pool::start_thread;
 use crate::gateway::http1::{BodyDecoder, ParseError};
 use crate::gateway::server::Gateway;
-use crate::net::sockets::tune;
+use crate::net::idle_connections::Registration;
+use crate::net::sockets::configure_stream;
 use crate::net::statement_protocol::ReadBuffer;
 use log::debug;
 use std::io::{self, Read, Write};
@@ -86,7 +87,7 @@
         if lock(&self.clients).len() >= self.max_clients {
             return;
         }
-        let configured = tune(&stream, WRITE_TIMEOUT)
+        let configured = configure_stream(&stream, WRITE_TIMEOUT)
             .and_then(|()| stream.set_write_timeout(Some(WRITE_TIMEOUT)));
         if configured.is_err() {
             return;
@@ -108,8 +109,11 @@
             match client.gateway.serve_client(&connection) {
                 Ok(AfterServing::KeepIdle) => {
                     let gateway = Arc::clone(&client.gateway);
-                    let known = connection.registered.swap(true, Ordering::Relaxed);
-                    gateway.idle_clients.rest(client.id, &connection.stream, client, known);
+                    let registration = match connection.registered.swap(true, Ordering::Relaxed) {
+                        true => Registration::Existing,
+                        false => Registration::New,
+                    };
+                    gateway.idle_clients.park(client.id, &connection.stream, client, registration);
                 }
                 Ok(AfterServing::Close) => {}
                 // Clients end connections all the time; a line for each would hide the rest.
--- a/src/gateway/endpoint_access.rs
+++ b/src/gateway/endpoint_access.rs
@@ -9,8 +9,8 @@
 use crate::gateway::request_context::RequestContext;
 use crate::gateway::server::Gateway;
 use crate::gateway::upstreams::{AcquiredEndpoint, EndpointConnection};
-use crate::net::idle_connections::has_news;
-use crate::net::sockets::dial;
+use crate::net::idle_connections::is_readable;
+use crate::net::sockets::connect_stream;
 use crate::net::statement_protocol::ReadBuffer;
 use log::warn;
 use std::io;
@@ -86,7 +86,7 @@
     ) -> Result<Attempt, AttemptOutcome> {
         let AcquiredEndpoint { id, address, connection } = endpoint;
         // That an idle connection was closed meanwhile says nothing about the endpoint.
-        let idle = connection.filter(|idle| !has_news(&idle.stream));
+        let idle = connection.filter(|idle| !is_readable(&idle.stream));
         if let Some(mut connection) = idle {
             let sent = Tick::now();
             match send_request(request, &id, &mut connection, sent) {
@@ -114,7 +114,8 @@
         let began = Tick::now();
         let late_ms = lock(&self.upstreams).connect_latency.late_after_ms(CONNECT_TIMEOUT_MS);
         let timeout_ms = deadline.since(began).clamp(1, late_ms.min(MAX_CONNECT_TIMEOUT_MS));
-        let connected = dial(address, Duration::from_millis(timeout_ms), UNACKNOWLEDGED_TIMEOUT);
+        let connected =
+            connect_stream(address, Duration::from_millis(timeout_ms), UNACKNOWLEDGED_TIMEOUT);
         // A refusal is quick; whatever takes long may be due to this node's own link.
         lock(&self.upstreams).connect_latency.record(Tick::now().since(began));
         match connected {
--- a/src/gateway/leader_messages.rs
+++ b/src/gateway/leader_messages.rs
@@ -29,7 +29,7 @@
 impl Gateway {
     pub(super) fn renew_when_due(&self) {
         let last_sent = Tick(self.renewals.last_sent.load(Ordering::Relaxed));
-        if self.leader.is_up() && Tick::now().since(last_sent) >= RENEW_MS {
+        if self.leader.is_connected() && Tick::now().since(last_sent) >= RENEW_MS {
             self.renew();
         }
     }
@@ -42,7 +42,7 @@
         let heard = self.renewals.last_acknowledged.load(Ordering::Relaxed);
         // A gateway holds no leases and reads no positions; only a pooler fills in the rest.
         let (shares, wants, saw, asks) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
-        self.leader.tell(ToController::RenewLeases {
+        self.leader.send(ToController::RenewLeases {
             seq,
             last_grant_seq: heard,
             quotas: shares,
@@ -81,7 +81,7 @@
     fn apply_route_table_delta(&self, delta: &RouteTableDelta) {
         match self.route_table().and_then(|known| known.apply(delta)) {
             Some(route_table) => self.apply_route_table(route_table),
-            None => self.leader.tell(ToController::RequestFullTable),
+            None => self.leader.send(ToController::RequestFullTable),
         }
     }
 
@@ -105,18 +105,18 @@
         }
     }
 
-    fn linked(&self) {
+    fn on_connected(&self) {
         self.renewals.last_acknowledged.store(0, Ordering::Relaxed);
         for service in lock(&self.upstreams).services.values_mut() {
             service.demand.forget_report();
         }
     }
 
-    fn begin(&self) {
+    fn on_ready(&self) {
         self.renew();
     }
 
-    fn hear(&self, message: ToPooler) {
+    fn on_message(&self, message: ToPooler) {
         match message {
             ToPooler::NotLeader(_) | ToPooler::Welcome { .. } | ToPooler::Revoke { .. } => {}
             ToPooler::RouteTable(route_table) => self.apply_route_table(*route_table),
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -43,7 +43,7 @@
     let (ready, status) = (Arc::clone(&gateway), Arc::clone(&gateway));
     http::serve_state(readiness, move || ready.is_ready(), move || status.status())?;
     let linking = Arc::clone(&gateway);
-    must_start("the leader connection", move || linking.leader.keep(&*linking))?;
+    must_start("the leader connection", move || linking.leader.run(&*linking))?;
     if await_configuration(&gateway, &signals, &mut watched) == Startup::Terminated {
         return Ok(());
     }
@@ -72,7 +72,7 @@
             return Startup::Terminated;
         }
         if let Some(settings) = watched.poll(signals.take_hup()) {
-            gateway.leader.seek(settings.seed_peers());
+            gateway.leader.set_seeds(settings.seed_peers());
         }
         let upstreams = lock(&gateway.upstreams);
         drop(gateway.upstreams_changed.wait_timeout(upstreams, STARTUP_POLL));
@@ -88,7 +88,7 @@
     accept_clients(listener, move |stream| accepting.admit_client(stream))?;
     let watching = Arc::clone(gateway);
     must_start("idle clients", move || {
-        watching.idle_clients.watch(|client| watching.serve_on_thread(client));
+        watching.idle_clients.run(|client| watching.serve_on_thread(client));
     })
 }
 
@@ -126,7 +126,7 @@
 }
 
 fn apply_settings(gateway: &Gateway, settings: &Settings) {
-    gateway.leader.seek(settings.seed_peers());
+    gateway.leader.set_seeds(settings.seed_peers());
     let bounds = &settings.timing_bounds;
     lock(&gateway.retry_budget).configure(bounds.retry_ratio, 1_000 * bounds.retry_window_s);
 }
@@ -153,7 +153,7 @@
     if !clients.is_empty() && !grace.is_over() {
         return Drain::InProgress;
     }
-    gateway.leader.tell(ToController::Goodbye);
+    gateway.leader.send(ToController::Goodbye);
     info!(target: "gateway", "stopped with {} clients", clients.len());
     Drain::Complete
 }
--- a/src/gateway/status.rs
+++ b/src/gateway/status.rs
@@ -20,7 +20,7 @@
             "role": "gateway",
             "ready": self.is_ready(),
             "draining": self.draining.load(Ordering::Relaxed),
-            "linked": self.leader.is_up(),
+            "linked": self.leader.is_connected(),
             "revision": upstreams.route_table.as_ref().map(|table| table.revision),
             "connections": lock(&self.clients).len(),
             "connections_allowed": self.max_clients,
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -1,7 +1,7 @@
 //! A small HTTP/1.1 server and client for the admin and readiness addresses.
 use crate::base::errors::Fatal;
 use crate::base::worker_pool::start_thread;
-use crate::net::sockets::{dial, listen, tune};
+use crate::net::sockets::{configure_stream, connect_stream, listen};
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
@@ -115,7 +115,7 @@
 }
 
 fn converse(mut stream: TcpStream, handle: &dyn Fn(Request) -> Response) -> io::Result<()> {
-    tune(&stream, Duration::from_secs(5))?;
+    configure_stream(&stream, Duration::from_secs(5))?;
     stream.set_read_timeout(Some(IDLE))?;
     stream.set_write_timeout(Some(Duration::from_secs(5)))?;
     let mut bytes = Vec::new();
@@ -235,7 +235,7 @@
     body: &[u8],
     within: Duration,
 ) -> io::Result<(u16, Option<String>, Vec<u8>)> {
-    let mut stream = dial(to, within, within)?;
+    let mut stream = connect_stream(to, within, within)?;
     stream.set_read_timeout(Some(within))?;
     let mut out = format!(
         "{method} {path} HTTP/1.1\r\nHost: {to}\r\nConnection: close\r\nContent-Type: application/json\r\nContent-Length: {}\r\n",
--- a/src/net/leader_connection.rs
+++ b/src/net/leader_connection.rs
@@ -1,126 +1,136 @@
-//! The connection that a node keeps to the leading controller.
+//! The connection that a node (a pooler or a gateway) keeps to the leading controller.
+//!
+//! [`LeaderConnection::run`] owns a thread of the node: it looks for the leader, hands its messages
+//! to the node's [`LeaderSubscriber`], and begins again when the connection is lost. Other threads
+//! send through the same value.
 use crate::base::sync::lock;
 use crate::base::time::Tick;
 use crate::base::worker_pool::start_thread;
-use crate::net::leader_discovery::{LeaderDiscovery, TURN_MS};
+use crate::net::leader_discovery::{ATTEMPT_INTERVAL_MS, LeaderDiscovery};
 use crate::net::rpc::pooler_messages::{ToController, ToPooler};
 use crate::net::rpc::{Frame, receive, send};
-use crate::net::sockets::dial;
-use log::info;
+use crate::net::sockets::connect_stream;
+use log::{debug, info};
 use std::collections::BTreeSet;
 use std::io::{self, BufReader};
 use std::net::{Shutdown, SocketAddr, TcpStream};
-use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
-use std::sync::mpsc::channel;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::mpsc::{Sender, channel};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// A node that follows the leader.
-pub trait LeaderSubscriber {
-    /// How it introduces itself on a new connection.
-    fn hello(&self) -> ToController;
-    /// A leader has welcomed it; nothing was said on the connection yet.
-    fn linked(&self);
-    /// Messages may be sent now.
-    fn begin(&self);
-    fn hear(&self, message: ToPooler);
-}
-
-/// The longest that is waited for a connection to a controller, and again for its first word. Behind a
-/// crowded link both take long; a dark controller costs no more than its turn.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// How long an attempt may take to connect, and again to receive the first answer. Over a congested
+/// link both take long; an unreachable controller delays the search only by its turn.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a controller said first.
-pub(crate) enum Answer {
-    Welcome { stream: TcpStream, reader: BufReader<TcpStream>, controllers: Vec<SocketAddr> },
-    Elsewhere(Option<SocketAddr>),
-}
+/// How long sent data may be unacknowledged before the connection counts as lost.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The controller that welcomed the node, the connection, and the controllers that there are.
-pub(crate) type Found = (SocketAddr, TcpStream, BufReader<TcpStream>, Vec<SocketAddr>);
+/// How long a message may wait for room in the kernel's buffer.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Opens a connection to a controller within a time.
-pub type Dial = fn(SocketAddr, Duration) -> io::Result<TcpStream>;
+/// Without a message for this long the leader counts as lost: renewals are answered far more often.
+const READ_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// The controllers that were greeted and have not answered; none once one has welcomed the node. It greets
-/// each but once at a time: to the leader only the newest greeting counts.
-type Greeted = Mutex<Option<BTreeSet<SocketAddr>>>;
+/// The buffer of a connection's reader, in bytes.
+const READ_BUFFER_BYTES: usize = 4096;
 
-fn greet(dial: Dial, to: SocketAddr, hello: ToController, greeted: &Greeted) -> io::Result<Answer> {
-    let mut stream = dial(to, PATIENCE)?;
-    stream.set_write_timeout(Some(Duration::from_millis(500)))?;
-    stream.set_read_timeout(Some(PATIENCE))?;
-    if !lock(greeted).as_mut().is_some_and(|g| g.insert(to)) {
-        return Err(io::Error::new(io::ErrorKind::AlreadyExists, "not needed any more"));
-    }
-    let answer = first_word(&mut stream, hello);
-    if !matches!(answer, Ok(Answer::Welcome { .. }))
-        && let Some(greeted) = lock(greeted).as_mut()
-    {
-        greeted.remove(&to);
-    }
-    answer
+/// The part of a node that follows the leader. Its methods are called by the connection's thread.
+pub trait LeaderSubscriber {
+    /// The first message on a new connection, [`ToController::Hello`].
+    fn hello(&self) -> ToController;
+    /// A leader has welcomed the node; nothing can be sent to it yet.
+    fn on_connected(&self);
+    /// Messages can be sent from now on.
+    fn on_ready(&self);
+    /// A message of the leader.
+    fn on_message(&self, message: ToPooler);
 }
 
-fn first_word(stream: &mut TcpStream, hello: ToController) -> io::Result<Answer> {
-    send(stream, &Frame::Pooler(hello))?;
-    let mut reader = BufReader::with_capacity(4096, stream.try_clone()?);
-    match receive(&mut reader)? {
-        Frame::Controller(ToPooler::Welcome { controllers }) => {
-            // Renewals are answered far more often than this; silence means another leader.
-            stream.set_read_timeout(Some(Duration::from_millis(1_200)))?;
-            Ok(Answer::Welcome { stream: stream.try_clone()?, reader, controllers })
-        }
-        Frame::Controller(ToPooler::NotLeader(other)) => Ok(Answer::Elsewhere(other)),
-        _ => Err(io::ErrorKind::InvalidData.into()),
-    }
-}
+/// Opens a connection to a controller within a time.
+pub type Connect = fn(SocketAddr, Duration) -> io::Result<TcpStream>;
 
+/// A connection to the leader, looked for again whenever it is lost.
 pub struct LeaderConnection {
-    /// The part that logs.
-    part: &'static str,
+    /// The target of its log lines.
+    log_target: &'static str,
     /// Where controllers are looked for, as the settings name them now.
     seeds: Mutex<Vec<SocketAddr>>,
     stream: Mutex<Option<TcpStream>>,
-    up: AtomicBool,
-    /// When something last came from a leader.
-    heard: AtomicU64,
-    dial: Dial,
+    connected: AtomicBool,
+    connect: Connect,
+}
+
+/// A connection whose controller has answered that it leads.
+struct Welcomed {
+    stream: TcpStream,
+    reader: BufReader<TcpStream>,
+    /// The peer addresses of all controllers.
+    controllers: Vec<SocketAddr>,
+}
+
+/// What a controller answers first.
+enum FirstAnswer {
+    Welcome(Welcomed),
+    NotLeader(Option<SocketAddr>),
 }
 
+/// How an attempt at one controller ended.
+struct AttemptResult {
+    to: SocketAddr,
+    answer: io::Result<FirstAnswer>,
+}
+
+/// The controllers that were sent a `Hello` and have not answered; none once one has welcomed the
+/// node. Each has one `Hello` at a time, because the leader counts only the newest.
+type PendingHellos = Mutex<Option<BTreeSet<SocketAddr>>>;
+
 impl LeaderConnection {
-    pub fn new(part: &'static str, seeds: Vec<SocketAddr>) -> Self {
-        Self::through(part, seeds, |to, within| dial(to, within, Duration::from_secs(2)))
+    /// A connection that is not open yet; `log_target` is the target of its log lines.
+    pub fn new(log_target: &'static str, seeds: Vec<SocketAddr>) -> Self {
+        Self::with_connect(log_target, seeds, |to, timeout| {
+            connect_stream(to, timeout, UNACKNOWLEDGED_TIMEOUT)
+        })
     }
-    pub fn through(part: &'static str, seeds: Vec<SocketAddr>, dial: Dial) -> Self {
+
+    /// The same, with another way to open connections.
+    pub fn with_connect(
+        log_target: &'static str,
+        seeds: Vec<SocketAddr>,
+        connect: Connect,
+    ) -> Self {
         Self {
-            part,
+            log_target,
             seeds: Mutex::new(seeds),
             stream: Mutex::new(None),
-            up: AtomicBool::new(false),
-            heard: AtomicU64::new(0),
-            dial,
+            connected: AtomicBool::new(false),
+            connect,
         }
     }
-    /// Looks for controllers here from now on.
-    pub fn seek(&self, seeds: Vec<SocketAddr>) {
+
+    /// Replaces the controllers that a search begins with.
+    pub fn set_seeds(&self, seeds: Vec<SocketAddr>) {
         *lock(&self.seeds) = seeds;
     }
-    pub fn is_up(&self) -> bool {
-        self.up.load(Ordering::Relaxed)
-    }
-    pub fn last_heard(&self) -> Tick {
-        Tick(self.heard.load(Ordering::Relaxed))
+
+    /// Whether there is a connection to a leader.
+    pub fn is_connected(&self) -> bool {
+        self.connected.load(Ordering::Relaxed)
     }
-    /// Holds the link for messages whose order matters.
-    pub fn held(&self) -> MutexGuard<'_, Option<TcpStream>> {
+
+    /// Locks the connection, for messages whose order matters; see [`LeaderConnection::send_locked`].
+    pub fn lock(&self) -> MutexGuard<'_, Option<TcpStream>> {
         lock(&self.stream)
     }
-    pub fn tell(&self, message: ToController) {
-        Self::tell_under(&mut self.held(), message);
+
+    /// Sends a message; without a connection it is dropped, as one on a connection that breaks.
+    pub fn send(&self, message: ToController) {
+        Self::send_locked(&mut self.lock(), message);
     }
-    pub fn tell_under(link: &mut Option<TcpStream>, message: ToController) {
-        if let Some(stream) = link.as_mut()
+
+    /// Sends a message on the locked connection, as [`LeaderConnection::send`].
+    pub fn send_locked(connection: &mut Option<TcpStream>, message: ToController) {
+        if let Some(stream) = connection.as_mut()
             && send(stream, &Frame::Pooler(message)).is_err()
         {
             // The reader sees the end and looks for another leader.
@@ -128,85 +138,145 @@
         }
     }
 
-    /// Keeps a connection to the leader, looking for it whenever there is none.
-    pub fn keep(&self, follower: &dyn LeaderSubscriber) {
-        let mut search = LeaderDiscovery::new(lock(&self.seeds).clone());
-        let mut hint = None;
+    /// Keeps a connection to the leader, looking for it whenever there is none. Does not return.
+    pub fn run(&self, subscriber: &dyn LeaderSubscriber) {
+        let mut discovery = LeaderDiscovery::new(lock(&self.seeds).clone());
+        let mut leader_hint = None;
         loop {
-            search.begin(hint.take(), Tick::now());
-            let (to, stream, reader, controllers) = self.find(follower.hello(), &mut search);
-            if !controllers.is_empty() {
-                search.known = controllers;
+            discovery.restart(leader_hint.take(), Tick::now());
+            let (to, welcomed) = self.find_leader(subscriber.hello(), &mut discovery);
+            if !welcomed.controllers.is_empty() {
+                discovery.controllers = welcomed.controllers;
             }
-            match self.follow(follower, to, stream, reader, &mut search.known) {
-                Ok(elsewhere) => hint = elsewhere.filter(|e| *e != to),
-                Err(e) => log::debug!(target: self.part, "controller {to}: {e}"),
+            let (stream, reader) = (welcomed.stream, welcomed.reader);
+            match self.follow(subscriber, to, stream, reader, &mut discovery.controllers) {
+                Ok(leader) => leader_hint = leader.filter(|leader| *leader != to),
+                Err(e) => debug!(target: self.log_target, "controller {to}: {e}"),
             }
         }
     }
 
-    /// Asks controllers side by side until one that leads has welcomed the node.
-    fn find(&self, hello: ToController, search: &mut LeaderDiscovery) -> Found {
-        let greeted: Arc<Greeted> = Arc::new(Mutex::new(Some(BTreeSet::new())));
-        let (tx, rx) = channel();
+    /// Contacts controllers side by side until one that leads has welcomed the node.
+    fn find_leader(
+        &self,
+        hello: ToController,
+        discovery: &mut LeaderDiscovery,
+    ) -> (SocketAddr, Welcomed) {
+        let pending: Arc<PendingHellos> = Arc::new(Mutex::new(Some(BTreeSet::new())));
+        let (results_tx, results) = channel();
         loop {
-            search.learn(&lock(&self.seeds));
+            discovery.add_controllers(&lock(&self.seeds));
             let now = Tick::now();
-            if let Some(to) = search.step(now) {
-                let (dial, hello, greeted, tx) =
-                    (self.dial, hello.clone(), Arc::clone(&greeted), tx.clone());
-                // One that comes after the welcome is dropped, and its connection with it.
-                let work = move || drop(tx.send((to, greet(dial, to, hello, &greeted))));
-                if !start_thread(work) {
-                    search.ended(to, None, now.plus(TURN_MS));
-                }
+            if let Some(to) = discovery.next_attempt(now)
+                && !self.start_attempt(to, &hello, &pending, &results_tx)
+            {
+                discovery.attempt_failed(to, None, now.plus(ATTEMPT_INTERVAL_MS));
             }
-            let wait = search.due().since(Tick::now()).max(1);
-            match rx.recv_timeout(Duration::from_millis(wait)) {
-                Ok((to, Ok(Answer::Welcome { stream, reader, controllers }))) => {
-                    *lock(&greeted) = None;
-                    return (to, stream, reader, controllers);
+            let wait_ms = discovery.next_attempt_at().since(Tick::now()).max(1);
+            let Ok(result) = results.recv_timeout(Duration::from_millis(wait_ms)) else {
+                continue;
+            };
+            let AttemptResult { to, answer } = result;
+            match answer {
+                Ok(FirstAnswer::Welcome(welcomed)) => {
+                    *lock(&pending) = None;
+                    return (to, welcomed);
+                }
+                Ok(FirstAnswer::NotLeader(leader)) => {
+                    discovery.attempt_failed(to, leader, Tick::now());
                 }
-                Ok((to, Ok(Answer::Elsewhere(other)))) => search.ended(to, other, Tick::now()),
-                Ok((to, Err(e))) => {
-                    log::debug!(target: self.part, "controller {to}: {e}");
-                    search.ended(to, None, Tick::now());
+                Err(e) => {
+                    debug!(target: self.log_target, "controller {to}: {e}");
+                    discovery.attempt_failed(to, None, Tick::now());
                 }
-                Err(_) => {}
             }
         }
     }
 
-    /// Follows one controller for as long as it leads; tells who leads otherwise.
+    /// Contacts a controller on a thread of its own; false if there is none. A result that comes
+    /// after the search has ended is dropped, and its connection with it.
+    fn start_attempt(
+        &self,
+        to: SocketAddr,
+        hello: &ToController,
+        pending: &Arc<PendingHellos>,
+        results: &Sender<AttemptResult>,
+    ) -> bool {
+        let (connect, hello) = (self.connect, hello.clone());
+        let (pending, results) = (Arc::clone(pending), results.clone());
+        start_thread(move || {
+            let answer = attempt(connect, to, hello, &pending);
+            drop(results.send(AttemptResult { to, answer }));
+        })
+    }
+
+    /// Follows one controller for as long as it leads; then gives who leads, if it says so. Keeps the
+    /// list of controllers up to date meanwhile.
     fn follow(
         &self,
-        follower: &dyn LeaderSubscriber,
+        subscriber: &dyn LeaderSubscriber,
         to: SocketAddr,
         stream: TcpStream,
         mut reader: BufReader<TcpStream>,
-        known: &mut Vec<SocketAddr>,
+        controllers: &mut Vec<SocketAddr>,
     ) -> io::Result<Option<SocketAddr>> {
-        info!(target: self.part, "following {to}");
-        follower.linked();
-        *self.held() = Some(stream);
-        self.up.store(true, Ordering::Relaxed);
-        follower.begin();
+        info!(target: self.log_target, "following {to}");
+        subscriber.on_connected();
+        *self.lock() = Some(stream);
+        self.connected.store(true, Ordering::Relaxed);
+        subscriber.on_ready();
         let ended = loop {
             match receive(&mut reader) {
-                Ok(Frame::Controller(ToPooler::NotLeader(other))) => break Ok(other),
-                // There are others now than when the connection began.
-                Ok(Frame::Controller(ToPooler::Welcome { controllers })) => *known = controllers,
-                Ok(Frame::Controller(message)) => {
-                    self.heard.store(Tick::now().0, Ordering::Relaxed);
-                    follower.hear(message);
+                Ok(Frame::Controller(ToPooler::NotLeader(leader))) => break Ok(leader),
+                Ok(Frame::Controller(ToPooler::Welcome { controllers: members })) => {
+                    *controllers = members;
                 }
+                Ok(Frame::Controller(message)) => subscriber.on_message(message),
                 Ok(_) => break Err(io::ErrorKind::InvalidData.into()),
                 Err(e) => break Err(e),
             }
         };
-        *self.held() = None;
-        self.up.store(false, Ordering::Relaxed);
-        info!(target: self.part, "lost {to}");
+        *self.lock() = None;
+        self.connected.store(false, Ordering::Relaxed);
+        info!(target: self.log_target, "lost {to}");
         ended
     }
 }
+
+/// Connects to a controller and introduces the node, unless a `Hello` to it is pending or another
+/// controller has welcomed the node meanwhile.
+fn attempt(
+    connect: Connect,
+    to: SocketAddr,
+    hello: ToController,
+    pending: &PendingHellos,
+) -> io::Result<FirstAnswer> {
+    let mut stream = connect(to, ATTEMPT_TIMEOUT)?;
+    stream.set_write_timeout(Some(WRITE_TIMEOUT))?;
+    stream.set_read_timeout(Some(ATTEMPT_TIMEOUT))?;
+    if !lock(pending).as_mut().is_some_and(|pending| pending.insert(to)) {
+        return Err(io::Error::new(io::ErrorKind::AlreadyExists, "not needed any more"));
+    }
+    let answer = introduce(&mut stream, hello);
+    if !matches!(answer, Ok(FirstAnswer::Welcome(_)))
+        && let Some(pending) = lock(pending).as_mut()
+    {
+        pending.remove(&to);
+    }
+    answer
+}
+
+/// Sends the `Hello` and reads the first answer.
+fn introduce(stream: &mut TcpStream, hello: ToController) -> io::Result<FirstAnswer> {
+    send(stream, &Frame::Pooler(hello))?;
+    let mut reader = BufReader::with_capacity(READ_BUFFER_BYTES, stream.try_clone()?);
+    match receive(&mut reader)? {
+        Frame::Controller(ToPooler::Welcome { controllers }) => {
+            stream.set_read_timeout(Some(READ_TIMEOUT))?;
+            let stream = stream.try_clone()?;
+            Ok(FirstAnswer::Welcome(Welcomed { stream, reader, controllers }))
+        }
+        Frame::Controller(ToPooler::NotLeader(leader)) => Ok(FirstAnswer::NotLeader(leader)),
+        _ => Err(io::ErrorKind::InvalidData.into()),
+    }
+}
--- a/src/net/leader_discovery.rs
+++ b/src/net/leader_discovery.rs
@@ -1,82 +1,113 @@
-//! Which controller is tried when, while a node looks for the leader.
+//! Which controller a node contacts when, while it looks for the leader.
+//!
+//! A pure value: [`LeaderConnection`](crate::net::leader_connection::LeaderConnection) makes the
+//! attempts that it names and reports how they end.
 use crate::base::time::Tick;
 use std::net::SocketAddr;
 
-/// The next controller is tried after this, beside those that have not answered.
-pub(crate) const TURN_MS: u64 = 150;
+/// The next controller is contacted this much later, in ms, beside attempts still in flight.
+pub(crate) const ATTEMPT_INTERVAL_MS: u64 = 150;
 
-/// After a round in which nobody led.
-const PAUSE_MS: u64 = 80;
+/// The pause after a round in which no controller led, in ms.
+const ROUND_PAUSE_MS: u64 = 80;
 
-/// Tries of one controller at once: the first packet of one may be lost.
-const TRIES: usize = 2;
+/// Attempts in flight to one controller: the first packet of one may be lost.
+const MAX_ATTEMPTS_PER_CONTROLLER: usize = 2;
 
-/// Which controller is tried when, as a value. A try that has not ended goes on while the next begins: how
-/// long an answer takes on this node's own link can't be told from a controller that gives none.
+/// Goes through the known controllers, one attempt after the other. An attempt that has not ended
+/// stays in flight while the next begins: on a congested link a late answer can't be told from a
+/// controller that gives none.
 #[derive(Debug)]
 pub struct LeaderDiscovery {
-    pub(crate) known: Vec<SocketAddr>,
-    next: usize,
-    /// Said to lead.
-    hint: Option<SocketAddr>,
-    /// Tries that have not ended.
-    open: Vec<SocketAddr>,
-    due: Tick,
+    /// The controllers to contact, in turn.
+    pub(crate) controllers: Vec<SocketAddr>,
+    /// The one contacted last, as an index.
+    current: usize,
+    /// Named as the leader; contacted before the others.
+    leader_hint: Option<SocketAddr>,
+    /// Attempts in flight.
+    in_flight: Vec<SocketAddr>,
+    next_attempt_at: Tick,
 }
 
 impl LeaderDiscovery {
-    pub fn new(known: Vec<SocketAddr>) -> Self {
-        Self { known, next: 0, hint: None, open: Vec::new(), due: Tick(0) }
+    /// Begins with these controllers; the first attempt is due at once.
+    pub fn new(controllers: Vec<SocketAddr>) -> Self {
+        Self {
+            controllers,
+            current: 0,
+            leader_hint: None,
+            in_flight: Vec::new(),
+            next_attempt_at: Tick(0),
+        }
     }
-    /// Looks anew; what was tried before counts no more, but that its turn is kept: a leader that
-    /// welcomes and ends at once is not asked without a pause.
-    pub fn begin(&mut self, hint: Option<SocketAddr>, now: Tick) {
-        (self.hint, self.due) = (hint, self.due.max(now));
-        self.open.clear();
+
+    /// Starts another search after a connection was lost. Earlier attempts no longer count, but the
+    /// time of the next one stays: a leader that accepts nodes and ends at once must not be contacted
+    /// without a pause.
+    pub fn restart(&mut self, leader_hint: Option<SocketAddr>, now: Tick) {
+        self.leader_hint = leader_hint;
+        self.next_attempt_at = self.next_attempt_at.max(now);
+        self.in_flight.clear();
     }
-    /// These are controllers too.
-    pub fn learn(&mut self, seeds: &[SocketAddr]) {
+
+    /// Adds controllers that are not known yet.
+    pub fn add_controllers(&mut self, seeds: &[SocketAddr]) {
         for seed in seeds {
-            if !self.known.contains(seed) {
-                self.known.push(*seed);
+            if !self.controllers.contains(seed) {
+                self.controllers.push(*seed);
             }
         }
     }
-    /// When `step` next has something to do.
-    pub fn due(&self) -> Tick {
-        self.due
+
+    /// When the next attempt is due.
+    pub fn next_attempt_at(&self) -> Tick {
+        self.next_attempt_at
     }
-    /// The controller to be tried now, if one is.
-    pub fn step(&mut self, now: Tick) -> Option<SocketAddr> {
-        if now < self.due {
+
+    /// Begins an attempt if one is due, and gives the controller to contact; none also if each of
+    /// them has its attempts in flight.
+    pub fn next_attempt(&mut self, now: Tick) -> Option<SocketAddr> {
+        if now < self.next_attempt_at {
             return None;
         }
-        self.due = now.plus(TURN_MS);
-        let busy = |to: &SocketAddr| self.open.iter().filter(|o| *o == to).count() >= TRIES;
-        let mut to = self.hint.take().filter(|to| !busy(to));
-        for _ in 0..self.known.len() {
-            if to.is_some() {
-                break;
+        self.next_attempt_at = now.plus(ATTEMPT_INTERVAL_MS);
+        let hint = self.leader_hint.take().filter(|to| self.may_contact(to));
+        let to = hint.or_else(|| self.next_in_turn());
+        self.in_flight.extend(to);
+        to
+    }
+
+    fn may_contact(&self, to: &SocketAddr) -> bool {
+        let in_flight = self.in_flight.iter().filter(|other| *other == to).count();
+        in_flight < MAX_ATTEMPTS_PER_CONTROLLER
+    }
+
+    fn next_in_turn(&mut self) -> Option<SocketAddr> {
+        for _ in 0..self.controllers.len() {
+            self.current = (self.current + 1) % self.controllers.len();
+            let to = self.controllers[self.current];
+            if self.may_contact(&to) {
+                return Some(to);
             }
-            self.next = (self.next + 1) % self.known.len();
-            to = Some(self.known[self.next]).filter(|to| !busy(to));
         }
-        self.open.extend(to);
-        to
+        None
     }
-    /// A try has ended without a welcome; perhaps with the name of the leader.
-    pub fn ended(&mut self, to: SocketAddr, elsewhere: Option<SocketAddr>, now: Tick) {
-        if let Some(at) = self.open.iter().position(|o| *o == to) {
-            self.open.swap_remove(at);
+
+    /// An attempt has ended without finding the leader; the controller may have named it.
+    pub fn attempt_failed(&mut self, to: SocketAddr, leader: Option<SocketAddr>, now: Tick) {
+        if let Some(at) = self.in_flight.iter().position(|other| *other == to) {
+            self.in_flight.swap_remove(at);
         }
-        let hint = elsewhere.filter(|e| *e != to);
-        self.hint = hint.or(self.hint);
-        // One that is being tried already may answer yet, and need not be asked for at every turn.
-        if hint.is_some_and(|h| !self.open.contains(&h)) {
-            self.due = now;
-        } else if self.open.is_empty() {
-            let round = self.next == 0 && self.hint.is_none();
-            self.due = if round { now.plus(PAUSE_MS) } else { now };
+        let hint = leader.filter(|leader| *leader != to);
+        self.leader_hint = hint.or(self.leader_hint);
+        // A named leader with an attempt in flight may still answer that one: no need to contact it
+        // again each time it is named.
+        if hint.is_some_and(|leader| !self.in_flight.contains(&leader)) {
+            self.next_attempt_at = now;
+        } else if self.in_flight.is_empty() {
+            let round_ended = self.current == 0 && self.leader_hint.is_none();
+            self.next_attempt_at = if round_ended { now.plus(ROUND_PAUSE_MS) } else { now };
         }
     }
 }
--- a/src/pooler/leader_messages.rs
+++ b/src/pooler/leader_messages.rs
@@ -96,18 +96,18 @@
     }
 
     /// Nothing that was reported on an earlier connection counts on this one.
-    fn linked(&self) {
+    fn on_connected(&self) {
         for service in lock(&self.view).services.values_mut() {
             service.quota.forget_reports();
         }
         *lock(&self.renewals.last_answer) = None;
     }
 
-    fn begin(&self) {
+    fn on_ready(&self) {
         self.renew();
     }
 
-    fn hear(&self, message: ToPooler) {
+    fn on_message(&self, message: ToPooler) {
         match message {
             ToPooler::NotLeader(_) | ToPooler::Welcome { .. } => {}
             ToPooler::RouteTable(table) => self.apply_route_table(*table),
@@ -154,7 +154,7 @@
 
     /// Sends the leader a message, if there is one; a message that gets lost is not repeated.
     pub(super) fn send_to_leader(&self, message: ToController) {
-        self.leader.tell(message);
+        self.leader.send(message);
     }
 
     /// Tells the leader that a database may have failed, though not more often than makes sense.
@@ -188,7 +188,7 @@
     }
 
     fn renew_if_due(&self, now: Tick, interval_ms: u64) {
-        if self.renewals.is_due(now, interval_ms) && self.leader.is_up() {
+        if self.renewals.is_due(now, interval_ms) && self.leader.is_connected() {
             self.renew();
         }
     }
@@ -197,7 +197,7 @@
     fn renew(&self) {
         // Numbered and sent under the lock of the connection, so that the leader gets a renewal and
         // a lease given back in the order in which this pooler decided on them.
-        let mut leader = self.leader.held();
+        let mut leader = self.leader.lock();
         let now = Tick::now();
         let last_answer = *lock(&self.renewals.last_answer);
         let (mut quotas, mut demand) = (Vec::new(), Vec::new());
@@ -225,14 +225,14 @@
             bounds_requested,
             load: Vec::new(),
         };
-        LeaderConnection::tell_under(&mut leader, renewal);
+        LeaderConnection::send_locked(&mut leader, renewal);
     }
 
     // -- from the leader -------------------------------------------------------------------------
 
     /// The leader takes a term back: nothing is sent or passed on under it from here on.
     fn revoke(&self, service: ServiceName, term: DbTerm) {
-        let mut leader = self.leader.held();
+        let mut leader = self.leader.lock();
         let highest = {
             let mut view = lock(&self.view);
             let service = view.services.entry(service.clone()).or_default();
@@ -246,7 +246,7 @@
         };
         info!(target: "lease", "{service}: term {term} was taken back");
         let ack = ToController::RevokeAck { service, term, highest };
-        LeaderConnection::tell_under(&mut leader, ack);
+        LeaderConnection::send_locked(&mut leader, ack);
         drop(leader);
         self.view_changed.notify_all();
     }
--- a/src/pooler/process.rs
+++ b/src/pooler/process.rs
@@ -69,7 +69,7 @@
 
     fn start_leader_connection(&self) -> Result<(), Fatal> {
         let pooler = Arc::clone(&self.pooler);
-        must_start("the link", move || pooler.leader.keep(&*pooler))
+        must_start("the link", move || pooler.leader.run(&*pooler))
     }
 
     /// Until it knows what to serve, a pooler does not listen: a client whose connection is refused
@@ -98,7 +98,7 @@
     fn start_serving(&self, listener: TcpListener) -> Result<(), Fatal> {
         self.pooler.listening.store(true, Ordering::Relaxed);
         let pooler = Arc::clone(&self.pooler);
-        must_start("idle clients", move || pooler.parked.watch(|s| pooler.dispatch(s)))?;
+        must_start("idle clients", move || pooler.parked.run(|s| pooler.dispatch(s)))?;
         let pooler = Arc::clone(&self.pooler);
         must_start("sessions", move || pooler.run_worker())?;
         let pooler = Arc::clone(&self.pooler);
--- a/src/pooler/server.rs
+++ b/src/pooler/server.rs
@@ -111,7 +111,7 @@
 
     /// Takes over the settings that may change while the program runs.
     pub(super) fn apply_settings(&self, settings: &Settings) {
-        self.leader.seek(settings.seed_peers());
+        self.leader.set_seeds(settings.seed_peers());
         self.drain_ms.store(settings.timing_bounds.drain_ms, Ordering::Relaxed);
     }
 
@@ -218,7 +218,7 @@
     /// Whether it knows what to serve, and may.
     pub(super) fn can_serve(&self, now: Tick) -> bool {
         !self.draining.load(Ordering::Relaxed)
-            && self.leader.is_up()
+            && self.leader.is_connected()
             && lock(&self.view).can_serve(now)
     }
 
--- a/src/pooler/server_connection.rs
+++ b/src/pooler/server_connection.rs
@@ -6,8 +6,8 @@
 use crate::base::errors::ErrorKind;
 use crate::base::ids::{InstanceId, ServiceName};
 use crate::base::time::Tick;
-use crate::net::idle_connections::has_news;
-use crate::net::sockets::dial;
+use crate::net::idle_connections::is_readable;
+use crate::net::sockets::connect_stream;
 use crate::net::statement_protocol::{self, Outcome, ReadBuffer, Reply, State};
 use crate::pooler::reroute::{PreparedStatement, SessionReroute};
 use log::warn;
@@ -144,7 +144,8 @@
         id: &InstanceId,
         deadline: Tick,
     ) -> Result<Self, ConnectError> {
-        let stream = dial(address, Duration::from_millis(CONNECT_MS), UNACKNOWLEDGED_TIMEOUT)?;
+        let stream =
+            connect_stream(address, Duration::from_millis(CONNECT_MS), UNACKNOWLEDGED_TIMEOUT)?;
         stream.set_read_timeout(Some(Duration::from_millis(CHECK_INTERVAL_MS)))?;
         stream.set_write_timeout(Some(WRITE_TIMEOUT))?;
         let mut connection = Self {
@@ -203,7 +204,7 @@
     /// Whether the connection is settled, nothing else has arrived, and the database has not
     /// closed it.
     pub(crate) fn is_usable(&self) -> bool {
-        self.is_settled() && !has_news(&self.stream)
+        self.is_settled() && !is_readable(&self.stream)
     }
 
     /// Sends `bytes`, which will be answered by so many replies.
--- a/src/pooler/sessions.rs
+++ b/src/pooler/sessions.rs
@@ -6,7 +6,8 @@
 //! thread again when something arrives.
 use crate::base::sync::lock;
 use crate::base::time::Tick;
-use crate::net::sockets::{keep_alive, tune};
+use crate::net::idle_connections::Registration;
+use crate::net::sockets::{configure_stream, enable_keep_alive};
 use crate::net::statement_protocol::ReadBuffer;
 use crate::pooler::client_session::{NextStep, Session};
 use crate::pooler::server::Pooler;
@@ -111,7 +112,7 @@
         }
         if age_ms > LONG_LIVED_MS && !self.long_lived.swap(true, Ordering::Relaxed) {
             // Without probes the loss of the client shows at the next write to it.
-            drop(keep_alive(&self.stream, KEEP_ALIVE_IDLE));
+            drop(enable_keep_alive(&self.stream, KEEP_ALIVE_IDLE));
         }
     }
 }
@@ -209,8 +210,11 @@
     /// The session waits for its client without a thread.
     fn park(&self, session: Session) {
         let (id, handle) = (session.id, Arc::clone(&session.handle));
-        let parked_before = handle.parked_before.swap(true, Ordering::Relaxed);
-        self.parked.rest(id, &handle.stream, session, parked_before);
+        let registration = match handle.parked_before.swap(true, Ordering::Relaxed) {
+            true => Registration::Existing,
+            false => Registration::New,
+        };
+        self.parked.park(id, &handle.stream, session, registration);
     }
 
     /// A session is over.
@@ -248,7 +252,7 @@
 
 /// Sets what every session needs; many are short, so what only long ones need is set later.
 fn set_client_options(stream: &TcpStream) -> io::Result<()> {
-    tune(stream, UNACKNOWLEDGED_TIMEOUT)?;
+    configure_stream(stream, UNACKNOWLEDGED_TIMEOUT)?;
     stream.set_read_timeout(Some(NEXT_LINE_TIMEOUT))?;
     stream.set_write_timeout(Some(WRITE_TIMEOUT))
 }
--- a/src/pooler/status.rs
+++ b/src/pooler/status.rs
@@ -22,7 +22,7 @@
         json!({
             "node": self.node,
             "role": "pooler",
-            "ready": self.leader.is_up() && view.route_table.is_some(),
+            "ready": self.leader.is_connected() && view.route_table.is_some(),
             "draining": self.draining.load(Ordering::Relaxed),
             "revision": view.route_table.as_ref().map(|table| table.revision),
             "sessions": lock(&self.sessions).len(),
--- a/tests/leader_discovery.rs
+++ b/tests/leader_discovery.rs
@@ -1,4 +1,4 @@
-//! A node's link to the leader, against controllers that are played here.
+//! A node's connection to the leader, against controllers that are played here.
 use silvertack::base::ids::{NodeName, Revision};
 use silvertack::base::time::Tick;
 use silvertack::net::leader_connection::{LeaderConnection, LeaderSubscriber};
@@ -16,9 +16,9 @@
         let node = NodeName::from("n");
         ToController::Hello { node, incarnation: 1, revision: Revision(0), zone: "here".into() }
     }
-    fn linked(&self) {}
-    fn begin(&self) {}
-    fn hear(&self, _: ToPooler) {}
+    fn on_connected(&self) {}
+    fn on_ready(&self) {}
+    fn on_message(&self, _: ToPooler) {}
 }
 
 /// Takes in a node that says who it is, and tells it of these controllers.
@@ -36,8 +36,8 @@
     let listeners: Vec<_> =
         (0..2).map(|_| TcpListener::bind("127.0.0.1:0").expect("a port")).collect();
     let at: Vec<_> = listeners.iter().map(|l| l.local_addr().expect("address")).collect();
-    let link = Arc::new(LeaderConnection::new("test", vec![at[0]]));
-    std::thread::spawn(move || link.keep(&Node));
+    let connection = Arc::new(LeaderConnection::new("test", vec![at[0]]));
+    std::thread::spawn(move || connection.run(&Node));
     // The second joined after the node was welcomed, and the first goes dark.
     let mut first = welcome(&listeners[0], vec![at[0]]);
     let all = ToPooler::Welcome { controllers: at.clone() };
@@ -74,7 +74,7 @@
     });
 }
 const CROWDED: Duration = Duration::from_millis(450);
-/// Behind a crowded link every connection takes so long.
+/// Over a congested link every connection takes this long.
 fn crowded(to: SocketAddr, within: Duration) -> io::Result<TcpStream> {
     std::thread::sleep(CROWDED.min(within));
     if within < CROWDED {
@@ -103,13 +103,13 @@
         for (says, listener) in all.into_iter().zip(listeners) {
             controller(says, after, at[leads], listener);
         }
-        let dial = if after == none { at_once } else { crowded };
-        let link = Arc::new(LeaderConnection::through("test", at, dial));
-        let keeping = Arc::clone(&link);
+        let connect = if after == none { at_once } else { crowded };
+        let connection = Arc::new(LeaderConnection::with_connect("test", at, connect));
+        let keeping = Arc::clone(&connection);
         let begun = Instant::now();
-        std::thread::spawn(move || keeping.keep(&Node));
-        while !link.is_up() {
-            assert!(begun.elapsed() < Duration::from_millis(2_500), "{name}: no link");
+        std::thread::spawn(move || keeping.run(&Node));
+        while !connection.is_connected() {
+            assert!(begun.elapsed() < Duration::from_millis(2_500), "{name}: no connection");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -118,8 +118,8 @@
 #[test]
 fn tries_go_on_side_by_side() {
     let at = |n: u16| SocketAddr::from(([10, 0, 0, 1], n));
-    let mut search = LeaderDiscovery::new(vec![at(0), at(1), at(2)]);
-    search.begin(None, Tick(1_000));
+    let mut discovery = LeaderDiscovery::new(vec![at(0), at(1), at(2)]);
+    discovery.restart(None, Tick(1_000));
     // Now, what ended with which hint, and what is tried then.
     type Row = (u64, Option<(u16, Option<u16>)>, Option<u16>);
     let rows: [Row; 17] = [
@@ -147,14 +147,14 @@
     ];
     for (row, (now, ended, tried)) in rows.into_iter().enumerate() {
         if let Some((to, hint)) = ended {
-            search.ended(at(to), hint.map(at), Tick(now));
+            discovery.attempt_failed(at(to), hint.map(at), Tick(now));
         }
-        assert_eq!(search.step(Tick(now)), tried.map(at), "row {row}");
+        assert_eq!(discovery.next_attempt(Tick(now)), tried.map(at), "row {row}");
     }
-    assert_eq!(search.step(Tick(1_979)), None);
-    assert_eq!(search.step(Tick(1_980)), Some(at(1)));
+    assert_eq!(discovery.next_attempt(Tick(1_979)), None);
+    assert_eq!(discovery.next_attempt(Tick(1_980)), Some(at(1)));
     // A new search waits for the end of the turn, and for nothing else of the old one.
-    search.begin(Some(at(1)), Tick(2_000));
-    assert_eq!(search.step(Tick(2_129)), None);
-    assert_eq!(search.step(Tick(2_130)), Some(at(1)));
+    discovery.restart(Some(at(1)), Tick(2_000));
+    assert_eq!(discovery.next_attempt(Tick(2_129)), None);
+    assert_eq!(discovery.next_attempt(Tick(2_130)), Some(at(1)));
 }
