--- a/src/controller/outgoing_calls.rs
+++ b/src/controller/outgoing_calls.rs
@@ -70,7 +70,9 @@
                         return Ok(DatabaseResponse::Unavailable);
                     }
                 }
-                Err(statement_protocol::Garbled) => return Ok(DatabaseResponse::Unavailable),
+                Err(statement_protocol::MalformedReply) => {
+                    return Ok(DatabaseResponse::Unavailable);
+                }
             }
         }
     };
@@ -96,7 +98,7 @@
         }
         match statement_protocol::reply(inbox.pending()) {
             Ok(Some(reply)) => {
-                inbox.use_up(reply.end);
+                inbox.consume(reply.end);
                 return Ok(None);
             }
             Ok(None) => {
@@ -104,7 +106,9 @@
                     return Err(std::io::ErrorKind::UnexpectedEof.into());
                 }
             }
-            Err(statement_protocol::Garbled) => return Err(std::io::ErrorKind::InvalidData.into()),
+            Err(statement_protocol::MalformedReply) => {
+                return Err(std::io::ErrorKind::InvalidData.into());
+            }
         }
     }
 }
--- a/src/gateway/client_connection.rs
+++ b/src/gateway/client_connection.rs
@@ -209,7 +209,7 @@
         let consumed = body
             .decode(self.buffer.pending(), output)
             .map_err(|ParseError| ReceiveError::Refused(Refusal::Unreadable))?;
-        self.buffer.use_up(consumed);
+        self.buffer.consume(consumed);
         Ok(())
     }
 
--- a/src/gateway/endpoint_attempt.rs
+++ b/src/gateway/endpoint_attempt.rs
@@ -144,7 +144,7 @@
                 return Ok(AttemptProgress::Pending);
             }
             let consumed = self.body.decode(self.connection.buffer.pending(), &mut self.held)?;
-            self.connection.buffer.use_up(consumed);
+            self.connection.buffer.consume(consumed);
             let Some(head) = &self.head else { return Err(ParseError) };
             if head.id == request.id {
                 return self.response_progress();
@@ -168,7 +168,7 @@
             let Some(ParsedHead { head, length }) = parse_response_head(pending, method)? else {
                 return Ok(false);
             };
-            self.connection.buffer.use_up(length);
+            self.connection.buffer.consume(length);
             // An interim response comes before the final one (RFC 9110, section 15.2).
             if head.status < 200 {
                 continue;
@@ -223,7 +223,7 @@
         }
         let pending = self.connection.buffer.pending();
         let consumed = self.body.decode(pending, &mut data).map_err(|ParseError| ResponseBroken)?;
-        self.connection.buffer.use_up(consumed);
+        self.connection.buffer.consume(consumed);
         Ok(data)
     }
 
--- a/src/gateway/request_handling.rs
+++ b/src/gateway/request_handling.rs
@@ -134,7 +134,7 @@
     loop {
         let parsed = parse_request_head(client.buffer.pending(), limits.max_header_bytes);
         if let Some(ParsedHead { head, length }) = parsed.map_err(ReceiveError::Refused)? {
-            client.buffer.use_up(length);
+            client.buffer.consume(length);
             return Ok(head);
         }
         client.read_more(deadline)?;
--- a/src/pooler/client_session.rs
+++ b/src/pooler/client_session.rs
@@ -7,7 +7,9 @@
 use crate::base::ids::{Position, ServiceName};
 use crate::base::time::Tick;
 use crate::config::route_table::{RouteEntry, RouteTable};
-use crate::net::statement_protocol::{self, Line, NoLine, ReadBuffer, Reply, State, Statement};
+use crate::net::statement_protocol::{
+    self, Line, ReadBuffer, ReadLineError, Reply, State, Statement,
+};
 use crate::pooler::reroute::{SessionReroute, StatementDecision, StatementPlan};
 use crate::pooler::server::{CheckedOutConnection, Pooler};
 use crate::pooler::sessions::SessionHandle;
@@ -118,9 +120,9 @@
                 Ok(Line::Close) => return Ok(Some(NextStep::End)),
                 _ => return self.reject(ErrorKind::Malformed, "CONNECT comes first"),
             },
-            Err(NoLine::TooLarge) => return self.reject(ErrorKind::TooLarge, "over 1 MiB"),
-            Err(NoLine::Quiet) => return Ok(Some(NextStep::Park)),
-            Err(NoLine::Closed | NoLine::Io(_)) => return Ok(Some(NextStep::End)),
+            Err(ReadLineError::TooLarge) => return self.reject(ErrorKind::TooLarge, "over 1 MiB"),
+            Err(ReadLineError::TimedOut) => return Ok(Some(NextStep::Park)),
+            Err(ReadLineError::Closed | ReadLineError::Io(_)) => return Ok(Some(NextStep::End)),
         };
         let Some(client) = self.begin(database) else {
             return self.reject(ErrorKind::NoDatabase, "no such database");
@@ -187,13 +189,13 @@
             }
             let line = match buffer.line(&mut stream) {
                 Ok(line) => line,
-                Err(NoLine::TooLarge) => {
+                Err(ReadLineError::TooLarge) => {
                     stream.write_all(b"ERROR TOOLARGE over 1 MiB\r\n")?;
                     return Ok(NextStep::End);
                 }
-                Err(NoLine::Quiet) => return Ok(NextStep::Park),
-                Err(NoLine::Closed) => return Ok(NextStep::End),
-                Err(NoLine::Io(e)) => return Err(e),
+                Err(ReadLineError::TimedOut) => return Ok(NextStep::Park),
+                Err(ReadLineError::Closed) => return Ok(NextStep::End),
+                Err(ReadLineError::Io(e)) => return Err(e),
             };
             handle.waiting_since.store(0, Ordering::Relaxed);
             served = true;
--- a/src/pooler/server_connection.rs
+++ b/src/pooler/server_connection.rs
@@ -172,14 +172,14 @@
             }
             match statement_protocol::reply(self.buffer.pending()) {
                 Ok(Some(reply)) => {
-                    self.buffer.use_up(reply.end);
+                    self.buffer.consume(reply.end);
                     if reply.state != State::Idle || !self.is_settled() {
                         return Err(io::Error::from(io::ErrorKind::InvalidData).into());
                     }
                     return Ok(());
                 }
                 Ok(None) => {}
-                Err(statement_protocol::Garbled) => {
+                Err(statement_protocol::MalformedReply) => {
                     return Err(io::Error::from(io::ErrorKind::InvalidData).into());
                 }
             }
@@ -254,7 +254,7 @@
             }
             Ok(None) if pending.len() > MAX_REPLY_BYTES => Err(Loss::Broken),
             Ok(reply) => Ok(reply),
-            Err(statement_protocol::Garbled) => {
+            Err(statement_protocol::MalformedReply) => {
                 warn!(target: "pool", "garbled answer");
                 Err(Loss::Broken)
             }
@@ -268,7 +268,7 @@
 
     /// Drops a reply from the buffer, once it was handled or passed on.
     pub(crate) fn consume(&mut self, reply: &Reply) {
-        self.buffer.use_up(reply.end);
+        self.buffer.consume(reply.end);
         self.pending_replies = self.pending_replies.saturating_sub(1);
     }
 
