--- a/examples/scale.rs
+++ b/examples/scale.rs
@@ -296,16 +296,15 @@
 
 fn leader(admins: &[SocketAddr]) -> Option<SocketAddr> {
     admins.iter().find_map(|at| {
-        let (_, _, body) =
-            http::call(*at, "GET", "/status", &[], &[], Duration::from_secs(2)).ok()?;
-        let status: serde_json::Value = serde_json::from_slice(&body).ok()?;
+        let response = http::call(*at, "GET", "/status", &[], &[], Duration::from_secs(2)).ok()?;
+        let status: serde_json::Value = serde_json::from_slice(&response.body).ok()?;
         status["leader_admin"].as_str()?.parse().ok()
     })
 }
 fn put(at: SocketAddr, base: u64, body: &str) -> bool {
     let headers = [("If-Match", base.to_string())];
     http::call(at, "PUT", "/configuration", &headers, body.as_bytes(), Duration::from_secs(5))
-        .is_ok_and(|(status, ..)| status == 200)
+        .is_ok_and(|response| response.status == 200)
 }
 fn within(seconds: u64, what: &str, mut check: impl FnMut() -> bool) -> Result<f64, String> {
     let start = Instant::now();
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -273,14 +273,14 @@
 ) -> Result<Vec<u8>, CommandError> {
     let mut address_now = address;
     for _ in 0..=MAX_REDIRECTS {
-        let (status, location, answer) =
-            http::call(address_now, method, path, headers, body, CALL_LIMIT)
-                .map_err(|source| CommandError::Unreachable { address: address_now, source })?;
-        match (status, location.as_deref().and_then(redirect_address)) {
-            (200..=299, _) => return Ok(answer),
+        let response = http::call(address_now, method, path, headers, body, CALL_LIMIT)
+            .map_err(|source| CommandError::Unreachable { address: address_now, source })?;
+        let status = response.status;
+        match (status, response.location.as_deref().and_then(redirect_address)) {
+            (200..=299, _) => return Ok(response.body),
             (307, Some(next)) => address_now = next,
             _ => {
-                let body = String::from_utf8_lossy(&answer).into_owned();
+                let body = String::from_utf8_lossy(&response.body).into_owned();
                 return Err(CommandError::Rejected { address: address_now, status, body });
             }
         }
--- a/src/controller/admin_handler.rs
+++ b/src/controller/admin_handler.rs
@@ -115,7 +115,7 @@
         }
         if !self.raft.is_leader() {
             return Err(match self.leader_address() {
-                Some(leader) => Response::elsewhere(format!("http://{}{path}", leader.admin)),
+                Some(leader) => Response::redirect(format!("http://{}{path}", leader.admin)),
                 None => Response::refusal(503, "no leader"),
             });
         }
--- a/src/controller/outgoing_calls.rs
+++ b/src/controller/outgoing_calls.rs
@@ -1,7 +1,7 @@
 //! Calls to databases, to the platform, and to controllers for joining.
 use crate::base::ids::{InstanceId, ServiceName};
 use crate::failover::{DatabaseRequest, DatabaseResponse, PromotionResponse};
-use crate::net::http;
+use crate::net::http::{self, Response};
 use crate::net::rpc::raft_messages::{JoinResponse, Member};
 use crate::net::rpc::{Frame, receive, send};
 use crate::net::sockets::{PEER_CONNECT_TIMEOUT, connect_stream};
@@ -122,18 +122,19 @@
 ) -> PromotionResponse {
     let body = serde_json::json!({ "target_service": service, "instance_id": target }).to_string();
     let headers = [("Duty-Holder", holder.to_owned()), ("Fence-Token", fence.to_string())];
-    match http::call(
+    let answer = http::call(
         provider,
         "POST",
         "/failovers",
         &headers,
         body.as_bytes(),
         Duration::from_secs(1),
-    ) {
-        Ok((200..=299, ..)) => PromotionResponse::Accepted,
-        Ok((409, ..)) => PromotionResponse::NotRunning,
-        Ok((429, ..)) => PromotionResponse::NotAttempted,
-        Ok((status, _, body)) => {
+    );
+    match answer {
+        Ok(Response { status: 200..=299, .. }) => PromotionResponse::Accepted,
+        Ok(Response { status: 409, .. }) => PromotionResponse::NotRunning,
+        Ok(Response { status: 429, .. }) => PromotionResponse::NotAttempted,
+        Ok(Response { status, body, .. }) => {
             warn!(target: "failover", "platform answered {status}: {}", String::from_utf8_lossy(&body));
             PromotionResponse::Unknown
         }
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -1,4 +1,9 @@
 //! A small HTTP/1.1 server and client for the admin and readiness addresses.
+//!
+//! The controllers serve the admin address with [`serve`], nodes their readiness with
+//! [`serve_state`]; [`call`] makes the calls of the command line, of the controllers to the platform,
+//! and of tests. Bodies are JSON and have a `Content-Length`: no transfer encoding is understood.
+//! Clients' requests for services don't come here; the gateway has its own HTTP.
 use crate::base::errors::Fatal;
 use crate::base::worker_pool::start_thread;
 use crate::net::sockets::{configure_stream, connect_stream, listen};
@@ -8,45 +13,85 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
+/// The largest head, in bytes.
 const MAX_HEAD: usize = 16 << 10;
 
-/// Bodies may be larger than any configuration that can be taken, so that the answer can say so.
+/// The most headers of a request or response.
+const MAX_HEADERS: usize = 48;
+
+/// The largest body of a request, in bytes. It may be larger than any configuration that is accepted,
+/// so that the answer can say so.
 pub const MAX_BODY: usize = 1 << 20;
 
-const IDLE: Duration = Duration::from_secs(15);
+/// How long a connection may be idle between requests or within one.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+
+/// How long an answer may wait for its client.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
+
+/// The pause after a connection could not be accepted, for lack of descriptors as a rule.
+const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(50);
+
+/// Calls to a readiness address at once.
+const MAX_READINESS_CALLERS: usize = 64;
+
+/// Bytes that one read takes at most.
+const READ_BYTES: usize = 4096;
+
+/// Reads after a refusal, of [`READ_BYTES`] each, so that data in flight does not reset the
+/// connection before the refusal has arrived.
+const MAX_DISCARDING_READS: usize = 512;
 
+/// How long each of these reads waits.
+const DISCARD_TIMEOUT: Duration = Duration::from_millis(200);
+
+/// A request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Request {
+    /// The method, as it came.
     pub method: String,
+    /// The path with its query.
     pub path: String,
+    /// The `If-Match` header without its quotes.
     pub if_match: Option<String>,
+    /// The body; empty if there is none.
     pub body: Vec<u8>,
 }
 
+/// A response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Response {
+    /// The status code.
     pub status: u16,
+    /// The `Location` header.
     pub location: Option<String>,
+    /// The body.
     pub body: Vec<u8>,
 }
 
 impl Response {
+    /// A response with a JSON body.
     pub fn json(status: u16, body: Vec<u8>) -> Self {
         Self { status, location: None, body }
     }
+
+    /// Success without content: 200 with an empty object.
     pub fn ok() -> Self {
         Self::json(200, b"{}".to_vec())
     }
-    /// A refusal with its reason, as every error of the admin address has it.
+
+    /// A refusal with its reason, in the form of all errors of the admin address.
     pub fn refusal(status: u16, message: &str) -> Self {
         Self::json(status, serde_json::json!({ "message": message }).to_string().into_bytes())
     }
-    pub fn elsewhere(location: String) -> Self {
+
+    /// Sends the caller to another address with the same request.
+    pub fn redirect(location: String) -> Self {
         Self { status: 307, location: Some(location), body: b"{}".to_vec() }
     }
 }
 
-pub(crate) fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         307 => "Temporary Redirect",
@@ -63,8 +108,17 @@
     }
 }
 
-/// Serves each connection on a thread of its own, no more than `most` at once.
-pub fn serve<F>(listener: TcpListener, name: &'static str, most: usize, handle: F) -> io::Result<()>
+/// Serves connections, each on a thread of its own and no more than `max_connections` at once; those
+/// above are closed. Returns as soon as the accepting thread, named `name`, has started.
+///
+/// # Errors
+/// If that thread can't be started.
+pub fn serve<F>(
+    listener: TcpListener,
+    name: &'static str,
+    max_connections: usize,
+    handle: F,
+) -> io::Result<()>
 where
     F: Fn(Request) -> Response + Send + Sync + 'static,
 {
@@ -73,19 +127,18 @@
     std::thread::Builder::new().name(name.to_owned()).spawn(move || {
         for stream in listener.incoming() {
             let Ok(stream) = stream else {
-                std::thread::sleep(Duration::from_millis(50));
+                std::thread::sleep(ACCEPT_ERROR_PAUSE);
                 continue;
             };
-            if open.fetch_add(1, Ordering::Relaxed) >= most {
+            if open.fetch_add(1, Ordering::Relaxed) >= max_connections {
                 open.fetch_sub(1, Ordering::Relaxed);
                 continue;
             }
-            let handle = Arc::clone(&handle);
-            let counted = Arc::clone(&open);
+            let (handle, open_here) = (Arc::clone(&handle), Arc::clone(&open));
             let started = start_thread(move || {
-                // A caller that breaks off is no event of ours.
-                let _ = converse(stream, &*handle);
-                counted.fetch_sub(1, Ordering::Relaxed);
+                // Callers end connections whenever they like; there is nothing to report.
+                let _ = serve_connection(stream, &*handle);
+                open_here.fetch_sub(1, Ordering::Relaxed);
             });
             if !started {
                 open.fetch_sub(1, Ordering::Relaxed);
@@ -95,10 +148,10 @@
     Ok(())
 }
 
-/// Calls to a readiness address at once.
-const PROBES: usize = 64;
-
-/// The readiness address of a node: whether clients may be sent to it, and what it knows.
+/// Serves the readiness address of a node: whether it is to be sent clients, and its status.
+///
+/// # Errors
+/// [`Fatal::Listen`] if the address can't be served.
 pub fn serve_state<R, S>(at: SocketAddr, ready: R, status: S) -> Result<(), Fatal>
 where
     R: Fn() -> bool + Send + Sync + 'static,
@@ -111,107 +164,168 @@
         (_, "/readiness" | "/status") => Response::refusal(405, "not with this method"),
         _ => Response::refusal(404, "no such path"),
     };
-    serve(listen(at)?, "readiness", PROBES, answer).map_err(|e| Fatal::Listen(at.to_string(), e))
+    serve(listen(at)?, "readiness", MAX_READINESS_CALLERS, answer)
+        .map_err(|e| Fatal::Listen(at.to_string(), e))
 }
 
-fn converse(mut stream: TcpStream, handle: &dyn Fn(Request) -> Response) -> io::Result<()> {
-    configure_stream(&stream, Duration::from_secs(5))?;
-    stream.set_read_timeout(Some(IDLE))?;
-    stream.set_write_timeout(Some(Duration::from_secs(5)))?;
+fn serve_connection(mut stream: TcpStream, handle: &dyn Fn(Request) -> Response) -> io::Result<()> {
+    configure_stream(&stream, WRITE_TIMEOUT)?;
+    stream.set_read_timeout(Some(IDLE_TIMEOUT))?;
+    stream.set_write_timeout(Some(WRITE_TIMEOUT))?;
     let mut bytes = Vec::new();
     loop {
-        let (request, close) = match read_request(&mut stream, &mut bytes)? {
-            Ok(Some(found)) => found,
-            Ok(None) => return Ok(()),
-            Err(refusal) => {
+        match read_request(&mut stream, &mut bytes)? {
+            ReadOutcome::Closed => return Ok(()),
+            ReadOutcome::Refused(refusal) => {
                 write_response(&mut stream, &refusal, true)?;
-                // Taking in some of what is still under way lets the refusal arrive.
-                let mut rest = [0; 4096];
-                stream.set_read_timeout(Some(Duration::from_millis(200)))?;
-                for _ in 0..512 {
-                    if stream.read(&mut rest).unwrap_or(0) == 0 {
-                        break;
-                    }
+                return discard_input(&mut stream);
+            }
+            ReadOutcome::Request { request, close } => {
+                write_response(&mut stream, &handle(request), close)?;
+                if close {
+                    return Ok(());
                 }
-                return Ok(());
             }
-        };
-        write_response(&mut stream, &handle(request), close)?;
-        if close {
-            return Ok(());
         }
     }
 }
 
-type Parsed = Result<Option<(Request, bool)>, Response>;
+/// Takes in some of what is still in flight, see [`MAX_DISCARDING_READS`].
+fn discard_input(stream: &mut TcpStream) -> io::Result<()> {
+    let mut discarded = [0; READ_BYTES];
+    stream.set_read_timeout(Some(DISCARD_TIMEOUT))?;
+    for _ in 0..MAX_DISCARDING_READS {
+        if stream.read(&mut discarded).unwrap_or(0) == 0 {
+            break;
+        }
+    }
+    Ok(())
+}
+
+/// What came instead of, or as, the next request of a connection.
+enum ReadOutcome {
+    Request {
+        request: Request,
+        /// The connection ends with the response.
+        close: bool,
+    },
+    /// The peer closed the connection.
+    Closed,
+    /// No request that can be handled; this is the answer to it.
+    Refused(Response),
+}
+
+/// The head of a request.
+struct Head {
+    request: Request,
+    close: bool,
+    /// The bytes of the body that follows.
+    content_length: usize,
+}
+
+/// Why a head gives no request.
+enum HeadError {
+    /// It can't be handled; this is the answer to it.
+    Refused(Response),
+    /// The connection failed.
+    Io(io::Error),
+}
+
+impl HeadError {
+    fn refused(status: u16, message: &str) -> Self {
+        Self::Refused(Response::refusal(status, message))
+    }
+}
 
-fn read_request(stream: &mut TcpStream, bytes: &mut Vec<u8>) -> io::Result<Parsed> {
+/// Reads the next request; `bytes` holds what was received and not used yet.
+fn read_request(stream: &mut TcpStream, bytes: &mut Vec<u8>) -> io::Result<ReadOutcome> {
     loop {
-        let mut headers = [httparse::EMPTY_HEADER; 48];
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Request::new(&mut headers);
         match parsed.parse(bytes) {
-            Ok(httparse::Status::Complete(head)) => {
-                let mut request = Request {
-                    method: parsed.method.unwrap_or_default().to_owned(),
-                    path: parsed.path.unwrap_or_default().to_owned(),
-                    ..Request::default()
+            Ok(httparse::Status::Complete(head_length)) => {
+                let head = match read_head(stream, &parsed) {
+                    Ok(head) => head,
+                    Err(HeadError::Refused(refusal)) => return Ok(ReadOutcome::Refused(refusal)),
+                    Err(HeadError::Io(e)) => return Err(e),
                 };
-                let mut close = parsed.version == Some(0);
-                let mut length = 0usize;
-                for header in parsed.headers.iter() {
-                    let value = String::from_utf8_lossy(header.value).trim().to_owned();
-                    if header.name.eq_ignore_ascii_case("content-length") {
-                        match value.parse() {
-                            Ok(n) => length = n,
-                            Err(_) => return Ok(Err(Response::refusal(400, "bad content-length"))),
-                        }
-                    } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
-                        return Ok(Err(Response::refusal(411, "a length is needed")));
-                    } else if header.name.eq_ignore_ascii_case("connection") {
-                        close = value.eq_ignore_ascii_case("close");
-                    } else if header.name.eq_ignore_ascii_case("if-match") {
-                        request.if_match = Some(value.trim_matches('"').to_owned());
-                    } else if header.name.eq_ignore_ascii_case("expect") {
-                        stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n")?;
-                    }
-                }
-                if length > MAX_BODY {
-                    return Ok(Err(Response::refusal(413, "the body is too large")));
-                }
-                bytes.drain(..head);
-                while bytes.len() < length {
-                    if more(stream, bytes)? == 0 {
-                        return Ok(Ok(None));
-                    }
-                }
-                request.body = bytes.drain(..length).collect();
-                return Ok(Ok(Some((request, close))));
+                bytes.drain(..head_length);
+                return read_body(stream, bytes, head);
             }
             Ok(httparse::Status::Partial) if bytes.len() > MAX_HEAD => {
-                return Ok(Err(Response::refusal(431, "the head is too large")));
+                let refusal = Response::refusal(431, "the head is too large");
+                return Ok(ReadOutcome::Refused(refusal));
             }
             Ok(httparse::Status::Partial) => {
-                if more(stream, bytes)? == 0 {
-                    return Ok(Ok(None));
+                if read_more(stream, bytes)? == 0 {
+                    return Ok(ReadOutcome::Closed);
                 }
             }
-            Err(_) => return Ok(Err(Response::refusal(400, "not an HTTP request"))),
+            Err(_) => {
+                let refusal = Response::refusal(400, "not an HTTP request");
+                return Ok(ReadOutcome::Refused(refusal));
+            }
+        }
+    }
+}
+
+/// Reads the headers in their order; one that asks for it is answered with `100 Continue` at once.
+fn read_head(
+    stream: &mut TcpStream,
+    parsed: &httparse::Request<'_, '_>,
+) -> Result<Head, HeadError> {
+    let mut request = Request {
+        method: parsed.method.unwrap_or_default().to_owned(),
+        path: parsed.path.unwrap_or_default().to_owned(),
+        ..Request::default()
+    };
+    // HTTP/1.0 closes unless it says otherwise.
+    let mut close = parsed.version == Some(0);
+    let mut content_length = 0;
+    for header in parsed.headers.iter() {
+        let value = String::from_utf8_lossy(header.value).trim().to_owned();
+        if header.name.eq_ignore_ascii_case("content-length") {
+            content_length =
+                value.parse().map_err(|_| HeadError::refused(400, "bad content-length"))?;
+        } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
+            return Err(HeadError::refused(411, "a length is needed"));
+        } else if header.name.eq_ignore_ascii_case("connection") {
+            close = value.eq_ignore_ascii_case("close");
+        } else if header.name.eq_ignore_ascii_case("if-match") {
+            request.if_match = Some(value.trim_matches('"').to_owned());
+        } else if header.name.eq_ignore_ascii_case("expect") {
+            stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").map_err(HeadError::Io)?;
         }
     }
+    if content_length > MAX_BODY {
+        return Err(HeadError::refused(413, "the body is too large"));
+    }
+    Ok(Head { request, close, content_length })
 }
 
-fn more(stream: &mut TcpStream, bytes: &mut Vec<u8>) -> io::Result<usize> {
-    let mut chunk = [0; 4096];
-    let got = stream.read(&mut chunk)?;
-    bytes.extend_from_slice(&chunk[..got]);
-    Ok(got)
+fn read_body(stream: &mut TcpStream, bytes: &mut Vec<u8>, head: Head) -> io::Result<ReadOutcome> {
+    while bytes.len() < head.content_length {
+        if read_more(stream, bytes)? == 0 {
+            return Ok(ReadOutcome::Closed);
+        }
+    }
+    let body = bytes.drain(..head.content_length).collect();
+    Ok(ReadOutcome::Request { request: Request { body, ..head.request }, close: head.close })
+}
+
+/// Reads once and appends what came; 0 at the end of the stream.
+fn read_more(stream: &mut TcpStream, bytes: &mut Vec<u8>) -> io::Result<usize> {
+    let mut chunk = [0; READ_BYTES];
+    let count = stream.read(&mut chunk)?;
+    bytes.extend_from_slice(&chunk[..count]);
+    Ok(count)
 }
 
 fn write_response(stream: &mut TcpStream, response: &Response, close: bool) -> io::Result<()> {
     let mut out = format!(
         "HTTP/1.1 {} {}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n",
         response.status,
-        reason(response.status),
+        reason_phrase(response.status),
         response.body.len()
     );
     if let Some(location) = &response.location {
@@ -226,19 +340,25 @@
     stream.write_all(&out)
 }
 
-/// One call on a connection of its own; gives the status and the body.
+/// Makes one call on a connection of its own. `timeout` holds for connecting, for each read, and for
+/// sent data that is not acknowledged.
+///
+/// # Errors
+/// Those of the connection; `UnexpectedEof` if it ends within the response, and `InvalidData` if what
+/// comes is no HTTP response.
 pub fn call(
     to: SocketAddr,
     method: &str,
     path: &str,
     headers: &[(&str, String)],
     body: &[u8],
-    within: Duration,
-) -> io::Result<(u16, Option<String>, Vec<u8>)> {
-    let mut stream = connect_stream(to, within, within)?;
-    stream.set_read_timeout(Some(within))?;
+    timeout: Duration,
+) -> io::Result<Response> {
+    let mut stream = connect_stream(to, timeout, timeout)?;
+    stream.set_read_timeout(Some(timeout))?;
     let mut out = format!(
-        "{method} {path} HTTP/1.1\r\nHost: {to}\r\nConnection: close\r\nContent-Type: application/json\r\nContent-Length: {}\r\n",
+        "{method} {path} HTTP/1.1\r\nHost: {to}\r\nConnection: close\r\n\
+         Content-Type: application/json\r\nContent-Length: {}\r\n",
         body.len()
     );
     for (name, value) in headers {
@@ -249,46 +369,69 @@
     out.extend_from_slice(body);
     stream.write_all(&out)?;
     let mut bytes = Vec::new();
-    let (status, location, head, length) = loop {
-        let mut headers = [httparse::EMPTY_HEADER; 48];
+    let head = read_response_head(&mut stream, &mut bytes)?;
+    let body = read_response_body(&mut stream, bytes, head.content_length)?;
+    Ok(Response { status: head.status, location: head.location, body })
+}
+
+/// The head of a response.
+struct ResponseHead {
+    status: u16,
+    location: Option<String>,
+    /// Without it the body ends with the connection.
+    content_length: Option<usize>,
+}
+
+/// Reads the head of the final response; `bytes` then holds what came of the body.
+fn read_response_head(stream: &mut TcpStream, bytes: &mut Vec<u8>) -> io::Result<ResponseHead> {
+    loop {
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Response::new(&mut headers);
-        match parsed.parse(&bytes) {
-            // Only a word in between; the answer follows.
-            Ok(httparse::Status::Complete(head)) if parsed.code.is_some_and(|c| c < 200) => {
-                bytes.drain(..head);
+        match parsed.parse(bytes) {
+            // An interim response such as 100; the final one follows.
+            Ok(httparse::Status::Complete(length)) if parsed.code.is_some_and(|c| c < 200) => {
+                bytes.drain(..length);
             }
-            Ok(httparse::Status::Complete(head)) => {
+            Ok(httparse::Status::Complete(length)) => {
                 let find = |name: &str| {
-                    parsed
-                        .headers
-                        .iter()
-                        .find(|h| h.name.eq_ignore_ascii_case(name))
-                        .map(|h| String::from_utf8_lossy(h.value).trim().to_owned())
+                    let mut headers = parsed.headers.iter();
+                    let found = headers.find(|h| h.name.eq_ignore_ascii_case(name))?;
+                    Some(String::from_utf8_lossy(found.value).trim().to_owned())
                 };
-                let length = find("content-length").and_then(|v| v.parse::<usize>().ok());
-                break (parsed.code.unwrap_or(0), find("location"), head, length);
+                let head = ResponseHead {
+                    status: parsed.code.unwrap_or(0),
+                    location: find("location"),
+                    content_length: find("content-length").and_then(|v| v.parse().ok()),
+                };
+                bytes.drain(..length);
+                return Ok(head);
             }
             Ok(httparse::Status::Partial) if bytes.len() <= MAX_HEAD => {
-                if more(&mut stream, &mut bytes)? == 0 {
+                if read_more(stream, bytes)? == 0 {
                     return Err(io::ErrorKind::UnexpectedEof.into());
                 }
             }
-            _ => {
-                return Err(io::Error::new(io::ErrorKind::InvalidData, "not an HTTP answer"));
-            }
+            _ => return Err(io::Error::new(io::ErrorKind::InvalidData, "not an HTTP answer")),
         }
-    };
-    bytes.drain(..head);
-    while length.is_none_or(|n| bytes.len() < n) && bytes.len() <= 2 * MAX_BODY {
-        if more(&mut stream, &mut bytes)? == 0 {
+    }
+}
+
+fn read_response_body(
+    stream: &mut TcpStream,
+    mut bytes: Vec<u8>,
+    content_length: Option<usize>,
+) -> io::Result<Vec<u8>> {
+    // Twice the largest request: a status may be larger than a configuration.
+    while content_length.is_none_or(|length| bytes.len() < length) && bytes.len() <= 2 * MAX_BODY {
+        if read_more(stream, &mut bytes)? == 0 {
             break;
         }
     }
-    if let Some(n) = length {
-        if bytes.len() < n {
+    if let Some(length) = content_length {
+        if bytes.len() < length {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
-        bytes.truncate(n);
+        bytes.truncate(length);
     }
-    Ok((status, location, bytes))
+    Ok(bytes)
 }
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -647,8 +647,8 @@
     let ask = |path: &str, ms| call(at, "GET", path, &[], b"", Duration::from_millis(ms)).ok();
     // One that gave up is followed by another: each call has a connection of its own.
     assert_eq!(ask("/slow/1", 60), None);
-    assert_eq!(ask("/quick/1", 5_000).expect("an answer").2, b"/quick/1");
-    assert_eq!(ask("/slow/2", 5_000).expect("an answer").2, b"/slow/2");
+    assert_eq!(ask("/quick/1", 5_000).expect("an answer").body, b"/quick/1");
+    assert_eq!(ask("/slow/2", 5_000).expect("an answer").body, b"/slow/2");
     // On a kept connection answers come in the order of the calls, the late one first.
     let mut kept = TcpStream::connect(at).expect("connection");
     kept.set_read_timeout(Some(Duration::from_secs(5))).expect("timeout");
@@ -685,7 +685,7 @@
             let _ = stream.write_all(answers.as_bytes());
         });
         let got = call(at, "POST", "/failovers", &[], b"{}", Duration::from_secs(5));
-        assert_eq!(got.ok().map(|(status, ..)| status), status, "{answer:?}");
+        assert_eq!(got.ok().map(|response| response.status), status, "{answer:?}");
     }
 }
 
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -402,7 +402,7 @@
     body: &str,
 ) -> std::io::Result<(u16, String)> {
     let headers: Vec<(&str, String)> = headers.iter().map(|(n, v)| (*n, (*v).to_owned())).collect();
-    let (status, _, body) = silvertack::net::http::call(
+    let response = silvertack::net::http::call(
         to,
         method,
         path,
@@ -410,5 +410,5 @@
         body.as_bytes(),
         Duration::from_secs(5),
     )?;
-    Ok((status, String::from_utf8_lossy(&body).into_owned()))
+    Ok((response.status, String::from_utf8_lossy(&response.body).into_owned()))
 }
