--- a/examples/scale.rs
+++ b/examples/scale.rs
@@ -92,7 +92,7 @@
         let seq = self.seq.fetch_add(1, Ordering::Relaxed) + 1;
         let names = (0..self.saw).map(|n| ServiceName(format!("s{n}")));
         let position = Position { term: DbTerm(1), number: seq };
-        let saw = names
+        let observed = names
             .clone()
             .map(|service| ObservedPosition {
                 service,
@@ -101,22 +101,22 @@
                 sent_after_ms: 100,
             })
             .collect();
-        let busy = if seq.is_multiple_of(8) {
+        let load = if seq.is_multiple_of(8) {
             (0..3).map(|n| (ServiceName(format!("s{n}")), 100 + (seq % 50) as u32)).collect()
         } else {
             Vec::new()
         };
-        let (shares, wants) = (Vec::new(), Vec::new());
-        let heard = self.heard.load(Ordering::Relaxed);
-        let asks = names.collect();
+        let (quotas, demand) = (Vec::new(), Vec::new());
+        let last_grant_seq = self.heard.load(Ordering::Relaxed);
+        let bounds_requested = names.collect();
         self.tell(ToController::RenewLeases {
             seq,
-            last_grant_seq: heard,
-            quotas: shares,
-            demand: wants,
-            observed: saw,
-            bounds_requested: asks,
-            load: busy,
+            last_grant_seq,
+            quotas,
+            demand,
+            observed,
+            bounds_requested,
+            load,
         });
     }
     fn configured(&self, config: RouteTable) {
--- a/src/gateway/leader_messages.rs
+++ b/src/gateway/leader_messages.rs
@@ -37,19 +37,20 @@
     fn renew(&self) {
         let now = Tick::now();
         let last_sent = Tick(self.renewals.last_sent.swap(now.0, Ordering::Relaxed));
-        let busy = self.demand_report(now.since(last_sent));
+        let load = self.demand_report(now.since(last_sent));
         let seq = self.renewals.sequence.fetch_add(1, Ordering::Relaxed) + 1;
-        let heard = self.renewals.last_acknowledged.load(Ordering::Relaxed);
+        let last_grant_seq = self.renewals.last_acknowledged.load(Ordering::Relaxed);
         // A gateway holds no leases and reads no positions; only a pooler fills in the rest.
-        let (shares, wants, saw, asks) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
+        let (quotas, demand, observed, bounds_requested) =
+            (Vec::new(), Vec::new(), Vec::new(), Vec::new());
         self.leader.send(ToController::RenewLeases {
             seq,
-            last_grant_seq: heard,
-            quotas: shares,
-            demand: wants,
-            observed: saw,
-            bounds_requested: asks,
-            load: busy,
+            last_grant_seq,
+            quotas,
+            demand,
+            observed,
+            bounds_requested,
+            load,
         });
     }
 
@@ -86,10 +87,9 @@
     }
 
     fn assign_subsets(&self, subset_ranges: Vec<SubsetRange>) {
-        let subsets =
-            subset_ranges.into_iter().map(|SubsetRange { service, start: from, end: upto }| {
-                (service, CapacityRange { from, to: upto })
-            });
+        let subsets = subset_ranges.into_iter().map(|SubsetRange { service, start, end }| {
+            (service, CapacityRange { from: start, to: end })
+        });
         lock(&self.upstreams).assign_subsets(subsets, &self.zone);
     }
 }
@@ -126,8 +126,8 @@
             ToPooler::Directory(entries) => {
                 lock(&self.upstreams).replace_directory(entries, &self.zone);
             }
-            ToPooler::DirectoryDelta { upserted: listed, removed: gone } => {
-                lock(&self.upstreams).update_directory(listed, &gone, &self.zone);
+            ToPooler::DirectoryDelta { upserted, removed } => {
+                lock(&self.upstreams).update_directory(upserted, &removed, &self.zone);
             }
             ToPooler::LeaseGrants { seq, subset_ranges, .. } => {
                 self.renewals.last_acknowledged.store(seq, Ordering::Relaxed);
--- a/src/simulation/nodes.rs
+++ b/src/simulation/nodes.rs
@@ -120,14 +120,15 @@
         if node.sent.len() > 16 {
             node.sent.pop_first();
         }
-        let (shares, wants, saw, asks) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
+        let (quotas, demand, observed, bounds_requested) =
+            (Vec::new(), Vec::new(), Vec::new(), Vec::new());
         let renewal = ToController::RenewLeases {
             seq,
             last_grant_seq: 0,
-            quotas: shares,
-            demand: wants,
-            observed: saw,
-            bounds_requested: asks,
+            quotas,
+            demand,
+            observed,
+            bounds_requested,
             load: Vec::new(),
         };
         self.send_to_controller(number, renewal);
@@ -162,10 +163,10 @@
                 }
             }
             ToPooler::Directory(_) | ToPooler::DirectoryDelta { .. } => {}
-            ToPooler::LeaseGrants { seq, complete: whole, grants, .. } => {
+            ToPooler::LeaseGrants { seq, complete, grants, .. } => {
                 let Some(asked) = node.sent.get(&seq).copied() else { return };
                 node.sent.retain(|s, _| *s >= seq);
-                if whole {
+                if complete {
                     node.leases.clear();
                 }
                 for grant in grants {
