--- a/src/controller/core.rs
+++ b/src/controller/core.rs
@@ -279,7 +279,9 @@
             Frame::Raft { to, message } if to == self.raft.state.member_id => {
                 self.raft.step(*message, now);
             }
-            Frame::Join { member, was } => self.handle_join_request(conn, member, was, now),
+            Frame::Join { member, was_member: was } => {
+                self.handle_join_request(conn, member, was, now)
+            }
             Frame::Pooler(message) => self.handle_pooler_message(conn, message, now),
             // Meant for an earlier id of this controller's, or never sent to a controller.
             _ => {}
--- a/src/controller/outgoing_calls.rs
+++ b/src/controller/outgoing_calls.rs
@@ -19,7 +19,7 @@
 ) -> std::io::Result<JoinResponse> {
     let mut stream = connect_stream(at, PEER_CONNECT_TIMEOUT, Duration::from_secs(1))?;
     stream.set_read_timeout(Some(Duration::from_secs(1)))?;
-    send(&mut stream, &Frame::Join { member, was })?;
+    send(&mut stream, &Frame::Join { member, was_member: was })?;
     match receive(&mut stream)? {
         Frame::Joined(answer) => Ok(answer),
         _ => Err(std::io::ErrorKind::InvalidData.into()),
--- a/src/net/rpc/frame.rs
+++ b/src/net/rpc/frame.rs
@@ -37,7 +37,7 @@
         /// The controller that asks.
         member: Member,
         /// It was a member before and asks whether it still is.
-        was: bool,
+        was_member: bool,
     },
     /// The answer to a `Join`.
     Joined(JoinResponse),
--- a/src/simulation/machines.rs
+++ b/src/simulation/machines.rs
@@ -277,7 +277,11 @@
         let there = self.machines[to].incarnation;
         self.schedule_at(
             time,
-            Event::ControllerInput(to, there, Input::Frame(conn, Frame::Join { member, was })),
+            Event::ControllerInput(
+                to,
+                there,
+                Input::Frame(conn, Frame::Join { member, was_member: was }),
+            ),
         );
     }
 }
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -242,7 +242,7 @@
         ToPooler::Revoke { service: s, term: DbTerm(141) },
         ToPooler::RenewNow,
     ];
-    let join = |was| Frame::Join { member: member(9, true, false), was };
+    let join = |was| Frame::Join { member: member(9, true, false), was_member: was };
     (kinds.into_iter().map(raft))
         .chain([join(false), join(true)])
         .chain(joined.map(Frame::Joined))
@@ -257,7 +257,9 @@
         (Frame::Raft { to, message }, Frame::Raft { to: t, message: m }) => {
             to == t && message == m && same_kind(&message.kind, &m.kind)
         }
-        (Frame::Join { member, was }, Frame::Join { member: m, was: w }) => member == m && was == w,
+        (Frame::Join { member, was_member: was }, Frame::Join { member: m, was_member: w }) => {
+            member == m && was == w
+        }
         (Frame::Joined(a), Frame::Joined(b)) => a == b,
         (Frame::Pooler(a), Frame::Pooler(b)) => said(a, b),
         (Frame::Controller(a), Frame::Controller(b)) => told(a, b),
