--- a/src/controller/committed_entries.rs
+++ b/src/controller/committed_entries.rs
@@ -183,22 +183,22 @@
             info!(target: "state", "{id} of {}: {:?}, {:?}", instance.target_service,
                 instance.database_role, instance.lifecycle_state);
         }
-        Command::RemoveInstance { id, .. } => info!(target: "state", "{id} is gone"),
+        Command::RemoveInstance { id, .. } => info!(target: "state", "{id} left the directory"),
         Command::SetPrimary { service, term, primary } => {
             info!(target: "failover", "{service}: {primary} leads term {term}");
         }
         Command::BeginFailover { service, target, .. } => {
-            info!(target: "failover", "{service}: {target} is to take over");
+            info!(target: "failover", "{service}: {target} is chosen as the next primary");
         }
         Command::AbandonFailover { service, target } => {
-            info!(target: "failover", "{service}: {target} is not running, given up");
+            info!(target: "failover", "{service}: {target} is not running, another target is chosen");
         }
         Command::PrimaryReturned { service, term, primary } => {
-            info!(target: "failover", "{service}: {primary} is the primary of term {term}, back");
+            info!(target: "failover", "{service}: {primary} is the primary of term {term} again, under a new id");
         }
         Command::ForgetDeparted { service, departed } => {
             let names: Vec<String> = departed.keys().map(|id| id.to_string()).collect();
-            info!(target: "failover", "{service}: others have what {} had", names.join(", "));
+            info!(target: "failover", "{service}: departed replica {} is covered by the others", names.join(", "));
         }
     }
 }
--- a/src/controller/core.rs
+++ b/src/controller/core.rs
@@ -195,8 +195,8 @@
         let failing = self.persister.is_storage_failing(now);
         if failing != self.raft.storage_failing {
             match failing {
-                true => warn!(target: "disk", "in trouble, another is to lead"),
-                false => info!(target: "disk", "well again"),
+                true => warn!(target: "disk", "unhealthy, handing over leadership"),
+                false => info!(target: "disk", "healthy again"),
             }
         }
         self.raft.set_storage_failing(failing, now);
@@ -207,7 +207,7 @@
             if let Some(batch) = self.persister.begin_write(&mut self.raft, now)
                 && !self.effects.start_write(batch)
             {
-                error!(target: "raft", "the thread that writes has ended");
+                error!(target: "raft", "the storage thread has ended");
             }
             self.apply_committed_entries(now);
             self.update_leadership(now);
--- a/src/controller/failover_driver.rs
+++ b/src/controller/failover_driver.rs
@@ -177,7 +177,7 @@
             FailoverAction::Propose(
                 Command::ForgetDeparted { .. } | Command::PrimaryReturned { .. },
             ) if !self.raft.all_peers_read_layout(LAYOUT) => {
-                debug!(target: "failover", "{service}: waits until all controllers are exchanged");
+                debug!(target: "failover", "{service}: waits until all controllers run the new version");
             }
             FailoverAction::Propose(command) => {
                 self.propose(&command, now);
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -156,7 +156,7 @@
             }
             // An id stands for a disk with its vote and its log, so it may come back as a learner.
             JoinResponse::Removed if self.is_member() && !self.raft.is_leader() => {
-                info!(target: "raft", "member {own_id} was removed, is to be taken in again");
+                info!(target: "raft", "member {own_id} was removed, asks to join again");
             }
             JoinResponse::FoundCluster
                 if !self.is_member() && self.settings.bootstrap && self.settings.can_vote() =>
--- a/src/controller/pooler_subscriptions.rs
+++ b/src/controller/pooler_subscriptions.rs
@@ -229,7 +229,7 @@
                 self.handle_renewal(conn, &node, renewal, now);
             }
             ToController::Suspect { service, instance, reason } => {
-                debug!(target: "failover", "{service}: {node} doubts {instance} ({reason:?})");
+                debug!(target: "failover", "{service}: {node} suspects {instance} ({reason:?})");
                 self.step_failover(&service, now, |failover, snapshot| {
                     failover.report_suspicion(snapshot, &node, &instance, reason, now)
                 });
@@ -278,7 +278,7 @@
         if self.effects.queued_bytes(conn).is_none() {
             return;
         }
-        info!(target: "poolers", "{node} is here");
+        info!(target: "poolers", "{node} connected");
         if let Some(leader_state) = &mut self.leader_state {
             leader_state.leases.register(&node, incarnation, conn, now);
             leader_state.pending_updates.stir_all();
@@ -307,7 +307,7 @@
             && leader_state.leases.disconnect(conn, now).is_some()
         {
             leader_state.pending_updates.stir_all();
-            info!(target: "poolers", "{node} lost");
+            info!(target: "poolers", "{node} disconnected");
         }
     }
 }
--- a/src/controller/transport.rs
+++ b/src/controller/transport.rs
@@ -62,7 +62,7 @@
     pub(crate) fn drop_useless(&mut self, speaks: impl Fn(u64) -> bool, now: Tick) {
         for (conn, line) in &mut self.conns {
             if line.useless(speaks(*conn), now) {
-                info!(target: "peers", "let one go that did not read or speak");
+                info!(target: "peers", "closed a connection that neither read nor sent");
                 line.close();
             }
         }
--- a/src/net/idle_connections.rs
+++ b/src/net/idle_connections.rs
@@ -73,7 +73,7 @@
             Registration::New => epoll::add(&self.epoll, stream, token, flags),
         };
         if let Err(e) = watched {
-            warn!(target: self.log_target, "a resting client can't be watched: {e}");
+            warn!(target: self.log_target, "an idle client can't be watched: {e}");
             drop(lock(&self.parked).remove(&id));
         }
     }
--- a/src/net/leader_connection.rs
+++ b/src/net/leader_connection.rs
@@ -220,7 +220,7 @@
         mut reader: BufReader<TcpStream>,
         controllers: &mut Vec<SocketAddr>,
     ) -> io::Result<Option<SocketAddr>> {
-        info!(target: self.log_target, "following {to}");
+        info!(target: self.log_target, "connected to leader {to}");
         subscriber.on_connected();
         *self.lock() = Some(stream);
         self.connected.store(true, Ordering::Relaxed);
@@ -238,7 +238,7 @@
         };
         *self.lock() = None;
         self.connected.store(false, Ordering::Relaxed);
-        info!(target: self.log_target, "lost {to}");
+        info!(target: self.log_target, "disconnected from leader {to}");
         ended
     }
 }
--- a/src/pooler/server_connection.rs
+++ b/src/pooler/server_connection.rs
@@ -249,13 +249,13 @@
         match statement_protocol::reply(pending) {
             // With more bytes behind the last reply due, either may be another statement's.
             Ok(Some(reply)) if self.pending_replies <= 1 && reply.end < pending.len() => {
-                warn!(target: "pool", "an answer too many");
+                warn!(target: "pool", "an unexpected response");
                 Err(Loss::Broken)
             }
             Ok(None) if pending.len() > MAX_REPLY_BYTES => Err(Loss::Broken),
             Ok(reply) => Ok(reply),
             Err(statement_protocol::MalformedReply) => {
-                warn!(target: "pool", "garbled answer");
+                warn!(target: "pool", "malformed response");
                 Err(Loss::Broken)
             }
         }
