--- a/src/controller/core.rs
+++ b/src/controller/core.rs
@@ -21,6 +21,8 @@
 use crate::raft::node::RaftNode;
 use crate::raft::persister::{LogPersister, WriteOutcome};
 use crate::raft::state::PersistentState;
+use crate::raft::storage::StorageError;
+use crate::raft::validation::UnreadableMessage;
 use crate::state_machine::{
     Command, StateError, StateMachine, read_persistent_state, validate_message,
 };
@@ -81,8 +83,8 @@
 }
 
 /// The state machine's check of Raft messages, in the form that the Raft node takes.
-pub(super) fn validate_raft_message(kind: &RaftMessageKind) -> Result<(), String> {
-    validate_message(kind).map_err(|e| e.to_string())
+pub(super) fn validate_raft_message(kind: &RaftMessageKind) -> Result<(), UnreadableMessage> {
+    validate_message(kind).map_err(UnreadableMessage::content)
 }
 
 impl<E: Effects> Controller<E> {
@@ -218,7 +220,7 @@
     }
 
     /// Handles the end of the write in flight. A failed one is retried until it succeeds.
-    fn handle_write_result(&mut self, result: Result<(), String>, now: Tick) {
+    fn handle_write_result(&mut self, result: Result<(), StorageError>, now: Tick) {
         // One line for the first failure is enough.
         if let Err(e) = &result
             && !self.raft.storage_failing
--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -7,6 +7,7 @@
 use crate::net::http::{Request, Response};
 use crate::net::rpc::Frame;
 use crate::net::rpc::raft_messages::{JoinResponse, Member, RaftMessage};
+use crate::raft::storage::StorageError;
 use crate::raft::storage::WriteBatch;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -56,7 +57,7 @@
         answer: Option<JoinResponse>,
     },
     /// The write in flight has ended, with its error if it failed.
-    Saved(Result<(), String>),
+    Saved(Result<(), StorageError>),
 }
 
 /// What a controller does to the world outside. No method waits.
--- a/src/controller/process.rs
+++ b/src/controller/process.rs
@@ -73,7 +73,7 @@
     let (jobs, next) = channel::<WriteBatch>();
     must_start("the disk", move || {
         for batch in next {
-            let saved = storage.save(&batch).map_err(|e| e.to_string());
+            let saved = storage.save(&batch);
             if done.send(Event::Input(Input::Saved(saved))).is_err() {
                 return;
             }
--- a/src/raft/chunked_transfer.rs
+++ b/src/raft/chunked_transfer.rs
@@ -5,6 +5,7 @@
 };
 use super::node::RaftNode;
 use super::replication::WhenUpToDate;
+use super::validation::UnreadableMessage;
 use crate::base::ids::{LogIndex, MemberId, Term};
 use crate::base::time::Tick;
 use crate::net::rpc::raft_messages::RaftMessageKind;
@@ -211,8 +212,7 @@
             ) => Some(kind),
             Ok(_) => None,
             Err(error) => {
-                self.unreadable_message =
-                    Some(format!("the leader's message can't be read: {error}"));
+                self.unreadable_message = Some(UnreadableMessage::encoding(error));
                 None
             }
         }
--- a/src/raft/mod.rs
+++ b/src/raft/mod.rs
@@ -20,3 +20,4 @@
 mod replication;
 pub mod state;
 pub mod storage;
+pub mod validation;
--- a/src/raft/node.rs
+++ b/src/raft/node.rs
@@ -15,14 +15,12 @@
 };
 use super::replication::{Progress, WhenUpToDate};
 use super::state::{PersistentState, UnsavedChanges};
+use super::validation::{MessageValidator, UnreadableMessage};
 use crate::base::ids::{LogIndex, MemberId, Term};
 use crate::base::time::Tick;
 use crate::net::rpc::raft_messages::{Member, RaftMessage, RaftMessageKind};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Whether this program can read what a leader's message holds; the error says what it can't.
-pub type MessageValidator = fn(&RaftMessageKind) -> Result<(), String>;
-
 /// The part that a member plays in its term (the Raft paper, section 5.1).
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum RaftRole {
@@ -97,7 +95,7 @@
     pub message_validator: MessageValidator,
     /// Why a leader's message was neither taken nor acknowledged: this program can't read it, and
     /// can't go on.
-    pub unreadable_message: Option<String>,
+    pub unreadable_message: Option<UnreadableMessage>,
 }
 
 impl RaftNode {
--- a/src/simulation/events.rs
+++ b/src/simulation/events.rs
@@ -6,10 +6,12 @@
 use crate::net::http::{Request, Response};
 use crate::net::rpc::raft_messages::RaftMessage;
 use crate::net::rpc::{Frame, LAYOUT};
+use crate::raft::storage::StorageError;
 use crate::simulation::databases::Write;
 use crate::simulation::machines::DiskFault;
 use crate::simulation::network::{Party, RemoteEnd};
 use crate::simulation::world::{World, machine_of};
+use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
@@ -130,13 +132,13 @@
             }
             Some(DiskFault { full: true, .. }) => {
                 machine.pending_write = None;
-                let failed = Input::Saved(Err("full".to_owned()));
+                let failed = Input::Saved(Err(StorageError::Io(io::Error::other("full"))));
                 return self.step(number, Some(failed));
             }
             None => {}
         }
         if let Some(batch) = machine.pending_write.take() {
-            let saved = machine.disk.save(&batch).map_err(|e| e.to_string());
+            let saved = machine.disk.save(&batch);
             self.step(number, Some(Input::Saved(saved)));
         }
     }
--- a/tests/storage.rs
+++ b/tests/storage.rs
@@ -19,6 +19,7 @@
 use silvertack::raft::node::RaftNode;
 use silvertack::raft::state::{PersistentState, UnsavedChanges};
 use silvertack::raft::storage::{InitializedStorage, OpenedStorage, RaftStorage, WriteBatch};
+use silvertack::raft::validation::UnreadableMessage;
 use silvertack::state_machine::{
     Command, CommandOutcome, StateMachine, read_persistent_state, validate_message,
 };
@@ -833,14 +834,14 @@
             ..PersistentState::default()
         };
         let mut raft = RaftNode::new(kept, true, Tick(9_000), || 10);
-        raft.message_validator = |kind| validate_message(kind).map_err(|e| e.to_string());
+        raft.message_validator = |kind| validate_message(kind).map_err(UnreadableMessage::content);
         raft.step(RaftMessage { from: MemberId(1), term: Term(3), kind }, Tick(9_500));
         raft.log_persisted(raft.last_position());
         let acked = raft
             .outbox
             .iter()
             .any(|(_, m)| matches!(m.kind, RaftMessageKind::AppendResponse { success: true, .. }));
-        let refused = raft.unreadable_message.clone().unwrap_or_default();
+        let refused = raft.unreadable_message.as_ref().map(ToString::to_string).unwrap_or_default();
         assert!(
             refused.contains(said) && refused.is_empty() == said.is_empty(),
             "{what}: {refused}"
