--- a/src/controller/admin_handler.rs
+++ b/src/controller/admin_handler.rs
@@ -4,9 +4,10 @@
 use crate::base::ids::InstanceId;
 use crate::base::time::Tick;
 use crate::config::directory::Heartbeat;
-use crate::controller::admin_api::{AdminCall, CallDecision, is_word, read_configuration};
+use crate::controller::admin_api::{AdminCall, CallDecision, is_valid_name, read_configuration};
 use crate::controller::core::Controller;
 use crate::controller::effects::Effects;
+use crate::controller::linearizable_reads::DecidedCall;
 use crate::net::http::{Request, Response};
 use crate::state_machine::Command;
 use log::warn;
@@ -63,11 +64,13 @@
 
 fn read_heartbeat(request: &Request, id: InstanceId) -> Result<Command, Response> {
     match serde_json::from_slice::<Heartbeat>(&request.body) {
-        Ok(heartbeat) if is_word(&heartbeat.instance.target_service.0) => Ok(Command::Heartbeat {
-            id,
-            instance: heartbeat.instance,
-            sequence: heartbeat.sequence,
-        }),
+        Ok(heartbeat) if is_valid_name(&heartbeat.instance.target_service.0) => {
+            Ok(Command::Heartbeat {
+                id,
+                instance: heartbeat.instance,
+                sequence: heartbeat.sequence,
+            })
+        }
         Ok(_) => Err(Response::refusal(400, "target_service is no word")),
         Err(e) => Err(Response::refusal(400, &format!("cannot be read: {e}"))),
     }
@@ -96,7 +99,7 @@
             Ok(Operation::Submit(command)) => AdminCall::Command(command),
             Ok(Operation::ReadConfiguration) => AdminCall::ReadConfiguration,
         };
-        let decided = self.reads.ask(&mut self.raft, &self.state_machine, call, reply, now);
+        let decided = self.reads.submit(&mut self.raft, &self.state_machine, call, reply, now);
         self.execute_decisions(decided, now);
         // A single controller has no other to wait for.
         self.answer_confirmed_reads(now);
@@ -151,16 +154,16 @@
 
     /// Answers the reads that are confirmed or have timed out.
     pub(super) fn answer_confirmed_reads(&mut self, now: Tick) {
-        let decided = self.reads.settled(&self.raft, &self.state_machine, self.applied, now);
+        let decided = self.reads.take_decided(&self.raft, &self.state_machine, self.applied, now);
         self.execute_decisions(decided, now);
     }
 
     fn execute_decisions(
         &mut self,
-        decided: impl IntoIterator<Item = (SyncSender<Response>, CallDecision)>,
+        decided: impl IntoIterator<Item = DecidedCall<SyncSender<Response>>>,
         now: Tick,
     ) {
-        for (reply, decision) in decided {
+        for DecidedCall { caller: reply, decision } in decided {
             match decision {
                 CallDecision::Answer(response) => drop(reply.try_send(response)),
                 CallDecision::Propose(command) => self.propose_for_caller(&command, reply, now),
@@ -176,7 +179,7 @@
         now: Tick,
     ) {
         match self.propose(command, now) {
-            Some(index) => self.proposed.add(self.raft.state.term, index, reply),
+            Some(index) => self.proposed.insert(self.raft.state.term, index, reply),
             None => drop(reply.try_send(Response::refusal(503, "no leader"))),
         }
     }
--- a/src/controller/committed_entries.rs
+++ b/src/controller/committed_entries.rs
@@ -4,7 +4,7 @@
 use crate::base::time::Tick;
 use crate::config::configuration::Configuration;
 use crate::config::route_table::RouteTable;
-use crate::controller::admin_api::judged;
+use crate::controller::admin_api::outcome_response;
 use crate::controller::core::Controller;
 use crate::controller::effects::Effects;
 use crate::net::http::Response;
@@ -44,7 +44,7 @@
                 EntryPayload::NoOp | EntryPayload::Membership(_) => None,
             };
             self.applied = entry.index;
-            let caller = self.proposed.take(&entry);
+            let caller = self.proposed.complete(&entry);
             if let EntryPayload::Membership(members) = &entry.payload {
                 self.join.remove_members(members);
                 self.effects.retain_peer_links(members);
@@ -97,7 +97,7 @@
         self.config = config;
         self.route_table_frames.clear();
         if let Some(leader_state) = &mut self.leader_state {
-            leader_state.pending_updates.stir_all();
+            leader_state.pending_updates.mark_all_changed();
         }
     }
 
@@ -118,7 +118,7 @@
         if let Some(reply) = caller {
             let answer = match command {
                 Command::Heartbeat { .. } => self.heartbeat_response(),
-                _ => judged(&outcome),
+                _ => outcome_response(&outcome),
             };
             // The caller may no longer wait.
             drop(reply.try_send(answer));
@@ -168,7 +168,7 @@
         }
         self.tick_failover(service, now);
         if let Some(leader_state) = &mut self.leader_state {
-            leader_state.pending_updates.stir(service);
+            leader_state.pending_updates.mark_changed(service);
         }
         self.directory_updates.renewal_due |=
             matches!(command, Command::SetPrimary { .. } | Command::PrimaryReturned { .. });
--- a/src/controller/event_loop.rs
+++ b/src/controller/event_loop.rs
@@ -6,7 +6,6 @@
 use crate::config::settings::SettingsWatcher;
 use crate::controller::core::Controller;
 use crate::controller::effects::Input;
-use crate::controller::peer_connections::PeerConnection;
 use crate::controller::transport::{Event, SocketTransport};
 use log::info;
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
@@ -46,7 +45,7 @@
             if now.since(last_housekeeping) > HOUSEKEEPING_INTERVAL_MS {
                 last_housekeeping = now;
                 let poolers = &self.poolers;
-                self.effects.drop_useless(|conn| poolers.contains_key(&conn), now);
+                self.effects.close_stalled(|conn| poolers.contains_key(&conn), now);
                 if let Some(settings) = watched.poll(signals.take_hup()) {
                     self.settings = settings;
                 }
@@ -69,7 +68,8 @@
     /// False if no event can arrive any more.
     fn handle_next_events(&mut self, events: &Receiver<Event>) -> bool {
         let wait = self.millis_until_step(Tick::now());
-        let wait = if self.effects.pumping() { wait.min(FLUSH_INTERVAL_MS) } else { wait };
+        let wait =
+            if self.effects.has_pending_writes() { wait.min(FLUSH_INTERVAL_MS) } else { wait };
         match events.recv_timeout(Duration::from_millis(wait)) {
             Ok(event) => {
                 self.handle_event(event, Tick::now());
@@ -86,23 +86,12 @@
 
     fn handle_event(&mut self, event: Event, now: Tick) {
         match event {
-            Event::Opened(conn, stream) => {
-                self.effects.conns.insert(conn, PeerConnection::new(stream, now));
-            }
-            Event::Linked(member, connection) => {
-                if let Some(link) = self.effects.links.get_mut(&member) {
-                    link.dialing = false;
-                    link.line = connection;
-                }
-            }
+            Event::Opened(conn, stream) => self.effects.add_connection(conn, stream, now),
+            Event::Linked(member, connection) => self.effects.finish_dial(member, connection),
             Event::Input(input) => {
                 match &input {
-                    Input::Frame(conn, _) => {
-                        if let Some(connection) = self.effects.conns.get_mut(conn) {
-                            connection.heard = Some(now);
-                        }
-                    }
-                    Input::Closed(conn) => drop(self.effects.conns.remove(conn)),
+                    Input::Frame(conn, _) => self.effects.frame_received(*conn, now),
+                    Input::Closed(conn) => self.effects.remove_connection(*conn),
                     _ => {}
                 }
                 self.handle_input(input, now);
--- a/src/controller/failover_driver.rs
+++ b/src/controller/failover_driver.rs
@@ -143,7 +143,7 @@
             info!(target: "failover", "{service}: now {}", failover.state.status_text());
         }
         if status_before != Some(lease_status) {
-            leader_state.pending_updates.stir(service);
+            leader_state.pending_updates.mark_changed(service);
             // A sealed position holds only for the moment it is sent in, so it is in each answer.
             match lease_status {
                 LeaseStatus { revoking: true, sealed: Some(_) } => {
--- a/src/controller/leader_state.rs
+++ b/src/controller/leader_state.rs
@@ -71,7 +71,7 @@
         let expired = self.leases.knows_all_quotas(now);
         if self.leases.expire_lost(now) || expired != self.earlier_shares_expired {
             self.earlier_shares_expired = expired;
-            self.pending_updates.stir_all();
+            self.pending_updates.mark_all_changed();
         }
     }
 }
@@ -106,7 +106,7 @@
         self.leader_state = None;
         self.database_requests.clear_queue();
         self.directory_updates.clear();
-        for reply in self.proposed.give_up() {
+        for reply in self.proposed.drain() {
             // Whether the command will be committed is unknown here; a retry of the caller shows.
             drop(reply.try_send(Response::refusal(503, "no longer the leader")));
         }
--- a/src/controller/lease_renewals.rs
+++ b/src/controller/lease_renewals.rs
@@ -46,7 +46,7 @@
                 leader_state.subset_assignments.report_load(node, zone, service, load);
             }
             for service in leader_state.leases.report_quotas(node, quotas, now) {
-                leader_state.pending_updates.stir(&service);
+                leader_state.pending_updates.mark_changed(&service);
             }
             for (service, more) in demand {
                 if self.services.contains_key(&service) {
@@ -94,7 +94,7 @@
         unsent.extend(leader_state.leases.services_with_requests(node).cloned());
         let sent = subscriber.updates_sent;
         let due: BTreeSet<&ServiceName> =
-            match sent.and_then(|n| leader_state.pending_updates.since(n)) {
+            match sent.and_then(|n| leader_state.pending_updates.changed_since(n)) {
                 None => self.services.keys().collect(),
                 Some(changed) => changed.chain(&unsent).chain(&leader_state.sealed).collect(),
             };
@@ -109,7 +109,7 @@
             grants.extend(leader_state.leases.grant(node, grant));
         }
         leader_state.leases.renew(node, now);
-        subscriber.updates_sent = Some(leader_state.pending_updates.newest());
+        subscriber.updates_sent = Some(leader_state.pending_updates.latest());
         if subscriber.answers.len() == MAX_REMEMBERED_ANSWERS {
             subscriber.answers.pop_front();
         }
--- a/src/controller/linearizable_reads.rs
+++ b/src/controller/linearizable_reads.rs
@@ -1,4 +1,8 @@
-//! Calls that wait until this controller is known to lead, or for their log entry to be committed.
+//! Admin calls that wait for Raft: until this controller is confirmed as the leader, or until their
+//! log entry is committed.
+//!
+//! The controller's admin handler owns both collections and polls them after each step. `R` is how
+//! a caller is answered; the collections only keep it. Both are pure: time is handed in.
 use crate::base::ids::{LogIndex, Term};
 use crate::base::time::Tick;
 use crate::controller::admin_api::{AdminCall, CallDecision};
@@ -9,91 +13,125 @@
 use crate::state_machine::StateMachine;
 use std::collections::BTreeMap;
 
-/// Calls that are answered from what is applied, once this controller is known to have led after
-/// they came.
+/// Milliseconds after which a call that can't be answered for certain is refused. Callers turn to
+/// another controller after a second.
+const READ_LIMIT_MS: u64 = 800;
+
+/// A caller and what is decided about its call.
+#[derive(Clone, Debug, PartialEq)]
+pub struct DecidedCall<R> {
+    /// Who made the call.
+    pub caller: R,
+    /// What becomes of it.
+    pub decision: CallDecision,
+}
+
+impl<R> DecidedCall<R> {
+    /// A call that is refused as its answer can't be known.
+    fn unavailable(caller: R, reason: &str) -> Self {
+        Self { caller, decision: CallDecision::Answer(Response::refusal(503, reason)) }
+    }
+}
+
+struct PendingRead<R> {
+    read: ReadIndex,
+    call: AdminCall,
+    caller: R,
+}
+
+/// Calls that are answered from the applied state, once this controller is confirmed to have led
+/// after they came (Raft paper, section 8; the ReadIndex of Ongaro's dissertation, section 6.4).
 pub struct LinearizableReads<R> {
-    waiting: Vec<(ReadIndex, AdminCall, R)>,
+    pending: Vec<PendingRead<R>>,
 }
 
 impl<R> Default for LinearizableReads<R> {
     fn default() -> Self {
-        Self { waiting: Vec::new() }
+        Self { pending: Vec::new() }
     }
 }
 
 impl<R> LinearizableReads<R> {
-    /// Takes in a call. What goes into the log anyway waits for nothing: it is judged once more
-    /// where it is applied.
-    pub fn ask(
+    /// Takes in a call; gives it back where it need not wait.
+    ///
+    /// A command that the applied state accepts goes into the log at once: it is decided again
+    /// where it is applied. Whatever else is answered from state has to wait for confirmation.
+    pub fn submit(
         &mut self,
         raft: &mut RaftNode,
         state_machine: &StateMachine,
         call: AdminCall,
-        from: R,
+        caller: R,
         now: Tick,
-    ) -> Option<(R, CallDecision)> {
-        if let CallDecision::Propose(change) = call.clone().judge(state_machine) {
-            return Some((from, CallDecision::Propose(change)));
-        }
-        match raft.read_index(now) {
-            Some(read) => self.waiting.push((read, call, from)),
-            None => return Some((from, CallDecision::Answer(Response::refusal(503, "no quorum")))),
+    ) -> Option<DecidedCall<R>> {
+        let decision = call.clone().decide(state_machine);
+        if matches!(decision, CallDecision::Propose(_)) {
+            return Some(DecidedCall { caller, decision });
         }
+        let Some(read) = raft.read_index(now) else {
+            return Some(DecidedCall::unavailable(caller, "no quorum"));
+        };
+        self.pending.push(PendingRead { read, call, caller });
         None
     }
-    /// The calls that wait no longer, judged by what is applied now.
-    pub fn settled(
+    /// Removes the calls that wait no longer, each decided by what is applied now: as confirmed, as
+    /// refused since this controller leads no more, or as timed out.
+    pub fn take_decided(
         &mut self,
         raft: &RaftNode,
         state_machine: &StateMachine,
         applied: LogIndex,
         now: Tick,
-    ) -> Vec<(R, CallDecision)> {
-        let mut settled = Vec::new();
-        let unclear = |why| CallDecision::Answer(Response::refusal(503, why));
-        for (read, call, from) in std::mem::take(&mut self.waiting) {
+    ) -> Vec<DecidedCall<R>> {
+        let mut decided = Vec::new();
+        for PendingRead { read, call, caller } in std::mem::take(&mut self.pending) {
             match raft.read_confirmation(&read) {
                 ReadConfirmation::LeadershipLost => {
-                    settled.push((from, unclear("no longer the leader")))
+                    decided.push(DecidedCall::unavailable(caller, "no longer the leader"));
                 }
-                _ if now.since(read.requested_at) > READ_MS => {
-                    settled.push((from, unclear("no quorum")))
+                _ if now.since(read.requested_at) > READ_LIMIT_MS => {
+                    decided.push(DecidedCall::unavailable(caller, "no quorum"));
                 }
                 ReadConfirmation::Confirmed if applied >= read.index => {
-                    settled.push((from, call.judge(state_machine)))
+                    decided.push(DecidedCall { caller, decision: call.decide(state_machine) });
                 }
-                _ => self.waiting.push((read, call, from)),
+                _ => self.pending.push(PendingRead { read, call, caller }),
             }
         }
-        settled
+        decided
     }
 }
 
-/// Callers whose change is on its way into the log, by its place there.
+struct PendingProposal<R> {
+    term: Term,
+    caller: R,
+}
+
+/// Callers whose command has been proposed, by its index in the log.
 pub struct PendingProposals<R> {
-    waiting: BTreeMap<LogIndex, (Term, R)>,
+    pending: BTreeMap<LogIndex, PendingProposal<R>>,
 }
 
 impl<R> Default for PendingProposals<R> {
     fn default() -> Self {
-        Self { waiting: BTreeMap::new() }
+        Self { pending: BTreeMap::new() }
     }
 }
 
 impl<R> PendingProposals<R> {
-    pub fn add(&mut self, raft_term: Term, index: LogIndex, from: R) {
-        self.waiting.insert(index, (raft_term, from));
+    /// Remembers the caller of the command that was proposed at this index in this term.
+    pub fn insert(&mut self, term: Term, index: LogIndex, caller: R) {
+        self.pending.insert(index, PendingProposal { term, caller });
     }
-    /// Whose change this is. Another leader's entry may have come to stand in its place.
-    pub fn take(&mut self, entry: &LogEntry) -> Option<R> {
-        let (raft_term, from) = self.waiting.remove(&entry.index)?;
-        (raft_term == entry.term).then_some(from)
+    /// Removes the caller whose command this committed entry is; none if nobody here waits for it,
+    /// or another leader's entry has taken the index.
+    pub fn complete(&mut self, entry: &LogEntry) -> Option<R> {
+        let proposal = self.pending.remove(&entry.index)?;
+        (proposal.term == entry.term).then_some(proposal.caller)
     }
-    /// All that wait, as this controller no longer leads.
-    pub fn give_up(&mut self) -> impl Iterator<Item = R> + use<R> {
-        std::mem::take(&mut self.waiting).into_values().map(|(_, from)| from)
+    /// Removes all callers, as this controller no longer leads: what became of their commands is
+    /// not known here.
+    pub fn drain(&mut self) -> impl Iterator<Item = R> + use<R> {
+        std::mem::take(&mut self.pending).into_values().map(|proposal| proposal.caller)
     }
 }
-
-/// A call that can't be answered for certain is given up after this; callers go on after a second.
-const READ_MS: u64 = 800;
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -4,7 +4,7 @@
 use crate::base::time::Tick;
 use crate::controller::core::{Controller, validate_raft_message};
 use crate::controller::effects::Effects;
-use crate::controller::process::{as_member, fresh_id};
+use crate::controller::process::{new_member, new_member_id};
 use crate::net::rpc::Frame;
 use crate::net::rpc::raft_messages::{EntryPayload, JoinResponse, Member, Snapshot};
 use crate::raft::node::RaftNode;
@@ -95,7 +95,7 @@
         let Some(admin) = self.settings.listeners.admin else {
             return;
         };
-        let member = as_member(&self.settings, admin, self.raft.state.member_id);
+        let member = new_member(&self.settings, admin, self.raft.state.member_id);
         let mut addresses: BTreeSet<SocketAddr> = self.settings.seed_peers().into_iter().collect();
         addresses.extend(self.raft.members().iter().map(|m| m.peer));
         if let Some(leader) = self.join.redirected_to.take().or(self.join.observed_leader) {
@@ -188,14 +188,14 @@
         };
         info!(target: "raft", "founds the cluster");
         let own_id = self.raft.state.member_id;
-        let founder = Member { voter: true, ..as_member(&self.settings, admin, own_id) };
+        let founder = Member { voter: true, ..new_member(&self.settings, admin, own_id) };
         self.reset_with_members(vec![founder], now);
     }
 
     /// Begins with an empty log and state under a fresh id, which all `members` get; the old id is
     /// never used again.
     fn reset_with_members(&mut self, mut members: Vec<Member>, now: Tick) {
-        let member_id = fresh_id(self.random);
+        let member_id = new_member_id(self.random);
         members.iter_mut().for_each(|m| m.id = member_id);
         let snapshot = Snapshot { members, ..Snapshot::default() };
         let state = PersistentState {
--- a/src/controller/outgoing_calls.rs
+++ b/src/controller/outgoing_calls.rs
@@ -1,120 +1,151 @@
-//! Calls to databases, to the platform, and to controllers for joining.
+//! Blocking calls that a controller makes: to databases, to the platform, and to other controllers
+//! for joining.
+//!
+//! [`SocketTransport`](crate::controller::transport::SocketTransport) runs each on a thread of the
+//! worker pool and hands the result to the controller's event queue. Every call has a time limit.
+use crate::base::errors::ErrorKind;
 use crate::base::ids::{InstanceId, ServiceName};
 use crate::failover::{DatabaseRequest, DatabaseResponse, PromotionResponse};
 use crate::net::http::{self, Response};
 use crate::net::rpc::raft_messages::{JoinResponse, Member};
 use crate::net::rpc::{Frame, receive, send};
 use crate::net::sockets::{PEER_CONNECT_TIMEOUT, connect_stream};
-use crate::net::statement_protocol;
+use crate::net::statement_protocol::{self, MalformedReply, ReadBuffer, Reply};
 use log::warn;
-use std::io::Write;
+use std::io::{self, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Asks a controller to be taken in, or whether one still belongs.
-pub(super) fn ask_standing(
-    at: SocketAddr,
+/// How a controller names its role in the greeting to a database. It is part of the wire format:
+/// databases know controllers by this word.
+const GREETING_ROLE: &str = "steward";
+
+/// Time for connecting to a database. A lost machine must not use up the time of the failover.
+const DATABASE_CONNECT_LIMIT: Duration = Duration::from_millis(300);
+
+/// Time that a database may take for each read of an answer.
+const DATABASE_READ_LIMIT: Duration = Duration::from_secs(1);
+
+/// Time for a platform's whole answer to a promotion.
+const PLATFORM_LIMIT: Duration = Duration::from_secs(1);
+
+/// Time for another controller's answer to a request to join.
+const JOIN_LIMIT: Duration = Duration::from_secs(1);
+
+/// TCP gives a connection up after unacknowledged bytes of so long.
+const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_secs(1);
+
+/// Asks the controller at `address` to take `member` into the Raft group; one that `was_member` asks
+/// whether it still belongs.
+pub(super) fn request_join(
+    address: SocketAddr,
     member: Member,
-    was: bool,
-) -> std::io::Result<JoinResponse> {
-    let mut stream = connect_stream(at, PEER_CONNECT_TIMEOUT, Duration::from_secs(1))?;
-    stream.set_read_timeout(Some(Duration::from_secs(1)))?;
-    send(&mut stream, &Frame::Join { member, was_member: was })?;
+    was_member: bool,
+) -> io::Result<JoinResponse> {
+    let mut stream = connect_stream(address, PEER_CONNECT_TIMEOUT, UNACKNOWLEDGED_LIMIT)?;
+    stream.set_read_timeout(Some(JOIN_LIMIT))?;
+    send(&mut stream, &Frame::Join { member, was_member })?;
     match receive(&mut stream)? {
         Frame::Joined(answer) => Ok(answer),
-        _ => Err(std::io::ErrorKind::InvalidData.into()),
+        _ => Err(io::ErrorKind::InvalidData.into()),
     }
 }
 
-/// Asks a database one thing on a connection of its own.
+/// Sends a database one request on a connection of its own.
 ///
-/// `reached` is called once the connection is there.
+/// `connected` is called once the connection is there, ahead of the answer.
 pub(super) fn ask_database(
     service: &ServiceName,
     id: &InstanceId,
     address: SocketAddr,
-    ask: DatabaseRequest,
-    reached: impl FnOnce(),
+    request: DatabaseRequest,
+    connected: impl FnOnce(),
 ) -> DatabaseResponse {
-    let text = match ask {
+    query_database(service, id, address, request, connected).unwrap_or_else(|e| match e.kind() {
+        io::ErrorKind::TimedOut | io::ErrorKind::WouldBlock => DatabaseResponse::TimedOut,
+        _ => DatabaseResponse::Unavailable,
+    })
+}
+
+fn query_database(
+    service: &ServiceName,
+    id: &InstanceId,
+    address: SocketAddr,
+    request: DatabaseRequest,
+    connected: impl FnOnce(),
+) -> io::Result<DatabaseResponse> {
+    let mut stream = connect_stream(address, DATABASE_CONNECT_LIMIT, UNACKNOWLEDGED_LIMIT)?;
+    connected();
+    stream.set_read_timeout(Some(DATABASE_READ_LIMIT))?;
+    stream.write_all(format!("CONNECT {service} {GREETING_ROLE} {id}\r\n").as_bytes())?;
+    let mut buffer = ReadBuffer::default();
+    match read_greeting(&mut stream, &mut buffer)? {
+        Greeting::Ready => {}
+        // Another database has taken over the address.
+        Greeting::Refused(ErrorKind::WrongNode) => return Ok(DatabaseResponse::Unavailable),
+        Greeting::Refused(_) => return Ok(DatabaseResponse::NoDescription),
+    }
+    stream.write_all(format!("QUERY - {}\r\n", statement(request)).as_bytes())?;
+    loop {
+        if let Some(reply) = next_reply(&buffer)? {
+            let description = reply.described(buffer.pending());
+            return Ok(
+                description.map_or(DatabaseResponse::NoDescription, DatabaseResponse::Description)
+            );
+        }
+        read_more(&mut stream, &mut buffer)?;
+    }
+}
+
+/// The statement that carries a request.
+fn statement(request: DatabaseRequest) -> String {
+    match request {
         DatabaseRequest::Describe => "DESCRIBE".to_owned(),
         DatabaseRequest::Pause(term) => format!("PAUSE {term}"),
         DatabaseRequest::Continue => "CONTINUE".to_owned(),
         DatabaseRequest::StepDown(term) => format!("STEPDOWN {term}"),
-    };
-    let exchange = move || -> std::io::Result<DatabaseResponse> {
-        let limit = Duration::from_millis(300);
-        let mut stream = connect_stream(address, limit, Duration::from_secs(1))?;
-        reached();
-        stream.set_read_timeout(Some(Duration::from_millis(1_000)))?;
-        stream.write_all(format!("CONNECT {service} steward {id}\r\n").as_bytes())?;
-        let mut inbox = statement_protocol::ReadBuffer::default();
-        if let Some(refused) = read_answer(&mut stream, &mut inbox)? {
-            use crate::base::errors::ErrorKind;
-            return Ok(match refused {
-                ErrorKind::WrongNode => DatabaseResponse::Unavailable,
-                _ => DatabaseResponse::NoDescription,
-            });
-        }
-        stream.write_all(format!("QUERY - {text}\r\n").as_bytes())?;
-        loop {
-            match statement_protocol::reply(inbox.pending()) {
-                Ok(Some(reply)) => {
-                    let row = reply.described(inbox.pending());
-                    return Ok(
-                        row.map_or(DatabaseResponse::NoDescription, DatabaseResponse::Description)
-                    );
-                }
-                Ok(None) => {
-                    if inbox.fill(&mut stream)? == 0 {
-                        return Ok(DatabaseResponse::Unavailable);
-                    }
-                }
-                Err(statement_protocol::MalformedReply) => {
-                    return Ok(DatabaseResponse::Unavailable);
-                }
-            }
-        }
-    };
-    match exchange() {
-        Ok(told) => told,
-        Err(e) => match e.kind() {
-            std::io::ErrorKind::TimedOut | std::io::ErrorKind::WouldBlock => {
-                DatabaseResponse::TimedOut
-            }
-            _ => DatabaseResponse::Unavailable,
-        },
     }
 }
 
-/// Waits for the answer to CONNECT; a refusal is given back.
-fn read_answer(
-    stream: &mut TcpStream,
-    inbox: &mut statement_protocol::ReadBuffer,
-) -> std::io::Result<Option<crate::base::errors::ErrorKind>> {
+/// A database's answer to `CONNECT`.
+enum Greeting {
+    Ready,
+    Refused(ErrorKind),
+}
+
+fn read_greeting(stream: &mut TcpStream, buffer: &mut ReadBuffer) -> io::Result<Greeting> {
     loop {
-        if let Some(kind) = statement_protocol::refused_connect(inbox.pending()) {
-            return Ok(Some(kind));
+        if let Some(kind) = statement_protocol::refused_connect(buffer.pending()) {
+            return Ok(Greeting::Refused(kind));
         }
-        match statement_protocol::reply(inbox.pending()) {
-            Ok(Some(reply)) => {
-                inbox.consume(reply.end);
-                return Ok(None);
-            }
-            Ok(None) => {
-                if inbox.fill(stream)? == 0 {
-                    return Err(std::io::ErrorKind::UnexpectedEof.into());
-                }
-            }
-            Err(statement_protocol::MalformedReply) => {
-                return Err(std::io::ErrorKind::InvalidData.into());
-            }
+        if let Some(reply) = next_reply(buffer)? {
+            buffer.consume(reply.end);
+            return Ok(Greeting::Ready);
         }
+        read_more(stream, buffer)?;
     }
 }
 
-pub(super) fn post_failover(
-    provider: SocketAddr,
+/// The reply at the start of the buffer, if it is complete.
+fn next_reply(buffer: &ReadBuffer) -> io::Result<Option<Reply>> {
+    statement_protocol::reply(buffer.pending())
+        .map_err(|MalformedReply| io::ErrorKind::InvalidData.into())
+}
+
+/// Reads once; the end of the stream within a reply is an error.
+fn read_more(stream: &mut TcpStream, buffer: &mut ReadBuffer) -> io::Result<()> {
+    match buffer.fill(stream)? {
+        0 => Err(io::ErrorKind::UnexpectedEof.into()),
+        _ => Ok(()),
+    }
+}
+
+/// Has the platform promote the instance `target` of `service`.
+///
+/// `holder` names the leader that asks, `fence` is its fencing token: the platform refuses a lower
+/// one than it has seen.
+pub(super) fn request_promotion(
+    platform: SocketAddr,
     holder: &str,
     fence: u64,
     service: &ServiceName,
@@ -122,20 +153,13 @@
 ) -> PromotionResponse {
     let body = serde_json::json!({ "target_service": service, "instance_id": target }).to_string();
     let headers = [("Duty-Holder", holder.to_owned()), ("Fence-Token", fence.to_string())];
-    let answer = http::call(
-        provider,
-        "POST",
-        "/failovers",
-        &headers,
-        body.as_bytes(),
-        Duration::from_secs(1),
-    );
-    match answer {
+    match http::call(platform, "POST", "/failovers", &headers, body.as_bytes(), PLATFORM_LIMIT) {
         Ok(Response { status: 200..=299, .. }) => PromotionResponse::Accepted,
         Ok(Response { status: 409, .. }) => PromotionResponse::NotRunning,
         Ok(Response { status: 429, .. }) => PromotionResponse::NotAttempted,
         Ok(Response { status, body, .. }) => {
-            warn!(target: "failover", "platform answered {status}: {}", String::from_utf8_lossy(&body));
+            let body = String::from_utf8_lossy(&body);
+            warn!(target: "failover", "platform answered {status}: {body}");
             PromotionResponse::Unknown
         }
         Err(e) => {
--- a/src/controller/pending_updates.rs
+++ b/src/controller/pending_updates.rs
@@ -1,34 +1,43 @@
-//! Which services there is something new to tell of.
+//! Which services have changed since a pooler was last answered.
+//!
+//! The leader keeps one log of changes for all poolers; each pooler's subscription remembers the
+//! number up to which it was answered. A pure value: it knows no clock and no connection.
 use crate::base::ids::ServiceName;
 use std::collections::BTreeMap;
 
-/// Which services there is something new to tell of, and since when.
+/// The services that changed, each once, in the order of their latest changes.
 #[derive(Clone, Debug, Default)]
 pub struct PendingUpdates {
-    newest: u64,
-    /// Up to here everybody must look at all services.
-    all: u64,
-    order: BTreeMap<u64, ServiceName>,
-    places: BTreeMap<ServiceName, u64>,
+    /// The number of the latest change; numbers rise by one with each.
+    latest: u64,
+    /// The latest change that may have concerned every service.
+    latest_of_all: u64,
+    services_by_change: BTreeMap<u64, ServiceName>,
+    changes_by_service: BTreeMap<ServiceName, u64>,
 }
 
 impl PendingUpdates {
-    pub fn stir(&mut self, service: &ServiceName) {
-        self.newest += 1;
-        if let Some(old) = self.places.insert(service.clone(), self.newest) {
-            self.order.remove(&old);
+    /// Records a change of one service.
+    pub fn mark_changed(&mut self, service: &ServiceName) {
+        self.latest += 1;
+        if let Some(previous) = self.changes_by_service.insert(service.clone(), self.latest) {
+            self.services_by_change.remove(&previous);
         }
-        self.order.insert(self.newest, service.clone());
+        self.services_by_change.insert(self.latest, service.clone());
     }
-    pub fn stir_all(&mut self) {
-        self.newest += 1;
-        self.all = self.newest;
+    /// Records a change that may concern every service.
+    pub fn mark_all_changed(&mut self) {
+        self.latest += 1;
+        self.latest_of_all = self.latest;
     }
-    pub fn newest(&self) -> u64 {
-        self.newest
+    /// The number of the latest change; one that is answered now has seen all up to it.
+    pub fn latest(&self) -> u64 {
+        self.latest
     }
-    /// The services stirred after `told`; none if all of them may have been.
-    pub fn since(&self, told: u64) -> Option<impl Iterator<Item = &ServiceName>> {
-        (told >= self.all).then(|| self.order.range(told + 1..).map(|(_, name)| name))
+    /// The services that changed after the change number `acknowledged`, the latest change last;
+    /// none if any service may have.
+    pub fn changed_since(&self, acknowledged: u64) -> Option<impl Iterator<Item = &ServiceName>> {
+        (acknowledged >= self.latest_of_all)
+            .then(|| self.services_by_change.range(acknowledged + 1..).map(|(_, name)| name))
     }
 }
--- a/src/controller/pooler_subscriptions.rs
+++ b/src/controller/pooler_subscriptions.rs
@@ -281,7 +281,7 @@
         info!(target: "poolers", "{node} connected");
         if let Some(leader_state) = &mut self.leader_state {
             leader_state.leases.register(&node, incarnation, conn, now);
-            leader_state.pending_updates.stir_all();
+            leader_state.pending_updates.mark_all_changed();
         }
         let subscriber = Subscriber {
             node,
@@ -306,7 +306,7 @@
             && let Some(leader_state) = &mut self.leader_state
             && leader_state.leases.disconnect(conn, now).is_some()
         {
-            leader_state.pending_updates.stir_all();
+            leader_state.pending_updates.mark_all_changed();
             info!(target: "poolers", "{node} disconnected");
         }
     }
--- a/tests/configuration_changes.rs
+++ b/tests/configuration_changes.rs
@@ -3,7 +3,9 @@
 use silvertack::base::ids::{LogIndex, MemberId, NodeName, Revision, Term};
 use silvertack::base::time::Tick;
 use silvertack::controller::admin_api::{AdminCall, CallDecision};
-use silvertack::controller::linearizable_reads::{LinearizableReads, PendingProposals};
+use silvertack::controller::linearizable_reads::{
+    DecidedCall, LinearizableReads, PendingProposals,
+};
 use silvertack::net::rpc::raft_messages::{
     EntryPayload, LogPosition, Member, RaftMessage, RaftMessageKind, Snapshot,
 };
@@ -79,19 +81,15 @@
         let (reads, proposed) = (LinearizableReads::default(), PendingProposals::default());
         Self { raft, state_machine, applied, reads, proposed }
     }
-    fn carry(
-        &mut self,
-        from: u32,
-        verdict: CallDecision,
-        now: Tick,
-    ) -> Option<(u32, u16, Vec<u8>)> {
-        match verdict {
+    fn answer(&mut self, decided: DecidedCall<u32>, now: Tick) -> Option<(u32, u16, Vec<u8>)> {
+        let from = decided.caller;
+        match decided.decision {
             CallDecision::Answer(response) => Some((from, response.status, response.body)),
             CallDecision::Propose(change) => {
                 let index =
                     self.raft.propose(EntryPayload::Command(ByteBuf::from(pack(&change))), now);
                 let Some(index) = index else { return Some((from, 503, Vec::new())) };
-                self.proposed.add(self.raft.state.term, index, from);
+                self.proposed.insert(self.raft.state.term, index, from);
                 None
             }
         }
@@ -106,7 +104,7 @@
         }
         for entry in self.raft.committed_entries_after(self.applied) {
             self.applied = entry.index;
-            let caller = self.proposed.take(&entry);
+            let caller = self.proposed.complete(&entry);
             if let EntryPayload::Command(bytes) = &entry.payload {
                 let effect = self.state_machine.apply(&unpack(bytes).expect("change"));
                 let status = match effect {
@@ -121,11 +119,11 @@
         let state_machine = &self.state_machine;
         self.raft.compact_log(self.applied, || pack(state_machine));
         if !self.raft.is_leader() {
-            answers.extend(self.proposed.give_up().map(|from| (from, 503, Vec::new())));
+            answers.extend(self.proposed.drain().map(|from| (from, 503, Vec::new())));
         }
-        let settled = self.reads.settled(&self.raft, &self.state_machine, self.applied, now);
-        for (from, verdict) in settled {
-            answers.extend(self.carry(from, verdict, now));
+        let settled = self.reads.take_decided(&self.raft, &self.state_machine, self.applied, now);
+        for decided in settled {
+            answers.extend(self.answer(decided, now));
         }
         answers
     }
@@ -225,8 +223,8 @@
             false => Some((from, 503, Vec::new())),
             true => node
                 .reads
-                .ask(&mut node.raft, &node.state_machine, call, from, at)
-                .and_then(|(from, verdict)| node.carry(from, verdict, at)),
+                .submit(&mut node.raft, &node.state_machine, call, from, at)
+                .and_then(|decided| node.answer(decided, at)),
         };
         if let Some((from, status, body)) = answer {
             self.answers.insert(from, (status, body));
@@ -552,7 +550,7 @@
         let (base, revision) = (if n == 0 { 0 } else { 3 * n }, 3 * n + 3);
         assert_eq!(state_machine.apply(&order(base, revision, 'a')), CommandOutcome::Applied);
         if n == many - 1 {
-            assert_eq!(status(put(0, 3, 'a').judge(&state_machine)), Some(200));
+            assert_eq!(status(put(0, 3, 'a').decide(&state_machine)), Some(200));
         }
     }
     let newest = 3 * many + 3;
@@ -568,8 +566,8 @@
     ];
     let restored = StateMachine::from_snapshot(&pack(&state_machine)).expect("as it was packed");
     for (what, call, expected) in cases {
-        assert_eq!(status(call.clone().judge(&state_machine)), expected, "{what}");
-        assert_eq!(status(call.judge(&restored)), expected, "{what}, restored");
+        assert_eq!(status(call.clone().decide(&state_machine)), expected, "{what}");
+        assert_eq!(status(call.decide(&restored)), expected, "{what}, restored");
     }
 }
 
@@ -616,14 +614,14 @@
     let before = StateMachine::default();
     let mut reads = LinearizableReads::<u32>::default();
     assert_eq!(
-        reads.ask(&mut node.raft, &node.state_machine, AdminCall::ReadConfiguration, 7, now),
+        reads.submit(&mut node.raft, &node.state_machine, AdminCall::ReadConfiguration, 7, now),
         None
     );
     let behind = LogIndex(node.applied.0 - 1);
-    let early = reads.settled(&node.raft, &before, behind, now);
+    let early = reads.take_decided(&node.raft, &before, behind, now);
     assert_eq!(early, [], "the last entry is not applied yet");
-    let settled = reads.settled(&node.raft, &node.state_machine, node.applied, now);
-    let statuses = settled.into_iter().map(|(from, verdict)| (from, status(verdict)));
+    let settled = reads.take_decided(&node.raft, &node.state_machine, node.applied, now);
+    let statuses = settled.into_iter().map(|call| (call.caller, status(call.decision)));
     assert_eq!(statuses.collect::<Vec<_>>(), [(7, Some(200))]);
 }
 
@@ -635,12 +633,16 @@
     let node = site.nodes.get_mut(&leader).expect("leader");
     let mut reads = LinearizableReads::<u32>::default();
     let asked =
-        reads.ask(&mut node.raft, &node.state_machine, AdminCall::ReadConfiguration, 7, now);
+        reads.submit(&mut node.raft, &node.state_machine, AdminCall::ReadConfiguration, 7, now);
     assert_eq!(asked, None);
-    assert_eq!(reads.settled(&node.raft, &node.state_machine, node.applied, now), [], "still open");
+    assert_eq!(
+        reads.take_decided(&node.raft, &node.state_machine, node.applied, now),
+        [],
+        "still open"
+    );
     site.restart(&[leader]);
     let node = &site.nodes[&leader];
-    let settled = reads.settled(&node.raft, &node.state_machine, node.applied, now);
-    let statuses = settled.into_iter().map(|(from, verdict)| (from, status(verdict)));
+    let settled = reads.take_decided(&node.raft, &node.state_machine, node.applied, now);
+    let statuses = settled.into_iter().map(|call| (call.caller, status(call.decision)));
     assert_eq!(statuses.collect::<Vec<_>>(), [(7, Some(503))]);
 }
--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -1109,19 +1109,20 @@
 fn tidings_name_what_was_stirred_since_and_everything_when_all_was() {
     let mut pending_updates = PendingUpdates::default();
     let (a, b) = (ServiceName::from("a"), ServiceName::from("b"));
-    let since =
-        |t: &PendingUpdates, told| t.since(told).map(|names| names.cloned().collect::<Vec<_>>());
+    let since = |t: &PendingUpdates, told| {
+        t.changed_since(told).map(|names| names.cloned().collect::<Vec<_>>())
+    };
     assert_eq!(since(&pending_updates, 0), Some(vec![]));
-    pending_updates.stir(&a);
-    let first = pending_updates.newest();
-    pending_updates.stir(&b);
-    pending_updates.stir(&a);
+    pending_updates.mark_changed(&a);
+    let first = pending_updates.latest();
+    pending_updates.mark_changed(&b);
+    pending_updates.mark_changed(&a);
     assert_eq!(since(&pending_updates, first), Some(vec![b.clone(), a.clone()]), "each once");
-    assert_eq!(since(&pending_updates, pending_updates.newest()), Some(vec![]));
-    pending_updates.stir_all();
+    assert_eq!(since(&pending_updates, pending_updates.latest()), Some(vec![]));
+    pending_updates.mark_all_changed();
     assert_eq!(since(&pending_updates, first), None);
-    let all = pending_updates.newest();
-    pending_updates.stir(&b);
+    let all = pending_updates.latest();
+    pending_updates.mark_changed(&b);
     assert_eq!(since(&pending_updates, all), Some(vec![b]));
 }
 
--- a/tests/raft.rs
+++ b/tests/raft.rs
@@ -641,20 +641,20 @@
     let mut out = SendQueue::default();
     out.push(vec![1; 4].into());
     out.push(vec![2; 2].into());
-    out.took(1);
+    out.advance(1);
     // The first has begun to leave and must be finished.
     out.push_first(vec![9; 2].into());
     let mut left = Vec::new();
-    assert_eq!(out.waiting(), 7);
-    while let Some(bytes) = out.next() {
+    assert_eq!(out.pending_bytes(), 7);
+    while let Some(bytes) = out.next_bytes() {
         left.push(bytes[0]);
-        out.took(1);
+        out.advance(1);
     }
     assert_eq!(left, [1, 1, 1, 9, 9, 2, 2]);
-    assert!(out.is_empty() && out.waiting() == 0);
+    assert!(out.is_empty() && out.pending_bytes() == 0);
     out.push(vec![3].into());
     out.push_first(vec![4].into());
-    assert_eq!(out.next(), Some(&[4][..]));
+    assert_eq!(out.next_bytes(), Some(&[4][..]));
 }
 
 #[test]
--- a/tests/storage.rs
+++ b/tests/storage.rs
@@ -8,7 +8,7 @@
 };
 use silvertack::base::time::Tick;
 use silvertack::config::directory::{Instance, Lifecycle, Role};
-use silvertack::controller::peer_connections::left_out;
+use silvertack::controller::peer_connections::exceeds_backlog;
 use silvertack::net::rpc::raft_messages::{
     EntryPayload, LogEntry, LogPosition, Member, RaftMessage, RaftMessageKind, Snapshot,
 };
@@ -371,7 +371,8 @@
         for (to, message) in raft.outbox.drain(..) {
             let line = self.lines.entry((id, to.0)).or_default();
             let gone = self.down.contains(&to.0);
-            if gone || left_out(&message.kind, line.waiting.saturating_sub(self.road.kernel)) {
+            if gone || exceeds_backlog(&message.kind, line.waiting.saturating_sub(self.road.kernel))
+            {
                 continue;
             }
             let frame = encode(&Frame::Raft { to, message: Box::new(message) });
