--- a/examples/standin.rs
+++ b/examples/standin.rs
@@ -31,7 +31,7 @@
     for (i, address) in databases.addresses.iter().enumerate() {
         println!("{} {address}", databases.id(i));
     }
-    databases.keep_beating(admin, Duration::from_millis(1000));
+    databases.start_heartbeats(admin, Duration::from_millis(1000));
     loop {
         std::thread::park();
     }
--- a/tests/interfaces.rs
+++ b/tests/interfaces.rs
@@ -222,7 +222,7 @@
     let machine = Machine::new("shown-pooler", "", Some(databases.platform));
     let supply = || {
         machine.put("ledger");
-        databases.keep_beating(machine.admin, Duration::from_millis(200));
+        databases.start_heartbeats(machine.admin, Duration::from_millis(200));
     };
     answers(&machine, "pooler", supply, |status| {
         let listed = status["databases"].as_array().map_or(0, Vec::len);
--- a/tests/pooler.rs
+++ b/tests/pooler.rs
@@ -101,7 +101,7 @@
     eventually("a leader", || {
         http(system.admin, "GET", "/configuration", &[], "").is_ok_and(|(status, _)| status == 404)
     });
-    system.databases.keep_beating(system.admin, Duration::from_millis(200));
+    system.databases.start_heartbeats(system.admin, Duration::from_millis(200));
     system
 }
 
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
-use support::Mishap::*;
+use support::InjectedFault::*;
 use support::{StandIn, free_port, http};
 
 struct Process(Child);
@@ -107,9 +107,9 @@
     })
     .to_string();
     let platform = format!("[provider]\naddress = \"{}\"", databases.platform);
-    let beating = Arc::clone(databases);
+    let sender = Arc::clone(databases);
     let site = start("pooler", &platform, &configuration, move |admin| {
-        beating.keep_beating(admin, Duration::from_millis(200));
+        sender.start_heartbeats(admin, Duration::from_millis(200));
     });
     eventually("the first write", || {
         Session::open(&site, "strict")
@@ -172,7 +172,7 @@
 fn no_statement_is_run_twice_that_may_be_committed_and_no_answer_is_anothers() {
     let databases = StandIn::start("ledger", 3).expect("databases");
     let site = start_pooler(&databases);
-    let all = [Silence, Late(60), ResetBefore, ResetAfter, ResetWithin, Doubled];
+    let all = [NoAnswer, Late(60), ResetBeforeRun, ResetAfterRun, ResetInAnswer, Duplicated];
     // What goes before, the statement, and for each fault in turn how it must end.
     let unknown = "UNKNOWN I";
     let cases: [(&[&str], &str, [&str; 6]); 6] = [
@@ -205,7 +205,7 @@
                 .find_map(|_| {
                     let (early, id) = (fresh_id(), fresh_id());
                     let mut session = prepared(&site, "short", &early, before)?;
-                    databases.will(&id, &[fault]);
+                    databases.inject(&id, &[fault]);
                     let (got, row) = session.ask(&id, text);
                     // Not sent at all, as the primary was just suspected.
                     let sent = databases.reached(&id) > 0;
@@ -250,7 +250,7 @@
     for route in ["strict", "loose"] {
         for _ in 0..4 {
             let id = fresh_id();
-            databases.will(&id, &[DoubledLate(20)]);
+            databases.inject(&id, &[DuplicatedLate(20)]);
             let mut first = Session::open(&site, route).expect("session");
             assert_eq!(first.ask(&id, "FETCH a"), own("a"), "{route}");
             std::thread::sleep(Duration::from_millis(60));
@@ -259,7 +259,7 @@
     }
     // The same inside a transaction: the client's next statement gets no earlier one's answer.
     let (early, id) = (fresh_id(), fresh_id());
-    databases.will(&early, &[Fine, DoubledLate(20)]);
+    databases.inject(&early, &[NoFault, DuplicatedLate(20)]);
     let mut session =
         prepared(&site, "strict", &early, &["BEGIN", "FETCH a", "FETCH a"]).expect("open");
     std::thread::sleep(Duration::from_millis(60));
@@ -272,19 +272,19 @@
         ("PREPARE", &["PREPARE p FETCH shape"][..], "own I"),
     ] {
         let text = if word == "PREPARE" { "EXECUTE p b" } else { "FETCH b" };
-        for fault in [Doubled, DoubledLate(30), ResetBefore, ResetWithin, Silence] {
+        for fault in [Duplicated, DuplicatedLate(30), ResetBeforeRun, ResetInAnswer, NoAnswer] {
             let (early, id) = (fresh_id(), fresh_id());
             let mut session = prepared(&site, "strict", &early, before).expect("open");
-            databases.will(word, &[fault]);
+            databases.inject(word, &[fault]);
             let got = session.ask(&id, text);
             assert_eq!(got, (ends.to_owned(), "b".to_owned()), "{word} {fault:?}");
-            databases.will(word, &[]);
+            databases.inject(word, &[]);
         }
     }
     // A connection that was reset while idle: nothing was sent, so a write goes on another.
     for _ in 0..3 {
         let id = fresh_id();
-        databases.will(&id, &[ResetThen]);
+        databases.inject(&id, &[ResetAfterAnswer]);
         let mut first = Session::open(&site, "strict").expect("session");
         assert_eq!(first.ask(&id, "FETCH a"), own("a"));
         std::thread::sleep(Duration::from_millis(120));
@@ -300,7 +300,7 @@
     });
     for session in &mut open {
         let id = fresh_id();
-        databases.will(&id, &[ResetThen]);
+        databases.inject(&id, &[ResetAfterAnswer]);
         assert_eq!(session.ask(&id, "COMMIT").0, "own I");
     }
     std::thread::sleep(Duration::from_millis(150));
@@ -310,7 +310,7 @@
     // A client that is gone before its answer came: it goes to nobody else.
     for _ in 0..3 {
         let id = fresh_id();
-        databases.will(&id, &[Late(100)]);
+        databases.inject(&id, &[Late(100)]);
         let mut gone = Session::open(&site, "strict").expect("session");
         gone.send(&id, "FETCH a");
         drop(gone);
@@ -319,7 +319,7 @@
     }
     // Two statements at once on one connection are answered in their order.
     let (one, two) = (fresh_id(), fresh_id());
-    databases.will(&one, &[Late(30)]);
+    databases.inject(&one, &[Late(30)]);
     let mut both = Session::open(&site, "strict").expect("session");
     both.send(&one, "FETCH a");
     both.send(&two, "FETCH b");
@@ -343,10 +343,10 @@
                     for step in 0..4 {
                         let id = fresh_id();
                         match (place + round + step) % 9 {
-                            0 => databases.will(&id, &[Doubled]),
-                            1 => databases.will(&id, &[ResetWithin]),
-                            2 => databases.will(&id, &[Late(15)]),
-                            3 => databases.will(&id, &[ResetAfter]),
+                            0 => databases.inject(&id, &[Duplicated]),
+                            1 => databases.inject(&id, &[ResetInAnswer]),
+                            2 => databases.inject(&id, &[Late(15)]),
+                            3 => databases.inject(&id, &[ResetAfterRun]),
                             _ => {}
                         }
                         let write = step == 0;
@@ -394,7 +394,7 @@
         let mut session = prepared(&site, "strict", &id, &texts).expect("open");
         assert_eq!(session.ask(&id, "FETCH =tenant"), ("own T".to_owned(), two.clone()));
         let end = fresh_id();
-        databases.will(&end, &[RolledBack]);
+        databases.inject(&end, &[RolledBack]);
         assert_eq!(session.ask(&end, "COMMIT").0, "ROLLEDBACK I");
         // It was acknowledged to the client, so it holds.
         assert_eq!(session.ask(&id, "FETCH =tenant"), ("own I".to_owned(), two));
@@ -415,7 +415,7 @@
         .iter()
         .map(|(before, text, end)| {
             let id = fresh_id();
-            databases.will(&id, &[Late(3_000); 8]);
+            databases.inject(&id, &[Late(3_000); 8]);
             (prepared(&site, "strict", &fresh_id(), before).expect("open"), id, *text, *end)
         })
         .collect();
@@ -487,7 +487,7 @@
         (&[Late(150)], 200, 1, 200, 1),
         (&[ServeThenReset], 200, 1, 200, 1),
         (&[Extra], 200, 1, 200, 1),
-        (&[DoubledLate(20)], 200, 1, 200, 1),
+        (&[DuplicatedLate(20)], 200, 1, 200, 1),
         (&[Reset, Serve], 200, 2, 502, 1),
         (&[TruncateHead, Serve], 200, 2, 502, 1),
         (&[TruncateAfterHead, Serve], 200, 2, 502, 1),
@@ -566,7 +566,7 @@
     for kind in ["many", "once"] {
         for round in 0..6 {
             for id in [Some(fresh_id()), None] {
-                databases.set_behaviours(&[Behaviour::DoubledLate(if round % 2 == 0 {
+                databases.set_behaviours(&[Behaviour::DuplicatedLate(if round % 2 == 0 {
                     0
                 } else {
                     15
--- a/tests/support/gateway.rs
+++ b/tests/support/gateway.rs
@@ -35,7 +35,7 @@
     ServeThenReset,
     /// Answered after so many milliseconds, or twice so many apart.
     Late(u64),
-    DoubledLate(u64),
+    DuplicatedLate(u64),
     /// With an interim response first.
     Continue,
     /// Not run, and said so in a body of this size.
@@ -194,7 +194,7 @@
                     std::thread::sleep(Duration::from_millis(ms));
                     success
                 }
-                Behaviour::DoubledLate(ms) => {
+                Behaviour::DuplicatedLate(ms) => {
                     stream.write_all(success.as_bytes())?;
                     std::thread::sleep(Duration::from_millis(ms));
                     success
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,9 +1,8 @@
 //! A stand-in for the databases of one service and for the platform, in one process.
 //!
-//! All databases share one store, so a replica is never behind. What a test wants to go wrong is
-//! set in `Faults`; everything that reached a database is kept in `ran`.
-// The tests and the example each need a part of it.
-#![allow(dead_code)]
+//! All databases share one store, so that a replica never lags. Tests set the faults they want in
+//! `Faults`, and look up what reached a database in `ran`.
+#![allow(dead_code, reason = "each test file and the example use a part of it")]
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -11,53 +10,55 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
+/// A statement that reached a database.
 pub struct Ran {
     pub database: usize,
     pub id: String,
     pub text: String,
 }
 
-/// What a statement meets at a database, instead of its answer.
+/// A fault that a statement meets at a database.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mishap {
-    /// As it should be; a place in the order.
-    Fine,
-    /// Never answered; the connection stays.
-    Silence,
+pub enum InjectedFault {
+    /// Answered as it should be; stands for a statement in the sequence.
+    NoFault,
+    /// Never answered; the connection stays open.
+    NoAnswer,
     /// Answered after so many milliseconds.
     Late(u64),
-    /// Reset before it ran, after it ran, in the middle of the answer, after the answer.
-    ResetBefore,
-    ResetAfter,
-    ResetWithin,
-    ResetThen,
-    /// Not run, and the transaction is gone with what was laid on inside.
+    /// The connection is reset before it ran, after it ran, within the answer, after the answer.
+    ResetBeforeRun,
+    ResetAfterRun,
+    ResetInAnswer,
+    ResetAfterAnswer,
+    /// Not run, and the transaction is rolled back with the session's state from within.
     RolledBack,
     /// Answered twice: at once, or so many milliseconds apart.
-    Doubled,
-    DoubledLate(u64),
+    Duplicated,
+    DuplicatedLate(u64),
 }
 
-/// Each is spent once when it is set.
+/// The faults that are set; each happens once.
 #[derive(Default)]
 pub struct Faults {
-    /// Break the connection after running the next statement with a client's id.
+    /// Close the connection after running the next statement with a client's id.
     pub break_next: AtomicBool,
-    /// Answer it with something that is no answer.
+    /// Answer the next statement with a client's id by something that is no answer.
     pub garble_next: AtomicBool,
-    /// By the id of a statement, or by the first word of a text where the id is `-`: what the next
-    /// ones meet, in their order.
-    pub mishaps: Mutex<HashMap<String, VecDeque<Mishap>>>,
+    /// What the next statements meet, in their order: by the statement's id, or by the first word
+    /// of its text where the id is `-`.
+    pub by_key: Mutex<HashMap<String, VecDeque<InjectedFault>>>,
 }
 
 #[derive(Default)]
 struct Store {
-    things: HashMap<String, String>,
+    values: HashMap<String, String>,
     term: u64,
     number: u64,
     primary: usize,
 }
 
+/// Databases of one service and a platform that promotes them.
 pub struct StandIn {
     pub service: String,
     pub addresses: Vec<SocketAddr>,
@@ -70,11 +71,11 @@
     stamps: AtomicU64,
 }
 
-fn hold<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-/// Has the connection be reset when it is closed.
+/// Makes the connection be reset when it is closed.
 fn reset(stream: &TcpStream) -> std::io::Result<()> {
     socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO))
 }
@@ -104,7 +105,7 @@
                     std::thread::spawn(move || {
                         let open = this.open.fetch_add(1, Ordering::SeqCst) + 1;
                         this.most_open.fetch_max(open, Ordering::SeqCst);
-                        // A caller that breaks off is part of the tests.
+                        // Tests break connections off.
                         let _ = this.serve(database, stream);
                         this.open.fetch_sub(1, Ordering::SeqCst);
                     });
@@ -125,31 +126,31 @@
     }
     /// What ran with a client's id, in order.
     pub fn clients_ran(&self) -> Vec<(String, String)> {
-        hold(&self.ran)
+        lock(&self.ran)
             .iter()
             .filter(|r| r.id != "-")
             .map(|r| (r.id.clone(), r.text.clone()))
             .collect()
     }
     pub fn last_database(&self, id: &str) -> Option<usize> {
-        hold(&self.ran).iter().rev().find(|r| r.id == id).map(|r| r.database)
+        lock(&self.ran).iter().rev().find(|r| r.id == id).map(|r| r.database)
     }
     /// How often a statement with this id reached any database.
     pub fn reached(&self, id: &str) -> usize {
-        hold(&self.ran).iter().filter(|r| r.id == id).count()
+        lock(&self.ran).iter().filter(|r| r.id == id).count()
     }
-    pub fn will(&self, key: &str, mishaps: &[Mishap]) {
-        let mishaps = mishaps.iter().copied().collect();
-        hold(&self.faults.mishaps).insert(key.to_owned(), mishaps);
+    pub fn inject(&self, key: &str, faults: &[InjectedFault]) {
+        let faults = faults.iter().copied().collect();
+        lock(&self.faults.by_key).insert(key.to_owned(), faults);
     }
-    fn mishap(&self, id: &str, text: &str) -> Mishap {
+    fn next_fault(&self, id: &str, text: &str) -> InjectedFault {
         let key = if id == "-" { text.split(' ').next().unwrap_or_default() } else { id };
-        let mut all = hold(&self.faults.mishaps);
-        all.get_mut(key).and_then(VecDeque::pop_front).unwrap_or(Mishap::Fine)
+        let mut all = lock(&self.faults.by_key);
+        all.get_mut(key).and_then(VecDeque::pop_front).unwrap_or(InjectedFault::NoFault)
     }
     /// The body of a heartbeat of this database.
     pub fn heartbeat(&self, database: usize, sequence: u64) -> String {
-        let role = if hold(&self.store).primary == database { "primary" } else { "replica" };
+        let role = if lock(&self.store).primary == database { "primary" } else { "replica" };
         serde_json::json!({
             "target_service": self.service, "address": self.addresses[database], "zone": "here",
             "revision": "v1", "capacity": 7, "lifecycle_state": "available", "warmup_left_ms": 0,
@@ -157,8 +158,8 @@
         })
         .to_string()
     }
-    /// Beats for all databases to a controller's admin address, for as long as the process lives.
-    pub fn keep_beating(self: &Arc<Self>, admin: SocketAddr, every: Duration) {
+    /// Sends heartbeats of all databases to a controller's admin address until the process ends.
+    pub fn start_heartbeats(self: &Arc<Self>, admin: SocketAddr, every: Duration) {
         let this = Arc::clone(self);
         std::thread::spawn(move || {
             for sequence in 1.. {
@@ -189,7 +190,7 @@
         let named = (0..self.addresses.len()).find(|d| body["instance_id"] == self.id(*d).as_str());
         let status = match named {
             Some(database) => {
-                let mut store = hold(&self.store);
+                let mut store = lock(&self.store);
                 if store.primary != database {
                     store.primary = database;
                     store.term += 1;
@@ -226,35 +227,35 @@
             else {
                 return Ok(());
             };
-            hold(&self.ran).push(Ran { database, id: id.to_owned(), text: text.to_owned() });
-            let mishap = self.mishap(id, text);
-            if mishap == Mishap::ResetBefore {
+            lock(&self.ran).push(Ran { database, id: id.to_owned(), text: text.to_owned() });
+            let fault = self.next_fault(id, text);
+            if fault == InjectedFault::ResetBeforeRun {
                 return reset(&out);
             }
             if open.is_none() {
                 before.clone_from(&names);
             }
-            let answer = match mishap {
-                Mishap::RolledBack => "ERROR THROTTLED not now\r\n".to_owned(),
+            let answer = match fault {
+                InjectedFault::RolledBack => "ERROR THROTTLED not now\r\n".to_owned(),
                 _ => self.answer(database, id, text, &mut names, &mut open),
             };
-            if mishap == Mishap::RolledBack || text == "ABORT" {
+            if fault == InjectedFault::RolledBack || text == "ABORT" {
                 open = None;
                 names.clone_from(&before);
             }
-            // What it holds when an answer is owed that never comes.
-            match mishap {
-                Mishap::Silence => {
+            // These faults come after the statement ran.
+            match fault {
+                InjectedFault::NoAnswer => {
                     while reader.read_line(&mut line)? > 0 {}
                     return Ok(());
                 }
-                Mishap::ResetAfter => return reset(&out),
-                Mishap::ResetWithin => {
+                InjectedFault::ResetAfterRun => return reset(&out),
+                InjectedFault::ResetInAnswer => {
                     out.write_all(&answer.as_bytes()[..answer.len() - 3])?;
                     std::thread::sleep(Duration::from_millis(20));
                     return reset(&out);
                 }
-                Mishap::Late(ms) => std::thread::sleep(Duration::from_millis(ms)),
+                InjectedFault::Late(ms) => std::thread::sleep(Duration::from_millis(ms)),
                 _ => {}
             }
             if id != "-" && self.faults.break_next.swap(false, Ordering::SeqCst) {
@@ -266,19 +267,19 @@
             }
             let state = if open.is_some() { 'T' } else { 'I' };
             let answer = format!("{answer}READY {state} {}\r\n", self.position());
-            match mishap {
-                Mishap::Doubled => out.write_all(answer.repeat(2).as_bytes())?,
-                Mishap::DoubledLate(ms) => {
+            match fault {
+                InjectedFault::Duplicated => out.write_all(answer.repeat(2).as_bytes())?,
+                InjectedFault::DuplicatedLate(ms) => {
                     out.write_all(answer.as_bytes())?;
                     std::thread::sleep(Duration::from_millis(ms));
                     out.write_all(answer.as_bytes())?;
-                    // It stands alone for a while, whatever was asked meanwhile.
+                    // The second answer comes by itself, ahead of any to the next statement.
                     std::thread::sleep(Duration::from_millis(ms));
                 }
                 _ => out.write_all(answer.as_bytes())?,
             }
-            if mishap == Mishap::ResetThen {
-                // Once the answer was read; a reset would take it along.
+            if fault == InjectedFault::ResetAfterAnswer {
+                // A reset discards what has not been read: the answer must have been.
                 std::thread::sleep(Duration::from_millis(50));
                 return reset(&out);
             }
@@ -286,7 +287,7 @@
     }
 
     fn position(&self) -> String {
-        let store = hold(&self.store);
+        let store = lock(&self.store);
         format!("{}.{}", store.term, store.number)
     }
 
@@ -304,7 +305,7 @@
         };
         let (word, rest) = text.split_once(' ').unwrap_or((text, ""));
         let stamp = format!("stamp.{id}.{}", self.stamps.fetch_add(1, Ordering::SeqCst));
-        let primary = hold(&self.store).primary == database;
+        let primary = lock(&self.store).primary == database;
         let done = "COMPLETE -\r\n".to_owned();
         match word {
             "BEGIN" if rest.is_empty() && !primary => "ERROR READONLY here\r\n".to_owned(),
@@ -314,9 +315,9 @@
             }
             "COMMIT" => {
                 let writes = open.take().unwrap_or_default();
-                let mut store = hold(&self.store);
+                let mut store = lock(&self.store);
                 store.number += u64::from(!writes.is_empty());
-                store.things.extend(writes);
+                store.values.extend(writes);
                 format!("COMPLETE {stamp}\r\n")
             }
             "ABORT" => {
@@ -328,7 +329,7 @@
                 format!("ROW {value}\r\nCOMPLETE {stamp}\r\n")
             }
             "FETCH" => {
-                let value = hold(&self.store).things.get(rest).cloned().unwrap_or_default();
+                let value = lock(&self.store).values.get(rest).cloned().unwrap_or_default();
                 format!("ROW {value}\r\nCOMPLETE {stamp}\r\n")
             }
             "STORE" if !primary => "ERROR READONLY here\r\n".to_owned(),
@@ -338,9 +339,9 @@
                 match open {
                     Some(writes) => writes.push(write),
                     None => {
-                        let mut store = hold(&self.store);
+                        let mut store = lock(&self.store);
                         store.number += 1;
-                        store.things.extend([write]);
+                        store.values.extend([write]);
                     }
                 }
                 format!("COMPLETE {stamp}\r\n")
@@ -370,7 +371,7 @@
                 done
             }
             "DESCRIBE" | "PAUSE" | "CONTINUE" | "STEPDOWN" => {
-                let store = hold(&self.store);
+                let store = lock(&self.store);
                 let role = if primary { "primary" } else { "replica" };
                 let position = format!("{}.{}", store.term, store.number);
                 format!("ROW {role} {} {position} 0 0 0 1\r\nCOMPLETE -\r\n", store.term)
@@ -380,8 +381,8 @@
     }
 }
 
-/// A port that is free, outside the range from which the kernel gives ports to connections: one of
-/// those may be gone by the time a program listens on it.
+/// A free port outside the kernel's range for outgoing connections: one within it may be taken by
+/// the time a program listens on it.
 pub fn free_port() -> u16 {
     static NEXT: AtomicU64 = AtomicU64::new(0);
     loop {
