--- a/examples/scale.rs
+++ b/examples/scale.rs
@@ -317,6 +317,7 @@
     Ok(start.elapsed().as_secs_f64())
 }
 
+#[expect(clippy::too_many_lines, reason = "one measurement, told in order")]
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let args = Args::parse();
     let folder = std::env::temp_dir().join(format!("silvertack-scale-{}", std::process::id()));
--- a/src/base/time.rs
+++ b/src/base/time.rs
@@ -13,7 +13,7 @@
     /// and zero can stand for "never".
     pub(crate) const START: Tick = Tick(60_000);
 
-    /// Reads the clock; the first reading in a process is [`Self::START`].
+    /// Reads the clock; the first reading in a process is `START`.
     pub fn now() -> Self {
         static ORIGIN: OnceLock<Instant> = OnceLock::new();
         let elapsed = ORIGIN.get_or_init(Instant::now).elapsed();
--- a/src/base/worker_pool.rs
+++ b/src/base/worker_pool.rs
@@ -4,7 +4,7 @@
 //! more than the work: finished threads wait a while for another job. There is one pool a process.
 //!
 //! Nobody joins these threads. A job ends by itself, by the time limits of its sockets; an idle
-//! thread ends after [`IDLE_LIMIT`]; a loop runs until its input ends or the process does. A process
+//! thread ends after `IDLE_LIMIT`; a loop runs until its input ends or the process does. A process
 //! ends by returning from `main`, without waiting for any of them: what must be complete by then is
 //! done by the main loop itself.
 use crate::base::errors::Fatal;
--- a/src/controller/peer_connections.rs
+++ b/src/controller/peer_connections.rs
@@ -1,6 +1,6 @@
 //! Sockets between this controller and its peers: other controllers, poolers and gateways.
 //!
-//! [`SocketTransport`](crate::controller::transport::SocketTransport) owns them. Writing never
+//! `SocketTransport` owns them. Writing never
 //! blocks: what a socket does not take at once waits in the connection's send queue. Reading is
 //! done elsewhere, by one thread a connection (see `peer_listener`).
 use crate::base::time::Tick;
--- a/src/controller/transport.rs
+++ b/src/controller/transport.rs
@@ -1,6 +1,6 @@
 //! The controller's effects with real sockets, threads and a disk, and the queue of its events.
 //!
-//! The process makes one [`SocketTransport`] for its controller and feeds that with [`Event`]s. The
+//! The process makes one `SocketTransport` for its controller and feeds that with `Event`s. The
 //! controller sees only the `Effects` trait, which the simulation implements as well.
 use crate::base::ids::{InstanceId, MemberId, ServiceName};
 use crate::base::time::Tick;
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -117,6 +117,7 @@
 }
 
 /// Every variant of what is said on the peer port, with other values in each field.
+#[expect(clippy::too_many_lines, reason = "one scenario, told in order")]
 fn frames() -> Vec<Frame> {
     let (s, t) = (ServiceName::from("s"), ServiceName::from("t"));
     let ask = |pre_vote, leadership_transfer, led_previous_term| RaftMessageKind::RequestVote {
@@ -747,6 +748,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, told in order")]
 fn a_state_folder_is_read_and_written_as_ever() {
     let old = folder_of_then("then");
     let OpenedStorage { storage, state: read } = RaftStorage::open(&old).expect("opened");
--- a/tests/configuration_changes.rs
+++ b/tests/configuration_changes.rs
@@ -439,6 +439,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, told in order")]
 fn one_number_has_one_order_whatever_became_of_the_answer() {
     // (what happens between the order and its resend)
     let nobody = "before anybody had it";
--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -638,6 +638,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, told in order")]
 fn a_draining_primary_is_replaced_while_it_serves() {
     let now = Tick(50_000);
     let mut snapshot = snapshot();
--- a/tests/failover_replicas.rs
+++ b/tests/failover_replicas.rs
@@ -965,6 +965,7 @@
 
 /// The primary is `a` in term 2, with an intent or without.
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, told in order")]
 fn a_lead_and_its_intent_change_only_as_the_present_term_allows() {
     let service = || ServiceName::from("s");
     let propose_primary = |term, primary: &str| Command::SetPrimary {
@@ -1090,6 +1091,7 @@
 
 /// `c` left. What it had is covered by as many others as a commit needs.
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, told in order")]
 fn a_departed_replica_is_covered_by_listed_replicas_that_reached_the_primary() {
     let now = Tick(50_000);
     let describe = |id| ask(id, DatabaseRequest::Describe);
@@ -1132,7 +1134,7 @@
     // (synchronous replicas, whether `b` leaves after it answered, who answers, whether it is
     // covered)
     type Answers<'a> = &'a [(&'a str, u64)];
-    let cases: [(u32, bool, Answers, bool); 8] = [
+    let cases: [(u32, bool, Answers<'_>, bool); 8] = [
         (1, false, &[("b", 8)], false),
         (1, false, &[("b", 9)], true),
         (2, false, &[("b", 9)], false),
@@ -1184,6 +1186,7 @@
 
 /// A late answer, with the same number from an earlier leader or from an earlier attempt.
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, told in order")]
 fn an_answer_counts_for_its_own_attempt_and_its_own_database() {
     let now = Tick(50_000);
     let snapshot = snapshot();
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -307,6 +307,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, told in order")]
 fn what_a_database_does_wrong_never_reaches_a_client() {
     use Behaviour::*;
     let system = start(8);
--- a/tests/interfaces.rs
+++ b/tests/interfaces.rs
@@ -279,6 +279,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, told in order")]
 fn exit_codes_are_these() {
     let machine = Machine::new("exits", "", None);
     let good = std::fs::read_to_string(&machine.file).expect("settings");
@@ -511,6 +512,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, told in order")]
 fn each_key_of_a_settings_file_is_read_and_a_misspelled_one_is_as_none() {
     let all = values(&Settings::parse(ALL).expect("every key"));
     let lines: Vec<&str> = ALL.lines().filter(|line| line.contains('=')).collect();
--- a/tests/power_loss.rs
+++ b/tests/power_loss.rs
@@ -161,6 +161,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, told in order")]
 fn a_founding_that_was_not_over_is_begun_again_and_one_that_was_is_not() {
     let base = folder("founding");
     let journal = journal_of_the_founding();
--- a/tests/raft.rs
+++ b/tests/raft.rs
@@ -410,6 +410,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, told in order")]
 fn storage_returns_what_was_saved_and_refuses_what_it_cannot_read() {
     let folder = std::env::temp_dir().join(format!("silvertack-granary-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
@@ -481,6 +482,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, told in order")]
 fn no_message_leaves_before_what_it_promises_is_on_disk() {
     let now = Tick(5_000);
     let mut raft = RaftNode::new(initial_state(2, 3), false, now, || 10);
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -237,6 +237,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, told in order")]
 fn what_comes_late_on_a_connection_is_nobodys_answer() {
     let databases = StandIn::start("ledger", 2).expect("databases");
     let site = start_pooler(&databases);
--- a/tests/storage.rs
+++ b/tests/storage.rs
@@ -578,6 +578,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, told in order")]
 fn parts_that_do_not_belong_are_not_taken() {
     let snapshot = Snapshot {
         last_included: LogPosition::new(Term(4), LogIndex(9)),
@@ -670,6 +671,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, told in order")]
 fn a_disk_that_can_not_be_what_it_should_be_stops_the_program_and_is_left_as_it_is() {
     let set = |sql: &'static str| {
         move |folder: &Path| {
@@ -789,6 +791,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, told in order")]
 fn what_can_not_be_read_is_neither_taken_nor_acknowledged() {
     let [newer, unknown] = of_later();
     let base = LogPosition::new(Term(2), LogIndex(8));
--- a/tests/support/controllers.rs
+++ b/tests/support/controllers.rs
@@ -10,9 +10,9 @@
 use std::collections::VecDeque;
 
 /// How long after its return or its start a machine still counts as lost (`join_sync_s`).
-pub const SYNC_MS: u64 = 4_000;
+pub(crate) const SYNC_MS: u64 = 4_000;
 /// A spare voter that is silent for this long may be removed.
-pub const REMOVE_SILENT_AFTER_MS: u64 = 2_000;
+pub(crate) const REMOVE_SILENT_AFTER_MS: u64 = 2_000;
 /// How long after its return a removed member asks to join again.
 const REJOIN_AFTER_MS: u64 = 1_500;
 /// How long after its start a new machine asks to join.
@@ -21,7 +21,7 @@
 const TICK_MS: u64 = 50;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum State {
+pub(crate) enum State {
     Up,
     /// Partitioned from the others, with its state.
     Partitioned,
@@ -29,15 +29,15 @@
     DiskLost,
 }
 #[derive(Clone)]
-pub struct Machine {
-    pub id: u64,
-    pub slot: u64,
-    pub state: State,
-    pub returned_at: Tick,
-    pub raft: RaftNode,
+pub(crate) struct Machine {
+    pub(crate) id: u64,
+    pub(crate) slot: u64,
+    pub(crate) state: State,
+    pub(crate) returned_at: Tick,
+    pub(crate) raft: RaftNode,
 }
 
-pub fn member(id: u64, slot: u64, voter: bool) -> Member {
+pub(crate) fn member(id: u64, slot: u64, voter: bool) -> Member {
     Member {
         id: MemberId(id),
         node: NodeName(format!("n{id}")),
@@ -56,18 +56,18 @@
 
 /// One machine for each slot of the deployment: a replacement takes the slot of a lost one.
 #[derive(Clone)]
-pub struct TestCluster {
-    pub now: Tick,
-    pub tolerated: usize,
-    pub machines: Vec<Machine>,
+pub(crate) struct TestCluster {
+    pub(crate) now: Tick,
+    pub(crate) tolerated: usize,
+    pub(crate) machines: Vec<Machine>,
     /// The commands that were acknowledged, by log index.
-    pub acknowledged: Vec<(LogIndex, u8)>,
+    pub(crate) acknowledged: Vec<(LogIndex, u8)>,
     /// A member, and how many entries were sent to it; a snapshot counts as 1,000.
-    pub sent_to: (u64, usize),
+    pub(crate) sent_to: (u64, usize),
     next_id: u64,
 }
 impl TestCluster {
-    pub fn new(count: u64, tolerated: usize) -> Self {
+    pub(crate) fn new(count: u64, tolerated: usize) -> Self {
         let now = Tick(100_000);
         let members: Vec<Member> = (1..=count).map(|i| member(i, i, true)).collect();
         let machines = (1..=count).map(|id| Machine {
@@ -87,28 +87,28 @@
             next_id: count + 1,
         }
     }
-    pub fn in_sync(&self, at: usize) -> bool {
+    pub(crate) fn in_sync(&self, at: usize) -> bool {
         let machine = &self.machines[at];
         machine.state == State::Up && self.now.since(machine.returned_at) >= SYNC_MS
     }
-    pub fn lost(&self) -> usize {
+    pub(crate) fn lost(&self) -> usize {
         (0..self.machines.len()).filter(|i| !self.in_sync(*i)).count()
     }
-    pub fn leader(&self) -> Option<usize> {
+    pub(crate) fn leader(&self) -> Option<usize> {
         let leads = |m: &Machine| m.state == State::Up && m.raft.holds_leader_lease(self.now);
         self.machines.iter().position(leads)
     }
     /// The members, as the one with the newest log among those that can be reached has them.
-    pub fn members(&self) -> &[Member] {
+    pub(crate) fn members(&self) -> &[Member] {
         let there = self.machines.iter().filter(|m| m.state == State::Up);
         there.map(|m| &m.raft).max_by_key(|h| h.last_position()).map_or(&[], |h| h.members())
     }
 
-    pub fn lose(&mut self, at: usize, state: State) {
+    pub(crate) fn lose(&mut self, at: usize, state: State) {
         self.machines[at].state = state;
     }
     /// Comes back with its state, or with an empty disk at its own address or another one.
-    pub fn come_back(&mut self, at: usize, at_new_address: bool) {
+    pub(crate) fn come_back(&mut self, at: usize, at_new_address: bool) {
         let (now, id) = (self.now, self.next_id);
         let machine = &mut self.machines[at];
         (machine.returned_at, self.next_id) = (now, id + 1);
@@ -121,7 +121,7 @@
     }
 
     /// Delivers messages until none is left. Everything is on disk before a message leaves.
-    pub fn deliver_all(&mut self) {
+    pub(crate) fn deliver_all(&mut self) {
         let mut network: VecDeque<(MemberId, RaftMessage)> = VecDeque::new();
         for _ in 0..10_000 {
             for machine in &mut self.machines {
@@ -174,7 +174,7 @@
             raft.propose(EntryPayload::Membership(list), now);
         }
     }
-    pub fn advance(&mut self) {
+    pub(crate) fn advance(&mut self) {
         self.now = self.now.plus(TICK_MS);
         let now = self.now;
         for machine in &mut self.machines {
@@ -185,7 +185,7 @@
         self.deliver_all();
     }
     /// Proposes a command; tells whether it was committed.
-    pub fn propose_command(&mut self) -> bool {
+    pub(crate) fn propose_command(&mut self) -> bool {
         let Some(leader) = self.leader() else { return false };
         let (number, now) = (self.acknowledged.len() as u8, self.now);
         let body = EntryPayload::Command(serde_bytes::ByteBuf::from(vec![number]));
@@ -198,7 +198,7 @@
         true
     }
     /// Whether a controller's log has this command at this index.
-    pub fn log_holds(&self, at: usize, (index, number): (LogIndex, u8)) -> bool {
+    pub(crate) fn log_holds(&self, at: usize, (index, number): (LogIndex, u8)) -> bool {
         let body = EntryPayload::Command(serde_bytes::ByteBuf::from(vec![number]));
         self.machines[at].raft.state.log.iter().any(|e| e.index == index && e.payload == body)
     }
--- a/tests/support/gateway.rs
+++ b/tests/support/gateway.rs
@@ -1,5 +1,5 @@
 //! Stand-in databases of a gateway's service: they respond over HTTP, and misbehave on request.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test and example uses a part of it")]
 use silvertack::gateway::http1::{BodyDecoder, ParsedHead, parse_request_head};
 use std::collections::VecDeque;
 use std::io::{Read, Write};
@@ -10,7 +10,7 @@
 
 /// What the next request meets.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Behaviour {
+pub(crate) enum Behaviour {
     Serve,
     Fail,
     /// Not run, and said so.
@@ -43,20 +43,20 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct ReceivedRequest {
-    pub database: usize,
-    pub connection: usize,
-    pub id: String,
+pub(crate) struct ReceivedRequest {
+    pub(crate) database: usize,
+    pub(crate) connection: usize,
+    pub(crate) id: String,
     /// Method and target.
-    pub line: String,
+    pub(crate) line: String,
     /// The headers as they came.
-    pub head: String,
-    pub body: Vec<u8>,
+    pub(crate) head: String,
+    pub(crate) body: Vec<u8>,
 }
 
-pub struct StandInEndpoints {
-    pub service: String,
-    pub addresses: Vec<SocketAddr>,
+pub(crate) struct StandInEndpoints {
+    pub(crate) service: String,
+    pub(crate) addresses: Vec<SocketAddr>,
     next: Mutex<VecDeque<Behaviour>>,
     received: Mutex<Vec<ReceivedRequest>>,
     connections: AtomicUsize,
@@ -67,7 +67,7 @@
 }
 
 impl StandInEndpoints {
-    pub fn start(service: &str, count: usize) -> std::io::Result<Arc<Self>> {
+    pub(crate) fn start(service: &str, count: usize) -> std::io::Result<Arc<Self>> {
         let listeners =
             (0..count).map(|_| TcpListener::bind("127.0.0.1:0")).collect::<Result<Vec<_>, _>>()?;
         let this = Arc::new(Self {
@@ -88,17 +88,17 @@
         }
         Ok(this)
     }
-    pub fn id(&self, database: usize) -> String {
+    pub(crate) fn id(&self, database: usize) -> String {
         format!("i-{}-{database}", self.service)
     }
-    pub fn set_behaviours(&self, next: &[Behaviour]) {
+    pub(crate) fn set_behaviours(&self, next: &[Behaviour]) {
         *lock(&self.next) = next.iter().copied().collect();
     }
     /// What reached a database with this id, in order.
-    pub fn received(&self, id: &str) -> Vec<ReceivedRequest> {
+    pub(crate) fn received(&self, id: &str) -> Vec<ReceivedRequest> {
         lock(&self.received).iter().filter(|r| r.id == id).cloned().collect()
     }
-    pub fn heartbeat(&self, database: usize, sequence: u64, state: &str) -> String {
+    pub(crate) fn heartbeat(&self, database: usize, sequence: u64, state: &str) -> String {
         serde_json::json!({
             "target_service": self.service, "address": self.addresses[database], "zone": "here",
             "revision": "v1", "capacity": 2, "lifecycle_state": state, "warmup_left_ms": 0,
@@ -107,7 +107,7 @@
         .to_string()
     }
     /// One heartbeat of each database.
-    pub fn send_heartbeats(&self, admin: SocketAddr, sequence: u64) -> bool {
+    pub(crate) fn send_heartbeats(&self, admin: SocketAddr, sequence: u64) -> bool {
         (0..self.addresses.len()).all(|database| {
             let path = format!("/instances/{}", self.id(database));
             let body = self.heartbeat(database, sequence, "available");
@@ -116,6 +116,7 @@
         })
     }
 
+    #[expect(clippy::too_many_lines, reason = "one connection, read to its end")]
     fn serve(&self, database: usize, mut stream: TcpStream) -> std::io::Result<()> {
         let connection = self.connections.fetch_add(1, Ordering::SeqCst);
         stream.set_nodelay(true)?;
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -11,15 +11,15 @@
 use std::time::Duration;
 
 /// A statement that reached a database.
-pub struct Ran {
-    pub database: usize,
-    pub id: String,
-    pub text: String,
+pub(crate) struct Ran {
+    pub(crate) database: usize,
+    pub(crate) id: String,
+    pub(crate) text: String,
 }
 
 /// A fault that a statement meets at a database.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum InjectedFault {
+pub(crate) enum InjectedFault {
     /// Answered as it should be; stands for a statement in the sequence.
     NoFault,
     /// Never answered; the connection stays open.
@@ -40,14 +40,14 @@
 
 /// The faults that are set; each happens once.
 #[derive(Default)]
-pub struct Faults {
+pub(crate) struct Faults {
     /// Close the connection after running the next statement with a client's id.
-    pub break_next: AtomicBool,
+    pub(crate) break_next: AtomicBool,
     /// Answer the next statement with a client's id by something that is no answer.
-    pub garble_next: AtomicBool,
+    pub(crate) garble_next: AtomicBool,
     /// What the next statements meet, in their order: by the statement's id, or by the first word
     /// of its text where the id is `-`.
-    pub by_key: Mutex<HashMap<String, VecDeque<InjectedFault>>>,
+    pub(crate) by_key: Mutex<HashMap<String, VecDeque<InjectedFault>>>,
 }
 
 #[derive(Default)]
@@ -59,13 +59,13 @@
 }
 
 /// Databases of one service and a platform that promotes them.
-pub struct StandIn {
-    pub service: String,
-    pub addresses: Vec<SocketAddr>,
-    pub platform: SocketAddr,
-    pub faults: Faults,
-    pub open: AtomicUsize,
-    pub most_open: AtomicUsize,
+pub(crate) struct StandIn {
+    pub(crate) service: String,
+    pub(crate) addresses: Vec<SocketAddr>,
+    pub(crate) platform: SocketAddr,
+    pub(crate) faults: Faults,
+    pub(crate) open: AtomicUsize,
+    pub(crate) most_open: AtomicUsize,
     ran: Mutex<Vec<Ran>>,
     store: Mutex<Store>,
     stamps: AtomicU64,
@@ -82,7 +82,7 @@
 
 impl StandIn {
     /// Starts `count` databases on ports of the loopback address, the first of them primary.
-    pub fn start(service: &str, count: usize) -> std::io::Result<Arc<Self>> {
+    pub(crate) fn start(service: &str, count: usize) -> std::io::Result<Arc<Self>> {
         let listeners =
             (0..count).map(|_| TcpListener::bind("127.0.0.1:0")).collect::<Result<Vec<_>, _>>()?;
         let platform = TcpListener::bind("127.0.0.1:0")?;
@@ -121,25 +121,25 @@
         Ok(this)
     }
 
-    pub fn id(&self, database: usize) -> String {
+    pub(crate) fn id(&self, database: usize) -> String {
         format!("i-{}-{database}", self.service)
     }
     /// What ran with a client's id, in order.
-    pub fn clients_ran(&self) -> Vec<(String, String)> {
+    pub(crate) fn clients_ran(&self) -> Vec<(String, String)> {
         lock(&self.ran)
             .iter()
             .filter(|r| r.id != "-")
             .map(|r| (r.id.clone(), r.text.clone()))
             .collect()
     }
-    pub fn last_database(&self, id: &str) -> Option<usize> {
+    pub(crate) fn last_database(&self, id: &str) -> Option<usize> {
         lock(&self.ran).iter().rev().find(|r| r.id == id).map(|r| r.database)
     }
     /// How often a statement with this id reached any database.
-    pub fn reached(&self, id: &str) -> usize {
+    pub(crate) fn reached(&self, id: &str) -> usize {
         lock(&self.ran).iter().filter(|r| r.id == id).count()
     }
-    pub fn inject(&self, key: &str, faults: &[InjectedFault]) {
+    pub(crate) fn inject(&self, key: &str, faults: &[InjectedFault]) {
         let faults = faults.iter().copied().collect();
         lock(&self.faults.by_key).insert(key.to_owned(), faults);
     }
@@ -149,7 +149,7 @@
         all.get_mut(key).and_then(VecDeque::pop_front).unwrap_or(InjectedFault::NoFault)
     }
     /// The body of a heartbeat of this database.
-    pub fn heartbeat(&self, database: usize, sequence: u64) -> String {
+    pub(crate) fn heartbeat(&self, database: usize, sequence: u64) -> String {
         let role = if lock(&self.store).primary == database { "primary" } else { "replica" };
         serde_json::json!({
             "target_service": self.service, "address": self.addresses[database], "zone": "here",
@@ -159,7 +159,7 @@
         .to_string()
     }
     /// Sends heartbeats of all databases to a controller's admin address until the process ends.
-    pub fn start_heartbeats(self: &Arc<Self>, admin: SocketAddr, every: Duration) {
+    pub(crate) fn start_heartbeats(self: &Arc<Self>, admin: SocketAddr, every: Duration) {
         let this = Arc::clone(self);
         std::thread::spawn(move || {
             for sequence in 1.. {
@@ -202,6 +202,7 @@
         stream.write_all(format!("HTTP/1.1 {status}\r\nContent-Length: 2\r\n\r\n{{}}").as_bytes())
     }
 
+    #[expect(clippy::too_many_lines, reason = "one connection, read to its end")]
     fn serve(&self, database: usize, stream: TcpStream) -> std::io::Result<()> {
         stream.set_nodelay(true)?;
         let mut reader = BufReader::new(stream.try_clone()?);
@@ -291,6 +292,7 @@
         format!("{}.{}", store.term, store.number)
     }
 
+    #[expect(clippy::too_many_lines, reason = "one connection, read to its end")]
     fn answer(
         &self,
         database: usize,
@@ -383,7 +385,7 @@
 
 /// A free port outside the kernel's range for outgoing connections: one within it may be taken by
 /// the time a program listens on it.
-pub fn free_port() -> u16 {
+pub(crate) fn free_port() -> u16 {
     static NEXT: AtomicU64 = AtomicU64::new(0);
     loop {
         let step = NEXT.fetch_add(1, Ordering::SeqCst);
@@ -395,7 +397,7 @@
 }
 
 /// One HTTP call on a connection of its own: the status and the body.
-pub fn http(
+pub(crate) fn http(
     to: SocketAddr,
     method: &str,
     path: &str,
