--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,10 @@
-//! silvertack: a pool of client sessions on databases, and the control plane that keeps it.
+//! silvertack: a pool of client sessions on databases, an API gateway, and the control plane of both.
 //!
-//! `pooler` carries the sessions on every machine, `gateway` the requests of a gateway; `controller` keeps the configuration, the
-//! directory of databases and who leads. `common` is what the two share.
+//! Three roles: [`pooler`] carries the sessions of its machine, [`gateway`] forwards HTTP requests
+//! where the deployment is a gateway, and [`controller`] keeps the replicated state. The controller
+//! stands on [`raft`], [`state_machine`], [`failover`] and [`leases`], which are pure; [`simulation`]
+//! runs whole controllers under drawn faults. [`node`], [`net`], [`config`] and [`base`] are what the
+//! roles share. `docs/architecture.md` shows how they fit together.
 pub mod base;
 pub mod config;
 pub mod controller;
