--- a/src/raft/node.rs
+++ b/src/raft/node.rs
@@ -1,10 +1,10 @@
-//! The Raft core: one member of the group, driven by messages and the time handed in.
+//! The Raft core: one member of the group, driven by the messages and timestamps passed in.
 //!
-//! The controller calls [`RaftNode::step`] with each message that arrives and [`RaftNode::tick`]
-//! when [`RaftNode::next_tick_at`] has come. After either it takes the messages from `outbox` and
-//! saves what `unsaved` names, in the order that
-//! [`LogPersister`](super::persister::LogPersister) keeps. The rules themselves are in the sibling
-//! modules.
+//! The controller calls [`RaftNode::step`] for each message that arrives and [`RaftNode::tick`] at
+//! the time [`RaftNode::next_tick_at`]. After each call it sends the messages in `outbox` and saves
+//! the parts of the state that `unsaved` lists;
+//! [`LogPersister`](super::persister::LogPersister) keeps the two in a safe order. The rules of
+//! elections, replication and membership are in the sibling modules.
 use super::chunked_transfer::{Chunk, ChunkedReceive};
 use super::election::{Campaign, LeadershipTransfer, VoteRequest};
 use super::follower::{PendingAck, STALE_TERM_RESPONSE};
@@ -21,7 +21,7 @@
 use crate::net::rpc::raft_messages::{Member, RaftMessage, RaftMessageKind};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The part that a member plays in its term (the Raft paper, section 5.1).
+/// The role of a member in its current term (the Raft paper, section 5.1).
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum RaftRole {
     Follower,
@@ -30,78 +30,79 @@
         votes: BTreeSet<MemberId>,
     },
     Leader {
-        /// The entry that the leader began its term with.
+        /// The index of the no-op entry that the leader appended when it was elected.
         no_op_index: LogIndex,
         elected_at: Tick,
     },
 }
 
-/// One member of the Raft group: with pre-vote, a leader lease from quorum checks, leadership
-/// transfer, and one membership change at a time.
+/// One member of the Raft group. Beyond the basic algorithm it has pre-vote, a leader lease based
+/// on quorum responses, leadership transfer, and single-member membership changes.
 #[derive(Clone)]
 pub struct RaftNode {
-    /// What this member keeps on disk.
+    /// The state that this member keeps on disk.
     pub state: PersistentState,
-    /// The newest entry known to be committed.
+    /// The index of the newest entry known to be committed.
     pub commit_index: LogIndex,
-    /// The leader of the current term, as far as it is known; this member itself if it leads.
+    /// The leader of the current term, if known; this member's own id if it is the leader.
     pub leader: Option<MemberId>,
     pub(super) role: RaftRole,
-    /// When a message of a current leader last came.
+    /// When the last message from a current leader arrived.
     pub(super) last_leader_contact: Option<Tick>,
-    /// When to start an election if no leader is heard from.
+    /// When this member starts an election unless it hears from a leader before.
     election_deadline: Tick,
     /// When the leader next sends heartbeats.
     next_heartbeat: Tick,
-    /// When the newest read came for which no heartbeat round was started yet.
+    /// When the newest read was requested that no heartbeat round was started for yet.
     pub(super) unserved_read: Option<Tick>,
     /// When the last heartbeat round started.
     pub(super) round_started: Tick,
-    /// Until then a restarted member does not vote: see [`NO_VOTE_AFTER_RESTART_MS`].
+    /// A restarted member grants no votes before this time: see [`NO_VOTE_AFTER_RESTART_MS`].
     pub(super) no_votes_until: Tick,
-    /// Just restarted, and it had led the newest term it knows: nobody waits for that leader.
+    /// This member was restarted and had led the newest term it knows. No other member leads that
+    /// term, so a short election timeout is enough.
     restarted_as_leader: bool,
-    /// What a leader knows of each other member.
+    /// The replication progress of each other member, as the leader tracks it.
     pub(super) progress: BTreeMap<MemberId, Progress>,
-    /// The match index of those that this leader has removed, in case they join again.
+    /// The match index of each member that this leader has removed, in case it joins again.
     pub(super) removed_match_indexes: BTreeMap<MemberId, LogIndex>,
     /// The newest membership in the log, committed or not.
     pub(super) members: Vec<Member>,
-    /// The leadership transfer under way, if this member leads.
+    /// The leadership transfer in progress, if this member is the leader.
     pub(super) leadership_transfer: Option<LeadershipTransfer>,
-    /// Since when this leader has the membership as it is.
+    /// When this leader last changed the membership, or when it was elected.
     pub(super) members_changed_at: Tick,
-    /// Writes fail or stall: this member does not lead.
+    /// Writes to disk fail or stall, so this member should not be the leader.
     pub(crate) storage_failing: bool,
-    /// Everything up to here is on this member's disk.
+    /// The index up to which the log is on this member's disk.
     pub(super) durable_index: LogIndex,
-    /// The acknowledgement that waits for the disk.
+    /// The acknowledgement that waits until its entries are on disk.
     pub(super) pending_ack: Option<PendingAck>,
-    /// What of `state` is to be written.
+    /// The parts of `state` that are not written to disk yet.
     pub unsaved: UnsavedChanges,
-    /// Messages to send, each with the member it is for.
+    /// Messages to send, each with its receiver.
     pub outbox: Vec<(MemberId, RaftMessage)>,
     /// The source of random numbers for election timeouts.
     random: fn() -> u64,
-    /// The newest time that `tick` was called with.
+    /// The time of the last call of `tick`.
     pub(super) clock: Tick,
     /// How many chunked transfers this member has started.
     pub(super) transfers_started: u64,
-    /// The message that arrives in chunks.
+    /// The message that is currently received in chunks.
     pub(super) incoming: Option<ChunkedReceive>,
-    /// The frame layouts that other members read, as their newest frames say.
+    /// The newest frame layout that each other member reads, as stated in its last frame.
     pub(super) peer_layouts: BTreeMap<MemberId, u8>,
-    /// Checks a leader's message before anything of it is taken.
+    /// Checks whether this program can read a leader's message before any of it is applied.
     pub message_validator: MessageValidator,
-    /// Why a leader's message was neither taken nor acknowledged: this program can't read it, and
-    /// can't go on.
+    /// Why a leader's message was neither applied nor acknowledged: this program can't read it. The
+    /// process has to stop.
     pub unreadable_message: Option<UnreadableMessage>,
 }
 
 impl RaftNode {
-    /// A follower with this state. `restarted` tells that the state was in use before, so that this
-    /// member may have answered a leader or a candidate lately. `random` spreads the election
-    /// timeouts.
+    /// Creates a follower with this state. `restarted` means that the state was loaded from disk,
+    /// so this member may have answered a leader or a candidate recently. `random` supplies the
+    /// random part of the election timeouts.
     pub fn new(state: PersistentState, restarted: bool, now: Tick, random: fn() -> u64) -> Self {
         let commit_index = state.snapshot.last_included.index;
         let restarted_as_leader = restarted && state.last_led_term == Some(state.term);
@@ -155,20 +156,20 @@
         }
     }
 
-    /// Whether this member was elected in its term. It may act as leader only while
-    /// [`RaftNode::holds_leader_lease`] says so.
+    /// Whether this member was elected leader of its current term. It may act as the leader only
+    /// while [`RaftNode::holds_leader_lease`] is true.
     pub fn is_leader(&self) -> bool {
         matches!(self.role, RaftRole::Leader { .. })
     }
 
-    /// Whether no leader was heard from for longer than this.
-    pub fn leader_silent_longer_than(&self, now: Tick, for_ms: u64) -> bool {
-        self.last_leader_contact.is_none_or(|heard| now.since(heard) > for_ms)
+    /// Whether no message from a leader has arrived for longer than this duration.
+    pub fn leader_silent_longer_than(&self, now: Tick, duration_ms: u64) -> bool {
+        self.last_leader_contact.is_none_or(|contact_at| now.since(contact_at) > duration_ms)
     }
 
-    /// Whether this member may act as the only leader: a quorum answered it within the lease (the
-    /// dissertation, section 6.4.1), the first entry of its term is committed, and it has not begun
-    /// to transfer its leadership.
+    /// Whether this member may act as the only leader: a quorum has answered it within the lease
+    /// (the dissertation, section 6.4.1), the first entry of its term is committed, and it is not
+    /// transferring its leadership.
     pub fn holds_leader_lease(&self, now: Tick) -> bool {
         let RaftRole::Leader { no_op_index, .. } = self.role else {
             return false;
@@ -178,8 +179,8 @@
             && self.quorum_answered_within(LEADER_LEASE_MS, now)
     }
 
-    /// Until when [`RaftNode::holds_leader_lease`] goes on to hold if no member answers any more; none
-    /// if it does not hold now.
+    /// When the leader lease expires if no further member answers. `None` if this member does not
+    /// hold the lease ([`RaftNode::holds_leader_lease`]).
     pub fn leader_lease_end(&self, now: Tick) -> Option<Tick> {
         if !self.holds_leader_lease(now) {
             return None;
@@ -199,7 +200,7 @@
         self.outbox.push((to, message));
     }
 
-    /// Moves on to a later term (the Raft paper, section 5.1); does nothing if it is not later.
+    /// Moves to a later term (the Raft paper, section 5.1). Does nothing if `term` is not later.
     pub(super) fn advance_term(&mut self, term: Term) {
         if term > self.state.term {
             self.state.term = term;
@@ -211,7 +212,7 @@
         }
     }
 
-    /// Becomes a follower in the current term, of this leader if one is known.
+    /// Becomes a follower in the current term, under this leader if it is known.
     pub(super) fn become_follower(&mut self, leader: Option<MemberId>, now: Tick) {
         self.role = RaftRole::Follower;
         self.leader = leader;
@@ -230,7 +231,8 @@
         self.election_deadline = now.plus(shortest + (self.random)() % spread);
     }
 
-    /// Does what is due at this time.
+    /// Runs the time-driven work: heartbeats and the quorum check of a leader, the election timeout
+    /// of a follower or candidate.
     pub fn tick(&mut self, now: Tick) {
         self.clock = now;
         match self.role {
@@ -239,26 +241,27 @@
         }
     }
 
-    /// When `tick` next has something to do.
+    /// When `tick` has to be called next.
     pub fn next_tick_at(&self) -> Tick {
         match self.is_leader() {
             true => self
                 .next_read_round()
-                .map_or(self.next_heartbeat, |round| round.min(self.next_heartbeat)),
+                .map_or(self.next_heartbeat, |read_round| read_round.min(self.next_heartbeat)),
             false => self.election_deadline,
         }
     }
 
-    /// Steps down without a quorum (the dissertation, section 6.2), or sends what is due.
+    /// Steps down if the quorum is lost (the dissertation, section 6.2) or a leadership transfer
+    /// has timed out; otherwise sends the heartbeats that are due.
     fn tick_leader(&mut self, elected_at: Tick, now: Tick) {
-        let patience = MIN_ELECTION_TIMEOUT_MS + ELECTION_TIMEOUT_SPREAD_MS;
-        let quorum_lost =
-            now.since(elected_at) > patience && !self.quorum_answered_within(patience, now);
-        // The target of the transfer may yet start an election, so this term can't go on.
-        let transfer_failed = self
+        let quorum_timeout_ms = MIN_ELECTION_TIMEOUT_MS + ELECTION_TIMEOUT_SPREAD_MS;
+        let quorum_lost = now.since(elected_at) > quorum_timeout_ms
+            && !self.quorum_answered_within(quorum_timeout_ms, now);
+        // The transfer's target may still start an election, so the leader can't stay in this term.
+        let transfer_timed_out = self
             .leadership_transfer
-            .is_some_and(|t| now.since(t.started) > LEADERSHIP_TRANSFER_TIMEOUT_MS);
-        if quorum_lost || transfer_failed {
+            .is_some_and(|transfer| now.since(transfer.started) > LEADERSHIP_TRANSFER_TIMEOUT_MS);
+        if quorum_lost || transfer_timed_out {
             return self.become_follower(None, now);
         }
         if now >= self.next_tick_at() {
@@ -270,14 +273,15 @@
     fn start_heartbeat_round(&mut self, now: Tick) {
         self.next_heartbeat = now.plus(HEARTBEAT_INTERVAL_MS);
         self.round_started = now;
-        // A read of this millisecond needs a message that is sent later.
+        // A read requested in this millisecond is not confirmed by this round: only messages sent
+        // in a later millisecond count for it.
         self.unserved_read = self.unserved_read.filter(|requested_at| *requested_at >= now);
         for id in self.other_members() {
             self.send_append(id, WhenUpToDate::SendHeartbeat, now);
         }
     }
 
-    /// Starts an election once no leader was heard from for the election timeout.
+    /// Starts an election if the election timeout has passed without contact to a leader.
     fn tick_follower(&mut self, now: Tick) {
         if now < self.election_deadline {
             return;
@@ -304,17 +308,18 @@
         self.dispatch(from, term, kind, now);
     }
 
-    /// A member that was removed, or was never added, can't be elected by those who know that, nor
-    /// do its answers count.
+    /// Whether the sender is not a member and the message is of a kind that only members may send.
+    /// So a process that was removed or never added is not elected, and its responses don't count.
+    /// A process that has no member list yet accepts messages from anyone.
     fn is_from_non_member(&self, from: MemberId, kind: &RaftMessageKind) -> bool {
-        let only_from_members = matches!(
+        let members_only = matches!(
             kind,
             RaftMessageKind::RequestVote { .. }
                 | RaftMessageKind::VoteResponse { .. }
                 | RaftMessageKind::AppendResponse { .. }
                 | RaftMessageKind::ChunkResponse { .. }
         );
-        only_from_members && !self.members.is_empty() && !self.is_member(from)
+        members_only && !self.members.is_empty() && !self.is_member(from)
     }
 
     /// Calls the handler of the message.
@@ -326,8 +331,8 @@
                 led_previous_term,
                 last_log,
             } => {
-                // The leader of the newest term known here has stepped down, so a vote can't harm
-                // it. Leaders before it lost their quorum when it was elected.
+                // The candidate led the newest term known here and has stepped down, so a vote
+                // can't break its lease. Earlier leaders lost their quorum when it was elected.
                 let leader_stepped_down = led_previous_term && term > self.state.term;
                 let ignores_leader = leadership_transfer || leader_stepped_down;
                 let request = VoteRequest { from, term, pre_vote, ignores_leader, last_log };
@@ -361,12 +366,12 @@
     }
 }
 
-/// Whether only a leader sends messages of this kind, as the leader of the message's term.
+/// Whether only the leader of the message's term sends messages of this kind.
 fn is_sent_by_leader(kind: &RaftMessageKind) -> bool {
     changes_log(kind) || matches!(kind, RaftMessageKind::Chunk { .. })
 }
 
-/// Whether the message brings entries or a snapshot.
+/// Whether a message of this kind carries log entries or a snapshot.
 fn changes_log(kind: &RaftMessageKind) -> bool {
     let appends = matches!(kind, RaftMessageKind::AppendEntries { .. });
     appends || matches!(kind, RaftMessageKind::InstallSnapshot { .. })
