--- a/src/raft/replication.rs
+++ b/src/raft/replication.rs
@@ -1,5 +1,5 @@
-//! The sending side of replication: a leader's log, the progress of each follower, and the commit
-//! index.
+//! The leader's side of replication: appending to its log, sending entries and snapshots, tracking
+//! the progress of each follower, and advancing the commit index.
 use super::chunked_transfer::ChunkedSend;
 use super::limits::{
     MAX_BATCH_ENTRIES, MAX_IN_FLIGHT_BYTES, MAX_PEER_LAYOUTS, MIN_ELECTION_TIMEOUT_MS,
@@ -11,30 +11,31 @@
 use crate::net::rpc::{FIRST_LAYOUT, PARTS_LAYOUT};
 use crate::state_machine::STATE_LAYOUT;
 
-/// What a leader knows of another member.
+/// The replication state of another member, as the leader tracks it.
 #[derive(Clone, Debug)]
 pub(super) struct Progress {
-    /// The next entry to send.
+    /// The index of the next entry to send.
     pub(super) next_index: LogIndex,
-    /// The newest entry known to be on the member's disk and equal to the leader's.
+    /// The newest index up to which the log on the member's disk is known to match the leader's.
     pub(super) match_index: LogIndex,
     /// Entries from here up to `next_index` are in flight.
     pub(super) in_flight_from: LogIndex,
-    /// A message too large to go at once, on its way in chunks. Nothing but heartbeats is sent
-    /// meanwhile.
+    /// The large message that is being sent in chunks. Until it is complete, the member gets
+    /// nothing else but heartbeats.
     pub(super) transfer: Option<ChunkedSend>,
-    /// When the newest message that this member answered was sent.
+    /// When the newest message that the member has answered was sent.
     pub(super) last_acked: Tick,
-    /// Since when this leader replicates to it.
+    /// When this leader began to replicate to the member.
     pub(super) added_at: Tick,
-    /// The current round of catching up.
+    /// The current catch-up round.
     catch_up_round: CatchUpRound,
-    /// Its last round was shorter than an election timeout, so it may become a voter.
+    /// The last catch-up round took less than an election timeout, so the member may become a
+    /// voter.
     pub(super) caught_up: bool,
 }
 
-/// One round of bringing a new member up to date (the dissertation, section 4.2.1): the entries
-/// that were in the leader's log when the round began.
+/// One round of bringing a new member up to date (the dissertation, section 4.2.1): it ends when
+/// the member has all entries that were in the leader's log when the round began.
 #[derive(Clone, Copy, Debug)]
 struct CatchUpRound {
     target: LogIndex,
@@ -55,12 +56,12 @@
         }
     }
 
-    /// Sends from this entry on; whatever was in flight has arrived or is lost.
+    /// Restarts sending at this index. All earlier entries in flight have arrived or are lost.
     pub(super) fn resume_from(&mut self, next_index: LogIndex) {
         (self.next_index, self.in_flight_from) = (next_index, next_index);
     }
 
-    /// The member holds the leader's log up to this entry.
+    /// Records that the member's log matches the leader's up to this index.
     fn record_match(&mut self, match_index: LogIndex, last_index: LogIndex, now: Tick) {
         self.match_index = self.match_index.max(match_index);
         let after = LogIndex(self.match_index.0 + 1);
@@ -74,18 +75,18 @@
     }
 }
 
-/// What to do when a member lacks no entry that may be sent to it now.
+/// What to send to a member that needs no entries, or may not be sent any now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WhenUpToDate {
     /// Send a heartbeat.
     SendHeartbeat,
-    /// Send nothing.
+    /// Send no message.
     SendNothing,
 }
 
 impl RaftNode {
-    /// Appends to the log if this member leads and hands its leadership to nobody. Returns the
-    /// entry's index; the entry counts only once it is committed.
+    /// Appends an entry to the log and returns its index. `None` if this member is not the leader
+    /// or is transferring its leadership. The entry takes effect only once it is committed.
     pub fn propose(&mut self, payload: EntryPayload, now: Tick) -> Option<LogIndex> {
         if !self.is_leader() || self.leadership_transfer.is_some() {
             return None;
@@ -93,8 +94,8 @@
         Some(self.append_entry(payload, now))
     }
 
-    /// Appends an entry of the current term and sends it to all other members. A membership applies
-    /// from the moment it is in the log (the dissertation, section 4.1).
+    /// Appends an entry of the current term and sends it to all other members. A membership change
+    /// applies as soon as it is in the log (the dissertation, section 4.1).
     pub(super) fn append_entry(&mut self, payload: EntryPayload, now: Tick) -> LogIndex {
         let index = LogIndex(self.last_position().index.0 + 1);
         if let EntryPayload::Membership(members) = &payload {
@@ -104,29 +105,31 @@
         self.state.log.push(LogEntry { term: self.state.term, index, payload });
         self.unsaved.mark_log_from(index);
         let others = self.other_members();
-        let gone = self.progress.iter().filter(|(id, _)| !others.contains(id));
-        self.removed_match_indexes.extend(gone.map(|(id, p)| (*id, p.match_index)));
+        let removed = self.progress.iter().filter(|(id, _)| !others.contains(id));
+        self.removed_match_indexes.extend(removed.map(|(id, p)| (*id, p.match_index)));
         self.progress.retain(|id, _| others.contains(id));
         for id in others {
-            // A new member starts from the beginning: without a member list it can't say what it
-            // lacks. One that is taken in again continues where it was.
-            let matched = self.removed_match_indexes.remove(&id).unwrap_or_default();
-            let next_index = LogIndex(matched.0 + 1);
+            // A new member is sent the log from the beginning, as it has no member list and can't
+            // report its last index. A member that was removed and added again continues at its
+            // old match index.
+            let match_index = self.removed_match_indexes.remove(&id).unwrap_or_default();
+            let next_index = LogIndex(match_index.0 + 1);
             self.progress.entry(id).or_insert_with(|| Progress::new(next_index, index, now));
             self.send_append(id, WhenUpToDate::SendNothing, now);
         }
         index
     }
 
-    /// Sends a member the entries, or the snapshot, that it lacks, as far as they may be in flight
-    /// at once.
+    /// Sends a member the entries or the snapshot that it needs, within the limit on data in
+    /// flight.
     pub(super) fn send_append(&mut self, id: MemberId, when_up_to_date: WhenUpToDate, now: Tick) {
         let base = self.state.snapshot.last_included.index;
         let Some(progress) = self.progress.get_mut(&id) else {
             return;
         };
         if progress.transfer.as_ref().is_some_and(|t| t.next_index <= base) {
-            // The entries after the transfer were compacted: a newer snapshot is needed anyway.
+            // The entries that follow the transfer were compacted, so the member needs a newer
+            // snapshot anyway.
             progress.transfer = None;
             progress.next_index = LogIndex(1);
         }
@@ -141,7 +144,7 @@
         }
     }
 
-    /// Sends a heartbeat on which every log agrees: its previous entry is the log's beginning.
+    /// Sends a heartbeat that matches every log: its previous entry is the beginning of the log.
     fn send_heartbeat(&mut self, id: MemberId, now: Tick) {
         let kind = RaftMessageKind::AppendEntries {
             previous: LogPosition::default(),
@@ -152,15 +155,15 @@
         self.send(id, kind);
     }
 
-    /// Sends the snapshot to a member that lacks entries which were compacted (the Raft paper,
+    /// Sends the snapshot to a member that needs entries which were compacted (the Raft paper,
     /// section 7).
     fn send_snapshot(&mut self, id: MemberId, when_up_to_date: WhenUpToDate, now: Tick) {
         let Some(layout) = self.peer_layouts.get(&id).copied() else {
-            // Its answer to a heartbeat tells first which layout it reads.
+            // The response to a heartbeat tells which frame layout the member reads.
             return self.send_heartbeat(id, now);
         };
-        // How an older program would treat a state that it can't read is unknown: it gets what is
-        // in the log, and the rest once that program is exchanged.
+        // It is unknown how an older program treats a state that it can't read. It gets only the
+        // entries in the log until it is upgraded.
         let newer_state = self.state.snapshot.state.first() == Some(&STATE_LAYOUT);
         if newer_state && layout < STATE_LAYOUT {
             if when_up_to_date == WhenUpToDate::SendHeartbeat {
@@ -180,14 +183,14 @@
         }
     }
 
-    /// Sends the entries after those in flight.
+    /// Sends the next entries after those in flight.
     fn send_entries(&mut self, id: MemberId, when_up_to_date: WhenUpToDate, now: Tick) {
         let Some(progress) = self.progress.get(&id) else {
             return;
         };
         let (next_index, in_flight_from) = (progress.next_index, progress.in_flight_from);
-        let before = LogIndex(next_index.0 - 1);
-        let Some(term) = self.term_at(before) else {
+        let previous_index = LogIndex(next_index.0 - 1);
+        let Some(previous_term) = self.term_at(previous_index) else {
             return;
         };
         let entries = self.next_batch(in_flight_from, next_index);
@@ -204,7 +207,7 @@
             progress.next_index = LogIndex(next_index.0 + entries.len() as u64);
         }
         let kind = RaftMessageKind::AppendEntries {
-            previous: LogPosition::new(term, before),
+            previous: LogPosition::new(previous_term, previous_index),
             entries,
             commit_index: self.commit_index,
             sent_at: now.0,
@@ -215,8 +218,8 @@
         }
     }
 
-    /// The entries from `next_index` on that may be sent beside those in flight. If none is in
-    /// flight there is one at least, however large it is.
+    /// The entries from `next_index` on that may be in flight together with those already sent. If
+    /// none is in flight, this includes at least one entry, whatever its size.
     fn next_batch(&self, in_flight_from: LogIndex, next_index: LogIndex) -> Vec<LogEntry> {
         let first = self.state.snapshot.last_included.index.0 + 1;
         let offset = |index: LogIndex| index.0.saturating_sub(first) as usize;
@@ -231,11 +234,11 @@
             free_bytes = free_bytes.saturating_sub(size);
             fits
         };
-        let waiting = self.state.log.iter().skip(offset(next_index)).take(MAX_BATCH_ENTRIES);
-        waiting.take_while(fits).cloned().collect()
+        let unsent = self.state.log.iter().skip(offset(next_index)).take(MAX_BATCH_ENTRIES);
+        unsent.take_while(fits).cloned().collect()
     }
 
-    /// A member's answer to `AppendEntries` or `InstallSnapshot`.
+    /// Handles a member's response to `AppendEntries` or `InstallSnapshot`.
     pub(super) fn handle_append_response(
         &mut self,
         from: MemberId,
@@ -256,7 +259,7 @@
         let Some(progress) = self.progress.get_mut(&from) else {
             return;
         };
-        // A time in the future is from the clock of an earlier incarnation of this process.
+        // A timestamp in the future is from the clock of an earlier run of this process.
         if Tick(sent_at) <= now {
             progress.last_acked = progress.last_acked.max(Tick(sent_at));
         }
@@ -265,15 +268,15 @@
         } else if success {
             self.handle_match(from, match_index, now);
         } else {
-            // The follower's log disagrees (the Raft paper, section 5.3): try further back, but not
-            // before what is known to agree.
-            let agreed = progress.match_index.max(match_index);
-            progress.resume_from(LogIndex(agreed.0 + 1));
+            // The follower's log conflicts (the Raft paper, section 5.3): retry at an earlier
+            // index, but not before the entries that are known to match.
+            let retry_after = progress.match_index.max(match_index);
+            progress.resume_from(LogIndex(retry_after.0 + 1));
             self.send_append(from, WhenUpToDate::SendHeartbeat, now);
         }
     }
 
-    /// The member holds the log up to `match_index`; it gets what it lacks beyond that.
+    /// Records that the member's log matches up to `match_index` and sends the entries after that.
     fn handle_match(&mut self, from: MemberId, match_index: LogIndex, now: Tick) {
         let last_index = self.last_position().index;
         let Some(progress) = self.progress.get_mut(&from) else {
@@ -288,7 +291,7 @@
         self.notify_transfer_target(now);
     }
 
-    /// An answer to a heartbeat while a message is on its way in chunks.
+    /// Handles the response to a heartbeat while a message is being sent in chunks.
     fn handle_response_during_transfer(
         &mut self,
         from: MemberId,
@@ -300,7 +303,7 @@
         let Some(progress) = self.progress.get_mut(&from) else {
             return;
         };
-        // The heartbeat was sent after the newest chunk and answered before it: that chunk is lost.
+        // The heartbeat was sent after the newest chunk but answered first, so the chunk is lost.
         let chunk_lost =
             progress.transfer.as_mut().is_some_and(|t| t.shrink_if_sent_before(Tick(sent_at)));
         if success {
@@ -312,46 +315,46 @@
         }
     }
 
-    /// Commits what a quorum of the voters has on disk (the Raft paper, section 5.3). The leader's
-    /// own log counts only as far as it is on disk, like any other.
+    /// Commits the entries that a quorum of the voters has on disk (the Raft paper, section 5.3).
+    /// The leader's own log counts only as far as it is on disk, like that of any other voter.
     pub(super) fn advance_commit_index(&mut self) {
         if !self.is_leader() {
             return;
         }
-        let on_disk = |id: &MemberId| match *id == self.state.member_id {
+        let match_index = |id: &MemberId| match *id == self.state.member_id {
             true => self.durable_index,
             false => self.progress.get(id).map_or(LogIndex(0), |p| p.match_index),
         };
-        let mut match_indexes: Vec<LogIndex> = self.voters().iter().map(on_disk).collect();
+        let mut match_indexes: Vec<LogIndex> = self.voters().iter().map(match_index).collect();
         match_indexes.sort_unstable_by(|a, b| b.cmp(a));
-        let Some(agreed) = match_indexes.get(self.quorum() - 1).copied() else {
+        let Some(quorum_index) = match_indexes.get(self.quorum() - 1).copied() else {
             return;
         };
         // The Raft paper, section 5.4.2: only entries of the current term are committed by counting
-        // replicas; earlier ones are committed along with them.
-        if agreed > self.commit_index && self.term_at(agreed) == Some(self.state.term) {
-            self.commit_index = agreed;
+        // replicas; entries of earlier terms are committed along with them.
+        if quorum_index > self.commit_index && self.term_at(quorum_index) == Some(self.state.term) {
+            self.commit_index = quorum_index;
         }
     }
 
-    /// Whether a quorum answered messages that were sent less than `within_ms` ago.
+    /// Whether a quorum has answered messages that were sent less than `within_ms` ago.
     pub(super) fn quorum_answered_within(&self, within_ms: u64, now: Tick) -> bool {
         self.quorum_answered(|sent_at| now.since(sent_at) < within_ms)
     }
 
-    /// Whether a quorum answered messages whose time of sending `counts`.
-    pub(super) fn quorum_answered(&self, counts: impl Fn(Tick) -> bool) -> bool {
+    /// Whether a quorum has answered messages for whose send time `sent_at_counts` is true.
+    pub(super) fn quorum_answered(&self, sent_at_counts: impl Fn(Tick) -> bool) -> bool {
         let answered = |id: &&MemberId| {
             **id == self.state.member_id
-                || self.progress.get(id).is_some_and(|p| counts(p.last_acked))
+                || self.progress.get(id).is_some_and(|p| sent_at_counts(p.last_acked))
         };
         self.voters().iter().filter(answered).count() >= self.quorum()
     }
 
-    /// Notes the frame layout that a member reads, as its newest frame says.
+    /// Records the newest frame layout that a member reads, as stated in its last frame.
     pub fn record_peer_layout(&mut self, id: MemberId, layout: u8) {
         if self.peer_layouts.len() > MAX_PEER_LAYOUTS {
-            // Senders need not be members; those that are not are forgotten again.
+            // Senders need not be members; the layouts of non-members are dropped again.
             self.peer_layouts.retain(|id, _| self.members.iter().any(|m| m.id == *id));
         }
         self.peer_layouts.insert(id, layout);
@@ -359,16 +362,16 @@
             && let Some(progress) = self.progress.get_mut(&id)
             && progress.transfer.take().is_some()
         {
-            // It was rolled back to an earlier program, which can't read chunks.
+            // The member was rolled back to an earlier program, which can't read chunks.
             progress.resume_from(LogIndex(progress.match_index.0 + 1));
         }
     }
 
-    /// Whether no other member is known not to read this layout. One that was not heard from counts
-    /// as unreachable rather than old, so that it does not keep failovers waiting.
+    /// Whether all other members read this frame layout, as far as known. A member that has sent no
+    /// frame counts as unreachable rather than outdated, so that it does not delay failovers.
     pub fn all_peers_read_layout(&self, layout: u8) -> bool {
         self.other_members()
             .iter()
-            .all(|id| self.peer_layouts.get(id).is_none_or(|read| *read >= layout))
+            .all(|id| self.peer_layouts.get(id).is_none_or(|readable| *readable >= layout))
     }
 }
