--- a/src/raft/election.rs
+++ b/src/raft/election.rs
@@ -8,37 +8,37 @@
 use crate::net::rpc::raft_messages::{EntryPayload, LogPosition, RaftMessage, RaftMessageKind};
 use std::collections::BTreeSet;
 
-/// Why and how a member asks for votes.
+/// The kind of election that a candidate runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Campaign {
-    /// Asks whether an election could be won: no term changes and no vote is spent.
+    /// Asks whether an election could be won. No term changes and no vote is used up.
     PreVote,
-    /// An election after a pre-vote that was won.
+    /// An election that follows a won pre-vote.
     Election,
-    /// An election that the leader itself asked for.
+    /// An election that the current leader asked this member to start.
     LeadershipTransfer,
 }
 
-/// A leadership transfer that this leader has begun.
+/// A leadership transfer that this leader has started.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LeadershipTransfer {
-    /// When it began. The leader holds no lease and proposes nothing from then on.
+    /// When it started. From then on the leader holds no lease and proposes no entries.
     pub(super) started: Tick,
-    /// The target was sent `TimeoutNow`. Before that, no suitable voter was known.
+    /// `TimeoutNow` was sent to a target. Until then, no suitable voter has been found.
     target_notified: bool,
 }
 
-/// A `RequestVote` message as its receiver judges it.
+/// A `RequestVote` message, as its receiver evaluates it.
 pub(super) struct VoteRequest {
     /// The candidate.
     pub(super) from: MemberId,
     /// The term that the candidate wants to lead.
     pub(super) term: Term,
-    /// A pre-vote: no vote is spent.
+    /// A pre-vote: no vote is used up.
     pub(super) pre_vote: bool,
-    /// The candidate is to get a vote even if a leader was heard from lately.
+    /// The vote may be granted even if the receiver recently heard from a leader.
     pub(super) ignores_leader: bool,
-    /// The end of the candidate's log.
+    /// The position of the last entry in the candidate's log.
     pub(super) last_log: LogPosition,
 }
 
@@ -57,8 +57,9 @@
         self.role = RaftRole::Candidate { campaign, votes };
         self.reset_election_timeout(now);
         let last_log = self.last_position();
-        // A leader never asks for votes, so if this is true that leadership has ended.
-        let led_previous_term = self.state.last_led_term.is_some_and(|led| led.0 + 1 == term.0);
+        // A leader never requests votes, so a leadership of the previous term has ended.
+        let led_previous_term =
+            self.state.last_led_term.is_some_and(|led_term| led_term.0 + 1 == term.0);
         for id in self.voters() {
             if id != self.state.member_id {
                 let kind = RaftMessageKind::RequestVote {
@@ -73,8 +74,8 @@
         self.count_votes(now);
     }
 
-    /// Goes on once a quorum of the voters has granted its vote (the Raft paper, section 5.2): from
-    /// a pre-vote to the election, from the election to leadership.
+    /// Checks whether a quorum of the voters has granted its votes (the Raft paper, section 5.2).
+    /// If so, a pre-vote is followed by the election, and an election makes this member the leader.
     fn count_votes(&mut self, now: Tick) {
         let RaftRole::Candidate { campaign, votes } = &self.role else {
             return;
@@ -96,19 +97,20 @@
         self.unsaved.hard_state = true;
         self.leadership_transfer = None;
         self.members_changed_at = now;
-        let start = |id| (id, Progress::new(no_op_index, no_op_index, now));
-        self.progress = self.other_members().into_iter().map(start).collect();
-        // Entries of earlier terms are committed only along with one of this term (5.4.2).
+        let new_progress = |id| (id, Progress::new(no_op_index, no_op_index, now));
+        self.progress = self.other_members().into_iter().map(new_progress).collect();
+        // Entries of earlier terms are committed only along with one of this term (the Raft paper,
+        // section 5.4.2).
         self.append_entry(EntryPayload::NoOp, now);
     }
 
-    /// Answers a request for a vote, or ignores it while a leader is known to be there.
+    /// Answers a vote request, or ignores it while there is a current leader.
     pub(super) fn handle_request_vote(&mut self, request: VoteRequest, now: Tick) {
         let VoteRequest { from, term, pre_vote, ignores_leader, last_log } = request;
         // The Raft paper, section 6: a server that hears from a current leader does not vote.
         let leader_present = self
             .last_leader_contact
-            .is_some_and(|heard| now.since(heard) < MIN_ELECTION_TIMEOUT_MS)
+            .is_some_and(|contact_at| now.since(contact_at) < MIN_ELECTION_TIMEOUT_MS)
             || (self.is_leader() && self.quorum_answered_within(MIN_ELECTION_TIMEOUT_MS, now));
         if (leader_present || now < self.no_votes_until) && !ignores_leader {
             return;
@@ -116,7 +118,7 @@
         if term < self.state.term || (pre_vote && term <= self.state.term) {
             return self.send(from, RaftMessageKind::VoteResponse { pre_vote, granted: false });
         }
-        // The Raft paper, section 5.4.1: only a candidate whose log is at least as up to date.
+        // The Raft paper, section 5.4.1: the candidate's log must be at least as up to date.
         let up_to_date = last_log >= self.last_position();
         if pre_vote {
             return self.answer_pre_vote(from, term, up_to_date);
@@ -125,9 +127,9 @@
             self.advance_term(term);
             self.become_follower(None, now);
         }
-        // The Raft paper, section 5.2: one vote in a term, for whoever asks first.
-        let vote_free = self.state.voted_for.is_none_or(|voted_for| voted_for == from);
-        let granted = up_to_date && vote_free && self.leader.is_none();
+        // The Raft paper, section 5.2: one vote per term, first come, first served.
+        let vote_available = self.state.voted_for.is_none_or(|voted_for| voted_for == from);
+        let granted = up_to_date && vote_available && self.leader.is_none();
         if granted {
             self.state.voted_for = Some(from);
             self.unsaved.hard_state = true;
@@ -136,14 +138,15 @@
         self.send(from, RaftMessageKind::VoteResponse { pre_vote, granted });
     }
 
-    /// A granted pre-vote carries the term that the candidate asked for, a refusal the own one.
+    /// Answers a pre-vote: with the candidate's term if it is granted, with this member's if not.
     fn answer_pre_vote(&mut self, candidate: MemberId, term: Term, granted: bool) {
         let kind = RaftMessageKind::VoteResponse { pre_vote: true, granted };
         let term = if granted { term } else { self.state.term };
         self.outbox.push((candidate, RaftMessage { from: self.state.member_id, term, kind }));
     }
 
-    /// Counts a vote. A refusal from a later term ends the candidacy (the Raft paper, 5.1).
+    /// Counts a granted vote. A refusal from a later term makes this member a follower (the Raft
+    /// paper, section 5.1).
     pub(super) fn handle_vote_response(
         &mut self,
         from: MemberId,
@@ -167,7 +170,8 @@
         }
     }
 
-    /// The leader asks this member to take over: it starts an election without a pre-vote, at once.
+    /// Starts an election at once and without a pre-vote, because the leader transfers its
+    /// leadership to this member.
     pub(super) fn handle_timeout_now(&mut self, from: MemberId, term: Term, now: Tick) {
         let from_leader = term == self.state.term && self.leader == Some(from);
         if from_leader && self.is_voter() && !self.storage_failing {
@@ -175,8 +179,8 @@
         }
     }
 
-    /// Starts to hand the leadership over to another voter. From here on this leader holds no lease
-    /// and adds nothing to the log. Does nothing on a member that is not the leader.
+    /// Starts to transfer the leadership to another voter. From now on this leader holds no lease
+    /// and appends no entries. Does nothing if this member is not the leader.
     pub fn transfer_leadership(&mut self, now: Tick) {
         if !self.is_leader() || self.leadership_transfer.is_some() {
             return;
@@ -186,8 +190,8 @@
         self.notify_transfer_target(now);
     }
 
-    /// Sends `TimeoutNow` to a voter that has answered lately and holds the whole log, as soon as
-    /// there is one. After half of the time it is enough that it holds all that is committed.
+    /// Sends `TimeoutNow` to a voter that has answered recently and holds the whole log, once there
+    /// is one. After half of the transfer timeout, holding all committed entries is enough.
     pub(super) fn notify_transfer_target(&mut self, now: Tick) {
         let Some(transfer) = self.leadership_transfer.filter(|t| !t.target_notified) else {
             return;
@@ -195,10 +199,12 @@
         if !self.is_leader() {
             return;
         }
-        let late = now.since(transfer.started) >= LEADERSHIP_TRANSFER_TIMEOUT_MS / 2;
-        let required = if late { self.commit_index } else { self.last_position().index };
-        let suitable =
-            |p: &Progress| p.match_index >= required && now.since(p.last_acked) < LEADER_LEASE_MS;
+        let committed_suffices = now.since(transfer.started) >= LEADERSHIP_TRANSFER_TIMEOUT_MS / 2;
+        let required_index =
+            if committed_suffices { self.commit_index } else { self.last_position().index };
+        let suitable = |p: &Progress| {
+            p.match_index >= required_index && now.since(p.last_acked) < LEADER_LEASE_MS
+        };
         let voters = self.voters();
         let target = self
             .progress
@@ -213,8 +219,8 @@
         }
     }
 
-    /// Tells whether the storage fails or stalls. While it does, another member should lead, so a
-    /// leader hands its leadership over and a follower starts no election.
+    /// Sets whether the storage fails or stalls. While it does, another member should be the
+    /// leader: a leader transfers its leadership, and a follower starts no election.
     pub fn set_storage_failing(&mut self, failing: bool, now: Tick) {
         self.storage_failing = failing;
         if failing {
--- a/src/raft/follower.rs
+++ b/src/raft/follower.rs
@@ -1,13 +1,13 @@
-//! The receiving side of replication: a leader's entries and snapshots, and their acknowledgement
-//! once they are on disk.
+//! The follower's side of replication: it takes entries and snapshots from the leader and
+//! acknowledges them once they are on disk.
 use super::log::LogMismatch;
 use super::node::RaftNode;
 use crate::base::ids::{LogIndex, MemberId, Term};
 use crate::base::time::Tick;
 use crate::net::rpc::raft_messages::{LogEntry, LogPosition, RaftMessageKind, Snapshot};
 
-/// The answer to a leader of a term that has passed. It carries no time: the sender may lead this
-/// term by now, and may have been restarted since, with another clock.
+/// The response to a leader of an earlier term. It carries no timestamp: the sender may lead the
+/// current term by now, and may have been restarted since, with another clock.
 pub(super) const STALE_TERM_RESPONSE: RaftMessageKind =
     RaftMessageKind::AppendResponse { match_index: LogIndex(0), success: false, sent_at: 0 };
 
@@ -15,15 +15,15 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PendingAck {
     leader: MemberId,
-    /// The last entry to acknowledge.
+    /// The index of the last entry to acknowledge.
     match_index: LogIndex,
-    /// The time of the leader's message.
+    /// When the leader sent the message, by its own clock.
     sent_at: u64,
 }
 
 impl RaftNode {
-    /// Follows the sender as the leader of its term, unless that term has passed (the Raft paper,
-    /// section 5.1). Returns whether it does.
+    /// Follows the sender as the leader of its term unless this member is in a later term already
+    /// (the Raft paper, section 5.1). Returns whether the sender is accepted.
     pub(super) fn accept_leader(&mut self, from: MemberId, term: Term, now: Tick) -> bool {
         if term < self.state.term {
             return false;
@@ -34,8 +34,8 @@
         true
     }
 
-    /// Whether a leader's message, or one before it, holds something that this program can't read.
-    /// Checked before anything of it is taken, so that the state on disk stays readable.
+    /// Whether this program can't read a leader's message or could not read an earlier one. This is
+    /// checked before any of the message is applied, so that the state on disk stays readable.
     pub(super) fn is_unreadable(&mut self, kind: &RaftMessageKind) -> bool {
         if let Err(error) = (self.message_validator)(kind) {
             self.unreadable_message = Some(error);
@@ -43,8 +43,8 @@
         self.unreadable_message.is_some()
     }
 
-    /// Takes entries into the log (the Raft paper, section 5.3). A message without any is a
-    /// heartbeat.
+    /// Appends a leader's entries to the log (the Raft paper, section 5.3). A message without
+    /// entries is a heartbeat.
     pub(super) fn handle_append_entries(
         &mut self,
         leader: MemberId,
@@ -53,13 +53,14 @@
         leader_commit: LogIndex,
         sent_at: u64,
     ) {
-        let heartbeat = entries.is_empty();
+        let is_heartbeat = entries.is_empty();
         match self.append_to_log(previous, entries) {
-            Ok(last_agreed) => {
-                // Entries after these may still conflict with the leader's (figure 2).
-                self.commit_index = self.commit_index.max(leader_commit.min(last_agreed));
-                let ack = PendingAck { leader, match_index: last_agreed, sent_at };
-                self.acknowledge(ack, heartbeat);
+            Ok(match_index) => {
+                // Entries after `match_index` may still conflict with the leader's (the Raft paper,
+                // figure 2).
+                self.commit_index = self.commit_index.max(leader_commit.min(match_index));
+                let ack = PendingAck { leader, match_index, sent_at };
+                self.acknowledge(ack, is_heartbeat);
             }
             Err(LogMismatch { hint }) => {
                 let kind =
@@ -69,8 +70,8 @@
         }
     }
 
-    /// Takes a snapshot in place of the log up to its last included entry (the Raft paper, section
-    /// 7). Entries after that are kept if the log agrees with the snapshot there.
+    /// Replaces the log up to the snapshot's last included entry by the snapshot (the Raft paper,
+    /// section 7). Later entries are kept if the log matches the snapshot at that entry.
     pub(super) fn handle_install_snapshot(
         &mut self,
         leader: MemberId,
@@ -95,12 +96,13 @@
         self.acknowledge(ack, false);
     }
 
-    /// Acknowledges only what is on disk. New entries wait for it; a heartbeat is answered at once
-    /// with what there is, as a disk that stalls does not make this member unreachable.
-    fn acknowledge(&mut self, ack: PendingAck, heartbeat: bool) {
+    /// Acknowledges only entries that are on disk. The acknowledgement of new entries waits for the
+    /// write. A heartbeat is answered at once with the durable index, so that a stalled disk does
+    /// not make this member look unreachable.
+    fn acknowledge(&mut self, ack: PendingAck, is_heartbeat: bool) {
         if ack.match_index > self.durable_index {
             self.pending_ack = Some(ack);
-            if !heartbeat {
+            if !is_heartbeat {
                 return;
             }
         }
@@ -113,7 +115,7 @@
         self.send(leader, RaftMessageKind::AppendResponse { match_index, success: true, sent_at });
     }
 
-    /// The disk holds everything up to this entry, if it is still the one in the log.
+    /// Records that the log is on disk up to this entry, unless the entry has been replaced since.
     pub fn log_persisted(&mut self, last: LogPosition) {
         if self.term_at(last.index) == Some(last.term) {
             self.durable_index = self.durable_index.max(last.index);
