--- a/src/raft/chunked_transfer.rs
+++ b/src/raft/chunked_transfer.rs
@@ -1,5 +1,5 @@
-//! Messages too large for one frame's share of a slow link: sent as chunks, each after the one
-//! before was answered, and put together again by the receiver.
+//! Transfer of large messages in chunks, so that one message does not block a slow link. The leader
+//! sends each chunk after the response to the previous one; the receiver reassembles the message.
 use super::limits::{
     FAST_CHUNK_MS, MAX_CHUNK_BYTES, MAX_CHUNKED_MESSAGE_BYTES, MAX_IN_FLIGHT_BYTES, SLOW_CHUNK_MS,
 };
@@ -13,38 +13,38 @@
 use serde_bytes::ByteBuf;
 use std::sync::Arc;
 
-/// A message on its way to a member in chunks. It stays as it is, whatever happens to the log
-/// meanwhile.
+/// A message that is being sent to a member in chunks. Its content is fixed when the transfer
+/// starts and does not follow later changes of the log.
 #[derive(Clone, Debug)]
 pub(super) struct ChunkedSend {
-    /// The transfer's number, unique within the sender's term.
+    /// The id of the transfer, unique within the sender's term.
     id: u64,
-    /// The encoded message; shared where several members get the same snapshot.
+    /// The encoded message. Members that are sent the same snapshot share it.
     bytes: Arc<[u8]>,
-    /// The last included entry, if the message is a snapshot.
+    /// The index of the last included entry, if the message is a snapshot.
     snapshot: Option<LogIndex>,
-    /// The first entry after those in the message.
+    /// The index of the first entry after the message.
     pub(super) next_index: LogIndex,
     /// How many bytes the member has acknowledged.
     offset: usize,
-    /// The size of the chunk that begins there, in bytes.
+    /// The size of the chunk that begins at `offset`, in bytes.
     chunk_size: usize,
-    /// When that chunk was sent.
+    /// When that chunk was sent last.
     sent_at: Tick,
 }
 
 impl ChunkedSend {
-    /// Whether the chunk in flight was sent before this time. If so, it is to be sent again in the
-    /// smallest size, as it was perhaps lost for lack of bandwidth.
+    /// Whether the chunk in flight was sent before this time. If so, also resets the chunk size to
+    /// the smallest one for the retry, as the chunk may have been lost for lack of bandwidth.
     pub(super) fn shrink_if_sent_before(&mut self, time: Tick) -> bool {
-        let before = time > self.sent_at;
-        if before {
+        let sent_before = time > self.sent_at;
+        if sent_before {
             self.chunk_size = MAX_IN_FLIGHT_BYTES;
         }
-        before
+        sent_before
     }
 
-    /// Moves on to the next chunk, with a size that follows from how long the last one took.
+    /// Moves to the next chunk and adapts the chunk size to how long the last chunk took.
     fn advance_to(&mut self, offset: usize, now: Tick) {
         self.offset = offset;
         let chunk_size = match now.since(self.sent_at) {
@@ -56,7 +56,7 @@
     }
 }
 
-/// A message that arrives in chunks, no larger than [`MAX_CHUNKED_MESSAGE_BYTES`].
+/// A message that is being received in chunks, of at most [`MAX_CHUNKED_MESSAGE_BYTES`].
 #[derive(Clone)]
 pub(super) struct ChunkedReceive {
     leader: MemberId,
@@ -65,7 +65,7 @@
     total_size: usize,
     /// How many bytes have arrived without a gap.
     received: usize,
-    /// Those bytes; empty again once the message is complete.
+    /// The bytes received so far; taken out once the message is complete.
     bytes: Vec<u8>,
 }
 
@@ -75,22 +75,23 @@
     }
 }
 
-/// One chunk, as it came.
+/// A chunk as received.
 pub(super) struct Chunk {
-    /// The transfer it belongs to.
+    /// The id of the transfer that it belongs to.
     pub(super) transfer_id: u64,
     /// The size of the whole message in bytes.
     pub(super) total_size: u64,
-    /// Where in the message it begins.
+    /// The offset in the message at which the chunk begins.
     pub(super) offset: u64,
-    /// Its bytes.
+    /// The content of the chunk.
     pub(super) bytes: ByteBuf,
-    /// The leader's clock when it was sent.
+    /// When the leader sent the chunk, by its own clock.
     pub(super) sent_at: u64,
 }
 
 impl RaftNode {
-    /// Begins to send a message in chunks. `snapshot` is the last included entry if it is one.
+    /// Starts to send a message in chunks. `snapshot` is the index of the last included entry if
+    /// the message is a snapshot.
     pub(super) fn start_chunked_send(
         &mut self,
         id: MemberId,
@@ -99,8 +100,8 @@
         now: Tick,
     ) {
         let mut transfers = self.progress.values().filter_map(|p| p.transfer.as_ref());
-        let same = transfers.find(|t| snapshot.is_some() && t.snapshot == snapshot);
-        let bytes = same.map_or_else(|| pack(kind).into(), |t| Arc::clone(&t.bytes));
+        let same_snapshot = transfers.find(|t| snapshot.is_some() && t.snapshot == snapshot);
+        let bytes = same_snapshot.map_or_else(|| pack(kind).into(), |t| Arc::clone(&t.bytes));
         self.transfers_started += 1;
         if let Some(progress) = self.progress.get_mut(&id) {
             progress.transfer = Some(ChunkedSend {
@@ -116,7 +117,7 @@
         self.send_chunk(id, now);
     }
 
-    /// Sends the chunk at the transfer's offset, for the first time or again.
+    /// Sends or resends the chunk at the transfer's current offset.
     pub(super) fn send_chunk(&mut self, id: MemberId, now: Tick) {
         let transfer = self.progress.get_mut(&id).and_then(|p| p.transfer.as_mut());
         let Some(transfer) = transfer else {
@@ -135,8 +136,8 @@
         self.send(id, kind);
     }
 
-    /// Sends the next chunk once the member has answered the one before; after the last one, the
-    /// entries that follow the message.
+    /// Handles the response to a chunk: sends the next chunk or, after the last one, the entries
+    /// that follow the message.
     pub(super) fn handle_chunk_response(
         &mut self,
         id: MemberId,
@@ -150,7 +151,8 @@
         };
         progress.last_acked = progress.last_acked.max(Tick(sent_at));
         let current = progress.transfer.as_mut().filter(|t| t.id == transfer_id);
-        // Only the answer to the newest chunk counts; the one before may have been sent twice.
+        // Only a response to the newest chunk counts. An earlier chunk may have been sent twice and
+        // so may be answered again.
         let Some(transfer) = current.filter(|t| t.sent_at <= Tick(sent_at)) else {
             return;
         };
@@ -164,31 +166,32 @@
         self.send_append(id, WhenUpToDate::SendNothing, now);
     }
 
-    /// Collects the chunks of a leader's message; returns the message once it is complete.
+    /// Collects the chunks of a leader's message and returns the message once it is complete.
     pub(super) fn handle_chunk(&mut self, from: MemberId, chunk: Chunk) -> Option<RaftMessageKind> {
         let transfer_id = chunk.transfer_id;
         let incoming = self.incoming_transfer(from, &chunk)?;
-        let fits = incoming.accepts(chunk.offset, &chunk.bytes);
-        if fits {
+        let accepted = incoming.accepts(chunk.offset, &chunk.bytes);
+        if accepted {
             incoming.bytes.extend_from_slice(&chunk.bytes);
             incoming.received += chunk.bytes.len();
         }
         let received = incoming.received as u64;
-        // A complete message is still known as received, but its bytes are not needed any more.
-        let complete = fits && incoming.received == incoming.total_size;
+        // The transfer stays recorded after it is complete, so that a repeated chunk is answered;
+        // its bytes are not needed any more.
+        let complete = accepted && incoming.received == incoming.total_size;
         let message = complete.then(|| std::mem::take(&mut incoming.bytes));
         let sent_at = chunk.sent_at;
         self.send(from, RaftMessageKind::ChunkResponse { transfer_id, received, sent_at });
         self.decode_chunked_message(&message?)
     }
 
-    /// The transfer that a chunk belongs to, begun anew if it is not the current one. `None` if its
-    /// message is too large.
+    /// The transfer that a chunk belongs to, which replaces the current one if it is another.
+    /// `None` if the whole message would be too large.
     fn incoming_transfer(&mut self, from: MemberId, chunk: &Chunk) -> Option<&mut ChunkedReceive> {
         let (term, transfer_id) = (self.state.term, chunk.transfer_id);
-        let same =
+        let is_same =
             |t: &ChunkedReceive| (t.leader, t.term, t.transfer_id) == (from, term, transfer_id);
-        if !self.incoming.as_ref().is_some_and(same) {
+        if !self.incoming.as_ref().is_some_and(is_same) {
             let total_size = usize::try_from(chunk.total_size).ok();
             let total_size = total_size.filter(|size| *size <= MAX_CHUNKED_MESSAGE_BYTES)?;
             self.incoming = Some(ChunkedReceive {
@@ -203,7 +206,7 @@
         self.incoming.as_mut()
     }
 
-    /// Only messages that leaders send in chunks are taken.
+    /// Decodes a message received in chunks. Kinds that leaders don't send in chunks are ignored.
     fn decode_chunked_message(&mut self, bytes: &[u8]) -> Option<RaftMessageKind> {
         match unpack::<RaftMessageKind>(bytes) {
             Ok(
--- a/src/raft/persister.rs
+++ b/src/raft/persister.rs
@@ -1,8 +1,8 @@
-//! Decides what is written to disk when, and holds messages back until what they promise is durable.
+//! Orders writes and messages: messages are held back until the state they depend on is durable.
 //!
-//! The controller asks it after every step for the messages that may be sent and the next write, and
-//! tells it when a write has ended. It knows no disk, thread or clock: the write itself is done by
-//! the storage thread.
+//! After every step the controller asks the persister for the messages that may be sent and for the
+//! next write, and reports the outcome of each write. The persister does no I/O and reads no clock;
+//! the storage thread does the writes.
 use crate::base::ids::MemberId;
 use crate::base::time::Tick;
 use crate::net::rpc::raft_messages::{LogPosition, RaftMessage, RaftMessageKind};
@@ -11,59 +11,60 @@
 use crate::raft::storage::WriteBatch;
 use std::collections::VecDeque;
 
-/// A write that takes longer than this, in ms, counts as a failing disk.
+/// A disk whose write takes longer than this, in milliseconds, counts as failing.
 const STALL_MS: u64 = 700;
 
-/// After a failed write the next attempt is made this much later, in ms.
+/// The delay between a failed write and the next attempt, in milliseconds.
 const RETRY_DELAY_MS: u64 = 200;
 
-/// Stands between a [`RaftNode`] and its storage. One write is in flight at a time, and what changes
-/// meanwhile goes into the next one.
+/// Decides when the changes of a [`RaftNode`] are written and when its messages may be sent. One
+/// write is in flight at a time; later changes go into the next one.
 ///
 /// A member must not act on a term or a vote before it is durable (the Raft paper, figure 2: hard
 /// state is updated on stable storage before responding to RPCs). So messages wait for the write
-/// that contains what they rest on.
+/// that contains the hard state they depend on.
 #[derive(Default)]
 pub struct LogPersister {
-    /// How many writes have begun; numbers them.
+    /// How many writes have been started; also the number of the newest one.
     writes_started: u64,
     in_flight: Option<InFlightWrite>,
-    /// The last write failed; the next attempt is due at this time.
+    /// When the next attempt is due, if the last write failed.
     retry_at: Option<Tick>,
-    /// In the order in which they are to be sent.
+    /// The messages held back, in the order in which they are to be sent.
     held: VecDeque<HeldMessage>,
 }
 
 struct InFlightWrite {
     changes: UnsavedChanges,
-    /// The end of the log when the write began.
+    /// The position of the last log entry when the write was started.
     last_position: LogPosition,
     started: Tick,
 }
 
-/// A message that waits for a write.
+/// A message that is held back until a write is durable.
 struct HeldMessage {
-    /// The number of that write.
+    /// The number of the write.
     write: u64,
     to: MemberId,
     message: RaftMessage,
 }
 
-/// How a write ended.
+/// The outcome of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// All of it is durable.
+    /// The whole batch is durable.
     Durable,
-    /// None of it is on disk.
+    /// Nothing of the batch is on disk.
     Failed,
 }
 
 impl LogPersister {
-    /// Takes the node's outbox and gives those messages that may be sent now, each with its receiver.
+    /// Empties the node's outbox and returns the messages that may be sent now, each with its
+    /// receiver.
     ///
-    /// While a term or a vote is not durable, all others wait; only pre-votes promise nothing (the
-    /// dissertation, section 9.6). Entries need no waiting here: [`RaftNode`] acknowledges them only
-    /// after [`RaftNode::log_persisted`].
+    /// While the hard state is not durable, all messages but pre-votes are held back; a pre-vote
+    /// commits the member to nothing (the dissertation, section 9.6). Unsaved log entries hold no
+    /// message back, as [`RaftNode`] acknowledges them only after [`RaftNode::log_persisted`].
     pub fn take_sendable(&mut self, raft: &mut RaftNode) -> Vec<(MemberId, RaftMessage)> {
         let awaited_write = self.awaited_write(raft);
         let mut sendable = Vec::new();
@@ -78,7 +79,8 @@
         sendable
     }
 
-    /// The number of the write that makes the node's present hard state durable; none if it is.
+    /// The number of the write that makes the node's current hard state durable. `None` if it is
+    /// durable already.
     fn awaited_write(&self, raft: &RaftNode) -> Option<u64> {
         if raft.unsaved.hard_state {
             return Some(self.writes_started + 1);
@@ -87,8 +89,8 @@
         in_flight.map(|_| self.writes_started)
     }
 
-    /// Begins the next write and gives what it consists of; none if nothing has changed, a write is
-    /// in flight, or the time for a retry has not come.
+    /// Starts the next write and returns its batch. `None` if nothing has changed, a write is in
+    /// flight, or the retry after a failed write is not due yet.
     pub fn begin_write(&mut self, raft: &mut RaftNode, now: Tick) -> Option<WriteBatch> {
         let must_wait = self.in_flight.is_some() || self.retry_at.is_some_and(|at| now < at);
         if must_wait || raft.unsaved == UnsavedChanges::default() {
@@ -102,8 +104,8 @@
         Some(batch)
     }
 
-    /// Ends the write in flight. Gives the messages that waited for it, each with its receiver; after
-    /// a failure they go on waiting, and its changes belong to the next write.
+    /// Ends the write in flight and returns the messages that it held back, each with its receiver.
+    /// After a failure they stay held back, and the changes become part of the next write.
     pub fn end_write(
         &mut self,
         raft: &mut RaftNode,
@@ -127,7 +129,7 @@
         }
     }
 
-    /// The held messages whose write is durable.
+    /// Removes and returns the held messages whose write is durable.
     fn take_released(&mut self) -> Vec<(MemberId, RaftMessage)> {
         let mut released = Vec::new();
         while self.held.front().is_some_and(|held| held.write <= self.writes_started) {
@@ -136,12 +138,12 @@
         released
     }
 
-    /// Drops all held messages: they were sent under a member id that is used no more.
+    /// Drops all held messages, because the member id of their sender is no longer in use.
     pub fn discard_held(&mut self) {
         self.held.clear();
     }
 
-    /// Whether the disk refuses writes or takes too long for one.
+    /// Whether the last write failed or the current one takes too long.
     pub fn is_storage_failing(&self, now: Tick) -> bool {
         let stalled = |write: &InFlightWrite| now.since(write.started) > STALL_MS;
         self.retry_at.is_some() || self.in_flight.as_ref().is_some_and(stalled)
