--- a/src/raft/mod.rs
+++ b/src/raft/mod.rs
@@ -1,9 +1,9 @@
-//! Consensus between controllers: the Raft core, its log, and the storage under it.
+//! Consensus between controllers: the Raft core, its log, and its storage.
 //!
-//! [`node::RaftNode`] is a pure state machine: the controller hands it messages and the time, and
-//! takes from it the messages to send and the changes to save. It knows no socket, thread, clock or
-//! file. [`persister`] holds messages back until what they promise is on disk, and [`storage`] is
-//! the SQLite file below it.
+//! [`node::RaftNode`] is a pure state machine: the controller passes messages and the current time
+//! to it and takes from it the messages to send and the changes to save. It uses no sockets,
+//! threads, clocks or files. [`persister`] holds messages back until the state they depend on is on
+//! disk, and [`storage`] saves that state in a SQLite file.
 //!
 //! "The Raft paper" in this module is Ongaro and Ousterhout, "In Search of an Understandable
 //! Consensus Algorithm" (extended version); "the dissertation" is Ongaro, "Consensus: Bridging
--- a/src/raft/state.rs
+++ b/src/raft/state.rs
@@ -1,8 +1,8 @@
-//! What a member of the Raft group keeps on disk, and what of it is not saved yet.
+//! The persistent state of a member of the Raft group, and which parts of it are not saved yet.
 use crate::base::ids::{LogIndex, MemberId, Term};
 use crate::net::rpc::raft_messages::{LogEntry, Snapshot};
 
-/// The persistent state of a member (the Raft paper, figure 2, and section 7 for the snapshot).
+/// The persistent state of a member (the Raft paper, figure 2; section 7 for the snapshot).
 #[derive(Clone, Debug, Default)]
 pub struct PersistentState {
     /// The member that this state belongs to.
@@ -15,23 +15,23 @@
     pub last_led_term: Option<Term>,
     /// The entries after the snapshot, without gaps.
     pub log: Vec<LogEntry>,
-    /// The state that stands for all entries up to its last included one.
+    /// The snapshot, which replaces all entries up to its last included entry.
     pub snapshot: Snapshot,
 }
 
-/// The parts of a [`PersistentState`] that differ from what is on disk.
+/// The parts of a [`PersistentState`] that differ from the state on disk.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct UnsavedChanges {
-    /// The member id, the term, the vote or the last led term.
+    /// The member id, the term, the vote or the last led term has changed.
     pub hard_state: bool,
-    /// The log from this index on, including entries that were truncated.
+    /// The log has changed from this index on; entries may also have been truncated.
     pub log_from: Option<LogIndex>,
-    /// The snapshot.
+    /// The snapshot has changed.
     pub snapshot: bool,
 }
 
 impl UnsavedChanges {
-    /// Everything is to be written anew.
+    /// Marks the whole state as changed.
     pub fn all() -> Self {
         Self { hard_state: true, log_from: Some(LogIndex(0)), snapshot: true }
     }
