--- a/src/raft/read_index.rs
+++ b/src/raft/read_index.rs
@@ -1,21 +1,22 @@
 //! Linearizable reads without log entries: ReadIndex (the dissertation, section 6.4).
 //!
 //! A read is answered from the applied state once the state machine has reached the read's index
-//! and a quorum has answered messages that the leader sent after the read came. All reads that come
-//! while one heartbeat round is in flight share the next.
+//! and a quorum has answered messages that the leader sent after the read was requested. All reads
+//! requested while a heartbeat round is in flight share the next round.
 use super::limits::READ_ROUND_TIMEOUT_MS;
 use super::node::{RaftNode, RaftRole};
 use crate::base::ids::{LogIndex, Term};
 use crate::base::time::Tick;
 
-/// A pending linearizable read, as it was when the request came.
+/// A linearizable read that waits for confirmation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReadIndex {
-    /// The term in which the request came.
+    /// The leader's term when the read was requested.
     term: Term,
-    /// Everything that any leader had acknowledged when the request came is at or below this index.
+    /// The commit index when the read was requested: every entry that any leader had acknowledged
+    /// by then is at or below this index.
     pub index: LogIndex,
-    /// When the request came.
+    /// When the read was requested.
     pub requested_at: Tick,
 }
 
@@ -24,16 +25,16 @@
 pub enum ReadConfirmation {
     /// No quorum has answered yet.
     Pending,
-    /// This member was still the leader after the request came.
+    /// This member was still the leader after the read was requested.
     Confirmed,
-    /// This member no longer leads the read's term, so it will never be confirmed.
+    /// This member is no longer the leader of the read's term, so the read will never be confirmed.
     LeadershipLost,
 }
 
 impl RaftNode {
-    /// Takes in a linearizable read. `None` if this member is not the leader, or has not committed
-    /// an entry of its term yet: then it does not know the commit index (section 6.4, step 1).
-    /// `tick` starts the heartbeat round that confirms the read.
+    /// Registers a linearizable read. `None` if this member is not the leader, or has not committed
+    /// an entry of its term yet and so does not know the commit index (the dissertation, section
+    /// 6.4, step 1). `tick` starts the heartbeat round that confirms the read.
     pub fn read_index(&mut self, now: Tick) -> Option<ReadIndex> {
         let RaftRole::Leader { no_op_index, .. } = self.role else {
             return None;
@@ -48,20 +49,21 @@
         Some(read)
     }
 
-    /// Whether a quorum answered, in the read's term, messages that were sent after the read came.
+    /// Whether a quorum has answered, in the read's term, messages that were sent after the read
+    /// was requested.
     pub fn read_confirmation(&self, read: &ReadIndex) -> ReadConfirmation {
         if !self.is_leader() || self.state.term != read.term {
             return ReadConfirmation::LeadershipLost;
         }
-        // A message of the same millisecond may have been sent before the read came.
+        // A message sent in the same millisecond may have been sent before the read was requested.
         match self.quorum_answered(|sent_at| sent_at > read.requested_at) {
             true => ReadConfirmation::Confirmed,
             false => ReadConfirmation::Pending,
         }
     }
 
-    /// When to start a heartbeat round for the reads that wait for one: once a quorum has answered
-    /// the round in flight, or that one has timed out.
+    /// When to start the next heartbeat round for pending reads: once a quorum has answered the
+    /// round in flight or that round has timed out. `None` if no read needs one.
     pub(super) fn next_read_round(&self) -> Option<Tick> {
         let earliest = self.unserved_read?.plus(1);
         let answered = self.quorum_answered(|sent_at| sent_at >= self.round_started);
