--- a/src/raft/storage/error.rs
+++ b/src/raft/storage/error.rs
@@ -1,12 +1,12 @@
-//! What can go wrong between a member and its state on disk.
+//! The errors of reading and writing a member's state on disk.
 use crate::base::errors::Fatal;
 use crate::base::ids::MemberId;
 use crate::raft::storage::identity_file::FILE_NAME;
 use std::io;
 use std::num::ParseIntError;
 
-/// Why the state of a member can't be read or written. Whatever is wrong with it, the file on disk is
-/// left as it is.
+/// Why the state of a member can't be read or written. The files on disk are left unchanged in
+/// every case.
 #[derive(Debug, thiserror::Error)]
 pub enum StorageError {
     /// SQLite refused an operation on the database file.
@@ -15,14 +15,17 @@
     /// The data folder or the identity file can't be created or written.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// The identity file exists and can't be read.
-    #[error("{FILE_NAME}: {0}")]
+    /// The identity file exists but can't be read.
+    #[error("the identity file {FILE_NAME} can't be read: {0}")]
     IdentityFileUnreadable(#[source] io::Error),
-    /// The identity file holds something that is no member id.
-    #[error("the file {FILE_NAME} is damaged, left as it is")]
+    /// The identity file contains a word that is not a member id.
+    #[error("the identity file {FILE_NAME} is damaged, file left unchanged: {0}")]
     IdentityFileDamaged(#[source] ParseIntError),
     /// A newer program wrote the database file.
-    #[error("format {found} is newer than {supported}, left as it is")]
+    #[error(
+        "schema version {found} of the database file is newer than {supported}, the newest that \
+         this program reads; file left unchanged"
+    )]
     NewerSchema {
         /// The schema version of the file.
         found: i64,
@@ -30,25 +33,31 @@
         supported: i64,
     },
     /// The database file has tables that no controller creates.
-    #[error("not a controller's file, left as it is")]
+    #[error("the database file has tables that no controller creates; file left unchanged")]
     ForeignFile,
-    /// The identity file names members, but the database file holds no state.
-    #[error("a member's state was here and is gone; not taken for a new disk")]
+    /// There is an identity file, but the database file holds no state.
+    #[error("the data folder belonged to a member whose state is gone; not used for a new member")]
     StateLost,
-    /// SQLite's own check found damage, which it describes.
-    #[error("damaged, left as it is: {0}")]
+    /// SQLite's integrity check found damage, which this text describes.
+    #[error("the integrity check of the database file failed, file left unchanged: {0}")]
     FailedIntegrityCheck(String),
     /// The snapshot or a log entry can't be decoded.
-    #[error("damaged, left as it is: {0}")]
+    #[error("a snapshot or log entry on disk can't be decoded, file left unchanged: {0}")]
     Undecodable(#[source] io::Error),
-    /// The log has a gap where this index would be.
-    #[error("damaged, left as it is: entry {0} is missing")]
+    /// The log has a gap at this index.
+    #[error("the log on disk is damaged: entry {0} is missing; file left unchanged")]
     MissingEntry(u64),
     /// A member list names a member or an address twice, or has no voter.
-    #[error("left as it is: a list of members that can't be")]
+    #[error(
+        "a member list on disk names a member or an address twice or has no voter; file left \
+         unchanged"
+    )]
     InvalidMembership,
-    /// The state is of a member that the identity file does not name.
-    #[error("of member {found}, in a folder of {expected}; left as it is")]
+    /// The state belongs to a member that the identity file does not name.
+    #[error(
+        "the database file belongs to member {found}, but the identity file names {expected}; \
+         file left unchanged"
+    )]
     WrongMember {
         /// The member in the database file.
         found: MemberId,
@@ -58,8 +67,8 @@
 }
 
 impl StorageError {
-    /// Whether the disk is full or failing, which may pass; anything else is wrong with the state
-    /// itself and needs an operator.
+    /// Whether the disk is full or failing, which may be temporary. All other errors concern the
+    /// state itself and need an operator.
     pub fn is_disk_failure(&self) -> bool {
         use rusqlite::ErrorCode::{CannotOpen, DiskFull, SystemIoFailure};
         match self {
--- a/tests/raft.rs
+++ b/tests/raft.rs
@@ -458,7 +458,7 @@
         storage.save(&WriteBatch::new(&state, &UnsavedChanges::all())).expect("saved");
         drop(storage);
         let refused = RaftStorage::open(&folder).err().expect("refused").to_string();
-        assert!(refused.contains("can't be"), "{refused}");
+        assert!(refused.contains("twice or has no voter"), "{refused}");
     }
     // A member's state that is gone is not taken for a new disk; an empty folder is.
     let _ = std::fs::remove_dir_all(&folder);
--- a/tests/storage.rs
+++ b/tests/storage.rs
@@ -702,17 +702,25 @@
         ("cut to a page", Box::new(cut(4_096)), "malformed"),
         ("cut by a page", Box::new(cut(16_384)), "malformed"),
         ("newer as a whole", Box::new(set("PRAGMA user_version = 2")), "newer than 1"),
-        ("another program's", Box::new(set("CREATE TABLE t (a)")), "not a controller's"),
+        (
+            "another program's",
+            Box::new(set("CREATE TABLE t (a)")),
+            "tables that no controller creates",
+        ),
         (
             "another layout",
             Box::new(set("ALTER TABLE log RENAME COLUMN body TO bytes")),
             "no such column",
         ),
-        ("without an entry", Box::new(set("DELETE FROM log WHERE place = 10")), "10 is missing"),
+        (
+            "without an entry",
+            Box::new(set("DELETE FROM log WHERE place = 10")),
+            "entry 10 is missing",
+        ),
         (
             "of another member",
             Box::new(|folder| std::fs::write(folder.join("member"), "members 8 9").expect("mark")),
-            "of member 1, in a folder of 8, 9",
+            "belongs to member 1, but the identity file names 8, 9",
         ),
         (
             "a change of a newer layout",
