--- a/src/raft/storage/identity_file.rs
+++ b/src/raft/storage/identity_file.rs
@@ -1,8 +1,9 @@
-//! The identity file beside the database file: which members the data folder has belonged to.
+//! The identity file next to the database file: it names the members that have used the data
+//! folder.
 //!
-//! It survives the database file. So a database file that was lost is not taken for a new disk, on
-//! which the member would vote a second time in a term (the Raft paper, section 5.2), and a database
-//! file of another member is not taken for one's own.
+//! It is kept if the database file is lost. So a folder that has lost its database file is not
+//! treated as a new disk, on which the member might vote twice in a term (the Raft paper, section
+//! 5.2). The database file of another member is detected too.
 use crate::base::ids::MemberId;
 use crate::raft::storage::error::StorageError;
 use std::collections::BTreeSet;
@@ -10,15 +11,15 @@
 use std::io::{self, ErrorKind, Write};
 use std::path::{Path, PathBuf};
 
-/// The name of the file. It stays, because earlier programs look for it under this name.
+/// The name of the file. It must not change, because earlier programs look for it under this name.
 pub(super) const FILE_NAME: &str = "member";
 
-/// Where a new version is written before it replaces the file.
+/// The name under which a new version is written before it replaces the file.
 const TEMPORARY_FILE_NAME: &str = "member.new";
 
-/// The first word of a file whose ids are complete. The first release wrote a single id without it,
-/// and did not update it when a removed member got a new id: such a file is not relied on. The word
-/// stays, because it is in the files of earlier programs.
+/// The first word of a file whose list of ids is complete. The first release wrote a single id
+/// without this word and did not update it when a removed member got a new id, so the id in such a
+/// file is ignored. The word must not change, because files of earlier programs contain it.
 const COMPLETE_LIST: &str = "members";
 
 /// The identity file of one data folder, and the members it names.
@@ -28,7 +29,7 @@
 }
 
 impl IdentityFile {
-    /// Names the file of a folder, which is created if it is missing; reads nothing yet.
+    /// The identity file of a folder, which is created if it is missing. Does not read the file.
     pub(super) fn new(folder: &Path) -> io::Result<Self> {
         create_dir_all(folder)?;
         Ok(Self { folder: folder.to_owned(), members: BTreeSet::new() })
@@ -39,13 +40,13 @@
         self.folder.join(FILE_NAME).exists()
     }
 
-    /// Whether it names any member that can be relied on.
+    /// Whether no complete list of members has been read or written.
     pub(super) fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// Reads the members that the file names; none if there is no file, or one without
-    /// [`COMPLETE_LIST`].
+    /// Reads the members that the file names. There are none if the file is missing or does not
+    /// start with [`COMPLETE_LIST`].
     pub(super) fn read(&mut self) -> Result<(), StorageError> {
         let text = match read_to_string(self.folder.join(FILE_NAME)) {
             Ok(text) => text,
@@ -60,7 +61,7 @@
         Ok(())
     }
 
-    /// Refuses a member that the file does not name, unless it names none.
+    /// Fails for a member that the file does not name, unless the file names none.
     pub(super) fn check(&self, member: MemberId) -> Result<(), StorageError> {
         if self.members.is_empty() || self.members.contains(&member) {
             return Ok(());
@@ -69,7 +70,8 @@
         Err(StorageError::WrongMember { found: member, expected })
     }
 
-    /// Names one more member, durably before this returns. If that fails, it is not named.
+    /// Adds a member to the file; the change is durable when this returns. After an error the
+    /// member is not added.
     pub(super) fn add(&mut self, member: MemberId) -> io::Result<()> {
         if !self.members.insert(member) {
             return Ok(());
@@ -81,7 +83,7 @@
         written
     }
 
-    /// Replaces the file, and syncs it, its folder, and the folder above where that can be opened.
+    /// Replaces the file and syncs it, its folder and, if that can be opened, the parent folder.
     fn write(&self) -> io::Result<()> {
         let ids: Vec<String> = self.members.iter().map(MemberId::to_string).collect();
         let temporary = self.folder.join(TEMPORARY_FILE_NAME);
@@ -91,7 +93,7 @@
         rename(&temporary, self.folder.join(FILE_NAME))?;
         File::open(&self.folder)?.sync_all()?;
         match self.folder.parent().map(File::open) {
-            Some(Ok(above)) => above.sync_all(),
+            Some(Ok(parent)) => parent.sync_all(),
             _ => Ok(()),
         }
     }
--- a/src/raft/storage/schema.rs
+++ b/src/raft/storage/schema.rs
@@ -1,25 +1,25 @@
-//! The schema of the database file, and every SQL statement on it.
+//! The schema of the database file, and all SQL statements on it.
 //!
-//! The names of tables and columns date from the first release. They stay, because files written by
-//! earlier programs are read and, after a rollback, written by them again:
+//! The names of tables and columns date from the first release. They must not change, because this
+//! program reads files written by earlier programs, which may run on them again after a rollback:
 //!
-//! | table, column | holds |
+//! | table, column | content |
 //! |---|---|
 //! | `hard` | the hard state of the Raft paper (figure 2), one row |
-//! | `hard.me`, `hard.epoch`, `hard.voted` | the member's id, its term, the candidate it voted for |
-//! | `led`, `led.epoch` | the newest term that the member led, one row; came later than the rest |
-//! | `snapshot`, `snapshot.body` | the snapshot, packed, one row |
-//! | `log`, `log.place`, `log.body` | the log: index and packed entry of each row |
+//! | `hard.me`, `hard.epoch`, `hard.voted` | the member's id, its term, and its vote |
+//! | `led`, `led.epoch` | the newest term that the member led, one row; added in a later release |
+//! | `snapshot`, `snapshot.body` | the encoded snapshot, one row |
+//! | `log`, `log.place`, `log.body` | the log: index and encoded entry, a row for each entry |
 //!
-//! `only_one` keeps a table at a single row. Ids, terms and indexes are stored as `i64`, the only
-//! integer that SQLite has; they are below `i64::MAX`.
+//! `only_one` restricts a table to a single row. Ids, terms and indexes are stored as `i64`, the
+//! only integer type of SQLite; their values are below `i64::MAX`.
 
 /// The schema version (`PRAGMA user_version`) that this program writes. A file with a higher one is
 /// from a newer program.
 pub(super) const SCHEMA_VERSION: i64 = 1;
 
-/// Creates the tables; changes nothing where all of them exist. SQLite stores these texts in the
-/// file, so they must not be reworded.
+/// Creates the tables that do not exist yet. SQLite stores these texts in the file, so they must
+/// not be reworded.
 pub(super) const CREATE_TABLES: &str = "BEGIN;
     CREATE TABLE IF NOT EXISTS hard (only_one INTEGER PRIMARY KEY CHECK (only_one = 1), \
     me INTEGER, epoch INTEGER, voted INTEGER);
@@ -30,18 +30,18 @@
     CREATE TABLE IF NOT EXISTS log (place INTEGER PRIMARY KEY, body BLOB NOT NULL);
     COMMIT;";
 
-/// Reads the schema version; 0 in a new file.
+/// Reads the schema version, which is 0 in a new file.
 pub(super) const SELECT_SCHEMA_VERSION: &str = "PRAGMA user_version";
 
-/// Counts the tables that are none of ours.
+/// Counts the tables that are not part of this schema.
 pub(super) const COUNT_FOREIGN_TABLES: &str = "SELECT count(*) FROM sqlite_master WHERE type = 'table' \
      AND name NOT IN ('hard', 'led', 'snapshot', 'log')";
 
-/// Whether the tables exist: 0 or 1.
+/// Counts the tables for the hard state: 0 in a new file, otherwise 1.
 pub(super) const COUNT_HARD_STATE_TABLES: &str =
     "SELECT count(*) FROM sqlite_master WHERE name = 'hard'";
 
-/// Checks the structure of the file: `ok`, or the first damage found.
+/// Checks the structure of the file. Returns `ok` or a description of the first damage.
 pub(super) const CHECK_INTEGRITY: &str = "PRAGMA quick_check(1)";
 
 /// Reads member id, term and vote.
@@ -53,7 +53,7 @@
 /// Reads the snapshot.
 pub(super) const SELECT_SNAPSHOT: &str = "SELECT body FROM snapshot";
 
-/// Reads the log in the order of its indexes.
+/// Reads the log in index order.
 pub(super) const SELECT_LOG: &str = "SELECT body FROM log ORDER BY place";
 
 /// Replaces member id, term and vote.
