--- a/src/raft/storage/mod.rs
+++ b/src/raft/storage/mod.rs
@@ -1,11 +1,11 @@
-//! The state of a member on disk: the SQLite file with its term, vote, snapshot and log, and the
-//! identity file beside it.
+//! The storage of a member's state: a SQLite file with its term, vote, snapshot and log, and the
+//! identity file next to it.
 //!
-//! The controller's process opens a [`RaftStorage`] at its start and moves it to the storage thread,
-//! which is the only one that waits for the disk. [`LogPersister`](crate::raft::persister) decides
-//! what is written when. When [`RaftStorage::save`] returns, the batch is durable, also over a loss
-//! of power (`synchronous = FULL`, `tests/power_loss.rs`). A file that can't be read, or is not this
-//! member's, is refused and left as it is.
+//! The controller process opens a [`RaftStorage`] when it starts and moves it to the storage
+//! thread, the only thread that waits for the disk. [`LogPersister`](crate::raft::persister)
+//! decides what is written when. When [`RaftStorage::save`] returns, the batch is durable and
+//! survives a power loss (`synchronous = FULL`, `tests/power_loss.rs`). A file that can't be read
+//! or belongs to another member is refused and left unchanged.
 mod error;
 mod identity_file;
 mod schema;
@@ -25,41 +25,42 @@
 use std::path::Path;
 use write_batch::{HardState, LogTail};
 
-/// The database file in a member's data folder. Its name dates from the first release and stays,
-/// because a file under another name would look like an empty disk to earlier programs.
+/// The name of the database file in a member's data folder. It dates from the first release and
+/// must not change, because to earlier programs a folder without this file is an empty disk.
 const DATABASE_FILE: &str = "hedge.sqlite";
 
-/// SQLite's page cache, in KiB as the pragma wants it (negative). The state is read once, at the
-/// start; afterwards it is only written.
+/// The size of SQLite's page cache in KiB, negative as the pragma requires. A small cache is
+/// enough: the state is read once, at the start, and only written afterwards.
 const PAGE_CACHE_KIB: i64 = -256;
 
-/// The state of one member on disk, or in memory for one without a disk.
+/// The storage of one member's state: on disk, or in memory for a member without a disk.
 pub struct RaftStorage {
     database: Connection,
-    /// None in memory.
+    /// `None` for a storage in memory.
     identity: Option<IdentityFile>,
 }
 
-/// A storage that was opened, and what it held.
+/// A storage that was opened, and the state it contained.
 pub struct OpenedStorage {
     /// The storage, ready to save to.
     pub storage: RaftStorage,
-    /// The state it held; none if nothing was ever saved.
+    /// The state it contained; `None` if no state was ever saved.
     pub state: Option<PersistentState>,
 }
 
-/// A storage that holds a state.
+/// A storage that contains a state.
 pub struct InitializedStorage {
     /// The storage, ready to save to.
     pub storage: RaftStorage,
-    /// The state it holds.
+    /// The state it contains.
     pub state: PersistentState,
-    /// The state was there before: the member restarts. Otherwise it was just initialized.
+    /// The state was loaded from disk, so the member restarts. Otherwise it was just initialized.
     pub restarted: bool,
 }
 
 impl RaftStorage {
-    /// A storage without a file, for a controller that never votes: its state ends with the process.
+    /// Creates a storage without a file, for a controller that never votes. Its state is lost when
+    /// the process ends.
     ///
     /// # Errors
     /// [`StorageError::Sqlite`] if SQLite can't be set up.
@@ -69,17 +70,18 @@
         Ok(Self { database, identity: None })
     }
 
-    /// Opens the database file in `folder`, creating both if they are missing, and reads its state.
+    /// Opens the database file in `folder` and reads its state. Creates the file and the folder if
+    /// they are missing.
     ///
     /// # Errors
-    /// A [`StorageError`] if the files can't be read or written, are damaged or of a newer program,
-    /// or belong to another member. Nothing that was there is changed then.
+    /// A [`StorageError`] if the files can't be read or written, are damaged, were written by a
+    /// newer program, or belong to another member. Existing files are left unchanged then.
     pub fn open(folder: &Path) -> Result<OpenedStorage, StorageError> {
         let mut identity = IdentityFile::new(folder)?;
         let database = Connection::open(folder.join(DATABASE_FILE))?;
-        // Exclusive before WAL: the index of the log then lives on the heap.
+        // Set before WAL mode: SQLite then keeps the WAL index on the heap, not in shared memory.
         database.pragma_update(None, "locking_mode", "EXCLUSIVE")?;
-        // All of this is looked at before anything is written.
+        // These checks come before anything is written to the file.
         let version = checked_schema_version(&database)?;
         let tables: i64 =
             database.query_row(schema::COUNT_HARD_STATE_TABLES, [], |row| row.get(0))?;
@@ -104,43 +106,43 @@
         Ok(OpenedStorage { storage: Self { database, identity: Some(identity) }, state })
     }
 
-    /// Opens the database file and saves `first()` to it if it holds no state. When this returns, the
-    /// state is durable and so are the names of the files.
+    /// Opens the database file and saves `initial_state()` to it if it contains no state. When this
+    /// returns, both the state and the directory entries of the files are durable.
     ///
     /// # Errors
-    /// As [`RaftStorage::open`].
+    /// As for [`RaftStorage::open`].
     pub fn open_or_initialize(
         folder: &Path,
-        first: impl FnOnce() -> PersistentState,
+        initial_state: impl FnOnce() -> PersistentState,
     ) -> Result<InitializedStorage, StorageError> {
         let OpenedStorage { mut storage, state } = Self::open(folder)?;
         if let Some(state) = state {
             return Ok(InitializedStorage { storage, state, restarted: true });
         }
-        let state = first();
+        let state = initial_state();
         storage.save(&WriteBatch::new(&state, &UnsavedChanges::all()))?;
-        // After the state: an identity file without one stands for a state that was lost.
+        // Written after the state, because an identity file without a state means a lost state.
         if let Some(identity) = &mut storage.identity {
             identity.add(state.member_id)?;
         }
         Ok(InitializedStorage { storage, state, restarted: false })
     }
 
-    /// Reads the state; none if nothing was ever saved.
+    /// Reads the state; `None` if no state was ever saved.
     ///
     /// # Errors
-    /// A [`StorageError`] if it can't be read or is damaged.
+    /// A [`StorageError`] if the state can't be read or is damaged.
     pub fn load(&self) -> Result<Option<PersistentState>, StorageError> {
         load(&self.database)
     }
 
-    /// Writes a batch in one transaction; when this returns, it is durable.
+    /// Writes a batch in one transaction. The batch is durable when this returns.
     ///
     /// # Errors
-    /// A [`StorageError`] if the disk refuses it; nothing of the batch is written then.
+    /// A [`StorageError`] if the write fails; nothing of the batch is written then.
     pub fn save(&mut self, batch: &WriteBatch) -> Result<(), StorageError> {
-        // A removed member begins again under a new id: the identity file names it before the
-        // database holds its state.
+        // A removed member rejoins under a new id. The identity file must name that id before the
+        // database contains its state.
         if let (Some(identity), Some(hard_state)) = (&mut self.identity, &batch.hard_state)
             && !identity.is_empty()
         {
@@ -160,7 +162,8 @@
     }
 }
 
-/// The schema version of a file that this program may write to.
+/// Reads the schema version. Fails if the file is from a newer program or has foreign tables, so
+/// this program must not write to it.
 fn checked_schema_version(database: &Connection) -> Result<i64, StorageError> {
     let version: i64 = database.query_row(schema::SELECT_SCHEMA_VERSION, [], |row| row.get(0))?;
     if version > schema::SCHEMA_VERSION {
@@ -169,14 +172,15 @@
             supported: schema::SCHEMA_VERSION,
         });
     }
-    let foreign: i64 = database.query_row(schema::COUNT_FOREIGN_TABLES, [], |row| row.get(0))?;
-    if foreign > 0 {
+    let foreign_tables: i64 =
+        database.query_row(schema::COUNT_FOREIGN_TABLES, [], |row| row.get(0))?;
+    if foreign_tables > 0 {
         return Err(StorageError::ForeignFile);
     }
     Ok(version)
 }
 
-/// Has each transaction synced to the disk before it ends.
+/// Configures SQLite so that each transaction is synced to disk before its commit returns.
 fn configure(database: &Connection) -> rusqlite::Result<()> {
     database.pragma_update(None, "journal_mode", "WAL")?;
     database.pragma_update(None, "synchronous", "FULL")?;
@@ -240,7 +244,7 @@
     }
 }
 
-/// Reads the entries after the snapshot, which must be without gaps.
+/// Reads the entries after the snapshot and checks that none is missing.
 fn load_log(database: &Connection, snapshot: &Snapshot) -> Result<Vec<LogEntry>, StorageError> {
     let mut log: Vec<LogEntry> = Vec::new();
     let mut rows = database.prepare(schema::SELECT_LOG)?;
@@ -256,7 +260,7 @@
     Ok(log)
 }
 
-/// Refuses a member list that names a member or an address twice, or has members and no voter.
+/// Fails for a member list that names a member or an address twice, or has members but no voter.
 fn check_membership(members: &[Member]) -> Result<(), StorageError> {
     let ids: BTreeSet<MemberId> = members.iter().map(|member| member.id).collect();
     let addresses: BTreeSet<SocketAddr> = members.iter().map(|member| member.admin).collect();
--- a/src/raft/storage/write_batch.rs
+++ b/src/raft/storage/write_batch.rs
@@ -1,19 +1,19 @@
-//! What one transaction writes, encoded.
+//! The encoded content of one transaction.
 use crate::base::ids::{LogIndex, MemberId, Term};
 use crate::net::rpc::pack;
 use crate::raft::state::{PersistentState, UnsavedChanges};
 
-/// The changes that one transaction brings to the disk. They are encoded by the thread that owns the
-/// state, so that the one that writes needs no access to it.
+/// The changes that one transaction writes to disk. The thread that owns the state encodes them, so
+/// that the storage thread needs no access to the state.
 #[derive(Debug)]
 pub struct WriteBatch {
     pub(super) hard_state: Option<HardState>,
-    /// The packed snapshot.
+    /// The encoded snapshot.
     pub(super) snapshot: Option<Vec<u8>>,
     pub(super) log_tail: Option<LogTail>,
 }
 
-/// The state of a member beside its log and snapshot.
+/// The state of a member other than its log and snapshot.
 #[derive(Debug)]
 pub(super) struct HardState {
     pub(super) member_id: MemberId,
@@ -26,18 +26,18 @@
 #[derive(Debug)]
 pub(super) struct LogTail {
     pub(super) from: LogIndex,
-    pub(super) entries: Vec<PackedEntry>,
+    pub(super) entries: Vec<EncodedEntry>,
 }
 
-/// A row of the log.
+/// An encoded log entry, stored as one row.
 #[derive(Debug)]
-pub(super) struct PackedEntry {
+pub(super) struct EncodedEntry {
     pub(super) index: LogIndex,
     pub(super) body: Vec<u8>,
 }
 
 impl WriteBatch {
-    /// Encodes those parts of `state` that `changes` names.
+    /// Encodes the parts of `state` that have changed according to `changes`.
     pub fn new(state: &PersistentState, changes: &UnsavedChanges) -> Self {
         Self {
             hard_state: changes.hard_state.then_some(HardState {
@@ -55,7 +55,7 @@
 impl LogTail {
     fn new(state: &PersistentState, from: LogIndex) -> Self {
         let entries = state.log.iter().filter(|entry| entry.index >= from);
-        let packed = entries.map(|entry| PackedEntry { index: entry.index, body: pack(entry) });
-        Self { from, entries: packed.collect() }
+        let encoded = entries.map(|entry| EncodedEntry { index: entry.index, body: pack(entry) });
+        Self { from, entries: encoded.collect() }
     }
 }
