--- a/src/pooler/client_session.rs
+++ b/src/pooler/client_session.rs
@@ -318,7 +318,7 @@
             return;
         };
         if !connection.in_transaction || connection.roll_back().is_ok() {
-            pool.give_back(connection);
+            pool.release(connection);
         } else {
             pool.discard(connection);
         }
--- a/src/pooler/handover.rs
+++ b/src/pooler/handover.rs
@@ -197,7 +197,7 @@
         match describe_on(&mut connection, deadline) {
             Ok(description) => {
                 pool.record_reply(Tick::now());
-                pool.give_back(connection);
+                pool.release(connection);
                 description
             }
             Err(_) => {
--- a/src/pooler/pool.rs
+++ b/src/pooler/pool.rs
@@ -1,8 +1,9 @@
-//! The connections to one database, lent to sessions for a statement or a transaction.
+//! The pool of connections to one database, which sessions acquire for a statement or a
+//! transaction.
 //!
 //! A `ConnectionPool` opens connections up to the pooler's quota, keeps idle ones, queues sessions
-//! that wait for one, and remembers when its database failed, lagged or began to drain. The cluster
-//! view owns one for each database in the directory.
+//! that wait for one, and records when its database failed, lagged behind or began to drain. The
+//! cluster view owns one for each database in the directory.
 use crate::base::errors::ErrorKind;
 use crate::base::ids::{InstanceId, ServiceName};
 use crate::base::sync::lock;
@@ -18,57 +19,59 @@
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// Waiting for a connection and sending a statement take no longer than this, in ms: a draining
-/// database gets nothing new so long before its drain time is over.
+/// How long before the end of its drain period a database receives no new statements, in ms. It is
+/// the longest time that waiting for a connection and sending a statement take.
 const DRAIN_MARGIN_MS: u64 = 1_000;
 
-/// The time in ms that a database is left out for after a failure.
-const BACKOFF_MS: u64 = 100;
+/// How long a database is not used after its first failure, in ms.
+const INITIAL_BACKOFF_MS: u64 = 100;
 
-/// The backoff doubles with each further failure, so many times at most.
+/// The backoff doubles with each consecutive failure, at most this many times.
 const MAX_BACKOFF_DOUBLINGS: u64 = 4;
 
-/// A thread that waits for a connection looks for itself this often at the latest, in ms.
+/// The maximum time in ms that a thread waits for a connection before it checks the pool again
+/// without a notification.
 const MAX_WAIT_MS: u64 = 500;
 
-/// Whether a database that has been draining since `since` (0: it is not draining) may get nothing
-/// new, even as the primary: where all databases of a service drain, one that drains may have been
-/// promoted.
+/// Whether a database that has been draining since `since` (0 if it is not draining) must receive
+/// no new statements. This also applies to a primary: where all databases of a service drain, a
+/// draining one may have been promoted.
 pub fn drain_time_over(since: Tick, now: Tick, drain_ms: u64) -> bool {
     since.0 > 0 && now.plus(DRAIN_MARGIN_MS) > since.plus(drain_ms)
 }
 
-/// A session's wish for a connection.
+/// A session's request for a connection.
 pub(crate) struct AcquireRequest<'a> {
-    /// What the connection has to hold, so that the one that needs the least is taken.
+    /// The session state that the connection has to be synced to; the idle connection with the
+    /// lowest sync cost is chosen.
     pub(crate) reroute: &'a SessionReroute,
-    /// The number of the session.
+    /// The id of the session.
     pub(crate) session: u64,
-    /// The lowest is served first.
+    /// The lowest value is served first.
     pub(crate) priority: u8,
-    /// Waiting ends here.
+    /// When to stop waiting.
     pub(crate) deadline: Tick,
 }
 
-/// How busy a pool is.
+/// The load of a pool.
 pub(crate) struct PoolLoad {
-    /// Connections in use, and sessions that wait for one.
+    /// The number of connections in use plus the number of sessions that wait for one.
     pub(crate) busy: usize,
-    /// A connection is idle.
+    /// Whether a connection is idle.
     pub(crate) has_idle: bool,
-    /// No connection may be used.
+    /// Whether no connection may be acquired.
     pub(crate) closed: bool,
 }
 
-/// What a pool's status shows.
+/// The values of a pool that `GET /status` shows.
 pub(crate) struct PoolStatus {
-    /// Open connections.
+    /// The number of open connections.
     pub(crate) open: u32,
-    /// Idle connections.
+    /// The number of idle connections.
     pub(crate) idle: usize,
-    /// Sessions that wait for a connection.
+    /// The number of sessions that wait for a connection.
     pub(crate) waiting: usize,
-    /// The database is draining.
+    /// Whether the database is draining.
     pub(crate) draining: bool,
 }
 
@@ -77,7 +80,7 @@
     admission: Admission,
     idle: Vec<ServerConnection>,
     draining: bool,
-    /// The database is no longer in the directory.
+    /// Whether the database is no longer in the directory.
     removed: bool,
 }
 
@@ -88,35 +91,35 @@
     pub(crate) address: SocketAddr,
     pub(crate) zone: String,
     state: Mutex<PoolState>,
-    /// Wakes waiters when a connection or a slot for one may be free.
+    /// Notifies waiters that a connection or a slot for one may be free.
     available: Condvar,
-    /// The tick of the database's last reply to anyone here.
+    /// The tick of the database's last reply on any connection of the pool.
     last_reply_at: AtomicU64,
-    /// The tick since which it is known to be draining; 0 if it is not.
+    /// The tick since which the database is known to be draining; 0 if it is not.
     draining_since: AtomicU64,
-    /// It is not tried before this tick.
+    /// The end of the backoff after a failure: the database is not used before this tick.
     down_until: AtomicU64,
-    /// Failures since the last success.
+    /// The number of failures since the last success.
     failures: AtomicU64,
-    /// It lacked the position of a read: others are asked until this tick.
+    /// The replica lagged behind the position of a read: reads skip it until this tick.
     lagging_until: AtomicU64,
-    /// By the type of the route, since their statements differ in work.
+    /// One estimator for each type of route, because their statements differ in cost.
     latency: Mutex<[LatencyEstimator; 3]>,
 }
 
-/// What a session may take at once.
+/// The result of an attempt to take a connection without waiting.
 enum Slot {
     /// An idle connection.
     Idle(ServerConnection),
-    /// A new connection, which already counts as open.
+    /// Permission to open a new connection, which already counts as open.
     Open,
-    /// Nothing, but an idle connection proved unusable and was closed: look again.
+    /// An idle connection proved unusable and was closed; the caller tries again.
     Closed,
 }
 
 impl PoolState {
-    /// What may be taken by the holder of this ticket, or by a newcomer without one, if it is the
-    /// next in the queue.
+    /// Takes a connection or a slot for the session with this ticket, or for one that has none yet,
+    /// if it is next in the queue.
     fn take_slot(
         &mut self,
         ticket: Option<&QueueTicket>,
@@ -127,7 +130,8 @@
         }
         let slot = if let Some(best) = best_fit(&self.idle, request) {
             let connection = self.idle.swap_remove(best);
-            // Nothing is lost with one that was closed while idle, or got a reply too many.
+            // The database closed it while idle, or sent an unexpected reply. Nothing was in
+            // progress on it.
             if !connection.is_usable() {
                 self.admission.close();
                 return Some(Slot::Closed);
@@ -145,19 +149,18 @@
     }
 }
 
-/// The idle connection that needs the least before the session's next statement.
+/// The index of the idle connection with the lowest sync cost for the session.
 fn best_fit(idle: &[ServerConnection], request: &AcquireRequest<'_>) -> Option<usize> {
-    // From the last one used on: it is the likeliest to be alive.
+    // Among equals the most recently used one wins, as it is the most likely to be alive.
     idle.iter()
         .enumerate()
         .rev()
         .min_by_key(|(_, connection)| connection.sync_cost(request.reroute, request.session))
-        .map(|(at, _)| at)
+        .map(|(index, _)| index)
 }
 
 impl ConnectionPool {
-    /// An empty pool for a database in the directory; none of its connections may be opened before
-    /// `set_limit`.
+    /// Creates an empty pool for a database in the directory. Its limit is 0 until `set_limit`.
     pub(crate) fn new(entry: &DirectoryEntry) -> Self {
         Self {
             id: entry.id.clone(),
@@ -175,12 +178,13 @@
         }
     }
 
-    /// Whether this is a pool for the directory's entry, or another one is needed.
+    /// Whether this pool has the address and zone of the directory's entry, so that it need not be
+    /// replaced.
     pub(crate) fn matches(&self, entry: &DirectoryEntry) -> bool {
         self.address == entry.address && self.zone == entry.zone
     }
 
-    /// Whether the database is left out after a failure.
+    /// Whether the backoff after a failure lasts.
     pub(crate) fn is_down(&self, now: Tick) -> bool {
         now.0 < self.down_until.load(Ordering::Relaxed)
     }
@@ -190,48 +194,48 @@
         self.down_until.store(0, Ordering::Relaxed);
     }
 
-    /// Whether the database has been draining for so long that it may get nothing new.
+    /// Whether the database has been draining for so long that it must receive no new statements.
     pub(crate) fn drain_time_over(&self, now: Tick, drain_ms: u64) -> bool {
         drain_time_over(Tick(self.draining_since.load(Ordering::Relaxed)), now, drain_ms)
     }
 
-    /// Whether the database lacked the position of a read a moment ago.
+    /// Whether reads skip the replica because it recently lagged behind the position of a read.
     pub(crate) fn is_lagging(&self, now: Tick) -> bool {
         now.0 < self.lagging_until.load(Ordering::Relaxed)
     }
 
-    /// Leaves the database out for reads until this tick.
+    /// Makes reads skip the replica until this tick.
     pub(crate) fn set_lagging_until(&self, until: Tick) {
         self.lagging_until.store(until.0, Ordering::Relaxed);
     }
 
-    /// The database could not be used: leaves it out, longer with each failure.
+    /// Records that the database could not be used, and begins an exponential backoff.
     pub(crate) fn record_failure(&self, now: Tick) {
-        let earlier = self.failures.fetch_add(1, Ordering::Relaxed).min(MAX_BACKOFF_DOUBLINGS);
-        self.down_until.store(now.0 + (BACKOFF_MS << earlier), Ordering::Relaxed);
+        let doublings = self.failures.fetch_add(1, Ordering::Relaxed).min(MAX_BACKOFF_DOUBLINGS);
+        self.down_until.store(now.0 + (INITIAL_BACKOFF_MS << doublings), Ordering::Relaxed);
     }
 
-    /// The database replied to someone.
+    /// Records that the database replied on some connection.
     pub(crate) fn record_reply(&self, now: Tick) {
         self.last_reply_at.store(now.0, Ordering::Relaxed);
     }
 
-    /// Whether the database has replied to anyone here at or after this tick.
+    /// Whether the database has replied on any connection of the pool at or after this tick.
     pub(crate) fn replied_since(&self, since: Tick) -> bool {
         self.last_reply_at.load(Ordering::Relaxed) >= since.0
     }
 
-    /// The time in ms after which a reply on a route of this type counts as lost.
+    /// The time in ms after which a reply on a route of this type is considered lost.
     pub(crate) fn reply_timeout_ms(&self, route: RouteType, max_ms: u64) -> u64 {
         lock(&self.latency)[route as usize].timeout_ms(max_ms)
     }
 
-    /// Takes in how long a reply on a route of this type took.
+    /// Records how long a reply on a route of this type took.
     pub(crate) fn record_latency(&self, route: RouteType, latency_ms: u64) {
         lock(&self.latency)[route as usize].record(latency_ms);
     }
 
-    /// How busy the pool is.
+    /// Returns the load of the pool.
     pub(crate) fn load(&self) -> PoolLoad {
         let state = lock(&self.state);
         let in_use = (state.admission.open as usize).saturating_sub(state.idle.len());
@@ -242,7 +246,7 @@
         }
     }
 
-    /// What the status shows of the pool.
+    /// Returns the values for `GET /status`.
     pub(crate) fn status(&self) -> PoolStatus {
         let state = lock(&self.state);
         PoolStatus {
@@ -253,17 +257,17 @@
         }
     }
 
-    /// Connections that are open, or being opened.
+    /// The number of connections that are open or being opened.
     pub(crate) fn open_connections(&self) -> u32 {
         lock(&self.state).admission.open
     }
 
-    /// Sessions that a higher limit would serve.
+    /// The number of waiting sessions that a higher limit would serve.
     pub(crate) fn unmet_demand(&self) -> u32 {
         lock(&self.state).admission.unmet_demand()
     }
 
-    /// Sets how many connections may be open; idle ones beyond that are closed.
+    /// Sets how many connections may be open, and closes idle ones beyond that.
     pub(crate) fn set_limit(&self, limit: u32) {
         let mut state = lock(&self.state);
         if state.admission.limit == limit {
@@ -277,7 +281,8 @@
         self.available.notify_all();
     }
 
-    /// Sets since when the database has been draining, if it is. Of several times the first counts.
+    /// Sets since when the database has been draining, or `None` if it is not. If it is known to be
+    /// draining already, the earlier time is kept.
     pub(crate) fn set_draining(&self, since: Option<Tick>) {
         match since {
             Some(since) if self.draining_since.load(Ordering::Relaxed) == 0 => {
@@ -289,7 +294,8 @@
         lock(&self.state).draining = since.is_some();
     }
 
-    /// The database is no longer in the directory: closes what is idle and sends waiters away.
+    /// Handles the removal of the database from the directory: closes idle connections and makes
+    /// waiting sessions fail.
     pub(crate) fn remove(&self, now: Tick) {
         self.set_draining(Some(now));
         let mut state = lock(&self.state);
@@ -301,9 +307,9 @@
         self.available.notify_all();
     }
 
-    /// Takes the idle connection that fits the session best, or opens one if that is allowed, or
-    /// waits for one until the deadline of the request. `on_shortage` is called once when the
-    /// session has to wait and a higher limit would help.
+    /// Takes the idle connection with the lowest sync cost, or opens one if the limit allows it, or
+    /// waits for one until the deadline of the request. `on_shortage` is called once if the session
+    /// has to wait and a higher limit would help.
     pub(crate) fn acquire(
         &self,
         request: &AcquireRequest<'_>,
@@ -345,7 +351,7 @@
         Err(self.stop_waiting(state, ticket))
     }
 
-    /// Leaves the queue; says why no connection was had.
+    /// Leaves the queue and returns why no connection was acquired.
     fn stop_waiting(
         &self,
         mut state: MutexGuard<'_, PoolState>,
@@ -356,12 +362,13 @@
         }
         let down = state.removed || self.is_down(Tick::now());
         drop(state);
-        // The next in the queue may be served now.
+        // The next session in the queue may be served now.
         self.available.notify_all();
         if down { AcquireError::Unavailable } else { AcquireError::Exhausted }
     }
 
-    /// Opens a connection, in the time for a handshake or a little beyond the session's deadline.
+    /// Opens a connection within the handshake timeout, or at most `CONNECT_MS` beyond the
+    /// session's deadline.
     fn open(&self, now: Tick, deadline: Tick) -> Result<ServerConnection, AcquireError> {
         let limit = now.plus(HANDSHAKE_MS).min(deadline.plus(CONNECT_MS));
         match ServerConnection::connect(self.address, &self.service, &self.id, limit) {
@@ -380,14 +387,14 @@
         }
     }
 
-    /// One connection fewer is open.
+    /// Frees the slot of a connection that was closed or could not be opened.
     fn release_slot(&self) {
         lock(&self.state).admission.close();
         self.available.notify_all();
     }
 
-    /// Takes back a connection with no transaction open.
-    pub(crate) fn give_back(&self, connection: ServerConnection) {
+    /// Returns an acquired connection, which must have no open transaction, to the pool.
+    pub(crate) fn release(&self, connection: ServerConnection) {
         let mut state = lock(&self.state);
         if state.removed || state.admission.over_limit() || !connection.is_settled() {
             state.admission.close();
@@ -401,7 +408,7 @@
         }
     }
 
-    /// Closes a connection that was lent out; the database rolls back what it had open.
+    /// Closes an acquired connection; the database rolls back its open transaction.
     pub(crate) fn discard(&self, connection: ServerConnection) {
         drop(connection);
         self.release_slot();
--- a/src/pooler/statement_execution.rs
+++ b/src/pooler/statement_execution.rs
@@ -1,5 +1,5 @@
-//! Running a client's statement at a database: choosing one, sending the statement, and retrying it
-//! where the reroute rules allow that.
+//! Runs a client's statement: chooses a database, sends the statement, and retries it where the
+//! reroute rules allow a retry.
 use crate::base::errors::ErrorKind;
 use crate::base::ids::{InstanceId, Position};
 use crate::base::time::Tick;
@@ -19,40 +19,43 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Retries of one statement that its client doesn't see.
+/// The maximum number of retries of one statement; retries are not visible to the client.
 const MAX_RETRIES: u32 = 4;
 
-/// The pause before a retry, times the number of the retry; the first one has none. In ms.
+/// Backoff before a retry in ms, multiplied by the number of the retry. The first retry is
+/// immediate.
 const RETRY_BACKOFF_MS: u64 = 15;
 
-/// The part of a statement's time that it may wait for a connection. A longer wait rarely ends
-/// well, and the client still has the time to come back.
+/// The share of a statement's timeout that may be spent waiting for a connection. Statements that
+/// wait longer rarely finish in time, and an early error leaves the client time to retry.
 const MAX_QUEUE_PERCENT: u64 = 20;
 
-/// The longest wait in ms for an update of the cluster's state before looking again.
+/// The maximum wait in ms for an update of the cluster view before databases are selected again.
 const MAX_UPDATE_WAIT_MS: u64 = 50;
 
-/// A first read is abandoned after this part of its time at the latest, as it can be run again.
-const FIRST_READ_TIME_PARTS: u64 = 4;
+/// The first read of a transaction can be retried, so its reply timeout is at most the statement's
+/// timeout divided by this.
+const FIRST_READ_TIMEOUT_DIVISOR: u64 = 4;
 
-/// Any other statement is abandoned after this part of its time at the latest.
-const STATEMENT_TIME_PARTS: u64 = 3;
+/// The reply timeout of any other statement is estimated with an upper bound of the statement's
+/// timeout divided by this.
+const STATEMENT_TIMEOUT_DIVISOR: u64 = 3;
 
-/// A statement whose loss costs the client its transaction waits for so many reply time-outs.
-const TRANSACTION_TIMEOUTS: u64 = 2;
+/// Multiplies the reply timeout of statements whose loss would cost the client its transaction.
+const TRANSACTION_TIMEOUT_FACTOR: u64 = 2;
 
-/// What the attempts to run one statement have shown so far.
+/// What is known from the previous attempts to run one statement.
 #[derive(Default)]
 struct Attempts {
     retries: u32,
-    /// The databases that are not to be tried again for the moment.
-    avoid: Vec<InstanceId>,
-    /// A reply was waited for in vain: the next one may take all of the statement's time.
-    patient: bool,
+    /// The databases that are excluded from the next attempt.
+    excluded: Vec<InstanceId>,
+    /// An earlier attempt was abandoned: the next one waits for its reply until the deadline.
+    wait_until_deadline: bool,
 }
 
 impl ClientSession {
-    /// Has a database run the statement, with as many retries as the reroute rules allow.
+    /// Runs the statement at a database and retries it as the reroute rules allow.
     pub(super) fn run(&mut self, statement: &ClientStatement<'_>) -> ClientReply {
         let deadline = statement.arrived_at.plus(self.route.timeout_ms);
         let mut attempts = Attempts::default();
@@ -71,7 +74,8 @@
         }
     }
 
-    /// One attempt, on the connection that the session has or a new one. None: to be retried.
+    /// Makes one attempt, on the session's checked-out connection or on a new one. Returns `None`
+    /// if the statement is to be retried.
     fn attempt(
         &mut self,
         statement: &ClientStatement<'_>,
@@ -84,34 +88,35 @@
                 self.reroute.abandon();
                 return Some(ClientReply::error(ErrorKind::RolledBack, "connection lost"));
             }
-            match self.check_out(statement, &mut attempts.avoid) {
+            match self.check_out(statement, &mut attempts.excluded) {
                 Ok(checked_out) => self.checked_out = Some(checked_out),
                 Err(kind) => return Some(self.throttle(kind)),
             }
         }
-        let error = match self.exchange(statement, deadline, attempts.patient) {
+        let error = match self.exchange(statement, deadline, attempts.wait_until_deadline) {
             Ok(reply) => {
                 return match reply.outcome {
                     Outcome::Complete => Some(self.handle_success(plan, reply)),
                     Outcome::Error(kind) => {
-                        self.handle_error(plan, kind, reply, &mut attempts.avoid)
+                        self.handle_error(plan, kind, reply, &mut attempts.excluded)
                     }
                 };
             }
             Err(error) => error,
         };
         if let Some(checked_out) = &self.checked_out {
-            attempts.avoid.push(checked_out.pool.id.clone());
+            attempts.excluded.push(checked_out.pool.id.clone());
         }
         self.discard();
         if let LossOutcome::Report(kind) = self.reroute.handle_loss(plan, error.sent) {
             return Some(ClientReply::error(kind, "connection lost"));
         }
-        attempts.patient |= error.loss == Loss::Abandoned;
+        attempts.wait_until_deadline |= error.loss == Loss::Abandoned;
         (error.loss == Loss::DeadlineExceeded).then(|| self.expire(plan))
     }
 
-    /// The statement's time is over; nothing of it can have been committed.
+    /// Returns the error for a statement whose deadline has passed and of which nothing can have
+    /// been committed.
     fn expire(&mut self, plan: &StatementPlan) -> ClientReply {
         if plan.autocommit {
             return ClientReply::error(ErrorKind::TimedOut, "no answer in time");
@@ -120,7 +125,8 @@
         ClientReply::error(ErrorKind::RolledBack, "no answer in time")
     }
 
-    /// The statement did not run and nothing is committed: tells the client when to come back.
+    /// Rejects a statement that did not run and committed nothing, and tells the client when to
+    /// retry.
     fn throttle(&mut self, kind: ErrorKind) -> ClientReply {
         self.reroute.abandon();
         self.release();
@@ -128,11 +134,12 @@
         ClientReply::Error { kind, text: format!("retry_after_ms={retry_after_ms}") }
     }
 
-    /// Chooses a database and takes a connection to it, within the time for that.
+    /// Selects a database and acquires a connection to it, for at most `MAX_QUEUE_PERCENT` of the
+    /// statement's timeout.
     fn check_out(
         &self,
         statement: &ClientStatement<'_>,
-        avoid: &mut Vec<InstanceId>,
+        excluded: &mut Vec<InstanceId>,
     ) -> Result<CheckedOutConnection, ErrorKind> {
         let queue_ms = self.route.timeout_ms * MAX_QUEUE_PERCENT / 100;
         let deadline = statement.arrived_at.plus(queue_ms);
@@ -143,7 +150,7 @@
             let now = Tick::now();
             if reads_replicas
                 && self.required_position(started_at).is_some()
-                && let Some(checked_out) = self.check_out_replica(now, deadline, avoid)
+                && let Some(checked_out) = self.check_out_replica(now, deadline, excluded)
             {
                 return Ok(checked_out);
             }
@@ -158,8 +165,8 @@
                 self.pooler.renew_soon(now);
             }
             self.pooler.wait_for_update(deadline.since(now).clamp(1, MAX_UPDATE_WAIT_MS));
-            // A replica that lagged may have caught up.
-            avoid.clear();
+            // A replica that lagged behind may have caught up.
+            excluded.clear();
         }
     }
 
@@ -167,10 +174,10 @@
         &self,
         now: Tick,
         deadline: Tick,
-        avoid: &[InstanceId],
+        excluded: &[InstanceId],
     ) -> Option<CheckedOutConnection> {
         for pool in self.pooler.replicas(&self.service, now) {
-            if avoid.contains(&pool.id) {
+            if excluded.contains(&pool.id) {
                 continue;
             }
             if let Ok(connection) = self.acquire(&pool, self.route.priority, deadline) {
@@ -180,7 +187,8 @@
         None
     }
 
-    /// `fallback`: the statement could run on a replica, if one could serve it.
+    /// Acquires a connection to the primary. `fallback` marks a statement that could also run on a
+    /// replica, which lowers its priority.
     fn check_out_primary(
         &self,
         now: Tick,
@@ -191,11 +199,11 @@
         let (term, pool) = (primary.term, primary.pool);
         let penalty = if fallback { PRIMARY_FALLBACK_PENALTY } else { 0 };
         match self.acquire(&pool, self.route.priority.saturating_add(penalty), deadline) {
-            // The lease may have run out while waiting.
+            // The lease may have expired while waiting for the connection.
             Ok(connection) if self.pooler.holds_lease(&self.service, term, Tick::now()) => {
                 return Some(CheckedOutConnection { connection, pool, term: Some(term) });
             }
-            Ok(connection) => pool.give_back(connection),
+            Ok(connection) => pool.release(connection),
             Err(AcquireError::Exhausted) => {}
             Err(AcquireError::Unavailable) => {
                 let reason = SuspicionReason::ConnectionsBroken;
@@ -216,7 +224,8 @@
         pool.acquire(&request, || self.pooler.renew_soon(Tick::now()))
     }
 
-    /// The position that a replica must have for a read that started at `started_at`.
+    /// The position that a replica must have reached to serve a read that started at `started_at`.
+    /// Returns `None` if it is not known.
     fn required_position(&self, started_at: Tick) -> Option<Position> {
         let position =
             self.pooler.required_position(&self.service, started_at, self.route.stale_ms)?;
@@ -226,14 +235,14 @@
         })
     }
 
-    /// One round with the checked-out connection: it is given the session's state, a transaction is
-    /// opened where one is wanted, and the statement is sent. The reply stays in the connection's
-    /// buffer.
+    /// Performs one exchange on the checked-out connection: syncs the session's settings and
+    /// prepared statements, begins a transaction if needed, and sends the statement. The reply
+    /// stays in the connection's buffer.
     fn exchange(
         &mut self,
         statement: &ClientStatement<'_>,
         deadline: Tick,
-        patient: bool,
+        wait_until_deadline: bool,
     ) -> Result<Reply, ExchangeError> {
         let plan = &statement.plan;
         let started_at = self.reroute.started_at(statement.arrived_at);
@@ -257,7 +266,13 @@
             deadline,
             commits: commits(plan),
             first_read,
-            reply_timeout_ms: reply_timeout_ms(plan, &self.route, pool, first_read, patient),
+            reply_timeout_ms: reply_timeout_ms(
+                plan,
+                &self.route,
+                pool,
+                first_read,
+                wait_until_deadline,
+            ),
         };
         let hasher = &self.pooler.hasher;
         let check = exchange.check_since(Tick::now());
@@ -276,13 +291,19 @@
         exchange.run(connection, &statement.line(None, hasher))
     }
 
-    /// A database answered with success.
+    /// Handles a success reply of a database.
     fn handle_success(&mut self, plan: &StatementPlan, reply: Reply) -> ClientReply {
         let ends_transaction = plan.autocommit || plan.kind == StatementKind::Commit;
         let state = if ends_transaction { State::Idle } else { State::Open };
         if reply.state != state {
-            // The database and this session disagree on the transaction: nothing of it counts.
-            warn!(target: "pool", "answered {:?} where {state:?} was due", reply.state);
+            // The database and this session disagree on the transaction: the reply can't be used.
+            warn!(
+                target: "pool",
+                "{}: database replied with transaction state {:?}, expected {state:?}; \
+                 closing the connection",
+                self.service,
+                reply.state
+            );
             self.discard();
             return match self.reroute.handle_loss(plan, true) {
                 LossOutcome::Report(kind) => ClientReply::error(kind, "out of step"),
@@ -302,18 +323,18 @@
         ClientReply::Forward(reply)
     }
 
-    /// A database answered with an error. None: the statement is to be retried.
+    /// Handles an error reply of a database. Returns `None` if the statement is to be retried.
     fn handle_error(
         &mut self,
         plan: &StatementPlan,
         kind: ErrorKind,
         reply: Reply,
-        avoid: &mut Vec<InstanceId>,
+        excluded: &mut Vec<InstanceId>,
     ) -> Option<ClientReply> {
         let may_have_run =
             matches!(kind, ErrorKind::Failed | ErrorKind::TimedOut | ErrorKind::Unknown);
         let retry = if may_have_run {
-            plan.autocommit && plan.kind == StatementKind::Read && avoid.is_empty()
+            plan.autocommit && plan.kind == StatementKind::Read && excluded.is_empty()
         } else {
             plan.first_in_transaction
         };
@@ -322,14 +343,14 @@
         if retry {
             checked_out.connection.consume(&reply);
             let id = checked_out.pool.id.clone();
-            self.leave_database(kind);
-            avoid.push(id);
+            self.release_after_error(kind);
+            excluded.push(id);
             return None;
         }
         if may_have_run || plan.autocommit {
-            return Some(self.pass_on_error(plan, kind, reply));
+            return Some(self.forward_error(plan, kind, reply));
         }
-        // It did not run, but its transaction can't go on as if it had.
+        // The statement did not run, but its transaction can't continue as if it had.
         checked_out.connection.consume(&reply);
         self.release();
         self.reroute.abandon();
@@ -339,14 +360,14 @@
         })
     }
 
-    /// Gives up the connection after an error of the database, before a retry elsewhere.
-    fn leave_database(&mut self, kind: ErrorKind) {
+    /// Releases or closes the connection after an error reply, before a retry on another database.
+    fn release_after_error(&mut self, kind: ErrorKind) {
         let Some(checked_out) = &self.checked_out else {
             return;
         };
         match kind {
             ErrorKind::ReadOnly if checked_out.term.is_some() => {
-                // It is no longer the primary; the controllers find out which database is.
+                // The database is no longer the primary; the controllers decide which one is.
                 let pool = Arc::clone(&checked_out.pool);
                 self.release();
                 let reason = SuspicionReason::ConnectionsBroken;
@@ -354,8 +375,8 @@
                 self.pooler.wait_for_update(MAX_UPDATE_WAIT_MS);
             }
             ErrorKind::Lagging => {
-                // Any replica may lack the session's own last commit for a moment. One that lacks
-                // an older position is skipped by all sessions.
+                // Any replica may briefly lag behind the session's own last commit. A replica that
+                // lags behind an older position is skipped by all sessions.
                 let (pool, now) = (Arc::clone(&checked_out.pool), Tick::now());
                 let lacks_older = |own| self.required_position(now).is_some_and(|p| p > own);
                 if self.own_position.is_none_or(lacks_older) {
@@ -363,14 +384,16 @@
                 }
                 self.release();
             }
-            // A prepared statement that was sent is not there: the connection can't be trusted.
+            // The database lost a prepared statement that was sent: its state is not what this
+            // connection has recorded.
             ErrorKind::NotFound => self.discard(),
             _ => self.release(),
         }
     }
 
-    /// The client gets the error of the database: its bytes, where the state in them is right.
-    fn pass_on_error(
+    /// Forwards the database's error to the client: byte for byte if the transaction state in the
+    /// reply is what the client has to see, else with the state replaced.
+    fn forward_error(
         &mut self,
         plan: &StatementPlan,
         kind: ErrorKind,
@@ -390,27 +413,27 @@
     }
 }
 
-/// Whether success of the statement means that something was committed.
+/// Whether a successful statement commits something.
 fn commits(plan: &StatementPlan) -> bool {
     plan.kind == StatementKind::Commit || (plan.autocommit && plan.kind == StatementKind::Write)
 }
 
-/// The time in ms after which a reply counts as lost. None: it is waited for until the deadline,
-/// because the statement may commit, or an earlier attempt was abandoned in vain.
+/// The time in ms after which the reply is considered lost. Returns `None` if the exchange is to
+/// wait until the deadline, because the statement may commit or an earlier attempt was abandoned.
 fn reply_timeout_ms(
     plan: &StatementPlan,
     route: &RouteEntry,
     pool: &ConnectionPool,
     first_read: bool,
-    patient: bool,
+    wait_until_deadline: bool,
 ) -> Option<u64> {
-    if patient || commits(plan) {
+    if wait_until_deadline || commits(plan) {
         return None;
     }
-    let (parts, timeouts) = if first_read {
-        (FIRST_READ_TIME_PARTS, 1)
+    let (divisor, factor) = if first_read {
+        (FIRST_READ_TIMEOUT_DIVISOR, 1)
     } else {
-        (STATEMENT_TIME_PARTS, TRANSACTION_TIMEOUTS)
+        (STATEMENT_TIMEOUT_DIVISOR, TRANSACTION_TIMEOUT_FACTOR)
     };
-    Some(pool.reply_timeout_ms(route.route_type, route.timeout_ms / parts) * timeouts)
+    Some(pool.reply_timeout_ms(route.route_type, route.timeout_ms / divisor) * factor)
 }
