--- a/src/pooler/reroute.rs
+++ b/src/pooler/reroute.rs
@@ -1,88 +1,90 @@
-//! The reroute rules: what the loss of a database connection means for a client's session.
+//! The reroute rules: whether a session may move to another database connection, and what the loss
+//! of a connection means for its client.
 //!
-//! `SessionReroute` is a pure state machine. It sees each statement of the client and each answer
-//! that is passed on, and derives from them whether the session may change its connection, what the
-//! next connection must hold first, and what the client gets when a connection is lost. It is
-//! owned by `client_session` and knows no socket and no clock.
+//! `SessionReroute` is a state machine without I/O and without a clock, owned by `client_session`.
+//! From each statement of the client and each reply that is forwarded to it, it derives whether the
+//! session may change its connection, which settings and prepared statements have to be replayed on
+//! the next connection, and what the client gets when a connection is lost.
 use crate::base::errors::ErrorKind;
 use crate::base::time::Tick;
 use crate::net::statement_protocol::{State, Statement, Verb};
 use std::collections::BTreeMap;
 
-/// A prepared statement, without the name that a client gave it.
+/// A prepared statement, without the client's name for it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct PreparedStatement {
-    /// Whether it reads or writes.
+    /// Whether the statement reads or writes.
     pub verb: Verb,
-    /// Its text, as the client sent it.
+    /// The text of the statement, as the client sent it.
     pub text: String,
 }
 
-/// What a statement does at a database.
+/// The effect of a statement at a database.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatementKind {
     /// Reads only.
     Read,
-    /// Writes; durable at once outside a transaction, else with its commit.
+    /// Writes; durable at once outside a transaction, otherwise when the transaction commits.
     Write,
     /// Commits the open transaction.
     Commit,
 }
 
-/// A statement that a database has to run, with what decides where and how often it may run.
+/// A statement that a database has to run, with the properties that decide on which databases it
+/// may run and whether it may be retried.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StatementPlan {
-    /// What it does at the database.
+    /// The effect of the statement at the database.
     pub kind: StatementKind,
-    /// It runs outside any transaction of the client's.
+    /// Whether the statement runs outside a transaction of the client.
     pub autocommit: bool,
-    /// No database has answered in its transaction yet, so nothing ties it to one of them. Always
-    /// true outside a transaction.
+    /// Whether no database has replied in the transaction yet, so that the transaction may run on
+    /// any of them. Always true outside a transaction.
     pub first_in_transaction: bool,
-    /// Neither it nor any later statement of its transaction writes.
+    /// Whether neither this statement nor a later one of its transaction writes.
     pub read_only: bool,
-    /// For EXECUTE: the statement behind the client's name for it.
+    /// For EXECUTE: the prepared statement that the client's name refers to.
     pub prepared: Option<PreparedStatement>,
 }
 
-/// What to do with a statement of the client.
+/// How a statement of the client is to be handled.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StatementDecision {
-    /// Answered by the pooler with success; no database is involved.
+    /// The pooler replies with success; no database is involved.
     Completed,
-    /// Answered by the pooler with success; what a database has open is rolled back.
+    /// The pooler replies with success and rolls back the transaction at the database, if any.
     RolledBack,
-    /// Answered by the pooler with this error.
+    /// The pooler replies with this error.
     Rejected(ErrorKind),
-    /// A database has to run it.
+    /// A database has to run the statement.
     Run(StatementPlan),
 }
 
-/// What the loss of a connection means for the statement that was on it.
+/// What follows from the loss of a connection for the statement that was running on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LossOutcome {
-    /// Nothing can have been committed and nothing was shown: run again elsewhere, without the
-    /// client's knowledge.
+    /// Nothing can have been committed and the client has seen no result: the statement is retried
+    /// on another connection, transparently for the client.
     Retry,
-    /// The client gets this error; its session goes on.
+    /// The client gets this error; its session continues.
     Report(ErrorKind),
 }
 
-/// The client's transaction, as the client has to see it.
+/// The state of the client's transaction, as the client sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Transaction {
-    /// None is open.
+    /// No transaction is open.
     Idle,
     Open {
         read_only: bool,
-        /// When the client's BEGIN came.
+        /// When the client's BEGIN arrived.
         started_at: Tick,
-        /// A database has answered one of its statements.
+        /// Whether a database has replied to a statement of the transaction.
         answered: bool,
-        /// A write was planned in it, sent or not.
+        /// Whether a write was planned in the transaction, sent or not.
         wrote: bool,
     },
-    /// It can only be ended.
+    /// The transaction failed and can only be ended.
     Failed,
 }
 
@@ -91,9 +93,9 @@
 pub struct SessionReroute {
     transaction: Transaction,
     settings: BTreeMap<String, String>,
-    /// By the client's name for each.
+    /// The prepared statements, by the client's name for each.
     prepared: BTreeMap<String, PreparedStatement>,
-    /// Grows whenever `settings` or `prepared` get something that has to be replayed.
+    /// Incremented when an entry that has to be replayed is added to `settings` or `prepared`.
     version: u64,
 }
 
@@ -109,7 +111,7 @@
 }
 
 impl SessionReroute {
-    /// The transaction state that the client is shown with each answer.
+    /// The transaction state that is sent to the client with each reply.
     pub fn state(&self) -> State {
         match self.transaction {
             Transaction::Idle => State::Idle,
@@ -118,33 +120,33 @@
         }
     }
 
-    /// Whether no resource of the session lives in its connection, so that the connection may be
-    /// changed or given to another session.
+    /// Whether the session has no state that exists only on its database connection, so that the
+    /// connection may be replaced or given to another session.
     pub fn reusable(&self) -> bool {
-        // A failed transaction holds nothing that its client could still ask for.
+        // The client can't use anything of a failed transaction any more.
         !matches!(self.transaction, Transaction::Open { .. })
     }
 
-    /// The values of the client's CONFIGURE statements, which every connection must hold before
+    /// The values of the client's CONFIGURE statements, which must be set on a connection before
     /// the session's next statement.
     pub fn settings(&self) -> &BTreeMap<String, String> {
         &self.settings
     }
 
-    /// The client's prepared statements, which every connection must hold before the session's
-    /// next statement.
+    /// The client's prepared statements, which must be prepared on a connection before the
+    /// session's next statement.
     pub fn prepared_statements(&self) -> impl Iterator<Item = &PreparedStatement> {
         self.prepared.values()
     }
 
-    /// The version of the settings and prepared statements: a connection that was given this
+    /// The version of the settings and prepared statements: a connection that was synced to this
     /// version needs no replay.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The time that the freshness of a read counts from: the start of the transaction, or outside
-    /// one the arrival of the statement.
+    /// The time from which the staleness of a read is measured: the start of the transaction, or
+    /// outside a transaction the arrival of the statement.
     pub fn started_at(&self, arrived_at: Tick) -> Tick {
         match self.transaction {
             Transaction::Open { started_at, .. } => started_at,
@@ -152,13 +154,13 @@
         }
     }
 
-    /// Marks the transaction as failed: the client can only end it.
+    /// Marks the transaction as failed, so that the client can only end it.
     pub fn fail(&mut self) {
         self.transaction = Transaction::Failed;
     }
 
-    /// Decides what to do with a statement of the client, and updates the state of the session. An
-    /// error inside a transaction fails the transaction.
+    /// Decides how to handle a statement of the client, and updates the state of the session. An
+    /// error inside a transaction marks the transaction as failed.
     pub fn handle_statement(&mut self, statement: &Statement<'_>, now: Tick) -> StatementDecision {
         let decision = match self.transaction {
             Transaction::Failed => self.decide_in_failed(statement),
@@ -172,14 +174,15 @@
         decision
     }
 
-    /// A failed transaction can only be ended.
+    /// Decides on a statement in a failed transaction, which can only be ended.
     fn decide_in_failed(&mut self, statement: &Statement<'_>) -> StatementDecision {
         match statement {
             Statement::Abort => {
                 self.transaction = Transaction::Idle;
                 StatementDecision::RolledBack
             }
-            // COMMIT rolls a failed transaction back, which must not look like a commit.
+            // COMMIT rolls back a failed transaction and is reported as an error, because the
+            // client must not take it for a commit.
             Statement::Commit => {
                 self.transaction = Transaction::Idle;
                 StatementDecision::Rejected(ErrorKind::RolledBack)
@@ -220,7 +223,8 @@
         }
     }
 
-    /// The database's transaction is opened only with its first statement.
+    /// Begins a transaction. The transaction at the database is begun only with its first
+    /// statement.
     fn begin(&mut self, read_only: bool, now: Tick) -> StatementDecision {
         if self.transaction != Transaction::Idle {
             return StatementDecision::Rejected(ErrorKind::Malformed);
@@ -248,7 +252,7 @@
     ) -> StatementDecision {
         StatementDecision::Run(match &mut self.transaction {
             Transaction::Open { read_only, answered, wrote, .. } => {
-                // From the first write on, the outcome of the commit matters to the client.
+                // After a write, a commit with an unknown outcome must be reported to the client.
                 *wrote |= kind == StatementKind::Write;
                 StatementPlan {
                     kind,
@@ -268,19 +272,20 @@
         })
     }
 
-    /// The connection of a statement is lost, or its answer can't be used. `sent` says whether the
-    /// statement may have reached a database. An error to report ends the transaction.
+    /// Handles the loss of the connection that a statement was running on, or a reply that can't be
+    /// used. `sent` says whether the statement may have reached a database. If the outcome is an
+    /// error to report, the transaction has ended.
     pub fn handle_loss(&mut self, plan: &StatementPlan, sent: bool) -> LossOutcome {
         if plan.autocommit {
             return match plan.kind {
-                // It may have run, and then it is committed.
+                // The write may have run, in which case it is committed.
                 StatementKind::Write if sent => LossOutcome::Report(ErrorKind::Unknown),
                 _ => LossOutcome::Retry,
             };
         }
         let wrote = matches!(self.transaction, Transaction::Open { wrote: true, .. });
         match plan.kind {
-            // Nothing was shown, and without a commit not even a write lasts.
+            // The client has seen no result, and a write without a commit has no effect.
             StatementKind::Read | StatementKind::Write if plan.first_in_transaction => {
                 LossOutcome::Retry
             }
@@ -289,7 +294,7 @@
                 self.transaction = Transaction::Idle;
                 LossOutcome::Report(ErrorKind::Unknown)
             }
-            // The client has seen rows or answers that another connection need not repeat.
+            // The client has seen results that a retry on another connection might not reproduce.
             _ => {
                 self.transaction = Transaction::Idle;
                 LossOutcome::Report(ErrorKind::RolledBack)
@@ -297,12 +302,14 @@
         }
     }
 
-    /// The statement is given up without having run; its transaction, if any, is rolled back.
+    /// Handles a statement that is abandoned without having run; its transaction, if any, is
+    /// rolled back.
     pub fn abandon(&mut self) {
         self.transaction = Transaction::Idle;
     }
 
-    /// A database's answer, which ended in `state`, is passed on to the client.
+    /// Updates the transaction for a database's reply, with this transaction state, that is
+    /// forwarded to the client.
     pub fn handle_reply(&mut self, state: State) {
         self.transaction = match (&self.transaction, state) {
             (&Transaction::Open { read_only, started_at, wrote, .. }, State::Open) => {
