--- a/src/pooler/handover.rs
+++ b/src/pooler/handover.rs
@@ -1,8 +1,10 @@
-//! Commits while a service is handed over: one is passed on to its client only once the replica that
-//! is to become the primary has it. So no client is told of a commit that the next primary lacks,
-//! whichever databases receive meanwhile.
+//! Confirms commits during the handover of a service to another primary: a commit is forwarded to
+//! its client only once the target of the handover has received it. So no client is told of a
+//! commit that the next primary lacks, whichever replicas the old primary replicates to in the
+//! meantime.
 //!
-//! One session at a time asks the target how far it is; the answer serves all that wait.
+//! One session at a time queries the target for its position; the result serves all sessions that
+//! wait for a confirmation.
 use crate::base::ids::{DbTerm, InstanceId, Position, ServiceName};
 use crate::base::sync::lock;
 use crate::base::time::Tick;
@@ -16,72 +18,76 @@
 use log::info;
 use std::sync::Arc;
 
-/// The time in ms that a question to the target may take, the wait for a connection included.
-const QUESTION_MS: u64 = 300;
+/// The timeout in ms of a query to the target, including the wait for a connection.
+const DESCRIBE_TIMEOUT_MS: u64 = 300;
 
-/// The pause in ms before the target is asked again.
-const RETRY_MS: u64 = 10;
+/// The pause in ms before the target is queried again.
+const DESCRIBE_RETRY_MS: u64 = 10;
 
-/// How urgent a connection to the target is: as a client's most urgent statement.
-const QUESTION_PRIORITY: u8 = 0;
+/// The priority of a query in the queue for a connection to the target, equal to that of the most
+/// urgent client statement.
+const DESCRIBE_PRIORITY: u8 = 0;
 
-/// A handover that the leader told of, and how far its target is known to be.
+/// A handover that the leader announced, and the position that its target is known to have reached.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CommitConfirmation {
     handover: Handover,
-    /// The target has all commits up to here.
+    /// The target has received all commits up to this position.
     confirmed: Option<Position>,
-    /// A session is asking the target.
-    asking: bool,
+    /// Whether a session is querying the target.
+    query_in_flight: bool,
 }
 
-/// Whether a commit that the primary acknowledged may be passed on.
+/// Whether a commit that the primary acknowledged may be forwarded to its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum CommitVerdict {
-    /// It may.
-    PassOn,
-    /// The target of the handover is not known to have it: the caller is to ask that database and to
-    /// hand the answer to [`CommitConfirmation::record_answer`].
-    AskTarget(InstanceId),
-    /// As `AskTarget`, but another session is asking.
-    AwaitAnswer,
+pub enum CommitDecision {
+    /// The commit may be forwarded.
+    Forward,
+    /// The target of the handover is not known to have the commit: the caller has to query this
+    /// database and pass the result to [`CommitConfirmation::record_description`].
+    QueryTarget(InstanceId),
+    /// The target is not known to have the commit, and another session is querying it.
+    AwaitQuery,
 }
 
 impl CommitConfirmation {
-    /// The handover has begun, and nothing is known of its target.
+    /// Creates the state for a handover that begins; the position of its target is not known yet.
     pub fn new(handover: Handover) -> Self {
-        Self { handover, confirmed: None, asking: false }
+        Self { handover, confirmed: None, query_in_flight: false }
     }
 
-    /// The replica that is to become the primary.
+    /// The replica that will become the primary.
     pub fn target(&self) -> &InstanceId {
         &self.handover.target
     }
 
-    /// Whether a commit of `term` at this position may be passed on. The handover is of a term and all
-    /// before it.
-    pub fn judge(&mut self, term: DbTerm, position: Option<Position>) -> CommitVerdict {
+    /// Decides whether a commit of `term` at this position may be forwarded. The handover covers
+    /// its own term and all earlier ones.
+    pub fn decide(&mut self, term: DbTerm, position: Option<Position>) -> CommitDecision {
         let confirmed = position.is_some() && position <= self.confirmed;
         if term > self.handover.term || confirmed {
-            return CommitVerdict::PassOn;
+            return CommitDecision::Forward;
         }
-        if std::mem::replace(&mut self.asking, true) {
-            return CommitVerdict::AwaitAnswer;
+        if std::mem::replace(&mut self.query_in_flight, true) {
+            return CommitDecision::AwaitQuery;
         }
-        CommitVerdict::AskTarget(self.handover.target.clone())
+        CommitDecision::QueryTarget(self.handover.target.clone())
     }
 
-    /// Takes in how the target described itself, or that it did not, to whom was told to ask it.
-    pub fn record_answer(&mut self, answer: Option<&ServerDescription>) {
-        self.asking = false;
-        // Once it leads, its positions are those of its own term, and say nothing of this one.
-        let replica = answer.filter(|a| !a.primary && a.received.term <= self.handover.term);
-        self.confirmed = self.confirmed.max(replica.map(|answer| answer.received));
+    /// Records the result of a query that [`CommitDecision::QueryTarget`] asked for: the target's
+    /// description of itself, or `None` if it did not reply.
+    pub fn record_description(&mut self, description: Option<&ServerDescription>) {
+        self.query_in_flight = false;
+        // Positions of a target that has become the primary belong to its own term and can't be
+        // compared with those of the handover's term.
+        let replica = description.filter(|d| !d.primary && d.received.term <= self.handover.term);
+        self.confirmed = self.confirmed.max(replica.map(|description| description.received));
     }
 }
 
 impl ServiceView {
-    /// The leader told of a handover. Returns what is to be acknowledged.
+    /// Begins a handover that the leader announced, unless it is known already. Returns the
+    /// acknowledgement for the leader.
     pub(super) fn begin_handover(
         &mut self,
         service: &ServiceName,
@@ -90,29 +96,34 @@
         let number = handover.number;
         let known = self.confirmation.as_ref().is_some_and(|c| c.handover == handover);
         if !known {
-            info!(target: "lease", "{service}: is handed over to {}", handover.target);
+            info!(
+                target: "lease",
+                "{service}: handover {number} to {} began; commits are held until it has them",
+                handover.target
+            );
             self.confirmation = Some(CommitConfirmation::new(handover));
         }
         let (service, highest) = (service.clone(), self.highest_commit);
         ToController::HandOverAck { service, handover: number, highest }
     }
 
-    /// Judges a commit. One that may be passed on is noted first, so that a revocation or a handover
-    /// is acknowledged with it. None: the lease is no longer held.
-    fn judge_commit(&mut self, commit: Commit, now: Tick) -> Option<CommitVerdict> {
+    /// Decides whether a commit may be forwarded. If so, its position is recorded first, so that
+    /// the acknowledgement of a later revocation or handover includes it. Returns `None` if the
+    /// lease is no longer held.
+    fn decide_commit(&mut self, commit: Commit, now: Tick) -> Option<CommitDecision> {
         let Commit { term, sent_at, position } = commit;
         self.lease.active(now).filter(|lease| lease.term == term)?;
-        let verdict = match &mut self.confirmation {
-            Some(confirmation) => confirmation.judge(term, position),
-            None => CommitVerdict::PassOn,
+        let decision = match &mut self.confirmation {
+            Some(confirmation) => confirmation.decide(term, position),
+            None => CommitDecision::Forward,
         };
-        if verdict == CommitVerdict::PassOn
+        if decision == CommitDecision::Forward
             && let Some(position) = position
         {
             self.highest_commit = self.highest_commit.max(Some(position));
             self.record_position(PrimaryPosition { term, sent_at, position });
         }
-        Some(verdict)
+        Some(decision)
     }
 }
 
@@ -121,15 +132,16 @@
 pub(super) struct Commit {
     /// The term under which the primary is used.
     pub(super) term: DbTerm,
-    /// When the statement was sent.
+    /// When the committing statement was sent.
     pub(super) sent_at: Tick,
-    /// The position that the primary gave with it.
+    /// The position in the primary's reply.
     pub(super) position: Option<Position>,
 }
 
 impl Pooler {
-    /// The leader told of a handover: from here on commits are confirmed at its target.
-    pub(super) fn hand_over(&self, service: &ServiceName, handover: Handover) {
+    /// Begins a handover that the leader announced: from now on commits need a confirmation by its
+    /// target.
+    pub(super) fn begin_handover(&self, service: &ServiceName, handover: Handover) {
         let acknowledgement = {
             let mut view = lock(&self.view);
             let view = view.services.entry(service.clone()).or_default();
@@ -138,10 +150,10 @@
         self.send_to_leader(acknowledgement);
     }
 
-    /// Waits until a commit may be passed on to its client.
+    /// Waits until a commit may be forwarded to its client.
     ///
     /// # Errors
-    /// `Abandoned` if the lease ended before, `DeadlineExceeded` if the deadline passed.
+    /// `Abandoned` if the lease ended first, `DeadlineExceeded` if the deadline passed first.
     pub(super) fn await_confirmation(
         &self,
         service: &ServiceName,
@@ -150,15 +162,17 @@
     ) -> Result<(), Loss> {
         loop {
             let now = Tick::now();
-            let verdict = {
+            let decision = {
                 let mut view = lock(&self.view);
                 let view = view.services.get_mut(service).ok_or(Loss::Abandoned)?;
-                view.judge_commit(commit, now).ok_or(Loss::Abandoned)?
+                view.decide_commit(commit, now).ok_or(Loss::Abandoned)?
             };
-            match verdict {
-                CommitVerdict::PassOn => return Ok(()),
-                CommitVerdict::AskTarget(target) => self.ask_target(service, &target, deadline),
-                CommitVerdict::AwaitAnswer => self.wait_for_update(RETRY_MS),
+            match decision {
+                CommitDecision::Forward => return Ok(()),
+                CommitDecision::QueryTarget(target) => {
+                    self.query_target(service, &target, deadline)
+                }
+                CommitDecision::AwaitQuery => self.wait_for_update(DESCRIBE_RETRY_MS),
             }
             if Tick::now() >= deadline {
                 return Err(Loss::DeadlineExceeded);
@@ -166,33 +180,35 @@
         }
     }
 
-    /// Asks the target of a handover how far it is, and notes the answer for all that wait.
-    fn ask_target(&self, service: &ServiceName, target: &InstanceId, deadline: Tick) {
-        let deadline = deadline.min(Tick::now().plus(QUESTION_MS));
+    /// Queries the target of a handover for its position, and records the result for all sessions
+    /// that wait for it.
+    fn query_target(&self, service: &ServiceName, target: &InstanceId, deadline: Tick) {
+        let deadline = deadline.min(Tick::now().plus(DESCRIBE_TIMEOUT_MS));
         let pool = lock(&self.view).pools.get(target).map(Arc::clone);
-        let answer = pool.and_then(|pool| self.describe(&pool, deadline));
+        let description = pool.and_then(|pool| self.describe(&pool, deadline));
         let confirmed = {
             let mut view = lock(&self.view);
             let confirmation = view.services.get_mut(service).and_then(|s| s.confirmation.as_mut());
-            // A handover that began since has a target of its own, which nobody has asked yet.
+            // Another handover may have begun meanwhile; its target has not been queried yet.
             confirmation.filter(|c| c.target() == target).is_some_and(|confirmation| {
-                let before = confirmation.confirmed;
-                confirmation.record_answer(answer.as_ref());
-                confirmation.confirmed > before
+                let previous = confirmation.confirmed;
+                confirmation.record_description(description.as_ref());
+                confirmation.confirmed > previous
             })
         };
         if confirmed {
             self.view_changed.notify_all();
         } else {
-            self.wait_for_update(RETRY_MS);
+            self.wait_for_update(DESCRIBE_RETRY_MS);
         }
     }
 
-    /// Has a database describe itself. None if it does not in time.
+    /// Queries a database for its description. Returns `None` if it does not reply in time or
+    /// rejects the query.
     fn describe(&self, pool: &ConnectionPool, deadline: Tick) -> Option<ServerDescription> {
         let reroute = SessionReroute::default();
         let request =
-            AcquireRequest { reroute: &reroute, session: 0, priority: QUESTION_PRIORITY, deadline };
+            AcquireRequest { reroute: &reroute, session: 0, priority: DESCRIBE_PRIORITY, deadline };
         let mut connection = pool.acquire(&request, || self.renew_soon(Tick::now())).ok()?;
         match describe_on(&mut connection, deadline) {
             Ok(description) => {
@@ -208,7 +224,8 @@
     }
 }
 
-/// Has the database at the other end describe itself; none if it refuses to.
+/// Queries the database for its description on this connection. Returns `None` if the database
+/// rejects the query.
 fn describe_on(
     connection: &mut ServerConnection,
     deadline: Tick,
--- a/src/pooler/leader_messages.rs
+++ b/src/pooler/leader_messages.rs
@@ -131,7 +131,7 @@
                 });
             }
             ToPooler::Revoke { service, term } => self.revoke(service, term),
-            ToPooler::HandOver { service, handover } => self.hand_over(&service, handover),
+            ToPooler::HandOver { service, handover } => self.begin_handover(&service, handover),
             ToPooler::RenewNow => self.renew(),
         }
     }
--- a/src/simulation/commits.rs
+++ b/src/simulation/commits.rs
@@ -2,7 +2,7 @@
 //! the target has it.
 use crate::base::ids::{DbTerm, InstanceId, Position, ServiceName};
 use crate::net::statement_protocol::ServerDescription;
-use crate::pooler::handover::CommitVerdict;
+use crate::pooler::handover::CommitDecision;
 use crate::simulation::checker::AcknowledgedCommit;
 use crate::simulation::databases::Write;
 use crate::simulation::events::Event;
@@ -44,15 +44,15 @@
             return;
         }
         let verdict = match node.confirmations.get_mut(&commit.service) {
-            Some(confirmation) => confirmation.judge(commit.write.term, Some(commit.position)),
-            None => CommitVerdict::PassOn,
+            Some(confirmation) => confirmation.decide(commit.write.term, Some(commit.position)),
+            None => CommitDecision::Forward,
         };
         match verdict {
-            CommitVerdict::PassOn => self.pass_on_commit(number, commit),
-            CommitVerdict::AskTarget(target) => {
+            CommitDecision::Forward => self.pass_on_commit(number, commit),
+            CommitDecision::QueryTarget(target) => {
                 self.ask_handover_target(number, incarnation, target, commit);
             }
-            CommitVerdict::AwaitAnswer => {
+            CommitDecision::AwaitQuery => {
                 self.schedule_after(RETRY_MS, Event::CommitAck(number, incarnation, commit));
             }
         }
@@ -101,7 +101,7 @@
             && let Some(confirmation) = node.confirmations.get_mut(&commit.service)
             && *confirmation.target() == target
         {
-            confirmation.record_answer(answer.as_ref());
+            confirmation.record_description(answer.as_ref());
         }
         self.schedule_after(RETRY_MS, Event::CommitAck(number, incarnation, commit));
     }
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -14,7 +14,7 @@
 };
 use silvertack::net::rpc::{Frame, receive, send};
 use silvertack::net::statement_protocol::ServerDescription;
-use silvertack::pooler::handover::{CommitConfirmation, CommitVerdict};
+use silvertack::pooler::handover::{CommitConfirmation, CommitDecision};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::Ordering;
@@ -56,22 +56,25 @@
     ];
     for (description, position, may) in cases {
         let mut confirmation = CommitConfirmation::new(handover(4, "i1"));
-        assert_eq!(confirmation.judge(TERM, Some(at(3))), CommitVerdict::AskTarget("i1".into()));
-        assert_eq!(confirmation.judge(TERM, Some(at(3))), CommitVerdict::AwaitAnswer);
-        confirmation.record_answer(description.as_ref());
+        assert_eq!(
+            confirmation.decide(TERM, Some(at(3))),
+            CommitDecision::QueryTarget("i1".into())
+        );
+        assert_eq!(confirmation.decide(TERM, Some(at(3))), CommitDecision::AwaitQuery);
+        confirmation.record_description(description.as_ref());
         let expected =
-            if may { CommitVerdict::PassOn } else { CommitVerdict::AskTarget("i1".into()) };
-        assert_eq!(confirmation.judge(TERM, position), expected, "{description:?} {position:?}");
+            if may { CommitDecision::Forward } else { CommitDecision::QueryTarget("i1".into()) };
+        assert_eq!(confirmation.decide(TERM, position), expected, "{description:?} {position:?}");
     }
     // It is of its term and of those before; a later one has a lease of its own.
     let mut confirmation = CommitConfirmation::new(handover(4, "i1"));
-    assert_eq!(confirmation.judge(DbTerm(2), Some(at(3))), CommitVerdict::PassOn);
-    assert_ne!(confirmation.judge(DbTerm(0), Some(at(3))), CommitVerdict::PassOn);
+    assert_eq!(confirmation.decide(DbTerm(2), Some(at(3))), CommitDecision::Forward);
+    assert_ne!(confirmation.decide(DbTerm(0), Some(at(3))), CommitDecision::Forward);
     // What was once known stays known.
-    confirmation.record_answer(describe(false, 1, 7).as_ref());
-    confirmation.record_answer(describe(false, 1, 5).as_ref());
-    confirmation.record_answer(None);
-    assert_eq!(confirmation.judge(TERM, Some(at(7))), CommitVerdict::PassOn);
+    confirmation.record_description(describe(false, 1, 7).as_ref());
+    confirmation.record_description(describe(false, 1, 5).as_ref());
+    confirmation.record_description(None);
+    assert_eq!(confirmation.decide(TERM, Some(at(7))), CommitDecision::Forward);
 }
 
 /// The leader of one pooler: it renews the lease in the test's words, and hands on all else that the
