--- a/src/pooler/leader_messages.rs
+++ b/src/pooler/leader_messages.rs
@@ -1,5 +1,5 @@
-//! What the pooler and the leading controller tell each other: renewals of leases, revocations,
-//! updates of routes and of the directory, and suspicions of databases.
+//! The messages between the pooler and the leading controller: lease renewals, revocations, updates
+//! of routes and of the directory, and reports of suspected databases.
 use crate::base::ids::{DbTerm, InstanceId, Revision, ServiceName};
 use crate::base::sync::lock;
 use crate::base::time::Tick;
@@ -21,26 +21,26 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Renewals that are remembered to match their answers.
+/// The maximum number of sent renewals that are kept to match their answers.
 const MAX_UNANSWERED_RENEWALS: usize = 16;
 
-/// A database is reported to the leader this often at most, in ms.
+/// The minimum interval in ms between two suspicion reports of the same database.
 const SUSPICION_INTERVAL_MS: u64 = 250;
 
-/// The renewals that were sent, and their answers.
+/// The renewals that were sent to a leader, and their answers.
 #[derive(Default)]
 pub(super) struct Renewals {
     /// The number of the last renewal.
     last_number: AtomicU64,
-    /// The renewals that an answer may still come to, from the oldest to the newest.
+    /// The renewals that may still be answered, from the oldest to the newest.
     sent: Mutex<VecDeque<NumberedTick>>,
-    /// The last answer on this connection to a leader, and when it arrived.
+    /// The last answer on the current connection to a leader, and when it arrived.
     last_answer: Mutex<Option<NumberedTick>>,
-    /// When any leader last answered.
+    /// The tick of the last answer from any leader.
     answered_at: AtomicU64,
 }
 
-/// The number of a renewal, and when it or its answer was sent or arrived.
+/// The number of a renewal, with the time at which the renewal was sent or its answer arrived.
 #[derive(Clone, Copy)]
 struct NumberedTick {
     number: u64,
@@ -53,13 +53,13 @@
         Tick(self.answered_at.load(Ordering::Relaxed))
     }
 
-    /// Whether the last renewal was sent so many ms ago, or none was.
+    /// Whether the last renewal was sent at least `interval_ms` ago, or none was sent yet.
     fn is_due(&self, now: Tick, interval_ms: u64) -> bool {
         let last = lock(&self.sent).back().map(|renewal| renewal.at);
         last.is_none_or(|at| now.since(at) >= interval_ms)
     }
 
-    /// Gives the next renewal its number, before it is sent.
+    /// Records that a renewal is about to be sent, and returns its number.
     fn begin(&self, now: Tick) -> u64 {
         let number = self.last_number.fetch_add(1, Ordering::Relaxed) + 1;
         let mut sent = lock(&self.sent);
@@ -70,9 +70,9 @@
         number
     }
 
-    /// The answer to a renewal arrived. Returns when the renewal was sent; for one that is not
-    /// known any more, the earliest time there is.
-    fn answered(&self, number: u64) -> Tick {
+    /// Records that the answer to a renewal arrived. Returns when the renewal was sent, or tick 0
+    /// if that is no longer known.
+    fn record_answer(&self, number: u64) -> Tick {
         *lock(&self.last_answer) = Some(NumberedTick { number, at: Tick::now() });
         let sent_at = {
             let mut sent = lock(&self.sent);
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Nothing that was reported on an earlier connection counts on this one.
+    /// Resets what was reported to the leader: it has to be reported anew on each connection.
     fn on_connected(&self) {
         for service in lock(&self.view).services.values_mut() {
             service.quota.forget_reports();
@@ -137,28 +137,30 @@
     }
 }
 
-/// The leader's answer to a renewal.
+/// A leader's answer to a renewal.
 struct RenewalAnswer {
     number: u64,
-    /// The duration of a lease, from when its renewal was sent.
+    /// The duration of a lease, counted from when its renewal was sent.
     lease_ms: u64,
-    /// The first answer on a connection: no lease holds that is not in it.
+    /// Whether the answer lists all leases, as the first one on a connection does. Leases that are
+    /// not in it are dropped.
     complete: bool,
-    /// What has changed. All else that was granted on this connection is renewed.
+    /// The grants that have changed. All others that were made on this connection are renewed.
     grants: Vec<LeaseGrant>,
-    /// The watermarks that were asked for.
+    /// The watermarks that were requested.
     position_bounds: Vec<PositionBound>,
 }
 
 impl Pooler {
     // -- to the leader ---------------------------------------------------------------------------
 
-    /// Sends the leader a message, if there is one; a message that gets lost is not repeated.
+    /// Sends a message to the leader, if one is connected. A lost message is not sent again.
     pub(super) fn send_to_leader(&self, message: ToController) {
         self.leader.send(message);
     }
 
-    /// Tells the leader that a database may have failed, though not more often than makes sense.
+    /// Reports to the leader that a database may have failed, at most once per
+    /// `SUSPICION_INTERVAL_MS`.
     pub(crate) fn report_suspicion(
         &self,
         pool: &ConnectionPool,
@@ -177,13 +179,13 @@
         self.send_to_leader(ToController::Suspect { service, instance, reason });
     }
 
-    /// Renews because a session waits for something that the leader may give, a watermark or a
-    /// larger quota, though not more often than makes sense.
+    /// Renews early because a session waits for a watermark or a larger quota from the leader, at
+    /// most once per `URGENT_RENEWAL_INTERVAL_MS`.
     pub(crate) fn renew_soon(&self, now: Tick) {
         self.renew_if_due(now, URGENT_RENEWAL_INTERVAL_MS);
     }
 
-    /// Renews when the interval for that is over.
+    /// Renews if `RENEW_INTERVAL_MS` has passed since the last renewal.
     pub(super) fn renew_when_due(&self) {
         self.renew_if_due(Tick::now(), RENEW_INTERVAL_MS);
     }
@@ -194,10 +196,10 @@
         }
     }
 
-    /// Asks for all leases anew, and reports what has changed since the last renewal.
+    /// Requests a renewal of all leases, and reports what has changed since the last renewal.
     fn renew(&self) {
-        // Numbered and sent under the lock of the connection, so that the leader gets a renewal and
-        // a lease given back in the order in which this pooler decided on them.
+        // Numbered and sent under the connection's lock, so that the leader receives renewals and
+        // acknowledgements of revocations in the order in which this pooler decided on them.
         let mut leader = self.leader.lock();
         let now = Tick::now();
         let last_answer = *lock(&self.renewals.last_answer);
@@ -215,7 +217,8 @@
             }
         }
         let last_grant_seq = last_answer.map_or(0, |answer| answer.number);
-        // A lease counts from here: before the request leaves, and no later than the look above.
+        // The lease duration counts from `now`, which is before the request is sent and before the
+        // view was read above.
         let seq = self.renewals.begin(now);
         let renewal = ToController::RenewLeases {
             seq,
@@ -231,7 +234,8 @@
 
     // -- from the leader -------------------------------------------------------------------------
 
-    /// A term is given back: nothing is sent or passed on under it from here on.
+    /// Gives up the lease on a term and on earlier ones, and acknowledges that to the leader: from
+    /// now on nothing is sent to their primaries and no commit of theirs is forwarded.
     fn revoke(&self, service: ServiceName, term: DbTerm) {
         let mut leader = self.leader.lock();
         let highest = {
@@ -245,14 +249,18 @@
             }
             service.highest_commit
         };
-        info!(target: "lease", "{service}: term {term} is given back");
+        info!(
+            target: "lease",
+            "{service}: gave up the lease on term {term}; nothing is sent to its primary any more"
+        );
         let ack = ToController::RevokeAck { service, term, highest };
         LeaderConnection::send_locked(&mut leader, ack);
         drop(leader);
         self.view_changed.notify_all();
     }
 
-    /// Gives every lease back, so that the leader knows how far commits were passed on.
+    /// Gives up every lease, so that the leader learns the highest commit that was forwarded for
+    /// each service.
     pub(super) fn release_leases(&self) {
         let held = |(name, service): (&ServiceName, &ServiceView)| {
             service.lease.term().map(|term| (name.clone(), term))
@@ -264,11 +272,11 @@
     fn apply_route_table(&self, table: RouteTable) {
         let revision = table.revision;
         if lock(&self.view).set_route_table(table) {
-            info!(target: "pooler", "configuration {revision} is in force");
+            info!(target: "pooler", "route table of configuration {revision} is in force");
         }
     }
 
-    /// Asks for the complete table where the delta is from one that is not known here.
+    /// Applies a delta, or requests the full route table if the delta has an unknown base.
     fn apply_route_table_delta(&self, delta: &RouteTableDelta) {
         let table = self.route_table();
         if table.as_ref().is_some_and(|table| table.revision >= delta.revision) {
@@ -280,10 +288,11 @@
         }
     }
 
-    /// Puts the answer to a renewal in force. Even one to a renewal long forgotten is applied,
-    /// since the leader won't repeat it; its leases are then long over.
+    /// Applies the answer to a renewal. This includes an answer to a renewal that is no longer
+    /// known here, since the leader does not repeat its contents; the leases in it have expired by
+    /// then.
     fn apply_grants(&self, answer: RenewalAnswer) {
-        let requested_at = self.renewals.answered(answer.number);
+        let requested_at = self.renewals.record_answer(answer.number);
         let applied = lock(&self.view).apply_grants(answer, requested_at);
         if applied.changed {
             self.view_changed.notify_all();
@@ -292,16 +301,16 @@
     }
 }
 
-/// What came of the leader's answer to a renewal.
+/// The effects of an answer to a renewal.
 struct AppliedGrants {
-    /// It brought something that sessions may wait for.
+    /// Whether the view changed in a way that sessions may wait for.
     changed: bool,
-    /// What has to be acknowledged.
+    /// The acknowledgements for the leader.
     acknowledgements: Vec<ToController>,
 }
 
-/// The position to report for a service, if there is a new one and it was observed after the last
-/// answer of the leader, from which the leader counts the time.
+/// Takes the position to report for a service, if there is a new one and it was observed after the
+/// leader's last answer, which the reported time is relative to.
 fn take_observed_position(
     name: &ServiceName,
     service: &mut ServiceView,
@@ -314,7 +323,7 @@
 }
 
 impl ClusterView {
-    /// Puts the answer to a renewal sent at `requested_at` in force.
+    /// Applies the answer to a renewal that was sent at `requested_at`.
     fn apply_grants(&mut self, answer: RenewalAnswer, requested_at: Tick) -> AppliedGrants {
         let RenewalAnswer { number, lease_ms, complete, grants, position_bounds } = answer;
         if complete {
@@ -333,7 +342,7 @@
             let service = self.services.entry(grant.service.clone()).or_default();
             acknowledgements.extend(service.apply_grant(grant, number, requested_at));
         }
-        // The answer renews all that was granted on this connection.
+        // The answer renews all leases and quotas that were granted on this connection.
         for service in self.services.values_mut() {
             service.lease.renew(requested_at.plus(lease_ms));
             service.quota.renew(requested_at.plus(QUOTA_VALID_MS));
@@ -353,8 +362,8 @@
 }
 
 impl ServiceView {
-    /// Puts a grant in the answer to a renewal in force; the lease in it still has to be renewed.
-    /// Returns the acknowledgement of a handover.
+    /// Applies a grant from the answer to a renewal; the caller then renews its lease. Returns the
+    /// acknowledgement of a handover, if there is one.
     fn apply_grant(
         &mut self,
         grant: LeaseGrant,
@@ -383,12 +392,12 @@
         }
         if had_lease && self.lease.term().is_none() {
             self.lease_lost_at = Some(Tick::now());
-            info!(target: "lease", "{service}: none is granted");
+            info!(target: "lease", "{service}: lease lost, as the leader grants none");
         }
         acknowledgement
     }
 
-    /// Takes a lease, unless it was granted before its revocation.
+    /// Accepts a lease, unless it was granted before its revocation.
     fn accept_lease(
         &mut self,
         service: &ServiceName,
