--- a/src/pooler/pool.rs
+++ b/src/pooler/pool.rs
@@ -13,7 +13,9 @@
 use crate::pooler::admission::{AcquireError, Admission, QueueTicket};
 use crate::pooler::latency::LatencyEstimator;
 use crate::pooler::reroute::SessionReroute;
-use crate::pooler::server_connection::{CONNECT_MS, ConnectError, HANDSHAKE_MS, ServerConnection};
+use crate::pooler::server_connection::{
+    CONNECT_TIMEOUT_MS, ConnectError, HANDSHAKE_TIMEOUT_MS, ServerConnection,
+};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
@@ -367,10 +369,10 @@
         if down { AcquireError::Unavailable } else { AcquireError::Exhausted }
     }
 
-    /// Opens a connection within the handshake timeout, or at most `CONNECT_MS` beyond the
+    /// Opens a connection within the handshake timeout, or at most `CONNECT_TIMEOUT_MS` beyond the
     /// session's deadline.
     fn open(&self, now: Tick, deadline: Tick) -> Result<ServerConnection, AcquireError> {
-        let limit = now.plus(HANDSHAKE_MS).min(deadline.plus(CONNECT_MS));
+        let limit = now.plus(HANDSHAKE_TIMEOUT_MS).min(deadline.plus(CONNECT_TIMEOUT_MS));
         match ServerConnection::connect(self.address, &self.service, &self.id, limit) {
             Ok(connection) => {
                 self.failures.store(0, Ordering::Relaxed);
--- a/src/pooler/server_connection.rs
+++ b/src/pooler/server_connection.rs
@@ -1,8 +1,8 @@
-//! One connection to a database, and what the database holds for it.
+//! One connection to a database, and the session state that the database holds for it.
 //!
-//! A `ServerConnection` counts the replies that are still to come, since replies carry no id, and
-//! knows which settings and prepared statements the database keeps for it. `pool` opens, keeps and
-//! lends it; `statement_execution` runs a session's statements on it.
+//! A `ServerConnection` counts its pending replies, since replies carry no id, and tracks which
+//! settings and prepared statements the database holds for it. `pool` opens and keeps connections
+//! and hands them out; `statement_execution` runs a session's statements on them.
 use crate::base::errors::ErrorKind;
 use crate::base::ids::{InstanceId, ServiceName};
 use crate::base::time::Tick;
@@ -18,80 +18,80 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// How often a thread that waits for a database checks whether to wait on, in ms.
+/// How often a thread that waits for a reply checks whether to continue, in ms.
 const CHECK_INTERVAL_MS: u64 = 25;
 
-/// The time in ms for the TCP connection to a database.
-pub(crate) const CONNECT_MS: u64 = 400;
+/// The timeout in ms for opening the TCP connection to a database.
+pub(crate) const CONNECT_TIMEOUT_MS: u64 = 400;
 
-/// The time in ms from the wish for a connection to the database's reply to CONNECT.
-pub(crate) const HANDSHAKE_MS: u64 = 1_500;
+/// The timeout in ms for opening a connection to a database, until its reply to CONNECT.
+pub(crate) const HANDSHAKE_TIMEOUT_MS: u64 = 1_500;
 
-/// The time for one write to a database.
+/// The timeout for one write to a database.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The time after which the kernel gives up a connection whose peer acknowledges nothing.
+/// The time after which the kernel closes a connection whose peer acknowledges no data.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The time in ms that a database has to roll back a transaction before its connection is closed.
-const ROLLBACK_MS: u64 = 300;
+/// The timeout in ms for rolling back a transaction; after that the connection is closed.
+const ROLLBACK_TIMEOUT_MS: u64 = 300;
 
-/// A reply of more bytes than this is taken for garbage.
+/// The maximum size of a reply; the connection of a larger one is considered broken.
 const MAX_REPLY_BYTES: usize = 4 << 20;
 
-/// Prepared statements on one connection before all of them are discarded.
-const MAX_PREPARED: usize = 256;
+/// The maximum number of prepared statements on one connection; beyond it all are discarded.
+const MAX_PREPARED_STATEMENTS: usize = 256;
 
-/// The cost of a connection that has to be reset, above that of any number of settings to send.
+/// The sync cost of a connection that has to be reset, higher than that of sending settings.
 const RESET_COST: usize = 100;
 
-/// What a pooler calls itself in its CONNECT to a database. It is on the wire and in the databases'
-/// logs, so it stays as it is.
+/// The client name in a pooler's CONNECT to a database. It is part of the wire format and appears
+/// in the databases' logs.
 const CLIENT_NAME_ON_THE_WIRE: &str = "stile";
 
-/// Why a reply can't be had on a connection any more.
+/// Why no reply can be received on a connection any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum Loss {
-    /// The connection is gone or can't be trusted.
-    #[error("the connection broke or can't be trusted")]
+    /// The connection is closed, or its state is not known.
+    #[error("database connection is closed or out of sync")]
     Broken,
-    /// Waiting was given up: the reply takes too long, or the lease on the primary ended.
-    #[error("the wait for the reply was given up")]
+    /// The wait was abandoned: the reply took too long, or the lease on the primary ended.
+    #[error("abandoned the wait for the database's reply: reply timeout, or lease lost")]
     Abandoned,
     /// The deadline of the statement has passed.
-    #[error("the statement's deadline has passed")]
+    #[error("statement deadline passed before the database replied")]
     DeadlineExceeded,
 }
 
-/// A statement got no usable reply.
+/// A statement that got no usable reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{loss}")]
 pub(crate) struct ExchangeError {
     /// What happened to the connection.
     pub(crate) loss: Loss,
-    /// The statement may have reached the database, in part or whole.
+    /// Whether the statement may have reached the database, in part or in full.
     pub(crate) sent: bool,
 }
 
 impl ExchangeError {
-    /// The statement can't have reached a database.
+    /// Creates the error of a statement that can't have reached a database.
     pub(crate) fn unsent(loss: Loss) -> Self {
         Self { loss, sent: false }
     }
 
-    /// The statement may have reached a database.
+    /// Creates the error of a statement that may have reached a database.
     pub(crate) fn sent(loss: Loss) -> Self {
         Self { loss, sent: true }
     }
 }
 
-/// Why a database gave no connection.
+/// Why no connection to a database could be opened.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ConnectError {
-    /// It answered CONNECT with an error.
-    #[error("the database rejected the connection: {0}")]
+    /// The database replied to CONNECT with an error.
+    #[error("database rejected CONNECT: {0}")]
     Rejected(ErrorKind),
-    /// It could not be reached, or did not answer as the protocol demands.
+    /// The database could not be reached, or violated the protocol.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
@@ -103,24 +103,25 @@
     version: u64,
 }
 
-/// A connection to a database, and what the database holds for it.
+/// A connection to a database, and the session state that the database holds for it.
 pub(crate) struct ServerConnection {
     stream: TcpStream,
     buffer: ReadBuffer,
-    /// Replies that are still to come. Only this count tells which statement a reply belongs to.
+    /// The number of replies that are still pending. Replies carry no id, so only this count tells
+    /// which statement a reply belongs to.
     pending_replies: u32,
     settings: BTreeMap<String, String>,
-    /// The ids of the statements that are prepared.
+    /// The ids of the statements that are prepared on the connection.
     prepared: HashSet<u64>,
-    /// The session state that was last sent in full.
+    /// The session state that the connection was last synced to.
     synced: Option<SessionVersion>,
-    /// A transaction was opened and not ended.
+    /// Whether a transaction is open.
     pub(crate) in_transaction: bool,
-    /// Session state was sent inside a transaction, and may have been rolled back with it.
+    /// Whether session state was sent inside a transaction and may have been rolled back with it.
     pub(crate) synced_in_transaction: bool,
 }
 
-/// The statements that bring a connection to the state of a session, to be sent in one write.
+/// The statements that sync a connection to the state of a session, sent in one write.
 #[derive(Default)]
 struct SyncBatch {
     lines: String,
@@ -130,7 +131,7 @@
 impl SyncBatch {
     fn push(&mut self, statement: Arguments<'_>) {
         self.count += 1;
-        // Writing to a String can't fail.
+        // Writing to a `String` can't fail.
         let _ = write!(self.lines, "QUERY - {statement}\r\n");
     }
 }
@@ -144,8 +145,11 @@
         id: &InstanceId,
         deadline: Tick,
     ) -> Result<Self, ConnectError> {
-        let stream =
-            connect_stream(address, Duration::from_millis(CONNECT_MS), UNACKNOWLEDGED_TIMEOUT)?;
+        let stream = connect_stream(
+            address,
+            Duration::from_millis(CONNECT_TIMEOUT_MS),
+            UNACKNOWLEDGED_TIMEOUT,
+        )?;
         stream.set_read_timeout(Some(Duration::from_millis(CHECK_INTERVAL_MS)))?;
         stream.set_write_timeout(Some(WRITE_TIMEOUT))?;
         let mut connection = Self {
@@ -158,14 +162,14 @@
             in_transaction: false,
             synced_in_transaction: false,
         };
-        let greeting = format!("CONNECT {service} {CLIENT_NAME_ON_THE_WIRE} {id}\r\n");
-        connection.stream.write_all(greeting.as_bytes())?;
-        connection.receive_greeting(deadline)?;
+        let connect = format!("CONNECT {service} {CLIENT_NAME_ON_THE_WIRE} {id}\r\n");
+        connection.stream.write_all(connect.as_bytes())?;
+        connection.receive_connect_reply(deadline)?;
         Ok(connection)
     }
 
     /// Waits for the reply to CONNECT.
-    fn receive_greeting(&mut self, deadline: Tick) -> Result<(), ConnectError> {
+    fn receive_connect_reply(&mut self, deadline: Tick) -> Result<(), ConnectError> {
         loop {
             if let Some(kind) = statement_protocol::refused_connect(self.buffer.pending()) {
                 return Err(ConnectError::Rejected(kind));
@@ -196,20 +200,20 @@
         }
     }
 
-    /// Whether no reply is to come and no byte is left over.
+    /// Whether no reply is pending and the buffer is empty.
     pub(crate) fn is_settled(&self) -> bool {
         self.pending_replies == 0 && self.buffer.is_empty()
     }
 
-    /// Whether the connection is settled, nothing else has arrived, and the database has not
+    /// Whether the connection is settled, no unexpected data has arrived, and the database has not
     /// closed it.
     pub(crate) fn is_usable(&self) -> bool {
         self.is_settled() && !is_readable(&self.stream)
     }
 
-    /// Sends `bytes`, which will be answered by so many replies.
+    /// Sends `bytes`, for which the database will send this number of replies.
     pub(crate) fn send(&mut self, bytes: &[u8], replies: u32) -> Result<(), ExchangeError> {
-        // Bytes that nobody asked for would make it unclear whose reply each later one is.
+        // After unexpected data, later replies could no longer be matched to their statements.
         if !self.is_usable() {
             return Err(ExchangeError::unsent(Loss::Broken));
         }
@@ -217,8 +221,8 @@
         self.stream.write_all(bytes).map_err(|_| ExchangeError::sent(Loss::Broken))
     }
 
-    /// Waits for one reply, which stays in the buffer until it is consumed. `check` is asked every
-    /// `CHECK_INTERVAL_MS` whether to give up.
+    /// Waits for one reply, which stays in the buffer until it is consumed. `check` is called every
+    /// `CHECK_INTERVAL_MS` and ends the wait if it returns a loss.
     pub(crate) fn receive(
         &mut self,
         mut check: impl FnMut() -> Option<Loss>,
@@ -243,38 +247,46 @@
         }
     }
 
-    /// The reply at the start of the buffer, if all of it is there.
+    /// Parses the reply at the start of the buffer, if it is complete.
     fn parse_reply(&self) -> Result<Option<Reply>, Loss> {
         let pending = self.buffer.pending();
         match statement_protocol::reply(pending) {
-            // With more bytes behind the last reply due, either may be another statement's.
+            // With data after the last pending reply, either may belong to another statement.
             Ok(Some(reply)) if self.pending_replies <= 1 && reply.end < pending.len() => {
-                warn!(target: "pool", "an unexpected response");
+                warn!(
+                    target: "pool",
+                    "database sent {} bytes after the last pending reply; closing the connection",
+                    pending.len() - reply.end
+                );
                 Err(Loss::Broken)
             }
             Ok(None) if pending.len() > MAX_REPLY_BYTES => Err(Loss::Broken),
             Ok(reply) => Ok(reply),
             Err(statement_protocol::MalformedReply) => {
-                warn!(target: "pool", "malformed response");
+                warn!(
+                    target: "pool",
+                    "database sent a malformed reply ({} bytes received); closing the connection",
+                    pending.len()
+                );
                 Err(Loss::Broken)
             }
         }
     }
 
-    /// The bytes of a reply that was received and not yet consumed.
+    /// The bytes of a reply that was received but not yet consumed.
     pub(crate) fn reply_bytes(&self, reply: &Reply) -> &[u8] {
         &self.buffer.pending()[..reply.end]
     }
 
-    /// Drops a reply from the buffer, once it was handled or passed on.
+    /// Removes a reply from the buffer after it was handled or forwarded.
     pub(crate) fn consume(&mut self, reply: &Reply) {
         self.buffer.consume(reply.end);
         self.pending_replies = self.pending_replies.saturating_sub(1);
     }
 
-    /// Rolls the open transaction back. After an error the connection is of no use.
+    /// Rolls back the open transaction. After an error the connection must be closed.
     pub(crate) fn roll_back(&mut self) -> Result<(), Loss> {
-        let deadline = Tick::now().plus(ROLLBACK_MS);
+        let deadline = Tick::now().plus(ROLLBACK_TIMEOUT_MS);
         self.send(b"QUERY - ABORT\r\n", 1).map_err(|e| e.loss)?;
         let reply = self.receive(|| (Tick::now() >= deadline).then_some(Loss::Abandoned))?;
         if reply.state != State::Idle {
@@ -285,8 +297,8 @@
         Ok(())
     }
 
-    /// How much has to be sent before the next statement of a session: the lower, the better the
-    /// connection fits.
+    /// The cost of syncing the connection to the state of a session; the pool prefers the
+    /// connection with the lowest cost.
     pub(crate) fn sync_cost(&self, reroute: &SessionReroute, session: u64) -> usize {
         let settings = reroute.settings();
         if self.synced == Some(SessionVersion { session, version: reroute.version() }) {
@@ -300,13 +312,13 @@
         }
     }
 
-    /// Whether it holds settings that are not among `settings`.
+    /// Whether the connection has settings that are not in `settings`.
     fn has_other_settings(&self, settings: &BTreeMap<String, String>) -> bool {
         self.settings.keys().any(|name| !settings.contains_key(name))
     }
 
-    /// Brings the connection to the settings and prepared statements of a session: what differs is
-    /// sent in one write. `check` is asked now and then whether to give up.
+    /// Syncs the connection to the settings and prepared statements of a session. The differences
+    /// are sent in one write. `check` may end the wait for the replies, see `receive`.
     pub(crate) fn sync(
         &mut self,
         reroute: &SessionReroute,
@@ -315,7 +327,7 @@
         check: impl FnMut() -> Option<Loss>,
     ) -> Result<(), Loss> {
         let version = SessionVersion { session, version: reroute.version() };
-        // What was sent inside a transaction that is over may have been rolled back with it.
+        // State that was sent inside a transaction may have been rolled back with it.
         if self.synced == Some(version) && (self.in_transaction || !self.synced_in_transaction) {
             return Ok(());
         }
@@ -327,7 +339,8 @@
         Ok(())
     }
 
-    /// The statements that are needed, noted as if they had been run.
+    /// Plans the statements that are needed for a sync, and records their effects as if they had
+    /// run.
     fn plan_sync(&mut self, reroute: &SessionReroute, hasher: &RandomState) -> SyncBatch {
         let settings = reroute.settings();
         let mut batch = SyncBatch::default();
@@ -338,7 +351,7 @@
         let missing = wanted.iter().filter(|(id, _)| !self.prepared.contains(id)).count();
         let reset = self.has_other_settings(settings)
             || self.synced_in_transaction
-            || self.prepared.len() + missing > MAX_PREPARED;
+            || self.prepared.len() + missing > MAX_PREPARED_STATEMENTS;
         if reset && !self.in_transaction {
             batch.push(format_args!("DISCARD"));
             self.settings.clear();
@@ -360,7 +373,7 @@
         batch
     }
 
-    /// Sends the statements and waits for the success of each.
+    /// Sends the statements and waits for a success reply to each.
     fn run_sync(
         &mut self,
         batch: &SyncBatch,
@@ -372,7 +385,7 @@
             let reply = self.receive(&mut check)?;
             let in_transaction = reply.state == State::Open;
             if reply.outcome != Outcome::Complete || in_transaction != self.in_transaction {
-                // What the database holds for the connection now is not known.
+                // The state that the database now holds for the connection is not known.
                 return Err(Loss::Broken);
             }
             self.consume(&reply);
@@ -381,13 +394,13 @@
     }
 }
 
-/// The id that a prepared statement has at every database, whatever its clients call it. The hasher
-/// is keyed anew in each process, so that no client can choose two statements that share an id.
+/// The id of a prepared statement at all databases, independent of the clients' names for it. The
+/// hasher has a random key per process, so that no client can construct a collision of two ids.
 pub(crate) fn prepared_statement_id(hasher: &RandomState, statement: &PreparedStatement) -> u64 {
     hasher.hash_one(statement)
 }
 
-/// Whether nothing came within the read time-out of the socket.
+/// Whether a read ended because the socket's read timeout expired.
 fn is_timeout(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut)
 }
