--- a/src/pooler/client_session.rs
+++ b/src/pooler/client_session.rs
@@ -1,8 +1,8 @@
 //! One client's session, from its CONNECT to its end.
 //!
-//! A worker thread calls `Session::serve` whenever the client may have sent something; between two
-//! lines a session needs no thread. Statements that a database has to run are run by
-//! `statement_execution`; all others are answered here.
+//! A worker thread calls `Session::serve` when the client may have sent data; a session that waits
+//! for its client needs no thread. Statements that a database has to run are handled by
+//! `statement_execution`; the pooler replies to all others here.
 use crate::base::errors::ErrorKind;
 use crate::base::ids::{Position, ServiceName};
 use crate::base::time::Tick;
@@ -19,15 +19,15 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// What a session does once it has served what its client sent.
+/// What happens to a session after its pending input was served.
 pub(crate) enum NextStep {
-    /// It waits for its client without a thread.
+    /// The session waits for its client without a thread.
     Park,
-    /// It is over.
+    /// The session has ended.
     End,
 }
 
-/// A client's connection, with the session on it once the client has said CONNECT.
+/// A client's connection, with its session once the client has sent CONNECT.
 pub(crate) struct Session {
     pub(crate) id: u64,
     pub(crate) pooler: Arc<Pooler>,
@@ -36,29 +36,29 @@
     pub(crate) client: Option<ClientSession>,
 }
 
-/// The session of a client that has said CONNECT.
+/// The session of a client that has sent CONNECT.
 pub(crate) struct ClientSession {
     pub(super) pooler: Arc<Pooler>,
     handle: Arc<SessionHandle>,
     pub(super) id: u64,
     pub(super) reroute: SessionReroute,
-    /// The connection to a database that the session uses now.
+    /// The connection to a database that the session currently holds.
     pub(super) checked_out: Option<CheckedOutConnection>,
-    /// The hostname that the client asked for.
+    /// The hostname in the client's CONNECT.
     database: String,
-    /// The version of the routes that `route` and `service` are from.
+    /// The route table that `route` and `service` were taken from.
     route_table: Arc<RouteTable>,
     pub(super) route: RouteEntry,
     pub(super) service: ServiceName,
     /// The position of this session's last commit.
     pub(super) own_position: Option<Position>,
-    /// The last position that the client was shown.
+    /// The last position that was sent to the client.
     last_position: Option<Position>,
 }
 
-/// A statement that a database has to run, as it came.
+/// A statement that a database has to run, as the client sent it.
 pub(super) struct ClientStatement<'a> {
-    /// The client's id for it.
+    /// The client's id for the statement.
     pub(super) id: &'a str,
     /// The statement as the client wrote it.
     pub(super) text: &'a str,
@@ -67,27 +67,27 @@
     pub(super) arrived_at: Tick,
 }
 
-/// What goes back to the client.
+/// A reply to the client.
 pub(super) enum ClientReply {
-    /// The reply of the database, as it stands in the buffer of the checked-out connection.
+    /// The database's reply, which is in the buffer of the checked-out connection.
     Forward(Reply),
-    /// Success, without a database.
+    /// Success of a statement that needed no database.
     Complete,
     /// An error.
     Error {
-        /// Its kind, which promises the client what has become of the statement.
+        /// The kind of the error, which tells the client whether the statement may have run.
         kind: ErrorKind,
-        /// An explanation.
+        /// A description for people.
         text: String,
     },
 }
 
-/// What a line from the client leads to.
+/// The outcome of one line from the client.
 enum LineOutcome {
     Reply(ClientReply),
-    /// The client ends the session.
+    /// The client ended the session.
     Closed,
-    /// The client's hostname has no route any more.
+    /// The client's hostname no longer has a route.
     DatabaseGone,
 }
 
@@ -98,7 +98,7 @@
 }
 
 impl Session {
-    /// Serves the client until it pauses or the session is over.
+    /// Serves the client until it pauses or the session ends.
     pub(crate) fn serve(&mut self) -> io::Result<NextStep> {
         if self.client.is_none()
             && let Some(next) = self.receive_connect()?
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Takes the client's CONNECT. None: the session has begun and its statements may follow.
+    /// Handles the client's CONNECT. Returns `None` if the session has begun and may be served.
     fn receive_connect(&mut self) -> io::Result<Option<NextStep>> {
         let mut stream = &self.handle.stream;
         let database = match self.buffer.line(&mut stream) {
@@ -159,18 +159,19 @@
     }
 }
 
-/// However a session ends, its connection goes back to the pool, and the list no longer shows it.
+/// Releases the session's database connection and removes the session from the pooler's list,
+/// however it ends.
 impl Drop for Session {
     fn drop(&mut self) {
         if let Some(client) = &mut self.client {
             client.release();
         }
-        self.pooler.forget_session(self.id);
+        self.pooler.remove_session(self.id);
     }
 }
 
 impl ClientSession {
-    /// Answers the client's statements until it pauses or the session is over.
+    /// Serves the client's statements until it pauses or the session ends.
     fn serve(&mut self, buffer: &mut ReadBuffer) -> io::Result<NextStep> {
         let handle = Arc::clone(&self.handle);
         let mut stream = &handle.stream;
@@ -182,7 +183,8 @@
             let in_transaction = self.reroute.state() != State::Idle;
             handle.in_transaction.store(in_transaction, Ordering::Relaxed);
             handle.waiting_since.store(Tick::now().0, Ordering::Relaxed);
-            // The client of a long session most likely pauses now; another most likely goes on.
+            // Clients of long-lived sessions are likely to pause after a statement; others are
+            // likely to send the next one at once.
             let long_lived = handle.long_lived.load(Ordering::Relaxed);
             if served && long_lived && self.is_idle(buffer) {
                 return Ok(NextStep::Park);
@@ -209,14 +211,14 @@
             };
             let throttled = matches!(reply, ClientReply::Error { kind: ErrorKind::Throttled, .. });
             self.send_reply(stream, reply)?;
-            // Another pooler may well have a leader.
+            // Another pooler may still be connected to a leader, so the client should reconnect.
             if throttled && self.is_idle(buffer) && self.pooler.leader_lost(Tick::now()) {
                 return Ok(NextStep::End);
             }
         }
     }
 
-    /// Whether nothing of the client's is open or waits to be served.
+    /// Whether no transaction is open and no input of the client is waiting to be served.
     fn is_idle(&self, buffer: &ReadBuffer) -> bool {
         self.reroute.state() == State::Idle && buffer.is_empty()
     }
@@ -266,7 +268,8 @@
         }
     }
 
-    /// A changed route applies from the next transaction on. False when it is no longer there.
+    /// Applies changes of the client's route; called between transactions. Returns false if the
+    /// route no longer exists.
     fn refresh_route(&mut self) -> bool {
         let Some(route_table) = self.pooler.route_table() else {
             return false;
@@ -297,7 +300,7 @@
         stream.write_all(format!("{outcome}\r\nREADY {state} {position}\r\n").as_bytes())
     }
 
-    /// Passes on the bytes of a database's reply.
+    /// Forwards the bytes of a database's reply to the client.
     fn forward(&mut self, mut stream: &TcpStream, reply: &Reply) -> io::Result<()> {
         self.last_position = reply.position.or(self.last_position);
         let Some(checked_out) = &mut self.checked_out else {
@@ -311,7 +314,7 @@
         sent
     }
 
-    /// Gives the connection back to its pool; what it has open is rolled back first.
+    /// Releases the database connection to its pool, after rolling back its open transaction.
     pub(super) fn release(&mut self) {
         let Some(CheckedOutConnection { mut connection, pool, .. }) = self.checked_out.take()
         else {
@@ -324,7 +327,7 @@
         }
     }
 
-    /// Closes the connection, which can't be used any more.
+    /// Closes the database connection, which can't be used any more.
     pub(super) fn discard(&mut self) {
         if let Some(CheckedOutConnection { connection, pool, .. }) = self.checked_out.take() {
             pool.discard(connection);
--- a/src/pooler/sessions.rs
+++ b/src/pooler/sessions.rs
@@ -1,9 +1,8 @@
-//! The pooler's clients: admitting them, the threads that serve their sessions, and ending sessions
-//! whose clients keep quiet for too long.
+//! The pooler's client sessions: admission, the worker threads that serve them, and idle timeouts.
 //!
-//! A thread serves one session at a time, for as long as the client goes on without a pause. A
-//! session whose client pauses is parked: it costs a descriptor and no thread, and is given to a
-//! thread again when something arrives.
+//! A worker thread serves one session at a time until its client pauses. The session is then
+//! parked: it uses a file descriptor but no thread, and is dispatched to a worker again when data
+//! arrives.
 use crate::base::sync::lock;
 use crate::base::time::Tick;
 use crate::net::idle_connections::Registration;
@@ -18,61 +17,64 @@
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 use std::time::Duration;
 
-/// The stack of a thread that serves sessions: statements are small, and buffers are on the heap.
+/// The stack size of a worker thread: statements are small, and buffers are on the heap.
 const WORKER_STACK_BYTES: usize = 128 << 10;
 
-/// A thread waits for another session for this long, in ms, before it ends.
-const WORKER_IDLE_MS: u64 = 2_000;
+/// The time in ms after which an idle worker thread ends.
+const WORKER_IDLE_TIMEOUT_MS: u64 = 2_000;
 
-/// So many idle threads never end, since a new one may not be had later.
+/// The number of idle worker threads that are retained, because the operating system may not be
+/// able to start a new one later.
 const MIN_IDLE_WORKERS: usize = 1;
 
-/// A thread that is never to end looks for itself this often, in ms.
-const KEPT_WORKER_IDLE_MS: u64 = 60_000;
+/// The time in ms that a retained worker thread waits for a session before it checks the queue
+/// again without a notification.
+const RETAINED_WORKER_WAIT_MS: u64 = 60_000;
 
-/// A thread waits for the next line of the session it has just served for this long.
+/// How long a worker waits for the next line of a session before it parks the session.
 const NEXT_LINE_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// The time for one write to a client.
+/// The timeout for one write to a client.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The time after which the kernel gives up a client that acknowledges nothing.
+/// The time after which the kernel closes the connection of a client that acknowledges no data.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The time in ms that a client has to say CONNECT.
+/// The time in ms within which a client has to send CONNECT.
 const CONNECT_DEADLINE_MS: u64 = 10_000;
 
-/// A session that has lasted for this long, in ms, may last much longer.
+/// The age in ms from which a session counts as long-lived.
 const LONG_LIVED_MS: u64 = 1_000;
 
-/// The kernel probes the client of a long session after so much silence.
+/// The idle time after which the kernel sends keep-alive probes to the client of a long-lived
+/// session.
 const KEEP_ALIVE_IDLE: Duration = Duration::from_secs(30);
 
-/// How long a transaction may be idle while no configuration says so, in ms.
+/// The idle timeout of a transaction in ms, while no configuration sets one.
 const DEFAULT_TRANSACTION_IDLE_MS: u64 = 3_000;
 
-/// A session as threads other than its own may see and end it.
+/// The part of a session that other threads may read, and through which they may end it.
 pub(crate) struct SessionHandle {
     pub(crate) stream: TcpStream,
     accepted_at: Tick,
-    /// It has lasted for a while, and the kernel probes its client.
+    /// Whether the session is older than `LONG_LIVED_MS`; keep-alive is then enabled.
     pub(crate) long_lived: AtomicBool,
-    /// It was parked before, so that its stream is registered there.
+    /// Whether the session was parked before, so that its stream is already registered.
     parked_before: AtomicBool,
-    /// Its client has said CONNECT.
+    /// Whether the client has sent CONNECT.
     pub(crate) connected: AtomicBool,
-    /// The tick since which it waits for its client; 0 while it works.
+    /// The tick since which the session waits for its client; 0 while it serves a statement.
     pub(crate) waiting_since: AtomicU64,
-    /// Its client has a transaction open.
+    /// Whether the client has an open transaction.
     pub(crate) in_transaction: AtomicBool,
 }
 
-/// Which of the sessions that wait for their clients are to be closed.
+/// Which of the sessions that wait for their clients are closed.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum CloseScope {
-    /// Those with no transaction open.
+    /// Sessions without an open transaction.
     Idle,
-    /// Those with a transaction open as well.
+    /// All sessions, with or without an open transaction.
     Waiting,
 }
 
@@ -89,8 +91,8 @@
         }
     }
 
-    /// Reads nothing more from the client if the session waits for it and is in the scope. What was
-    /// read already is still answered.
+    /// Stops reading from the client if the session waits for it and is in the scope. Statements
+    /// that were already received are still served.
     pub(super) fn close_if_waiting(&self, scope: CloseScope) {
         let waits = self.waiting_since.load(Ordering::Relaxed) > 0;
         let in_scope = scope == CloseScope::Waiting || !self.in_transaction.load(Ordering::Relaxed);
@@ -99,7 +101,8 @@
         }
     }
 
-    /// Ends the session if its client has been quiet for too long.
+    /// Ends the session if its client has not sent CONNECT in time or has left a transaction idle
+    /// for too long. Enables keep-alive on long-lived sessions.
     fn enforce_time_limits(&self, now: Tick, transaction_idle_ms: u64) {
         let waiting_since = self.waiting_since.load(Ordering::Relaxed);
         let idle_too_long = waiting_since > 0 && now.0 > waiting_since + transaction_idle_ms;
@@ -111,13 +114,13 @@
             drop(self.stream.shutdown(Shutdown::Both));
         }
         if age_ms > LONG_LIVED_MS && !self.long_lived.swap(true, Ordering::Relaxed) {
-            // Without probes the loss of the client shows at the next write to it.
+            // If this fails, the loss of the client is only noticed at the next write to it.
             drop(enable_keep_alive(&self.stream, KEEP_ALIVE_IDLE));
         }
     }
 }
 
-/// Sessions that something has arrived for, and the threads that serve them.
+/// The queue of sessions that have input to serve, and the worker threads that take from it.
 #[derive(Default)]
 pub(super) struct SessionWorkers {
     queue: Mutex<WorkerQueue>,
@@ -131,19 +134,19 @@
 }
 
 impl SessionWorkers {
-    /// Adds a session. True if there are more sessions than idle threads.
+    /// Adds a session. Returns true if there are more queued sessions than idle threads.
     fn push(&self, session: Session) -> bool {
         let mut queue = lock(&self.queue);
         queue.sessions.push_back(session);
         queue.sessions.len() > queue.idle_threads
     }
 
-    /// Waits for a session. None if there was none for `WORKER_IDLE_MS` and enough other threads
-    /// wait for one.
+    /// Waits for a session. Returns `None` if there was none for `WORKER_IDLE_TIMEOUT_MS` and more
+    /// than `MIN_IDLE_WORKERS` threads are idle.
     fn next(&self) -> Option<Session> {
         let mut queue = lock(&self.queue);
         queue.idle_threads += 1;
-        let deadline = Tick::now().plus(WORKER_IDLE_MS);
+        let deadline = Tick::now().plus(WORKER_IDLE_TIMEOUT_MS);
         loop {
             if let Some(session) = queue.sessions.pop_front() {
                 queue.idle_threads -= 1;
@@ -154,7 +157,7 @@
                 queue.idle_threads -= 1;
                 return None;
             }
-            let wait_ms = if left_ms == 0 { KEPT_WORKER_IDLE_MS } else { left_ms };
+            let wait_ms = if left_ms == 0 { RETAINED_WORKER_WAIT_MS } else { left_ms };
             let waited = self.session_added.wait_timeout(queue, Duration::from_millis(wait_ms));
             queue = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
@@ -162,8 +165,8 @@
 }
 
 impl Pooler {
-    /// Starts a session for a client, if there is room for it and a leader. Otherwise the
-    /// connection is closed at once, and the client goes on to another node.
+    /// Starts a session for a client, if the session limit and the state of the leader allow it.
+    /// Otherwise the connection is closed at once, so that the client tries another node.
     pub(super) fn admit(self: &Arc<Self>, stream: TcpStream) {
         let id = self.next_session_id.fetch_add(1, Ordering::Relaxed);
         let now = Tick::now();
@@ -179,8 +182,8 @@
         self.dispatch(Session { id, pooler, handle, buffer: ReadBuffer::default(), client: None });
     }
 
-    /// Has an idle thread serve the session, or a new one. Where the machine has none left, the
-    /// session waits for one that gets free.
+    /// Queues the session for an idle worker thread, and starts a new one if there is none. If the
+    /// operating system can't start a thread, the session waits for a busy worker.
     pub(super) fn dispatch(self: &Arc<Self>, session: Session) {
         let needs_thread = self.workers.push(session);
         if !needs_thread || !self.start_worker() {
@@ -188,26 +191,30 @@
         }
     }
 
-    /// False if the machine has no thread left.
+    /// Starts a worker thread. Returns false if the operating system can't.
     fn start_worker(self: &Arc<Self>) -> bool {
         let pooler = Arc::clone(self);
         let thread = std::thread::Builder::new().stack_size(WORKER_STACK_BYTES);
         thread.spawn(move || pooler.run_worker()).is_ok()
     }
 
-    /// Serves sessions until there are enough threads without this one.
+    /// Serves sessions until enough other worker threads are idle.
     pub(super) fn run_worker(&self) {
         while let Some(mut session) = self.workers.next() {
             match session.serve() {
                 Ok(NextStep::Park) => self.park(session),
                 Ok(NextStep::End) => {}
-                // How the connection of a client ends isn't worth a line each.
-                Err(e) => log::debug!(target: "session", "{}: {e}", session.id),
+                // Client connections break often, so this is not logged at a higher level.
+                Err(e) => log::debug!(
+                    target: "session",
+                    "session {} ended by an error on the client connection: {e}",
+                    session.id
+                ),
             }
         }
     }
 
-    /// The session waits for its client without a thread.
+    /// Parks the session until its client sends data or closes the connection.
     fn park(&self, session: Session) {
         let (id, handle) = (session.id, Arc::clone(&session.handle));
         let registration = match handle.parked_before.swap(true, Ordering::Relaxed) {
@@ -217,13 +224,13 @@
         self.parked.park(id, &handle.stream, session, registration);
     }
 
-    /// A session is over.
-    pub(crate) fn forget_session(&self, id: u64) {
+    /// Removes an ended session from the list.
+    pub(crate) fn remove_session(&self, id: u64) {
         lock(&self.sessions).remove(&id);
     }
 
-    /// Ends sessions whose clients have been quiet for too long, and closes connections to
-    /// databases that the quotas don't allow any more.
+    /// Enforces the time limits of sessions, and closes connections to databases that exceed the
+    /// quotas. While the leader is lost, sessions without an open transaction are closed.
     pub(super) fn enforce_limits(&self, now: Tick) {
         let transaction_idle_ms = self
             .route_table()
@@ -240,7 +247,7 @@
         }
     }
 
-    /// While draining: closes the sessions in the scope. Returns how many there are in all.
+    /// Closes the waiting sessions in the scope, for draining. Returns the number of all sessions.
     pub(super) fn close_sessions(&self, scope: CloseScope) -> usize {
         let sessions: Vec<Arc<SessionHandle>> = lock(&self.sessions).values().cloned().collect();
         for session in &sessions {
@@ -250,7 +257,8 @@
     }
 }
 
-/// Sets what every session needs; many are short, so what only long ones need is set later.
+/// Sets the socket options that every session needs. Many sessions are short, so keep-alive is
+/// enabled later, on long-lived ones only.
 fn set_client_options(stream: &TcpStream) -> io::Result<()> {
     configure_stream(stream, UNACKNOWLEDGED_TIMEOUT)?;
     stream.set_read_timeout(Some(NEXT_LINE_TIMEOUT))?;
