--- a/src/pooler/leader_messages.rs
+++ b/src/pooler/leader_messages.rs
@@ -316,7 +316,7 @@
     service: &mut ServiceView,
     last_answer: Option<NumberedTick>,
 ) -> Option<ObservedPosition> {
-    let unreported = service.take_unreported()?;
+    let unreported = service.take_unreported_position()?;
     let sent_after_ms = elapsed_lower_bound_ms(last_answer?.at, unreported.sent_at)?;
     let (term, position) = (unreported.term, unreported.position);
     Some(ObservedPosition { service: name.clone(), term, position, sent_after_ms })
--- a/src/pooler/server.rs
+++ b/src/pooler/server.rs
@@ -1,8 +1,8 @@
-//! The pooler's shared state, and what sessions ask of it.
+//! The pooler's shared state, and the queries that sessions make on it.
 //!
-//! `process` creates the one `Pooler` of the program and runs its loops. Its other duties have
-//! modules of their own: `leader_messages` (what is exchanged with the leader), `sessions` (clients
-//! and the threads that serve them) and `status`.
+//! `process` creates the one `Pooler` of the program and runs its loops. Other parts of its
+//! implementation are in modules of their own: `leader_messages` (messages to and from the leader),
+//! `sessions` (client sessions and worker threads), `handover` and `status`.
 use crate::base::errors::Fatal;
 use crate::base::ids::{DbTerm, InstanceId, NodeName, Position, ServiceName};
 use crate::base::sync::lock;
@@ -24,66 +24,68 @@
 use std::sync::{Arc, Condvar, Mutex};
 use std::time::Duration;
 
-/// Without an answer of a leader for this long, in ms, the leader counts as lost: a lease and a
-/// little more. Then only reads that may be old could still be served.
+/// The time in ms without an answer from a leader after which the leader counts as lost: slightly
+/// longer than a lease. From then on only reads with a staleness limit could be served.
 const LEADER_LOST_MS: u64 = crate::leases::lease_table::LEASE_MS + 200;
 
-/// The load that a replica in another zone must have less to be preferred, since traffic between
-/// zones has a price.
+/// Added to the load of a replica in another zone when replicas are ranked, because traffic between
+/// zones is charged.
 const OTHER_ZONE_PENALTY: usize = 3;
 
-/// Descriptors reserved for connections to databases and controllers, and for files.
+/// The number of file descriptors reserved for connections to databases and controllers, and for
+/// files.
 const RESERVED_FILES: u64 = 400;
 
-/// Sessions are admitted up to this number at least, however few files may be open.
+/// The minimum session limit, however low the limit of open files is.
 const MIN_SESSIONS: u64 = 16;
 
 /// The state that all threads of the pooler share.
 pub(crate) struct Pooler {
     pub(super) node: NodeName,
     pub(super) zone: String,
-    /// Drawn anew at each start, so that the leader tells a restarted pooler from the earlier one.
+    /// A random number per process, by which the leader distinguishes a restarted pooler from the
+    /// previous one.
     pub(super) incarnation: u64,
     pub(super) view: Mutex<ClusterView>,
-    /// Wakes those who wait for a change of `view`.
+    /// Notifies threads that wait for a change of `view`.
     pub(super) view_changed: Condvar,
     pub(super) leader: LeaderConnection,
     pub(super) renewals: Renewals,
-    /// When a database was last reported to the leader.
+    /// When each suspected database was last reported to the leader.
     pub(super) suspicions: Mutex<HashMap<InstanceId, Tick>>,
-    /// Clients are admitted.
+    /// Whether clients are accepted.
     pub(super) listening: AtomicBool,
     pub(super) draining: AtomicBool,
     /// While draining, idle sessions are closed from this tick on.
     pub(super) close_idle_from: AtomicU64,
-    /// The longest that a database may drain, in ms.
+    /// The drain period of a database in ms.
     pub(super) drain_ms: AtomicU64,
     pub(super) max_sessions: usize,
     pub(super) next_session_id: AtomicU64,
     pub(super) sessions: Mutex<HashMap<u64, Arc<SessionHandle>>>,
     pub(super) workers: SessionWorkers,
-    /// Sessions that wait for their clients without a thread.
+    /// The sessions that wait for their clients without a thread.
     pub(super) parked: IdleConnections<Session>,
-    /// Keyed anew in each process: see `prepared_statement_id`.
+    /// Has a random key per process, see `prepared_statement_id`.
     pub(super) hasher: RandomState,
 }
 
-/// A connection that a session uses.
+/// A connection that a session has acquired.
 pub(crate) struct CheckedOutConnection {
     pub(crate) connection: ServerConnection,
     pub(crate) pool: Arc<ConnectionPool>,
-    /// The term under which the primary is used; none at a replica.
+    /// The term under which the primary is used; `None` on a replica.
     pub(crate) term: Option<DbTerm>,
 }
 
-/// The primary of a service, under a lease that holds.
+/// The primary of a service, on which a lease is held.
 pub(crate) struct Primary {
     pub(crate) term: DbTerm,
     pub(crate) pool: Arc<ConnectionPool>,
 }
 
 impl Pooler {
-    /// The state of a pooler that knows nothing of its cluster yet.
+    /// Creates a pooler with an empty view of the cluster.
     pub(super) fn new(settings: &Settings) -> Result<Self, Fatal> {
         let max_sessions =
             settings.limits.max_open_files.saturating_sub(RESERVED_FILES).max(MIN_SESSIONS);
@@ -109,18 +111,18 @@
         })
     }
 
-    /// Takes over the settings that may change while the program runs.
+    /// Applies the settings that may change while the process runs.
     pub(super) fn apply_settings(&self, settings: &Settings) {
         self.leader.set_seeds(settings.seed_peers());
         self.drain_ms.store(settings.timing_bounds.drain_ms, Ordering::Relaxed);
     }
 
-    /// The routes in force, once there are any.
+    /// The route table in force, or `None` until one was received.
     pub(crate) fn route_table(&self) -> Option<Arc<RouteTable>> {
         lock(&self.view).route_table.clone()
     }
 
-    /// The primary of a service, if a lease on it is held and it has not drained for too long.
+    /// The primary of a service, if a lease on it is held and its drain period is not over.
     pub(crate) fn primary(&self, service: &ServiceName, now: Tick) -> Option<Primary> {
         let view = lock(&self.view);
         let lease = view.services.get(service)?.lease.active(now)?;
@@ -134,8 +136,8 @@
         lock(&self.view).holds_lease(service, term, now)
     }
 
-    /// The primary of `term` gave this position in answer to a statement sent at `sent_at`, under a
-    /// lease that still holds.
+    /// Records a position from a reply of the primary of `term` to a statement that was sent at
+    /// `sent_at`. The lease must still be held.
     pub(crate) fn record_position(
         &self,
         service: &ServiceName,
@@ -148,8 +150,8 @@
         }
     }
 
-    /// The position that a replica must have for a read started at `started_at`, so that its rows
-    /// are no older than `stale_ms`. None if it is not known.
+    /// The position that a replica must have reached so that the rows of a read that started at
+    /// `started_at` are at most `stale_ms` old. Returns `None` if it is not known.
     pub(crate) fn required_position(
         &self,
         service: &ServiceName,
@@ -161,7 +163,7 @@
         service.required_position(Tick::now(), started_at, stale_ms)
     }
 
-    /// The replicas of a service that may be read from, the best first.
+    /// The replicas of a service that may serve reads, the best first.
     pub(crate) fn replicas(&self, service: &ServiceName, now: Tick) -> Vec<Arc<ConnectionPool>> {
         let view = lock(&self.view);
         let Some(service) = view.services.get(service) else {
@@ -178,7 +180,7 @@
         ranked.into_iter().map(|(_, pool)| pool).collect()
     }
 
-    /// None: no connection to the replica may be used.
+    /// Ranks a replica. Returns `None` if no connection to it may be acquired.
     fn rank(&self, pool: &ConnectionPool) -> Option<ReplicaRank> {
         let load = pool.load();
         if load.closed {
@@ -192,37 +194,38 @@
         })
     }
 
-    /// Waits for an update from the leader, for so many ms at most.
+    /// Waits for a change of the cluster view, for at most `max_ms`.
     pub(crate) fn wait_for_update(&self, max_ms: u64) {
         let view = lock(&self.view);
         drop(self.view_changed.wait_timeout(view, Duration::from_millis(max_ms)));
     }
 
-    /// When a rejected client of the service should try again, in ms.
+    /// The time in ms after which a rejected client of the service should retry.
     pub(crate) fn retry_after_ms(&self, service: &ServiceName) -> u64 {
         lock(&self.view).retry_after_ms(service, Tick::now())
     }
 
-    /// Whether no leader has answered for so long that nothing can be served here. Other poolers
-    /// may well be able to, so sessions with nothing under way are better off there.
+    /// Whether no leader has answered for `LEADER_LOST_MS`, so that this pooler can hold no lease.
+    /// Other poolers may still be connected to a leader, so idle sessions should move to them.
     pub(crate) fn leader_lost(&self, now: Tick) -> bool {
         now.since(self.renewals.last_answered_at()) > LEADER_LOST_MS
     }
 
-    /// Whether the pooler drains and idle sessions are to be closed by now.
+    /// Whether the pooler is draining and idle sessions are to be closed.
     pub(crate) fn closes_idle_sessions(&self) -> bool {
         self.draining.load(Ordering::Relaxed)
             && Tick::now().0 >= self.close_idle_from.load(Ordering::Relaxed)
     }
 
-    /// Whether it knows what to serve, and may.
+    /// Whether the pooler can serve clients: it is not draining, is connected to a leader, and its
+    /// view of the cluster is complete.
     pub(super) fn can_serve(&self, now: Tick) -> bool {
         !self.draining.load(Ordering::Relaxed)
             && self.leader.is_connected()
             && lock(&self.view).can_serve(now)
     }
 
-    /// Whether clients are to be sent here.
+    /// Whether the readiness probe succeeds, so that clients are directed to this pooler.
     pub(super) fn is_ready(&self, now: Tick) -> bool {
         self.listening.load(Ordering::Relaxed) && self.can_serve(now)
     }
