--- a/src/pooler/cluster_view.rs
+++ b/src/pooler/cluster_view.rs
@@ -219,7 +219,7 @@
         self.remove_database(&entry.id, now);
         let pool = Arc::new(ConnectionPool::new(entry));
         let service = self.services.entry(pool.service.clone()).or_default();
-        pool.set_limit(service.quota.applied());
+        pool.set_limit(service.quota.applied_limit());
         service.pools.push(Arc::clone(&pool));
         self.pools.insert(entry.id.clone(), Arc::clone(&pool));
         pool
--- a/src/pooler/exchange.rs
+++ b/src/pooler/exchange.rs
@@ -1,7 +1,7 @@
-//! One round of a statement with a connection to a database: what is sent, how long the reply is
-//! waited for, and what its loss says of the database.
+//! One exchange of a statement with a database: sending it, waiting for the reply, and reporting
+//! the database as suspect if no usable reply arrives.
 //!
-//! `statement_execution` starts a round for each attempt.
+//! `statement_execution` performs one exchange per attempt.
 use crate::base::ids::{DbTerm, Position, ServiceName};
 use crate::base::time::Tick;
 use crate::config::configuration::RouteType;
@@ -16,11 +16,13 @@
 };
 use std::hash::RandomState;
 
-/// A database that owes a reply and has replied to nobody here for this long, in ms, is suspected.
-const SILENCE_MS: u64 = 200;
+/// The time in ms after which a database is suspected if a reply is pending and the database has
+/// not replied on any connection of this pooler since.
+const SUSPICION_TIMEOUT_MS: u64 = 200;
 
 impl ClientStatement<'_> {
-    /// The statement as it is sent to a database, which first waits for a position if one is given.
+    /// The line that is sent to a database. With a position, a replica first waits until it has
+    /// reached that position.
     pub(super) fn line(&self, wait_for: Option<Position>, hasher: &RandomState) -> String {
         let (id, wait_for) = (self.id, wait_for_prefix(wait_for));
         match (&self.plan.prepared, &self.statement) {
@@ -38,34 +40,34 @@
     position.map_or_else(String::new, |position| format!("WAITFOR {position} "))
 }
 
-/// One round of a statement with a connection.
+/// One exchange of a statement with a database.
 pub(super) struct Exchange<'a> {
     pub(super) pooler: &'a Pooler,
     pub(super) service: &'a ServiceName,
     pub(super) route_type: RouteType,
     pub(super) pool: &'a ConnectionPool,
-    /// The term under which the primary is used; none at a replica.
+    /// The term under which the primary is used; `None` on a replica.
     pub(super) term: Option<DbTerm>,
     /// The deadline of the statement.
     pub(super) deadline: Tick,
-    /// Success of the statement means that something is committed.
+    /// Whether a successful statement commits something.
     pub(super) commits: bool,
-    /// The statement only reads, and no database has answered in its transaction yet.
+    /// Whether the statement only reads and no database has replied in its transaction yet.
     pub(super) first_read: bool,
-    /// The time in ms after which a reply counts as lost; none: it is waited for until `deadline`.
+    /// The time in ms after which the reply is considered lost; `None` to wait until `deadline`.
     pub(super) reply_timeout_ms: Option<u64>,
 }
 
 impl Exchange<'_> {
-    /// Opens the transaction at the database. A database that rejects it has its reply returned,
-    /// which stays in the connection's buffer.
+    /// Begins the transaction at the database. If the database rejects it, its reply is returned
+    /// and stays in the connection's buffer.
     pub(super) fn begin(
         &self,
         connection: &mut ServerConnection,
         read_only: bool,
         wait_for: Option<Position>,
     ) -> Result<Option<Reply>, ExchangeError> {
-        let unsent = |loss| self.fail(ExchangeError::unsent(loss));
+        let unsent = |loss| self.report_if_broken(ExchangeError::unsent(loss));
         let begin = if read_only { "BEGIN FETCH" } else { "BEGIN" };
         let line = format!("QUERY - {}{begin}\r\n", wait_for_prefix(wait_for));
         connection.send(line.as_bytes(), 1).map_err(|e| unsent(e.loss))?;
@@ -75,7 +77,7 @@
             return Ok(Some(reply));
         }
         if reply.state != State::Open {
-            // The reply belongs to something else.
+            // The reply does not belong to this BEGIN.
             return Err(unsent(Loss::Broken));
         }
         connection.consume(&reply);
@@ -90,20 +92,20 @@
         line: &str,
     ) -> Result<Reply, ExchangeError> {
         let sent_at = Tick::now();
-        // Checked last before a write can take effect there.
+        // The last check of the lease before a write can take effect at the database.
         if self.lost_lease(sent_at) {
             return Err(ExchangeError::unsent(Loss::Abandoned));
         }
-        connection.send(line.as_bytes(), 1).map_err(|e| self.fail(e))?;
+        connection.send(line.as_bytes(), 1).map_err(|e| self.report_if_broken(e))?;
         let reply = connection
             .receive(self.check_since(sent_at))
-            .map_err(|loss| self.fail(ExchangeError::sent(loss)))?;
+            .map_err(|loss| self.report_if_broken(ExchangeError::sent(loss)))?;
         let now = Tick::now();
         self.pool.record_reply(now);
         if reply.outcome == Outcome::Complete {
             if !reply.stamped {
-                // A reply to one of the session's settings, come a second time.
-                return Err(self.fail(ExchangeError::sent(Loss::Broken)));
+                // A duplicate reply to one of the statements that synced the session's settings.
+                return Err(self.report_if_broken(ExchangeError::sent(Loss::Broken)));
             }
             self.pool.record_latency(self.route_type, now.since(sent_at));
         }
@@ -116,7 +118,7 @@
             return confirmed.map_err(ExchangeError::sent).map(|()| reply);
         }
         if self.lost_lease(now) {
-            // Another primary may have been promoted: a success of the old one is not passed on.
+            // Another primary may have been promoted: a success of the old one is not forwarded.
             if reply.outcome == Outcome::Complete {
                 return Err(ExchangeError::sent(Loss::Abandoned));
             }
@@ -131,7 +133,8 @@
         self.term.is_some_and(|term| !self.pooler.holds_lease(self.service, term, now))
     }
 
-    /// Decides now and then whether to wait on for a reply to what was sent at `sent_at`.
+    /// Returns the check that decides, while waiting for a reply to a statement that was sent at
+    /// `sent_at`, whether to stop waiting.
     pub(super) fn check_since(&self, sent_at: Tick) -> impl Fn() -> Option<Loss> {
         move || {
             let now = Tick::now();
@@ -142,7 +145,7 @@
                 return Some(Loss::Abandoned);
             }
             let waited_ms = now.since(sent_at);
-            if waited_ms >= SILENCE_MS && !self.pool.replied_since(sent_at) {
+            if waited_ms >= SUSPICION_TIMEOUT_MS && !self.pool.replied_since(sent_at) {
                 self.report_failure(SuspicionReason::NoResponse, now);
                 if self.first_read && self.term.is_none() {
                     return Some(Loss::Abandoned);
@@ -154,15 +157,16 @@
         }
     }
 
-    /// Reports a broken connection on its way to the caller.
-    pub(super) fn fail(&self, error: ExchangeError) -> ExchangeError {
+    /// Reports the database if the connection broke. Returns the error unchanged.
+    pub(super) fn report_if_broken(&self, error: ExchangeError) -> ExchangeError {
         if error.loss == Loss::Broken {
             self.report_failure(SuspicionReason::ConnectionsBroken, Tick::now());
         }
         error
     }
 
-    /// A primary's failure is for the controllers to judge; a replica is just left out for a while.
+    /// Reports a suspected primary to the leader, which decides on a failover. A suspected replica
+    /// is only skipped for a while.
     fn report_failure(&self, reason: SuspicionReason, now: Tick) {
         if self.term.is_some() {
             self.pooler.report_suspicion(self.pool, reason, now);
--- a/src/pooler/latency.rs
+++ b/src/pooler/latency.rs
@@ -1,8 +1,9 @@
-//! How long a database takes to answer, and from when on an answer counts as lost.
+//! Estimates reply timeouts from the measured latency of a database.
 //!
-//! Pure; `pool` keeps one estimator for each type of route, and `statement_execution` asks it.
+//! The estimator does no I/O. `pool` keeps one for each type of route, and `statement_execution`
+//! takes reply timeouts from it.
 
-/// A running mean of answer times and of their deviation from it, as TCP keeps them for its
+/// Moving averages of the latency and of its mean deviation, as TCP computes them for its
 /// retransmission timer (RFC 6298).
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LatencyEstimator {
@@ -11,23 +12,23 @@
     samples: u32,
 }
 
-/// Samples before the estimate is used.
+/// The number of samples that are needed before the estimate is used.
 const MIN_SAMPLES: u32 = 8;
 
-/// The shortest timeout in ms, however quick the answers are.
+/// The minimum timeout in ms, however low the latency is.
 const MIN_TIMEOUT_MS: u64 = 40;
 
-/// A new sample moves the mean by one part in so many.
+/// The inverse of a new sample's weight in the moving average of the latency.
 const MEAN_WINDOW: f32 = 16.0;
 
-/// A new sample moves the deviation by one part in so many.
+/// The inverse of a new sample's weight in the moving average of the deviation.
 const DEVIATION_WINDOW: f32 = 8.0;
 
-/// Deviations above the mean from which on an answer is more likely lost than under way.
+/// The timeout, as a number of mean deviations above the mean latency.
 const TIMEOUT_DEVIATIONS: f32 = 6.0;
 
 impl LatencyEstimator {
-    /// Takes in the time that an answer took.
+    /// Records the latency of a reply.
     pub fn record(&mut self, latency_ms: u64) {
         let latency = latency_ms as f32;
         if self.samples == 0 {
@@ -40,7 +41,8 @@
         self.samples = self.samples.saturating_add(1);
     }
 
-    /// The time in ms after which an answer is more likely lost than under way, `max_ms` at most.
+    /// The time in ms after which a reply is considered lost, at most `max_ms`. Returns `max_ms`
+    /// while there are too few samples.
     pub fn timeout_ms(&self, max_ms: u64) -> u64 {
         if self.samples < MIN_SAMPLES {
             return max_ms;
--- a/src/pooler/leader_messages.rs
+++ b/src/pooler/leader_messages.rs
@@ -98,7 +98,7 @@
     /// Resets what was reported to the leader: it has to be reported anew on each connection.
     fn on_connected(&self) {
         for service in lock(&self.view).services.values_mut() {
-            service.quota.forget_reports();
+            service.quota.clear_reported();
         }
         *lock(&self.renewals.last_answer) = None;
     }
--- a/src/pooler/statement_execution.rs
+++ b/src/pooler/statement_execution.rs
@@ -278,7 +278,7 @@
         let check = exchange.check_since(Tick::now());
         connection
             .sync(&self.reroute, self.id, hasher, check)
-            .map_err(|loss| exchange.fail(ExchangeError::unsent(loss)))?;
+            .map_err(|loss| exchange.report_if_broken(ExchangeError::unsent(loss)))?;
         if plan.autocommit {
             let line = statement.line(wait_for, hasher);
             return exchange.run(connection, &line);
--- a/src/pooler/status.rs
+++ b/src/pooler/status.rs
@@ -41,7 +41,7 @@
         "term": lease.as_ref().map(|lease| lease.term),
         "primary": lease.as_ref().map(|lease| lease.primary),
         "lease_left_ms": service.lease.remaining_ms(now),
-        "connections_allowed": service.quota.applied(),
+        "connections_allowed": service.quota.applied_limit(),
         "highest": service.highest_commit.map(|position| position.to_string()),
     })
 }
