--- a/src/pooler/cluster_view.rs
+++ b/src/pooler/cluster_view.rs
@@ -126,8 +126,9 @@
     /// answered.
     pub(crate) fn needs_watermark(&mut self, now: Tick) -> bool {
         self.recent_read = self.recent_read.filter(|read| now.since(read.at) < RECENT_READ_MS);
-        self.recent_read
-            .is_some_and(|read| !self.watermarks.lasts(now, read.stale_ms, WATERMARK_AHEAD_MS))
+        self.recent_read.is_some_and(|read| {
+            !self.watermarks.remains_fresh(now, read.stale_ms, WATERMARK_AHEAD_MS)
+        })
     }
 
     /// The time in ms after which a rejected client should retry.
--- a/src/pooler/mod.rs
+++ b/src/pooler/mod.rs
@@ -1,11 +1,11 @@
-//! The pooler: many clients' sessions on few database connections.
+//! The pooler: multiplexes many client sessions onto few database connections.
 //!
-//! Owns the clients' connections and those to the databases. A session's statement runs on the
-//! primary only under a lease that the leading controller granted, and on a replica only at a
-//! position that is fresh enough for its route. The loss of a database connection is hidden from
-//! the client where nothing can be lost or done twice by it, and reported otherwise. `cli` calls
-//! `process::run`; `reroute`, `admission`, `latency`, `leases` and `replica_reads` are pure and can
-//! be tested without sockets.
+//! It owns the connections to clients and to databases. A statement runs on the primary only under
+//! a lease that the leading controller granted, and on a replica only at a position that is fresh
+//! enough for its route. After the loss of a database connection a statement is retried
+//! transparently where nothing can get lost or run twice; otherwise the client gets an error. `cli`
+//! calls `process::run`; `reroute`, `admission`, `latency`, `leases` and `replica_reads` do no I/O
+//! and can be tested without sockets.
 pub mod admission;
 mod client_session;
 mod cluster_view;
--- a/src/pooler/process.rs
+++ b/src/pooler/process.rs
@@ -1,4 +1,4 @@
-//! The pooler's process: its start, its main loop, and its orderly end.
+//! The pooler's process: startup, main loop, and graceful shutdown.
 use crate::base::errors::Fatal;
 use crate::base::signals::Signals;
 use crate::base::time::Tick;
@@ -18,37 +18,42 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// How often the main loop runs, in ms; it renews the leases.
+/// The interval of the main loop in ms, which renews the leases.
 const LOOP_INTERVAL_MS: u64 = 150;
 
-/// How often the main loop runs while draining, in ms.
+/// The interval of the main loop while draining, in ms.
 const DRAIN_LOOP_INTERVAL_MS: u64 = 50;
 
-/// How often the sessions and the settings file are checked, in ms.
+/// The interval in ms at which the limits of sessions and the settings file are checked.
 const CHECK_INTERVAL_MS: u64 = 500;
 
-/// How often a pooler that can't serve yet looks whether it can, in ms.
+/// The interval in ms at which a starting pooler checks whether it can serve clients.
 const STARTUP_WAIT_MS: u64 = 50;
 
-/// Runs a pooler until SIGTERM or SIGINT ends it. `path` is where the settings were read from.
+/// Runs a pooler until SIGTERM or SIGINT. `path` is the settings file that `settings` was read
+/// from.
 ///
 /// # Errors
-/// Settings that lack a listener, a listener that can't be opened, or a machine that has no thread
-/// or descriptor left.
+/// If the settings lack a listener, a listener can't be opened, or the operating system has no
+/// thread or file descriptor left.
 pub fn run(path: PathBuf, settings: Settings) -> Result<(), Fatal> {
-    let watched = SettingsWatcher::new(path);
-    let clients_at = required_listener(settings.listeners.frontend, "frontend", "pooler")?;
-    let readiness_at = required_listener(settings.listeners.readiness, "readiness", "pooler")?;
+    let settings_watcher = SettingsWatcher::new(path);
+    let frontend_address = required_listener(settings.listeners.frontend, "frontend", "pooler")?;
+    let readiness_address = required_listener(settings.listeners.readiness, "readiness", "pooler")?;
     let signals = Signals::install().map_err(|e| Fatal::Call(e.to_string()))?;
     let pooler = Arc::new(Pooler::new(&settings)?);
-    let mut process = Process { pooler, signals, watched, settings };
-    process.serve_status(readiness_at)?;
+    let mut process = Process { pooler, signals, settings_watcher, settings };
+    process.serve_status(readiness_address)?;
     process.start_leader_connection()?;
-    if !process.wait_until_able() {
+    if !process.wait_until_can_serve() {
         return Ok(());
     }
-    process.start_serving(listen(clients_at)?)?;
-    info!(target: "pooler", "{} serves {clients_at}", process.settings.node_name);
+    process.start_serving(listen(frontend_address)?)?;
+    info!(
+        target: "pooler",
+        "{} serves clients on {frontend_address}",
+        process.settings.node_name
+    );
     process.main_loop();
     Ok(())
 }
@@ -56,25 +61,26 @@
 struct Process {
     pooler: Arc<Pooler>,
     signals: Signals,
-    watched: SettingsWatcher,
+    settings_watcher: SettingsWatcher,
     settings: Settings,
 }
 
 impl Process {
-    fn serve_status(&self, at: SocketAddr) -> Result<(), Fatal> {
+    fn serve_status(&self, address: SocketAddr) -> Result<(), Fatal> {
         let (readiness, status) = (Arc::clone(&self.pooler), Arc::clone(&self.pooler));
         let is_ready = move || readiness.is_ready(Tick::now());
-        http::serve_state(at, is_ready, move || status.status(Tick::now()))
+        http::serve_state(address, is_ready, move || status.status(Tick::now()))
     }
 
     fn start_leader_connection(&self) -> Result<(), Fatal> {
         let pooler = Arc::clone(&self.pooler);
-        must_start("the link", move || pooler.leader.run(&*pooler))
+        must_start("the leader connection", move || pooler.leader.run(&*pooler))
     }
 
-    /// Until it knows what to serve, a pooler does not listen: a client whose connection is refused
-    /// goes on to another node at once. False if the process is to end before.
-    fn wait_until_able(&mut self) -> bool {
+    /// Waits until clients can be served. Before that the pooler does not listen, because a client
+    /// whose connection is refused tries another node at once. Returns false if the process was
+    /// signalled to terminate first.
+    fn wait_until_can_serve(&mut self) -> bool {
         while !self.pooler.can_serve(Tick::now()) {
             if self.signals.terminated() {
                 return false;
@@ -86,15 +92,15 @@
         true
     }
 
-    /// Takes over changed settings, after a signal or a change of the file.
+    /// Applies changed settings, after SIGHUP or a change of the file.
     fn reload_settings(&mut self) {
-        if let Some(settings) = self.watched.poll(self.signals.take_hup()) {
+        if let Some(settings) = self.settings_watcher.poll(self.signals.take_hup()) {
             self.pooler.apply_settings(&settings);
             self.settings = settings;
         }
     }
 
-    /// Starts the threads that wake parked sessions, serve sessions and accept clients.
+    /// Starts the threads that dispatch parked sessions, serve sessions and accept clients.
     fn start_serving(&self, listener: TcpListener) -> Result<(), Fatal> {
         self.pooler.listening.store(true, Ordering::Relaxed);
         let pooler = Arc::clone(&self.pooler);
@@ -105,7 +111,8 @@
         accept_clients(listener, move |stream| pooler.admit(stream))
     }
 
-    /// Renews leases and checks sessions until the process was signalled to end and has drained.
+    /// Renews leases and enforces session limits until the process was signalled to terminate and
+    /// has drained.
     fn main_loop(&mut self) {
         let mut checked_at = Tick(0);
         let mut draining_since: Option<Tick> = None;
@@ -121,7 +128,10 @@
                 self.reload_settings();
             }
             if self.signals.terminated() && draining_since.is_none() {
-                info!(target: "pooler", "draining");
+                info!(
+                    target: "pooler",
+                    "draining after SIGTERM or SIGINT; sessions are closed within the grace period"
+                );
                 draining_since = Some(now);
                 self.pooler.draining.store(true, Ordering::Relaxed);
             }
@@ -131,7 +141,7 @@
         }
     }
 
-    /// One step of draining. True when the process is to end.
+    /// Performs one step of draining. Returns true when the process has to exit.
     fn drain(&self, elapsed_ms: u64) -> bool {
         let grace_ms = self.settings.timing_bounds.grace_s * 1_000;
         let grace = GracePeriod { elapsed_ms, grace_ms };
@@ -139,7 +149,7 @@
             return false;
         }
         self.pooler.close_idle_from.store(0, Ordering::Relaxed);
-        // In the second half of the grace period idle transactions are given up as well.
+        // In the second half of the grace period, sessions with an idle transaction are closed too.
         let scope = if grace.is_half_over() { CloseScope::Waiting } else { CloseScope::Idle };
         let open = self.pooler.close_sessions(scope);
         if open > 0 && !grace.is_over() {
@@ -147,7 +157,7 @@
         }
         self.pooler.release_leases();
         self.pooler.send_to_leader(ToController::Goodbye);
-        info!(target: "pooler", "stopped with {open} sessions open");
+        info!(target: "pooler", "shutdown complete, with {open} sessions still open");
         true
     }
 }
--- a/src/pooler/replica_reads.rs
+++ b/src/pooler/replica_reads.rs
@@ -1,35 +1,37 @@
-//! Reads from replicas: how far a replica must be, and in which order replicas are tried.
+//! Reads from replicas: the position that a replica must have reached, and the order in which
+//! replicas are tried.
 //!
-//! Pure; the cluster view keeps one `ReadWatermarks` for each service, and the statements that are
-//! run ask it which position a replica has to wait for.
+//! The types do no I/O. The cluster view keeps one `ReadWatermarks` for each service;
+//! `statement_execution` takes from it the position that a replica has to wait for.
 use crate::base::ids::Position;
 use crate::base::time::Tick;
 use std::collections::VecDeque;
 
-/// How often leases are renewed, in ms.
+/// The interval of lease renewals in ms.
 pub(crate) const RENEW_INTERVAL_MS: u64 = 450;
 
-/// Watermarks are asked for with each renewal while reads came within this time, in ms.
+/// How long after a read renewals keep requesting watermarks, in ms.
 pub(crate) const RECENT_READ_MS: u64 = 10_000;
 
-/// A new watermark is asked for when the newest one expires within this time, in ms: it has to
-/// serve until the answer to the next renewal is there.
+/// A new watermark is requested if the newest one expires within this time, in ms: it has to last
+/// until the next renewal is answered.
 pub(crate) const WATERMARK_AHEAD_MS: u64 = 2 * RENEW_INTERVAL_MS;
 
-/// The least time in ms between two renewals that are sent because reads wait for a watermark.
+/// The minimum interval in ms between two renewals when sessions wait for a watermark or a larger
+/// quota.
 pub(crate) const URGENT_RENEWAL_INTERVAL_MS: u64 = 200;
 
-/// The time in ms that a replica is left out for after it lacked the position of a read.
+/// How long reads skip a replica after it lagged behind the position of a read, in ms.
 pub(crate) const LAGGING_SKIP_MS: u64 = 100;
 
-/// Added to the priority of a read that goes to the primary only because no replica can serve it,
-/// so that it waits behind the work that only a primary can do.
+/// Added to the priority value of a read that falls back to the primary because no replica can
+/// serve it, so that it is queued behind statements that only the primary can run.
 pub(crate) const PRIMARY_FALLBACK_PENALTY: u8 = 100;
 
-/// Positions seen at the primary of a service, by age.
+/// Recent positions of the primary of a service, by age.
 #[derive(Clone, Debug, Default)]
 pub struct ReadWatermarks {
-    /// From the oldest to the newest, `MIN_SPACING_MS` apart at least.
+    /// From the oldest to the newest, at least `MIN_SPACING_MS` apart.
     spaced: VecDeque<Watermark>,
     newest: Option<Watermark>,
 }
@@ -41,23 +43,23 @@
     position: Position,
 }
 
-/// Watermarks kept for a service; with their spacing they reach back some 4 s.
+/// The maximum number of watermarks kept for a service. With their spacing they cover about 4 s.
 const MAX_WATERMARKS: usize = 64;
 
-/// The least time in ms between two watermarks that are kept.
+/// The minimum time in ms between two watermarks that are kept.
 const MIN_SPACING_MS: u64 = 60;
 
 impl Watermark {
-    /// Whether it shows a read started at `started_at` all that is older than `stale_ms`. One ms is
-    /// added because times are rounded down to whole milliseconds.
+    /// Whether a read that started at `started_at` sees all commits older than `stale_ms` at this
+    /// position. One ms is added because times are rounded down to whole milliseconds.
     fn covers(&self, started_at: Tick, stale_ms: u64) -> bool {
         self.sent_at.plus(stale_ms) > started_at.plus(1)
     }
 }
 
 impl ReadWatermarks {
-    /// Takes in the position that the primary gave in answer to a statement sent at `sent_at`. One
-    /// that was overtaken by a newer answer changes nothing.
+    /// Records a position from a reply of the primary to a statement that was sent at `sent_at`. A
+    /// position that is older than the newest known one is ignored.
     pub fn observe(&mut self, sent_at: Tick, position: Position) {
         if self.newest.is_some_and(|newest| newest.sent_at > sent_at || newest.position > position)
         {
@@ -74,14 +76,14 @@
         }
     }
 
-    /// Whether reads that start within `ahead_ms` from now will find a watermark no older than
-    /// `stale_ms`.
-    pub fn lasts(&self, now: Tick, stale_ms: u64, ahead_ms: u64) -> bool {
+    /// Whether reads that start within `ahead_ms` from now will find a watermark that is at most
+    /// `stale_ms` old.
+    pub fn remains_fresh(&self, now: Tick, stale_ms: u64, ahead_ms: u64) -> bool {
         self.newest.is_some_and(|newest| newest.covers(now.plus(ahead_ms), stale_ms))
     }
 
-    /// The lowest position that lets a read started at `started_at` see all that is older than
-    /// `stale_ms`, if any is known.
+    /// The lowest known position at which a read that started at `started_at` sees all commits
+    /// older than `stale_ms`, if there is one.
     pub fn required_position(&self, started_at: Tick, stale_ms: u64) -> Option<Position> {
         let covers = |watermark: &&Watermark| watermark.covers(started_at, stale_ms);
         let found = self.spaced.iter().find(covers).or(self.newest.as_ref().filter(covers));
@@ -89,23 +91,24 @@
     }
 }
 
-/// How many ms after the leader sent the answer that arrived at `answer_received_at` something was
-/// sent at `sent_at`, as a lower bound: the answer took its time, and one ms is subtracted because
-/// times are rounded down to whole milliseconds. None for what was sent before the answer arrived.
+/// A lower bound of the time in ms between the leader's sending of the answer that arrived at
+/// `answer_received_at` and `sent_at`. It leaves out the answer's time in transit, and one ms is
+/// subtracted because times are rounded down to whole milliseconds. Returns `None` if `sent_at` is
+/// before the arrival of the answer.
 pub fn elapsed_lower_bound_ms(answer_received_at: Tick, sent_at: Tick) -> Option<u64> {
     sent_at.0.checked_sub(answer_received_at.0)?.checked_sub(1)
 }
 
-/// How good a replica is to read from; the lowest is the best.
+/// The rank of a replica for reads; the lowest is the best.
 ///
-/// Among replicas that need a new connection the tie is broken by an order of this pooler's own, so
-/// that all poolers together use all replicas while each keeps connections to few.
+/// Ties among replicas that need a new connection are broken by an order that differs between
+/// poolers, so that together they use all replicas while each keeps connections to few of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ReplicaRank {
-    /// Statements under way and waiting there, with a penalty for another zone.
+    /// The number of running and waiting statements, plus a penalty for another zone.
     pub(crate) load: usize,
-    /// No connection is idle: one would have to be opened.
+    /// Whether a connection would have to be opened, because none is idle.
     pub(crate) needs_connection: bool,
-    /// Orders equals.
+    /// Orders replicas that are equal otherwise.
     pub(crate) tie_break: u64,
 }
--- a/src/pooler/status.rs
+++ b/src/pooler/status.rs
@@ -1,4 +1,4 @@
-//! What `GET /status` shows of a pooler. The keys are part of the interface for operators.
+//! The response body of `GET /status` of a pooler. Its keys are part of the operators' interface.
 use crate::base::ids::ServiceName;
 use crate::base::sync::lock;
 use crate::base::time::Tick;
@@ -9,7 +9,7 @@
 use std::sync::atomic::Ordering;
 
 impl Pooler {
-    /// The body of the answer to `GET /status`.
+    /// Builds the response body of `GET /status`.
     pub(super) fn status(&self, now: Tick) -> Value {
         let view = lock(&self.view);
         let services: Vec<Value> = view
