--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -1,5 +1,5 @@
-//! A pooler as a process, led by the test and with stand-in databases: what it passes on to clients
-//! while a service is handed over, and what it tells the leader before it ends.
+//! Tests of a pooler process during handovers, with the test as the leader and stand-in databases:
+//! which commits it forwards to clients, and what it reports to the leader before it exits.
 #[path = "support/processes.rs"]
 mod processes;
 mod support;
@@ -23,8 +23,8 @@
 use std::time::Duration;
 use support::{InjectedFault, StandIn, free_port};
 
-/// How long something is waited for that must not come.
-const NOTHING_MS: u64 = 300;
+/// The time in ms without a reply after which a statement counts as held back.
+const NO_REPLY_MS: u64 = 300;
 
 const TERM: DbTerm = DbTerm(1);
 
@@ -36,12 +36,12 @@
 }
 
 #[test]
-fn a_commit_may_be_passed_on_once_the_target_is_known_to_have_it() {
+fn a_commit_may_be_forwarded_once_the_target_is_known_to_have_it() {
     let describe = |primary, term, number| {
         let received = Position { term: DbTerm(term), number };
         Some(ServerDescription { primary, term: DbTerm(term), received })
     };
-    // (how the target described itself, the position of a commit, whether it may be passed on)
+    // (the target's description of itself, the position of a commit, whether it may be forwarded)
     let cases = [
         (None, Some(at(1)), false),
         (describe(false, 1, 6), Some(at(7)), false),
@@ -50,11 +50,11 @@
         (describe(false, 0, 9), Some(at(7)), false),
         // A commit without a position can't be compared.
         (describe(false, 1, 9), None, false),
-        // It leads a newer term: its positions are later than all of this one.
+        // Positions of a newer term can't be compared with those of the handover's term.
         (describe(true, 2, 1), Some(at(7)), false),
         (describe(false, 2, 1), Some(at(7)), false),
     ];
-    for (description, position, may) in cases {
+    for (description, position, may_forward) in cases {
         let mut confirmation = CommitConfirmation::new(handover(4, "i1"));
         assert_eq!(
             confirmation.decide(TERM, Some(at(3))),
@@ -62,33 +62,36 @@
         );
         assert_eq!(confirmation.decide(TERM, Some(at(3))), CommitDecision::AwaitQuery);
         confirmation.record_description(description.as_ref());
-        let expected =
-            if may { CommitDecision::Forward } else { CommitDecision::QueryTarget("i1".into()) };
+        let expected = if may_forward {
+            CommitDecision::Forward
+        } else {
+            CommitDecision::QueryTarget("i1".into())
+        };
         assert_eq!(confirmation.decide(TERM, position), expected, "{description:?} {position:?}");
     }
-    // It is of its term and of those before; a later one has a lease of its own.
+    // A handover covers its own term and earlier ones; a later term has a lease of its own.
     let mut confirmation = CommitConfirmation::new(handover(4, "i1"));
     assert_eq!(confirmation.decide(DbTerm(2), Some(at(3))), CommitDecision::Forward);
     assert_ne!(confirmation.decide(DbTerm(0), Some(at(3))), CommitDecision::Forward);
-    // What was once known stays known.
+    // A confirmed position stays confirmed.
     confirmation.record_description(describe(false, 1, 7).as_ref());
     confirmation.record_description(describe(false, 1, 5).as_ref());
     confirmation.record_description(None);
     assert_eq!(confirmation.decide(TERM, Some(at(7))), CommitDecision::Forward);
 }
 
-/// The leader of one pooler: it renews the lease in the test's words, and hands on all else that the
-/// pooler says.
+/// A simulated leader with one pooler. It answers each renewal with the current `status`, and
+/// collects all other messages of the pooler.
 struct Leader {
     stream: TcpStream,
     status: Arc<Mutex<PrimaryStatus>>,
-    heard: Receiver<ToController>,
+    received: Receiver<ToController>,
 }
 
 fn service() -> ServiceName {
     "ledger".into()
 }
-fn led() -> PrimaryStatus {
+fn active() -> PrimaryStatus {
     PrimaryStatus::Active { term: TERM, primary: "i-ledger-0".into() }
 }
 
@@ -98,12 +101,12 @@
         let Ok(Frame::Pooler(ToController::Hello { .. })) = receive(&mut stream) else {
             panic!("no hello");
         };
-        let status = Arc::new(Mutex::new(led()));
-        let (sender, heard) = channel();
+        let status = Arc::new(Mutex::new(active()));
+        let (sender, received) = channel();
         let (mut reader, granted) = (stream.try_clone().expect("stream"), Arc::clone(&status));
         let mut writer = stream.try_clone().expect("stream");
-        let mut leader = Self { stream, status, heard };
-        leader.tell(ToPooler::Welcome { controllers: Vec::new() });
+        let mut leader = Self { stream, status, received };
+        leader.send(ToPooler::Welcome { controllers: Vec::new() });
         let entry = |database: usize| DirectoryEntry {
             id: databases.id(database).as_str().into(),
             service: service(),
@@ -112,8 +115,8 @@
             draining: false,
             capacity: 7,
         };
-        leader.tell(ToPooler::Directory((0..databases.addresses.len()).map(entry).collect()));
-        leader.tell(ToPooler::RouteTable(Box::new(route_table())));
+        leader.send(ToPooler::Directory((0..databases.addresses.len()).map(entry).collect()));
+        leader.send(ToPooler::RouteTable(Box::new(route_table())));
         std::thread::spawn(move || {
             while let Ok(Frame::Pooler(message)) = receive(&mut reader) {
                 if let ToController::RenewLeases { seq, .. } = message {
@@ -137,28 +140,29 @@
         });
         leader
     }
-    fn tell(&mut self, message: ToPooler) {
+    fn send(&mut self, message: ToPooler) {
         send(&mut self.stream, &Frame::Controller(message)).expect("sent");
     }
     fn grant(&mut self, status: PrimaryStatus) {
         *self.status.lock().expect("status") = status;
-        self.tell(ToPooler::RenewNow);
+        self.send(ToPooler::RenewNow);
     }
-    fn hears(&self) -> ToController {
-        self.heard.recv_timeout(Duration::from_secs(5)).expect("a message")
+    fn receive(&self) -> ToController {
+        self.received.recv_timeout(Duration::from_secs(5)).expect("a message")
     }
-    /// The pooler is told of a handover. Gives what it says to have passed on before.
+    /// Announces a handover to the pooler. Returns the highest commit in its acknowledgement.
     fn hand_over(&mut self, handover: &Handover) -> Option<Position> {
         let status =
             PrimaryStatus::HandingOver { primary: "i-ledger-0".into(), handover: handover.clone() };
         *self.status.lock().expect("status") = status;
-        self.tell(ToPooler::HandOver { service: service(), handover: handover.clone() });
-        self.acknowledged(handover.number)
+        self.send(ToPooler::HandOver { service: service(), handover: handover.clone() });
+        self.receive_handover_ack(handover.number)
     }
-    /// The pooler acknowledges this handover; it does so with each renewal of this leader.
-    fn acknowledged(&mut self, wanted: u64) -> Option<Position> {
+    /// Waits for the acknowledgement of this handover, and returns the highest commit in it.
+    /// Earlier handovers are acknowledged with each renewal and are skipped.
+    fn receive_handover_ack(&mut self, wanted: u64) -> Option<Position> {
         loop {
-            match self.hears() {
+            match self.receive() {
                 ToController::HandOverAck { handover, highest, .. } if handover == wanted => {
                     return highest;
                 }
@@ -167,10 +171,10 @@
             }
         }
     }
-    /// The pooler gives its lease back. Gives what it says to have passed on.
-    fn given_back(&mut self) -> Option<Position> {
+    /// Waits until the pooler gives up its lease, and returns the highest commit that it reports.
+    fn receive_revoke_ack(&mut self) -> Option<Position> {
         loop {
-            match self.hears() {
+            match self.receive() {
                 ToController::RevokeAck { highest, .. } => return highest,
                 ToController::HandOverAck { .. } => {}
                 message => panic!("{message:?}"),
@@ -223,7 +227,7 @@
     System { databases, frontend, leader, pooler, _folder: folder }
 }
 
-/// A session whose answers a thread of its own reads.
+/// A client session; a thread reads the lines of its replies.
 struct Client {
     stream: TcpStream,
     lines: Receiver<String>,
@@ -249,7 +253,7 @@
     fn line(&mut self) -> String {
         self.lines.recv_timeout(Duration::from_secs(5)).expect("a line").trim_end().to_owned()
     }
-    /// The word that a statement is answered with, and the code of an error.
+    /// Reads a reply and returns its first word, or the code of an error.
     fn outcome(&mut self) -> String {
         let line = self.line();
         assert!(self.line().starts_with("READY I"));
@@ -262,21 +266,21 @@
         self.send(&format!("QUERY {id} STORE thing {id}"));
         self.outcome()
     }
-    fn hears_nothing(&self) -> bool {
-        self.lines.recv_timeout(Duration::from_millis(NOTHING_MS)).is_err()
+    fn gets_no_reply(&self) -> bool {
+        self.lines.recv_timeout(Duration::from_millis(NO_REPLY_MS)).is_err()
     }
 }
 
-/// Guards against commits that are missing at a promoted database: a new, an unpaused or a restarted
-/// replica may let the old primary acknowledge what the next one never receives.
+/// Guards against commits that are missing at a promoted database: a new, resumed or restarted
+/// replica may let the old primary acknowledge commits that the next primary never receives.
 #[test]
-fn while_a_service_is_handed_over_only_what_the_target_has_is_passed_on() {
+fn during_a_handover_only_commits_that_the_target_has_are_forwarded() {
     let mut system = start("handover");
     let mut client = Client::open(&system);
     assert_eq!(client.store("q1"), "COMPLETE");
-    assert_eq!(system.leader.hand_over(&handover(1, "i-ledger-1")), Some(at(1)), "told of q1");
+    assert_eq!(system.leader.hand_over(&handover(1, "i-ledger-1")), Some(at(1)), "reports q1");
     assert_eq!(client.store("q2"), "COMPLETE", "the target has it");
-    // The target receives nothing: the primary acknowledges, because of some other replica.
+    // The target receives nothing, but the primary acknowledges because another replica does.
     system.databases.faults.replicas_lack.store(2, Ordering::SeqCst);
     client.send("QUERY q3 STORE thing q3");
     let mut transaction = Client::open(&system);
@@ -286,59 +290,60 @@
         assert!(transaction.line().starts_with("READY T"));
     }
     transaction.send("QUERY t3 COMMIT");
-    assert!(client.hears_nothing() && transaction.hears_nothing());
+    assert!(client.gets_no_reply() && transaction.gets_no_reply());
     assert_eq!(system.databases.reached("q3"), 1);
-    // Reads are not held up, nor are commits once the target has them.
+    // Reads are not held back, and commits are forwarded once the target has them.
     let mut reader = Client::open(&system);
     reader.send("QUERY r1 FETCH thing");
     assert!(reader.line().starts_with("ROW"));
     system.databases.faults.replicas_lack.store(0, Ordering::SeqCst);
     assert_eq!((client.outcome(), transaction.outcome()), ("COMPLETE".into(), "COMPLETE".into()));
-    // A commit that the target never has is not passed on, nor is it one that was not run.
+    // A commit that the target never receives is not forwarded; its outcome is unknown, as it may
+    // have run.
     system.databases.faults.replicas_lack.store(9, Ordering::SeqCst);
     client.send("QUERY q4 STORE thing q4");
-    assert!(client.hears_nothing());
-    system.leader.tell(ToPooler::Revoke { service: service(), term: TERM });
+    assert!(client.gets_no_reply());
+    system.leader.send(ToPooler::Revoke { service: service(), term: TERM });
     *system.leader.status.lock().expect("status") = PrimaryStatus::Absent;
-    assert_eq!(system.leader.given_back(), Some(at(4)), "q3 and the transaction, not q4");
+    assert_eq!(system.leader.receive_revoke_ack(), Some(at(4)), "q3 and the transaction, not q4");
     assert_eq!(client.outcome(), "UNKNOWN");
     assert_eq!(system.databases.reached("q4"), 1);
 }
 
 #[test]
-fn a_handover_that_was_called_off_ends_with_the_next_lease() {
+fn a_cancelled_handover_ends_with_the_next_lease() {
     let mut system = start("called-off");
     let mut client = Client::open(&system);
     assert_eq!(system.leader.hand_over(&handover(1, "i-ledger-1")), None);
     system.databases.faults.replicas_lack.store(1, Ordering::SeqCst);
     client.send("QUERY q1 STORE thing q1");
-    assert!(client.hears_nothing());
-    // A database that the pooler does not know, or that does not answer, confirms nothing.
+    assert!(client.gets_no_reply());
+    // An unknown database, or one that does not reply, confirms no commit.
     assert_eq!(system.leader.hand_over(&handover(2, "i-unknown")), None);
-    assert!(client.hears_nothing());
+    assert!(client.gets_no_reply());
     system.databases.faults.replicas_lack.store(0, Ordering::SeqCst);
     system.databases.inject("DESCRIBE", &[InjectedFault::NoAnswer; 4]);
     assert_eq!(system.leader.hand_over(&handover(3, "i-ledger-2")), None);
-    assert!(client.hears_nothing());
-    system.leader.grant(led());
+    assert!(client.gets_no_reply());
+    system.leader.grant(active());
     assert_eq!(client.outcome(), "COMPLETE");
-    // One that connects during a handover learns of it with its lease.
+    // A pooler that connects during a handover learns of it with its lease.
     let status = PrimaryStatus::HandingOver {
         primary: "i-ledger-0".into(),
         handover: handover(4, "i-unknown"),
     };
     system.leader.grant(status);
-    assert_eq!(system.leader.acknowledged(4), Some(at(1)));
+    assert_eq!(system.leader.receive_handover_ack(4), Some(at(1)));
     client.send("QUERY q2 STORE thing q2");
-    assert!(client.hears_nothing());
-    system.leader.grant(led());
+    assert!(client.gets_no_reply());
+    system.leader.grant(active());
     assert_eq!(client.outcome(), "COMPLETE");
 }
 
-/// Guards against a commit that is forgotten because its pooler stopped in order: the leader took a
-/// goodbye for the word that nothing was passed on.
+/// Guards against losing a forwarded commit when its pooler shuts down: the leader took a Goodbye
+/// without a prior acknowledgement as proof that no commit had been forwarded.
 #[test]
-fn a_pooler_that_stops_in_order_tells_first_how_far_it_passed_on_commits() {
+fn a_pooler_reports_its_highest_forwarded_commit_before_a_graceful_shutdown() {
     let mut system = start("goodbye");
     let mut client = Client::open(&system);
     assert_eq!(client.store("q1"), "COMPLETE");
@@ -347,13 +352,13 @@
         assert!(client.line().starts_with("COMPLETE"));
         assert!(client.line().starts_with("READY T"));
     }
-    // The transaction ends while the pooler drains, after its last renewal perhaps.
+    // The transaction commits while the pooler drains, possibly after its last renewal.
     system.pooler.signal("-TERM");
     std::thread::sleep(Duration::from_millis(100));
     client.send("QUERY t3 COMMIT");
     assert_eq!(client.outcome(), "COMPLETE");
     drop(client);
-    assert_eq!(system.leader.given_back(), Some(at(2)));
-    assert!(matches!(system.leader.hears(), ToController::Goodbye));
+    assert_eq!(system.leader.receive_revoke_ack(), Some(at(2)));
+    assert!(matches!(system.leader.receive(), ToController::Goodbye));
     assert!(system.pooler.0.wait().expect("ended").success());
 }
