--- a/tests/pooler.rs
+++ b/tests/pooler.rs
@@ -1,5 +1,5 @@
-//! The two programs as processes, against the stand-in databases: bad input on every side, and
-//! what the reroute design does to real connections.
+//! End-to-end test of a controller and a pooler as processes, with stand-in databases: invalid
+//! input on all interfaces, the reroute rules on real connections, and the loss of the leader.
 mod support;
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -69,7 +69,7 @@
 fn start() -> System {
     let databases = StandIn::start("ledger", 3).expect("databases");
     let ports: Vec<u16> = (0..4).map(|_| free_port()).collect();
-    let folder = std::env::temp_dir().join(format!("silvertack-whole-{}", ports[0]));
+    let folder = std::env::temp_dir().join(format!("silvertack-pooler-{}", ports[0]));
     std::fs::create_dir_all(&folder).expect("folder");
     let settings = format!(
         "node_name = \"one\"\nip_address = \"127.0.0.1\"\nzone = \"here\"\nport_range = [{p}, {p}]\n\
@@ -87,12 +87,12 @@
     );
     let file = folder.join("node.toml");
     std::fs::write(&file, settings).expect("settings");
-    let at = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
+    let address = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
     let controller = run("controller", &file);
     let system = System {
-        admin: at(ports[1]),
-        frontend: at(ports[2]),
-        peer: at(ports[0]),
+        admin: address(ports[1]),
+        frontend: address(ports[2]),
+        peer: address(ports[0]),
         pooler: run("pooler", &file),
         controller: Some(controller),
         folder,
@@ -116,25 +116,26 @@
     fn open(system: &System, database: &str) -> Self {
         let stream = TcpStream::connect(system.frontend).expect("frontend");
         stream.set_read_timeout(Some(Duration::from_secs(10))).expect("timeout");
-        let mut this = Self { reader: BufReader::new(stream) };
-        this.send(&format!("CONNECT {database} me\r\n"));
-        this
+        let mut client = Self { reader: BufReader::new(stream) };
+        client.send(&format!("CONNECT {database} me\r\n"));
+        client
     }
     fn ready(system: &System, database: &str) -> Self {
-        let mut this = Self::open(system, database);
-        assert_eq!(this.line(), "READY I -");
-        this
+        let mut client = Self::open(system, database);
+        assert_eq!(client.line(), "READY I -");
+        client
     }
     fn send(&mut self, text: &str) {
         self.reader.get_mut().write_all(text.as_bytes()).expect("sent");
     }
     fn line(&mut self) -> String {
         let mut line = String::new();
-        // A connection that was reset reads as one that ended.
+        // A reset connection is treated like a closed one.
         let _ = self.reader.read_line(&mut line);
         line.trim_end().to_owned()
     }
-    /// The lines of an answer up to READY, without positions and texts: what is decided.
+    /// Sends a statement and returns a summary of its reply: rows, outcome and transaction state,
+    /// without positions and error texts.
     fn ask(&mut self, id: &str, text: &str) -> String {
         self.send(&format!("QUERY {id} {text}\r\n"));
         self.answer()
@@ -159,20 +160,23 @@
 }
 
 #[test]
-fn the_whole_path_and_all_kinds_of_bad_input() {
+fn a_controller_and_a_pooler_handle_invalid_input_and_connection_and_leader_losses() {
     let mut system = start();
     let folder = system.folder.clone();
-    bad_configurations(&system);
-    bad_http(&system);
-    bad_frames(&system);
-    // The pooler listens once it is ready.
+    invalid_configurations_are_rejected(&system);
+    invalid_admin_requests_are_rejected(&system);
+    invalid_peer_frames_are_rejected(&system);
+    // The pooler starts to listen once it is ready.
     eventually("the frontend", || TcpStream::connect(system.frontend).is_ok());
-    bad_lines(&system);
-    reroute(&system);
-    status_and_commands(&system);
-    assert!(system.databases.most_open.load(Ordering::SeqCst) <= 3 * 16, "never over the total");
-    without_a_leader(&mut system, &folder);
-    // SIGTERM ends the pooler in order, within its grace.
+    invalid_client_lines_are_rejected(&system);
+    connection_losses_are_retried_or_reported(&system);
+    commands_have_their_exit_codes(&system);
+    assert!(
+        system.databases.most_open.load(Ordering::SeqCst) <= 3 * 16,
+        "connection limits exceeded"
+    );
+    sessions_end_when_the_leader_is_lost(&mut system, &folder);
+    // After SIGTERM the pooler shuts down within its grace period.
     let pid = system.pooler.0.id().to_string();
     assert!(Command::new("kill").args(["-TERM", &pid]).status().expect("kill").success());
     let start = Instant::now();
@@ -180,7 +184,7 @@
     assert!(status.success() && start.elapsed() < Duration::from_secs(4), "{status}");
 }
 
-fn bad_configurations(system: &System) {
+fn invalid_configurations_are_rejected(system: &System) {
     let good = configuration(5).to_string();
     let change = |edit: fn(&mut serde_json::Value)| {
         let mut config = configuration(5);
@@ -188,16 +192,21 @@
         config.to_string()
     };
     let table = [
-        ("cut short", "0", good[..good.len() / 2].to_owned(), 400),
-        ("no base", "x", good.clone(), 400),
+        ("truncated", "0", good[..good.len() / 2].to_owned(), 400),
+        ("invalid base revision", "x", good.clone(), 400),
         (
             "unknown service",
             "0",
             change(|c| c["route_rules"][0]["target_service"] = "no".into()),
             400,
         ),
-        ("same place", "0", change(|c| c["route_rules"][1]["hostname"] = "strict".into()), 400),
-        ("no time-out", "0", change(|c| c["route_rules"][0]["timeout_ms"] = 0.into()), 400),
+        (
+            "duplicate route",
+            "0",
+            change(|c| c["route_rules"][1]["hostname"] = "strict".into()),
+            400,
+        ),
+        ("timeout of 0", "0", change(|c| c["route_rules"][0]["timeout_ms"] = 0.into()), 400),
         ("wrong type", "0", change(|c| c["route_rules"][0]["timeout_ms"] = "soon".into()), 400),
         (
             "unknown route type",
@@ -207,26 +216,26 @@
         ),
         ("revision 0", "0", change(|c| c["revision"] = 0.into()), 400),
         ("oversized", "0", format!("{good}{}", " ".repeat(1 << 20)), 413),
-        ("wrong base", "3", good.clone(), 412),
+        ("wrong base revision", "3", good.clone(), 412),
     ];
     for (what, base, body, status) in &table {
         assert_eq!(put(system, base, body), *status, "{what}");
     }
     let read = || http(system.admin, "GET", "/configuration", &[], "").expect("answer");
-    assert_eq!(read().0, 404, "nothing was taken");
+    assert_eq!(read().0, 404, "no configuration was accepted");
     assert_eq!(put(system, "0", &good), 200);
-    assert_eq!(put(system, "0", &good), 200, "the very same again");
-    assert_eq!(read(), (200, good.clone()), "byte for byte");
+    assert_eq!(put(system, "0", &good), 200, "the same configuration again");
+    assert_eq!(read(), (200, good.clone()), "stored byte for byte");
     assert_eq!(
         put(system, "5", &configuration(5).to_string().replace("2000", "1999")),
         400,
-        "not above"
+        "the revision is not higher"
     );
     assert_eq!(put(system, "0", &configuration(6).to_string()), 412);
     assert_eq!(read(), (200, good));
 }
 
-fn bad_http(system: &System) {
+fn invalid_admin_requests_are_rejected(system: &System) {
     let heartbeat = system.databases.heartbeat(0, 1_000_000);
     let wrong = heartbeat.replace("available", "asleep");
     let table = [
@@ -244,7 +253,7 @@
         assert_eq!(got, status, "{method} {path}");
         assert!(status < 400 || answer.contains("message"), "{answer}");
     }
-    // A late heartbeat changes nothing.
+    // A heartbeat with an older sequence number is ignored.
     let heartbeat = |sequence, state: &str| {
         let body = system
             .databases
@@ -263,17 +272,17 @@
     assert_eq!(late.expect("listed")["database"]["lifecycle_state"], "draining");
 }
 
-fn bad_frames(system: &System) {
+fn invalid_peer_frames_are_rejected(system: &System) {
     for bytes in [&[0xff, 0xff, 0xff, 0xff, 1, 2][..], &[0, 0, 0, 3, 0xc1, 0xc1, 0xc1][..]] {
         let mut stream = TcpStream::connect(system.peer).expect("peer");
         stream.set_read_timeout(Some(Duration::from_secs(5))).expect("timeout");
         stream.write_all(bytes).expect("sent");
         let mut rest = Vec::new();
-        assert_eq!(stream.read_to_end(&mut rest).unwrap_or(0), 0, "closed without a word");
+        assert_eq!(stream.read_to_end(&mut rest).unwrap_or(0), 0, "closed without a reply");
     }
 }
 
-fn bad_lines(system: &System) {
+fn invalid_client_lines_are_rejected(system: &System) {
     let mut unknown = Client::open(system, "nowhere");
     assert_eq!(unknown.line(), "ERROR NODATABASE no such database");
     assert_eq!(unknown.line(), "", "and closed");
@@ -298,16 +307,16 @@
         client.send(&format!("{line}\r\n"));
         assert_eq!(client.answer(), "MALFORMED I", "{line:?}");
     }
-    // A bare LF ends no statement: the two halves are two lines that can't be read.
+    // A bare LF does not end a statement: both parts are rejected as malformed lines.
     client.send("QUERY q FETCH a\nSTORE a 1\r\n");
     assert_eq!((client.answer(), client.answer()), ("MALFORMED I".into(), "MALFORMED I".into()));
     assert_eq!(client.ask("q", "EXECUTE nobody a"), "NOTFOUND I");
-    assert!(system.databases.clients_ran().is_empty(), "none of it reached a database");
+    assert!(system.databases.clients_ran().is_empty(), "a rejected statement reached a database");
     client.send(&format!("QUERY q STORE a {}\r\n", "x".repeat(1 << 20)));
     assert_eq!(client.answer(), "TOOLARGE end");
 }
 
-fn reroute(system: &System) {
+fn connection_losses_are_retried_or_reported(system: &System) {
     let databases = &system.databases;
     let mut client = Client::ready(system, "strict");
     for (text, answer) in [
@@ -322,52 +331,56 @@
     ] {
         assert_eq!(client.ask("n1", text), answer, "{text}");
     }
-    let lose = || databases.faults.break_next.store(true, Ordering::SeqCst);
-    // A read is run again, and the session's names are there on the next connection.
-    lose();
+    let lose_next_reply = || databases.faults.break_next.store(true, Ordering::SeqCst);
+    // A read is retried, and the prepared statements are replayed on the next connection.
+    lose_next_reply();
     assert_eq!(client.ask("n2", "EXECUTE get a"), "one stamped I");
     assert_eq!(databases.clients_ran().iter().filter(|(id, _)| id == "n2").count(), 2);
-    // A garbled answer is a loss like any other and never reaches the client.
+    // A malformed reply is handled like a lost connection and never forwarded to the client.
     databases.faults.garble_next.store(true, Ordering::SeqCst);
     assert_eq!(client.ask("n3", "EXECUTE get a"), "one stamped I");
-    // A write whose answer is lost has run once, and its outcome is not known.
-    lose();
+    // A write whose reply is lost is not retried, and its outcome is unknown.
+    lose_next_reply();
     assert_eq!(client.ask("n4", "EXECUTE put a two"), "UNKNOWN I");
     assert_eq!(databases.clients_ran().iter().filter(|(id, _)| id == "n4").count(), 1);
     assert_eq!(client.ask("n5", "EXECUTE get a"), "two stamped I");
-    // The first statement of a transaction moves silently, a later one does not.
+    // The first statement of a transaction is retried transparently, a later one is not.
     assert_eq!(client.ask("n6", "BEGIN"), "done T");
-    lose();
+    lose_next_reply();
     assert_eq!(client.ask("n6", "EXECUTE put a three"), "stamped T");
-    lose();
+    lose_next_reply();
     assert_eq!(client.ask("n6", "EXECUTE get a"), "ROLLEDBACK I");
-    assert_eq!(client.ask("n7", "EXECUTE get a"), "two stamped I", "nothing of it is kept");
-    // A commit that was cut off.
+    assert_eq!(
+        client.ask("n7", "EXECUTE get a"),
+        "two stamped I",
+        "the transaction was rolled back"
+    );
+    // The outcome of a commit whose reply is lost is unknown.
     assert_eq!(client.ask("n8", "BEGIN"), "done T");
     assert_eq!(client.ask("n8", "STORE a four"), "stamped T");
-    lose();
+    lose_next_reply();
     assert_eq!(client.ask("n8", "COMMIT"), "UNKNOWN I");
-    // Reads that may be a little old go to a replica.
+    // Reads with a staleness limit go to a replica.
     let mut loose = Client::ready(system, "loose");
     assert_eq!(loose.ask("r1", "FETCH a"), "four stamped I");
     assert_ne!(databases.last_database("r1"), Some(0));
     assert_eq!(loose.ask("w1", "STORE b 1"), "stamped I");
     assert_eq!(databases.last_database("w1"), Some(0));
-    // A client that goes in mid-transaction leaves nothing open behind it.
+    // The transaction of a client that disconnects is rolled back.
     assert_eq!(client.ask("n9", "BEGIN"), "done T");
     assert_eq!(client.ask("n9", "STORE a five"), "stamped T");
     drop(client);
-    let mut again = Client::ready(system, "strict");
-    assert_eq!(again.ask("n10", "FETCH a"), "four stamped I");
-    // One that is idle for too long in a transaction is closed, with its connection.
-    assert_eq!(again.ask("n11", "BEGIN"), "done T");
-    assert_eq!(again.ask("n11", "FETCH a"), "four stamped T");
+    let mut next = Client::ready(system, "strict");
+    assert_eq!(next.ask("n10", "FETCH a"), "four stamped I");
+    // A session with a transaction that is idle for too long is closed.
+    assert_eq!(next.ask("n11", "BEGIN"), "done T");
+    assert_eq!(next.ask("n11", "FETCH a"), "four stamped T");
     let start = Instant::now();
-    assert_eq!(again.line(), "", "closed");
+    assert_eq!(next.line(), "", "closed");
     assert!(start.elapsed() < Duration::from_secs(5));
 }
 
-fn status_and_commands(system: &System) {
+fn commands_have_their_exit_codes(system: &System) {
     let run = |words: &[&str]| {
         let output = Command::new(BINARY).args(words).output().expect("run");
         let text = String::from_utf8_lossy(&output.stdout).into_owned();
@@ -382,7 +395,7 @@
     let nobody = format!("127.0.0.1:{}", free_port());
     let (code, _, errors) = run(&["status", &nobody]);
     assert!(code == Some(1) && errors.lines().count() == 1, "{errors}");
-    // The databases' port speaks another language.
+    // A database's port, which uses another protocol.
     let (code, _, errors) = run(&["status", &system.databases.addresses[0].to_string()]);
     assert!(code == Some(1) && errors.lines().count() == 1, "{errors}");
     let (code, _, errors) = run(&["pooler", "--settings", "/nowhere.toml"]);
@@ -394,24 +407,24 @@
     assert!(code == Some(2) && errors.contains("heartbeat_ms"), "{errors}");
 }
 
-/// With no leader nothing is confirmed, and idle sessions are closed to go elsewhere; the
-/// controller comes back with all that it had.
-fn without_a_leader(system: &mut System, folder: &std::path::Path) {
+/// Without a leader idle sessions are closed, so that clients move to another pooler, and new ones
+/// are rejected. A restarted controller recovers its configuration.
+fn sessions_end_when_the_leader_is_lost(system: &mut System, folder: &std::path::Path) {
     let mut idle = Client::ready(system, "strict");
     assert_eq!(idle.ask("w1", "STORE kept yes"), "stamped I");
     let (_, before) = http(system.admin, "GET", "/configuration", &[], "").expect("answer");
     system.controller = None;
     let start = Instant::now();
-    assert_eq!(idle.line(), "", "closed, not held");
-    assert!(start.elapsed() > Duration::from_millis(1_000), "not for a moment without a leader");
+    assert_eq!(idle.line(), "", "the idle session was not closed");
+    assert!(start.elapsed() > Duration::from_millis(1_000), "closed too soon after the loss");
     let mut new = Client::open(system, "strict");
-    assert_eq!(new.line(), "", "rejected at once");
+    assert_eq!(new.line(), "", "the new session was not rejected");
     system.controller = Some(run("controller", &folder.join("node.toml")));
     eventually("the configuration again", || {
         http(system.admin, "GET", "/configuration", &[], "").is_ok_and(|(_, body)| body == before)
     });
     eventually("sessions again", || {
-        let mut back = Client::open(system, "strict");
-        back.line() == "READY I -" && back.ask("r1", "FETCH kept").ends_with("stamped I")
+        let mut client = Client::open(system, "strict");
+        client.line() == "READY I -" && client.ask("r1", "FETCH kept").ends_with("stamped I")
     });
 }
