--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -1,5 +1,5 @@
-//! Answers and repeats, by processes against databases that misbehave on purpose: how often each
-//! statement or request reached any of them, and whose answer each caller got.
+//! Tests of retries by pooler and gateway processes against databases with injected faults: how
+//! often each statement or request reached a database, and that each caller gets its own reply.
 #[path = "support/gateway.rs"]
 mod stand_in_endpoints;
 mod support;
@@ -23,7 +23,7 @@
         let _ = self.0.wait();
     }
 }
-/// A controller and one node that serves clients.
+/// A controller and one pooler or gateway.
 struct Site {
     folder: PathBuf,
     admin: SocketAddr,
@@ -50,28 +50,39 @@
     command.args([role, "--settings"]).arg(settings).stderr(Stdio::null());
     Process(command.spawn().expect(role))
 }
-fn start(role: &str, more: &str, configuration: &str, heartbeat: impl Fn(SocketAddr)) -> Site {
-    let at: Vec<SocketAddr> =
+fn start(
+    role: &str,
+    more_settings: &str,
+    configuration: &str,
+    heartbeat: impl Fn(SocketAddr),
+) -> Site {
+    let addresses: Vec<SocketAddr> =
         (0..4).map(|_| SocketAddr::from(([127, 0, 0, 1], free_port()))).collect();
-    let folder = std::env::temp_dir().join(format!("silvertack-repeats-{}", at[0].port()));
+    let folder = std::env::temp_dir().join(format!("silvertack-retries-{}", addresses[0].port()));
     std::fs::create_dir_all(&folder).expect("folder");
     let settings = format!(
         "node_name = \"one\"\nip_address = \"127.0.0.1\"\nzone = \"here\"\nport_range = [{p}, {p}]\n\
-         seed_nodes = [\"{admin}\"]\nbootstrap = true\ndata_path = \"{data}\"\n{more}\n\
+         seed_nodes = [\"{admin}\"]\nbootstrap = true\ndata_path = \"{data}\"\n{more_settings}\n\
          [listeners]\nfrontend = \"{front}\"\nreadiness = \"{ready}\"\nadmin = \"{admin}\"\n\
          [timing_bounds]\ngrace_s = 3\nretry_ratio = 1.0\n",
-        p = at[0].port(),
-        admin = at[1],
-        front = at[2],
-        ready = at[3],
+        p = addresses[0].port(),
+        admin = addresses[1],
+        front = addresses[2],
+        ready = addresses[3],
         data = folder.join("data").display(),
     );
     let file = folder.join("node.toml");
     std::fs::write(&file, settings).expect("settings");
     let controller = Some(run("controller", &file));
     let node = run(role, &file);
-    let site =
-        Site { folder, admin: at[1], frontend: at[2], readiness: at[3], controller, _node: node };
+    let site = Site {
+        folder,
+        admin: addresses[1],
+        frontend: addresses[2],
+        readiness: addresses[3],
+        controller,
+        _node: node,
+    };
     eventually("a configuration", || {
         let base = [("If-Match", "0")];
         http(site.admin, "PUT", "/configuration", &base, configuration).is_ok_and(|(s, _)| s == 200)
@@ -124,19 +135,20 @@
         let mut stream = TcpStream::connect(site.frontend).ok()?;
         stream.set_read_timeout(Some(Duration::from_secs(15))).ok()?;
         stream.write_all(format!("CONNECT {route} me\r\n").as_bytes()).ok()?;
-        let mut this = Self(BufReader::new(stream));
-        this.line().starts_with("READY I").then_some(this)
+        let mut session = Self(BufReader::new(stream));
+        session.line().starts_with("READY I").then_some(session)
     }
     fn line(&mut self) -> String {
         let mut line = String::new();
-        // A connection that was reset reads as one that ended.
+        // A reset connection is treated like a closed one.
         let _ = self.0.read_line(&mut line);
         line.trim_end().to_owned()
     }
     fn send(&mut self, id: &str, text: &str) {
         self.0.get_mut().write_all(format!("QUERY {id} {text}\r\n").as_bytes()).expect("sent");
     }
-    /// How it ended, with whose stamp, and the row that came.
+    /// Sends a statement. Returns its outcome and transaction state, and the row. The outcome says
+    /// whether the reply has the stamp of this statement (`own`) or of another one.
     fn ask(&mut self, id: &str, text: &str) -> (String, String) {
         self.send(id, text);
         self.answer(id)
@@ -160,30 +172,30 @@
     }
 }
 
-/// Opens a session and sends what comes before the statement in question. Tried again where a busy
-/// machine got between; `None` if one of them was not answered with success.
-fn prepared(site: &Site, route: &str, id: &str, before: &[&str]) -> Option<Session> {
+/// Opens a session and runs the given statements on it. Returns `None` if the session could not be
+/// opened or one of them failed, which may happen on a busy machine.
+fn session_after(site: &Site, route: &str, id: &str, before: &[&str]) -> Option<Session> {
     let mut session = Session::open(site, route)?;
-    let fine = |(end, _): (String, String)| end.starts_with("own") || end.starts_with("done");
-    before.iter().all(|text| fine(session.ask(id, text))).then_some(session)
+    let succeeded = |(end, _): (String, String)| end.starts_with("own") || end.starts_with("done");
+    before.iter().all(|text| succeeded(session.ask(id, text))).then_some(session)
 }
 
 #[test]
-fn no_statement_is_run_twice_that_may_be_committed_and_no_answer_is_anothers() {
+fn statements_that_may_be_committed_are_not_retried_and_replies_match_their_statements() {
     let databases = StandIn::start("ledger", 3).expect("databases");
     let site = start_pooler(&databases);
-    let all = [NoAnswer, Late(60), ResetBeforeRun, ResetAfterRun, ResetInAnswer, Duplicated];
-    // What goes before, the statement, and for each fault in turn how it must end.
+    let faults = [NoAnswer, Late(60), ResetBeforeRun, ResetAfterRun, ResetInAnswer, Duplicated];
+    // (earlier statements, the statement, the expected outcome for each fault)
     let unknown = "UNKNOWN I";
     let cases: [(&[&str], &str, [&str; 6]); 6] = [
-        // Nothing is committed and nothing was shown: a silent retry.
+        // Nothing is committed and the client has seen no result: a transparent retry.
         (&[], "FETCH a", ["own I"; 6]),
         (&["BEGIN"], "FETCH a", ["own T"; 6]),
         (&["BEGIN"], "STORE a a", ["own T"; 6]),
-        // It may be committed: sent once, and its outcome is unknown.
+        // The statement may be committed: it is sent once, and its outcome is unknown.
         (&[], "STORE a a", [unknown, "own I", unknown, unknown, unknown, unknown]),
         (&["BEGIN", "STORE a a"], "COMMIT", [unknown, "own I", unknown, unknown, unknown, unknown]),
-        // Its transaction was shown, and is gone.
+        // The client has seen results of the transaction, which is rolled back.
         (
             &["BEGIN", "FETCH a"],
             "FETCH a",
@@ -198,22 +210,22 @@
         ),
     ];
     for (before, text, ends) in cases {
-        let last = !(text == "FETCH a" && before.len() < 2) && before != ["BEGIN"];
-        for (fault, end) in all.into_iter().zip(ends) {
+        let sent_once = !(text == "FETCH a" && before.len() < 2) && before != ["BEGIN"];
+        for (fault, end) in faults.into_iter().zip(ends) {
             let what = format!("{before:?} {text} {fault:?}");
             let (got, row, reached) = (0..20)
                 .find_map(|_| {
                     let (early, id) = (fresh_id(), fresh_id());
-                    let mut session = prepared(&site, "short", &early, before)?;
+                    let mut session = session_after(&site, "short", &early, before)?;
                     databases.inject(&id, &[fault]);
                     let (got, row) = session.ask(&id, text);
-                    // Not sent at all, as the primary was just suspected.
+                    // The statement may not be sent at all while the primary is suspected.
                     let sent = databases.reached(&id) > 0;
                     sent.then(|| (got, row, databases.reached(&id)))
                 })
                 .unwrap_or_else(|| panic!("never sent: {what}"));
             assert_eq!(got, end, "{what}");
-            assert!(!last || reached == 1, "{what}: reached databases {reached} times");
+            assert!(!sent_once || reached == 1, "{what}: reached databases {reached} times");
             assert!(
                 !end.starts_with("own") || !text.starts_with("FETCH") || row == "a",
                 "{what}: {row}"
@@ -222,8 +234,9 @@
     }
 }
 
-/// One statement on a session of its own, tried again where the machine was too busy to serve it.
-fn served(site: &Site, route: &str, text: &str) -> (String, (String, String)) {
+/// Runs one statement on a new session, and retries it if the session or the statement was rejected
+/// because the machine is busy. Returns the id of the statement and its reply.
+fn run_until_served(site: &Site, route: &str, text: &str) -> (String, (String, String)) {
     for _ in 0..20 {
         let id = fresh_id();
         if let Some(mut session) = Session::open(site, route) {
@@ -238,16 +251,16 @@
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario, told in order")]
-fn what_comes_late_on_a_connection_is_nobodys_answer() {
+fn late_and_duplicate_replies_are_never_taken_for_replies_to_other_statements() {
     let databases = StandIn::start("ledger", 2).expect("databases");
     let site = start_pooler(&databases);
-    let stored = |thing: &str| {
+    let store = |thing: &str| {
         let text = format!("STORE {thing} {thing}");
-        assert_eq!(served(&site, "strict", &text).1.0, "own I", "{text}");
+        assert_eq!(run_until_served(&site, "strict", &text).1.0, "own I", "{text}");
     };
-    stored("b");
+    store("b");
     let own = |thing: &str| ("own I".to_owned(), thing.to_owned());
-    // A second answer that lies on the idle connection when another session acquires it.
+    // A duplicate reply is pending on the idle connection when another session acquires it.
     for route in ["strict", "loose"] {
         for _ in 0..4 {
             let id = fresh_id();
@@ -255,18 +268,18 @@
             let mut first = Session::open(&site, route).expect("session");
             assert_eq!(first.ask(&id, "FETCH a"), own("a"), "{route}");
             std::thread::sleep(Duration::from_millis(60));
-            assert_eq!(served(&site, route, "FETCH b").1, own("b"), "{route}");
+            assert_eq!(run_until_served(&site, route, "FETCH b").1, own("b"), "{route}");
         }
     }
-    // The same inside a transaction: the client's next statement gets no earlier one's answer.
+    // The same inside a transaction: the next statement does not get the duplicate reply.
     let (early, id) = (fresh_id(), fresh_id());
     databases.inject(&early, &[NoFault, DuplicatedLate(20)]);
     let mut session =
-        prepared(&site, "strict", &early, &["BEGIN", "FETCH a", "FETCH a"]).expect("open");
+        session_after(&site, "strict", &early, &["BEGIN", "FETCH a", "FETCH a"]).expect("open");
     std::thread::sleep(Duration::from_millis(60));
     assert_eq!(session.ask(&id, "FETCH b").0, "ROLLEDBACK I");
-    assert_eq!(databases.reached(&id), 0, "the connection was used no more");
-    // The settings sent ahead: an answer too many to one is no answer to the statement behind.
+    assert_eq!(databases.reached(&id), 0, "the connection was used again");
+    // A duplicate or lost reply to a statement that the pooler sends before the client's statement.
     for (word, before, ends) in [
         ("BEGIN", &["BEGIN"][..], "own T"),
         ("CONFIGURE", &["CONFIGURE tenant x"][..], "own I"),
@@ -275,28 +288,28 @@
         let text = if word == "PREPARE" { "EXECUTE p b" } else { "FETCH b" };
         for fault in [Duplicated, DuplicatedLate(30), ResetBeforeRun, ResetInAnswer, NoAnswer] {
             let (early, id) = (fresh_id(), fresh_id());
-            let mut session = prepared(&site, "strict", &early, before).expect("open");
+            let mut session = session_after(&site, "strict", &early, before).expect("open");
             databases.inject(word, &[fault]);
             let got = session.ask(&id, text);
             assert_eq!(got, (ends.to_owned(), "b".to_owned()), "{word} {fault:?}");
             databases.inject(word, &[]);
         }
     }
-    // A connection that was reset while idle: nothing was sent, so a write goes on another.
+    // A connection is reset while idle: nothing was sent, so a write is sent on another one.
     for _ in 0..3 {
         let id = fresh_id();
         databases.inject(&id, &[ResetAfterAnswer]);
         let mut first = Session::open(&site, "strict").expect("session");
         assert_eq!(first.ask(&id, "FETCH a"), own("a"));
         std::thread::sleep(Duration::from_millis(120));
-        let (id, (end, _)) = served(&site, "strict", "STORE a a");
+        let (id, (end, _)) = run_until_served(&site, "strict", "STORE a a");
         assert_eq!((end.as_str(), databases.reached(&id)), ("own I", 1));
     }
-    // Also where many were reset at once, more than a statement is run again.
+    // The same if more connections are reset at once than a statement has retries.
     let mut open = Vec::new();
-    // Who waits is given a larger quota.
+    // The quota grows while sessions wait for a connection.
     eventually("seven connections", || {
-        open.extend(prepared(&site, "strict", &fresh_id(), &["BEGIN", "FETCH a"]));
+        open.extend(session_after(&site, "strict", &fresh_id(), &["BEGIN", "FETCH a"]));
         open.len() == 7
     });
     for session in &mut open {
@@ -308,27 +321,28 @@
     let id = fresh_id();
     assert_eq!(open[0].ask(&id, "STORE a a").0, "own I");
     assert_eq!(databases.reached(&id), 1);
-    // A client that is gone before its answer came: it goes to nobody else.
+    // A client disconnects before its reply arrives: no other client gets that reply.
     for _ in 0..3 {
         let id = fresh_id();
         databases.inject(&id, &[Late(100)]);
-        let mut gone = Session::open(&site, "strict").expect("session");
-        gone.send(&id, "FETCH a");
-        drop(gone);
-        let others: Vec<_> = (0..3).map(|_| served(&site, "strict", "FETCH b").1).collect();
+        let mut disconnecting = Session::open(&site, "strict").expect("session");
+        disconnecting.send(&id, "FETCH a");
+        drop(disconnecting);
+        let others: Vec<_> =
+            (0..3).map(|_| run_until_served(&site, "strict", "FETCH b").1).collect();
         assert_eq!(others, [own("b"), own("b"), own("b")]);
     }
-    // Two statements at once on one connection are answered in their order.
+    // Two pipelined statements on one connection get their replies in order.
     let (one, two) = (fresh_id(), fresh_id());
     databases.inject(&one, &[Late(30)]);
-    let mut both = Session::open(&site, "strict").expect("session");
-    both.send(&one, "FETCH a");
-    both.send(&two, "FETCH b");
-    assert_eq!((both.answer(&one), both.answer(&two)), (own("a"), own("b")));
+    let mut pipelined = Session::open(&site, "strict").expect("session");
+    pipelined.send(&one, "FETCH a");
+    pipelined.send(&two, "FETCH b");
+    assert_eq!((pipelined.answer(&one), pipelined.answer(&two)), (own("a"), own("b")));
 }
 
 #[test]
-fn in_a_crowd_each_session_gets_its_own_answers() {
+fn concurrent_sessions_get_their_own_replies() {
     let databases = StandIn::start("ledger", 3).expect("databases");
     let site = start_pooler(&databases);
     std::thread::scope(|threads| {
@@ -340,7 +354,7 @@
                 for round in 0..60 {
                     let route = if round % 3 == 0 { "strict" } else { "loose" };
                     let Some(mut session) = Session::open(site, route) else { continue };
-                    // Each is answered in order, or the session ends: see `answer`.
+                    // Replies arrive in order, or the session ends, see `answer`.
                     for step in 0..4 {
                         let id = fresh_id();
                         match (place + round + step) % 9 {
@@ -366,7 +380,7 @@
                             writes.push((id, end));
                         }
                         if round % 5 == 4 && step == 2 {
-                            // It goes away with a statement under way.
+                            // The client disconnects with a statement in progress.
                             session.send(&fresh_id(), &text);
                             break;
                         }
@@ -384,7 +398,7 @@
 }
 
 #[test]
-fn settings_sent_in_a_transaction_that_is_gone_are_sent_anew() {
+fn settings_sent_in_a_rolled_back_transaction_are_replayed() {
     let databases = StandIn::start("ledger", 2).expect("databases");
     let site = start_pooler(&databases);
     for round in 0..3 {
@@ -392,21 +406,21 @@
         let one = format!("CONFIGURE tenant one{round}");
         let two = format!("two{round}");
         let texts = [&one, "FETCH =tenant", "BEGIN", "FETCH a", &format!("CONFIGURE tenant {two}")];
-        let mut session = prepared(&site, "strict", &id, &texts).expect("open");
+        let mut session = session_after(&site, "strict", &id, &texts).expect("open");
         assert_eq!(session.ask(&id, "FETCH =tenant"), ("own T".to_owned(), two.clone()));
         let end = fresh_id();
         databases.inject(&end, &[RolledBack]);
         assert_eq!(session.ask(&end, "COMMIT").0, "ROLLEDBACK I");
-        // It was acknowledged to the client, so it holds.
+        // The setting was acknowledged to the client, so it stays in force.
         assert_eq!(session.ask(&id, "FETCH =tenant"), ("own I".to_owned(), two));
     }
 }
 
 #[test]
-fn an_answer_that_comes_after_the_lease_is_not_passed_on() {
+fn a_reply_that_arrives_after_the_lease_expired_is_not_forwarded() {
     let databases = StandIn::start("ledger", 2).expect("databases");
     let mut site = start_pooler(&databases);
-    // The first write, the last of a transaction, a read at the primary only.
+    // A write outside a transaction, a commit, a read on the primary.
     let cases: [(&[&str], &str, &str); 3] = [
         (&[], "STORE a a", "UNKNOWN I"),
         (&["BEGIN", "STORE a a"], "COMMIT", "UNKNOWN I"),
@@ -417,7 +431,7 @@
         .map(|(before, text, end)| {
             let id = fresh_id();
             databases.inject(&id, &[Late(3_000); 8]);
-            (prepared(&site, "strict", &fresh_id(), before).expect("open"), id, *text, *end)
+            (session_after(&site, "strict", &fresh_id(), before).expect("open"), id, *text, *end)
         })
         .collect();
     site.controller = None;
@@ -459,7 +473,7 @@
     site
 }
 
-/// One request on a connection of its own: the status, the head and the body.
+/// Sends one request on a new connection. Returns the status, the head and the body.
 fn request(site: &Site, method: &str, path: &str, id: Option<&str>) -> (u16, String, Vec<u8>) {
     let mut client = TcpStream::connect(site.frontend).expect("frontend");
     client.set_read_timeout(Some(Duration::from_secs(10))).expect("timeout");
@@ -476,12 +490,12 @@
 }
 
 #[test]
-fn a_request_reaches_a_database_as_often_as_it_may_and_its_answer_is_its_own() {
+fn requests_are_retried_only_where_allowed_and_get_their_own_responses() {
     use Behaviour::*;
     let databases = StandInEndpoints::start("query", 4).expect("databases");
     let site = start_gateway(&databases);
-    // What the databases do in turn; the status and how often it ran, where it may be repeated and where
-    // not.
+    // (the behaviours of the databases in turn, then the expected status and number of runs on a
+    // route with retries, and the same on a route without)
     let cases: [(&[Behaviour], u16, usize, u16, usize); 16] = [
         (&[Serve], 200, 1, 200, 1),
         (&[Continue], 200, 1, 200, 1),
@@ -494,10 +508,11 @@
         (&[TruncateAfterHead, Serve], 200, 2, 502, 1),
         (&[Truncate, Serve], 200, 2, 502, 1),
         (&[Hang, Serve], 200, 2, 504, 1),
-        // The slower response comes when the other has won, and reaches nobody.
+        // The slower response of a hedged request is dropped.
         (&[Late(700), Serve], 200, 2, 200, 1),
         (&[Serve], 200, 1, 200, 1),
-        // Not run, as the database says; true only while no other may have run it.
+        // The database says that it did not run the request, which is forwarded only if no other
+        // attempt may have run it.
         (&[Full, Full], 503, 2, 503, 2),
         (&[FullLarge(100_000), FullLarge(100_000)], 503, 2, 503, 2),
         (&[TruncateAfterHead, Full], 502, 2, 502, 1),
@@ -515,14 +530,14 @@
                 let id = fresh_id();
                 let (got, head, body) = request(&site, method, path, Some(&id));
                 databases.set_behaviours(&[]);
-                // What follows behind a response has come by then.
+                // Bytes after the response have arrived by then.
                 std::thread::sleep(Duration::from_millis(50));
                 let ran = databases.received(&id).len();
                 let what = format!("{next:?} {method} {path}");
                 assert_eq!(got, status, "{what}");
-                // A busy machine may make one late, so that it is hedged.
-                let most = if path == "/many/x" { runs.max(3) } else { runs };
-                assert!((runs..=most).contains(&ran), "{what}: ran {ran} times");
+                // On a busy machine a response may be late, so that the request is hedged.
+                let max_runs = if path == "/many/x" { runs.max(3) } else { runs };
+                assert!((runs..=max_runs).contains(&ran), "{what}: ran {ran} times");
                 if got == 200 {
                     assert!(head.contains(&format!("Request-Id: {id}\r\n")), "{what}: {head}");
                     let rows: &[u8] = if method == "HEAD" { b"" } else { b"the rows" };
@@ -534,15 +549,15 @@
 }
 
 #[test]
-fn a_promise_is_passed_on_only_while_it_is_true_of_the_whole_request() {
+fn a_not_executed_response_is_forwarded_only_if_no_attempt_may_have_run() {
     use Behaviour::*;
     let databases = StandInEndpoints::start("query", 1).expect("databases");
     let site = start_gateway(&databases);
     // A reused connection is reset after the request ran, and the second attempt is refused.
     for second in [FullLarge(100_000), Full] {
-        let rested = fresh_id();
-        eventually("a connection that rests", || {
-            request(&site, "GET", "/many/x", Some(&rested)).0 == 200
+        let first_id = fresh_id();
+        eventually("an idle connection", || {
+            request(&site, "GET", "/many/x", Some(&first_id)).0 == 200
         });
         databases.set_behaviours(&[Reset, second]);
         let id = fresh_id();
@@ -552,16 +567,16 @@
         assert_eq!((status, ran), (502, 2), "{second:?}: {head}");
         eventually("fresh databases", || databases.send_heartbeats(site.admin, 3));
     }
-    let two = StandInEndpoints::start("query", 2).expect("databases");
-    let site = start_gateway(&two);
-    two.set_behaviours(&[Reset, FullLarge(100_000)]);
+    let databases = StandInEndpoints::start("query", 2).expect("databases");
+    let site = start_gateway(&databases);
+    databases.set_behaviours(&[Reset, FullLarge(100_000)]);
     let id = fresh_id();
     let (status, head, _) = request(&site, "GET", "/many/x", Some(&id));
-    assert_eq!((status, two.received(&id).len()), (502, 2), "{head}");
+    assert_eq!((status, databases.received(&id).len()), (502, 2), "{head}");
 }
 
 #[test]
-fn an_answer_too_many_is_no_later_requests_with_or_without_an_id() {
+fn a_duplicate_response_is_never_taken_for_a_later_requests_response() {
     let databases = StandInEndpoints::start("query", 1).expect("databases");
     let site = start_gateway(&databases);
     for kind in ["many", "once"] {
@@ -587,13 +602,13 @@
     }
 }
 
-/// Takes so many bytes, then fails.
-struct Breaks(usize);
-impl Write for Breaks {
+/// A writer that accepts this number of bytes and then fails.
+struct FailingWriter(usize);
+impl Write for FailingWriter {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
-        let taken = bytes.len().min(self.0).min(4);
-        self.0 -= taken;
-        if taken == 0 { Err(std::io::ErrorKind::ConnectionReset.into()) } else { Ok(taken) }
+        let accepted = bytes.len().min(self.0).min(4);
+        self.0 -= accepted;
+        if accepted == 0 { Err(std::io::ErrorKind::ConnectionReset.into()) } else { Ok(accepted) }
     }
     fn flush(&mut self) -> std::io::Result<()> {
         Ok(())
@@ -601,7 +616,7 @@
 }
 
 #[test]
-fn once_a_byte_has_left_a_request_may_have_run() {
+fn a_request_may_have_run_once_one_byte_was_sent() {
     use silvertack::gateway::attempts::AttemptOutcome;
     use silvertack::gateway::endpoint_attempt::write_request;
     let cases = [
@@ -611,17 +626,17 @@
         (10, Err(AttemptOutcome::MayHaveExecuted)),
         (11, Ok(())),
     ];
-    for (takes, ended) in cases {
+    for (accepted, outcome) in cases {
         assert_eq!(
-            write_request(&mut Breaks(takes), &[b"the head", b"row"]),
-            ended,
-            "{takes} bytes"
+            write_request(&mut FailingWriter(accepted), &[b"the head", b"row"]),
+            outcome,
+            "{accepted} bytes"
         );
     }
 }
 
 #[test]
-fn an_answer_with_two_ids_is_nobodys() {
+fn a_response_with_two_different_request_ids_is_rejected() {
     let cases = [("a", true), ("b", false), ("", false)];
     for (second, same) in cases {
         let head = format!("HTTP/1.1 200 OK\r\nRequest-Id: a\r\nRequest-Id: {second}\r\n\r\n");
@@ -631,13 +646,13 @@
 }
 
 // ---------------------------------------------------------------------------------------------
-// Calls between own processes, and the system's own questions to databases
+// HTTP calls between the project's processes, and descriptions of databases
 
 #[test]
-fn a_call_gets_its_own_answer_or_none() {
+fn a_call_gets_its_own_response_or_an_error() {
     use silvertack::net::http::{Response, call, serve};
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("listener");
-    let at = listener.local_addr().expect("address");
+    let address = listener.local_addr().expect("address");
     serve(listener, "echo", 8, |request| {
         if request.path.starts_with("/slow") {
             std::thread::sleep(Duration::from_millis(300));
@@ -645,26 +660,27 @@
         Response::json(200, request.path.into_bytes())
     })
     .expect("served");
-    let ask = |path: &str, ms| call(at, "GET", path, &[], b"", Duration::from_millis(ms)).ok();
-    // One that gave up is followed by another: each call has a connection of its own.
+    let ask = |path: &str, ms| call(address, "GET", path, &[], b"", Duration::from_millis(ms)).ok();
+    // A call after one that timed out: each call has a connection of its own.
     assert_eq!(ask("/slow/1", 60), None);
     assert_eq!(ask("/quick/1", 5_000).expect("an answer").body, b"/quick/1");
     assert_eq!(ask("/slow/2", 5_000).expect("an answer").body, b"/slow/2");
-    // On a kept connection answers come in the order of the calls, the late one first.
-    let mut kept = TcpStream::connect(at).expect("connection");
-    kept.set_read_timeout(Some(Duration::from_secs(5))).expect("timeout");
-    kept.write_all(
-        b"GET /slow/3 HTTP/1.1\r\n\r\nGET /quick/3 HTTP/1.1\r\nConnection: close\r\n\r\n",
-    )
-    .expect("sent");
+    // On a keep-alive connection responses arrive in the order of the requests, the slow one first.
+    let mut stream = TcpStream::connect(address).expect("connection");
+    stream.set_read_timeout(Some(Duration::from_secs(5))).expect("timeout");
+    stream
+        .write_all(
+            b"GET /slow/3 HTTP/1.1\r\n\r\nGET /quick/3 HTTP/1.1\r\nConnection: close\r\n\r\n",
+        )
+        .expect("sent");
     let mut all = String::new();
-    kept.read_to_string(&mut all).expect("answers");
+    stream.read_to_string(&mut all).expect("answers");
     let (slow, quick) = (all.find("/slow/3"), all.find("/quick/3"));
     assert!(slow.is_some() && slow < quick, "{all}");
 }
 
 #[test]
-fn what_is_no_whole_answer_is_none_to_a_call() {
+fn a_call_rejects_an_incomplete_response() {
     use silvertack::net::http::call;
     let good = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}";
     let cases: [(String, Option<u16>); 7] = [
@@ -678,25 +694,25 @@
     ];
     for (answer, status) in cases {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("listener");
-        let at = listener.local_addr().expect("address");
-        let answers = answer.clone();
+        let address = listener.local_addr().expect("address");
+        let response = answer.clone();
         std::thread::spawn(move || {
             let (mut stream, _) = listener.accept().expect("a caller");
             let _ = stream.read(&mut [0; 4096]);
-            let _ = stream.write_all(answers.as_bytes());
+            let _ = stream.write_all(response.as_bytes());
         });
-        let got = call(at, "POST", "/failovers", &[], b"{}", Duration::from_secs(5));
+        let got = call(address, "POST", "/failovers", &[], b"{}", Duration::from_secs(5));
         assert_eq!(got.ok().map(|response| response.status), status, "{answer:?}");
     }
 }
 
 #[test]
-fn a_row_counts_only_with_its_success() {
+fn a_description_is_valid_only_if_its_reply_is_a_success() {
     use silvertack::net::statement_protocol::reply;
     let row = "ROW replica 3 3.1209 0 12 2 17\r\n";
     let cases = [
         (format!("{row}COMPLETE -\r\nREADY I -\r\n"), true),
-        // It began to answer PAUSE, and failed.
+        // The database sent a row for PAUSE, and then an error.
         (format!("{row}ERROR FAILED oh\r\nREADY I -\r\n"), false),
         ("ERROR THROTTLED no\r\nREADY I -\r\n".to_owned(), false),
         ("READY I -\r\n".to_owned(), false),
