--- a/src/pooler/leader_messages.rs
+++ b/src/pooler/leader_messages.rs
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Resets what was reported to the leader: it has to be reported anew on each connection.
+    /// Resets what was reported to the leader: it has to be reported again on each connection.
     fn on_connected(&self) {
         for service in lock(&self.view).services.values_mut() {
             service.quota.clear_reported();
--- a/src/pooler/pool.rs
+++ b/src/pooler/pool.rs
@@ -38,7 +38,7 @@
 /// Whether a database that has been draining since `since` (0 if it is not draining) must receive
 /// no new statements. This also applies to a primary: where all databases of a service drain, a
 /// draining one may have been promoted.
-pub fn drain_time_over(since: Tick, now: Tick, drain_ms: u64) -> bool {
+pub fn drain_period_over(since: Tick, now: Tick, drain_ms: u64) -> bool {
     since.0 > 0 && now.plus(DRAIN_MARGIN_MS) > since.plus(drain_ms)
 }
 
@@ -186,7 +186,7 @@
         self.address == entry.address && self.zone == entry.zone
     }
 
-    /// Whether the backoff after a failure lasts.
+    /// Whether the database is not to be used yet after a failure.
     pub(crate) fn is_down(&self, now: Tick) -> bool {
         now.0 < self.down_until.load(Ordering::Relaxed)
     }
@@ -197,8 +197,8 @@
     }
 
     /// Whether the database has been draining for so long that it must receive no new statements.
-    pub(crate) fn drain_time_over(&self, now: Tick, drain_ms: u64) -> bool {
-        drain_time_over(Tick(self.draining_since.load(Ordering::Relaxed)), now, drain_ms)
+    pub(crate) fn drain_period_over(&self, now: Tick, drain_ms: u64) -> bool {
+        drain_period_over(Tick(self.draining_since.load(Ordering::Relaxed)), now, drain_ms)
     }
 
     /// Whether reads skip the replica because it recently lagged behind the position of a read.
--- a/src/pooler/server.rs
+++ b/src/pooler/server.rs
@@ -127,7 +127,7 @@
         let view = lock(&self.view);
         let lease = view.services.get(service)?.lease.active(now)?;
         let pool = view.pools.get(lease.primary)?;
-        let drained = pool.drain_time_over(now, self.drain_ms.load(Ordering::Relaxed));
+        let drained = pool.drain_period_over(now, self.drain_ms.load(Ordering::Relaxed));
         (!drained).then(|| Primary { term: lease.term, pool: Arc::clone(pool) })
     }
 
--- a/tests/reroute.rs
+++ b/tests/reroute.rs
@@ -7,7 +7,7 @@
 use silvertack::pooler::admission::Admission;
 use silvertack::pooler::latency::LatencyEstimator;
 use silvertack::pooler::leases::ConnectionQuota;
-use silvertack::pooler::pool::drain_time_over;
+use silvertack::pooler::pool::drain_period_over;
 use silvertack::pooler::replica_reads::ReadWatermarks;
 use silvertack::pooler::reroute::{
     LossOutcome, SessionReroute, StatementDecision, StatementKind, StatementPlan,
@@ -274,7 +274,7 @@
     ];
     for (since, now, drain_ms, over) in cases {
         assert_eq!(
-            drain_time_over(Tick(since), Tick(now), drain_ms),
+            drain_period_over(Tick(since), Tick(now), drain_ms),
             over,
             "{since} {now} {drain_ms}"
         );
