--- a/src/state_machine/commands.rs
+++ b/src/state_machine/commands.rs
@@ -1,23 +1,23 @@
-//! The commands of the replicated log and the outcome of applying one.
+//! Commands stored in the replicated log, and the outcomes of applying them.
 use crate::base::ids::{DbTerm, InstanceId, Revision, ServiceName};
 use crate::config::directory::Instance;
 use serde::{Deserialize, Serialize};
 use serde_bytes::ByteBuf;
 use std::collections::BTreeMap;
 
-/// A change of the replicated state, as it is stored in a log entry.
+/// A change of the replicated state, as stored in a log entry.
 ///
-/// Variant names and the order of the fields are part of the stored form.
+/// The serialized variant names and the order of the fields are part of the storage format.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// Replaces the operator's configuration.
+    /// Replaces the active configuration with one that the operator sent.
     #[serde(rename = "Configure")]
     PutConfiguration {
-        /// The revision that must be in force for the command to apply.
+        /// The revision that must be active for the command to apply.
         base: Revision,
         /// The new revision.
         revision: Revision,
-        /// The configuration, byte for byte as the operator sent it.
+        /// The configuration, unchanged as the operator sent it.
         body: ByteBuf,
     },
     /// Adds or updates a database in the directory.
@@ -25,37 +25,38 @@
     Heartbeat {
         /// The database that sent the heartbeat.
         id: InstanceId,
-        /// What the heartbeat says about the database.
+        /// The properties of the database that the heartbeat reports.
         instance: Instance,
-        /// The number of the heartbeat; a database counts them upwards.
+        /// The sequence number of the heartbeat; it grows with each heartbeat of the database.
         sequence: u64,
     },
     /// Removes a database from the directory.
     #[serde(rename = "Gone")]
     RemoveInstance {
-        /// The database.
+        /// The database to remove.
         id: InstanceId,
-        /// Heartbeats up to this sequence number must not add the database again.
+        /// Heartbeats up to this sequence number are ignored, so that a delayed one does not add
+        /// the database again.
         sequence: u64,
     },
-    /// Records the primary of a term.
+    /// Records the primary of a new term.
     #[serde(rename = "Led")]
     SetPrimary {
         /// The service.
         service: ServiceName,
-        /// The term in which the primary writes.
+        /// The term in which the primary accepts writes.
         term: DbTerm,
         /// The primary.
         primary: InstanceId,
     },
-    /// Records the decision to promote a replica, before the replica is asked to.
+    /// Records the decision to promote a replica, before its promotion is requested.
     #[serde(rename = "Intend")]
     BeginFailover {
         /// The service.
         service: ServiceName,
         /// The term that must be current for the command to apply.
         term: DbTerm,
-        /// The replica that is to become primary.
+        /// The replica to promote.
         target: InstanceId,
     },
     /// Withdraws the decision to promote `target`.
@@ -63,10 +64,11 @@
     AbandonFailover {
         /// The service.
         service: ServiceName,
-        /// The replica that was to become primary.
+        /// The replica that was to be promoted.
         target: InstanceId,
     },
-    /// Enough listed replicas have every commit that was acknowledged before these replicas left.
+    /// Stops tracking departed replicas: enough registered replicas have every commit that was
+    /// acknowledged before these left.
     #[serde(rename = "Covered")]
     ForgetDeparted {
         /// The service.
@@ -74,7 +76,7 @@
         /// The departed replicas, each with its last heartbeat sequence number.
         departed: BTreeMap<InstanceId, u64>,
     },
-    /// The primary of this term crashed and returned with its log under another id.
+    /// Replaces the id of a primary that crashed and came back with its log under a new id.
     #[serde(rename = "Returned")]
     PrimaryReturned {
         /// The service.
@@ -89,15 +91,15 @@
 /// The outcome of applying a [`Command`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommandOutcome {
-    /// The state has changed.
+    /// The command changed the state.
     Applied,
-    /// The state already was as the command asks, or the command no longer applies.
+    /// The state was already as the command requests, or the command no longer applies.
     NoChange,
-    /// The configuration that the command is based on is not the one in force.
+    /// The configuration that the command is based on is not the active one.
     StaleBase,
-    /// The new revision is not above the one in force.
+    /// The new revision is not above the active one.
     RevisionNotAbove,
-    /// The revision is older than the history of accepted configurations reaches, so it is not
-    /// known whether it was accepted once.
+    /// The revision precedes the retained history of accepted configurations, so it is unknown
+    /// whether it was accepted before.
     HistoryExpired,
 }
--- a/src/state_machine/configuration_history.rs
+++ b/src/state_machine/configuration_history.rs
@@ -1,4 +1,4 @@
-//! The configuration in force and the digests of those accepted before.
+//! The active configuration, and digests of the accepted ones by which retries are recognized.
 use super::commands::CommandOutcome;
 use super::validation::StateError;
 use crate::base::ids::Revision;
@@ -8,30 +8,30 @@
 use sha2::{Digest as _, Sha256};
 use std::collections::BTreeMap;
 
-/// The number of accepted configurations whose digests are kept. One takes about 40 bytes of a
-/// snapshot.
-const ACCEPTED_DIGESTS_KEPT: usize = 4096;
+/// The number of accepted configurations whose digests are retained. A digest takes about 40 bytes
+/// of a snapshot.
+const MAX_ACCEPTED_DIGESTS: usize = 4096;
 
-/// The operator's configuration, with what is needed to recognize a retry of an earlier one.
+/// The operator's configuration, with the digests needed to recognize a retry of an earlier one.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct ConfigurationHistory {
-    /// The configuration in force, byte for byte as it was sent; empty before the first.
+    /// The active configuration, unchanged as it was sent; empty before the first.
     pub(super) body: ByteBuf,
-    /// The revision in force; 0 before the first.
+    /// The active revision; 0 before the first.
     pub(super) revision: Revision,
-    /// The digest of each accepted configuration, so that a retry is recognized.
+    /// Digests of the accepted configurations, to recognize retries.
     pub(super) accepted: BTreeMap<Revision, BodyDigest>,
 }
 
 impl ConfigurationHistory {
-    /// What `Command::PutConfiguration` would result in now.
+    /// The outcome that `Command::PutConfiguration` would have in the current state.
     pub(super) fn evaluate(
         &self,
         base: Revision,
         revision: Revision,
         body: &[u8],
     ) -> CommandOutcome {
-        // A retry of an accepted configuration succeeds for ever, also after newer ones.
+        // A retry of an accepted configuration always succeeds, even if a newer one is active.
         if self.accepted.get(&revision).is_some_and(|digest| digest.matches(body)) {
             CommandOutcome::NoChange
         } else if base != self.revision {
@@ -46,13 +46,13 @@
         }
     }
 
-    /// Whether the revision may have been accepted and its digest dropped since.
+    /// Whether the revision may have been accepted and its digest discarded since.
     fn may_have_expired(&self, revision: Revision) -> bool {
-        self.accepted.len() >= ACCEPTED_DIGESTS_KEPT
+        self.accepted.len() >= MAX_ACCEPTED_DIGESTS
             && self.accepted.first_key_value().is_some_and(|(oldest, _)| revision < *oldest)
     }
 
-    /// Puts a configuration in force if [`Self::evaluate`] allows it.
+    /// Activates a configuration if [`Self::evaluate`] allows it.
     pub(super) fn put(
         &mut self,
         base: Revision,
@@ -62,7 +62,7 @@
         let outcome = self.evaluate(base, revision, body);
         if outcome == CommandOutcome::Applied {
             self.accepted.insert(revision, BodyDigest::of(body));
-            while self.accepted.len() > ACCEPTED_DIGESTS_KEPT {
+            while self.accepted.len() > MAX_ACCEPTED_DIGESTS {
                 self.accepted.pop_first();
             }
             self.revision = revision;
@@ -71,7 +71,7 @@
         outcome
     }
 
-    /// The configuration in force, or none before the first.
+    /// The active configuration; `None` before the first.
     pub(super) fn configuration(&self) -> Result<Option<Configuration>, StateError> {
         if self.body.is_empty() {
             return Ok(None);
@@ -81,21 +81,21 @@
             .map_err(|source| StateError::Configuration { revision: self.revision, source })
     }
 
-    /// Whether all digests are of the kind that the first layout of the stored state knows.
+    /// Whether the first layout of the stored state can represent all digests.
     pub(super) fn fits_first_layout(&self) -> bool {
         self.accepted.values().all(|digest| matches!(digest, BodyDigest::Fnv(..)))
     }
 }
 
-/// Distinguishes a retry from another body with the same revision.
+/// A digest of a configuration, to tell a retry from a different body with the same revision.
 ///
-/// Part of the stored form: untagged, so the variants are told apart by their shape.
+/// Part of the storage format: untagged, so the variants are distinguished by their shape.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub(super) enum BodyDigest {
     Sha256(ByteArray<32>),
-    /// Length and 64-bit FNV-1a hash, from states written before SHA-256 was used. A body is
-    /// compared in the kind that was stored for it; no new digests of this kind are made.
+    /// Length and 64-bit FNV-1a hash, from states written before SHA-256 was used. Stored digests
+    /// of this kind are still compared; new ones are not created.
     Fnv(u64, u64),
 }
 
