--- a/src/state_machine/snapshot_codec.rs
+++ b/src/state_machine/snapshot_codec.rs
@@ -1,7 +1,7 @@
-//! The stored form of the replicated state, as it stands in snapshots.
+//! Encoding and decoding of the replicated state in snapshots.
 //!
-//! A snapshot is an `rmp-serde` array of the fields of [`StoredState`] in their order. States with
-//! content that the first layout has no place for begin with the byte [`STATE_LAYOUT`].
+//! A snapshot is an `rmp-serde` array of the fields of [`StoredState`] in order. A state that the
+//! first layout can't represent is preceded by the byte [`STATE_LAYOUT`].
 use super::StateMachine;
 use super::configuration_history::{BodyDigest, ConfigurationHistory};
 use super::directory::{InstanceDirectory, InstanceRecord};
@@ -13,11 +13,11 @@
 use std::borrow::Cow;
 use std::collections::{BTreeMap, VecDeque};
 
-/// The layout of a state with SHA-256 digests or departed replicas, which the first layout does not
-/// know. This byte precedes such a state.
+/// The number of the layout for states with SHA-256 digests or departed replicas, which the first
+/// layout can't represent. Stored as a byte in front of such a state.
 pub(crate) const STATE_LAYOUT: u8 = 2;
 
-/// The fields of a stored state. Their order and number are part of the stored form.
+/// The fields of a stored state. Their order and number are part of the storage format.
 #[derive(Serialize, Deserialize)]
 struct StoredState<'a> {
     body: Cow<'a, ByteBuf>,
@@ -30,7 +30,7 @@
     departed: Cow<'a, BTreeMap<ServiceName, BTreeMap<InstanceId, u64>>>,
 }
 
-#[allow(clippy::ptr_arg, reason = "serde hands over a reference to the field, a Cow")]
+#[allow(clippy::ptr_arg, reason = "serde passes a reference to the field, which is a Cow")]
 fn no_departed_replicas(
     departed: &Cow<'_, BTreeMap<ServiceName, BTreeMap<InstanceId, u64>>>,
 ) -> bool {
@@ -38,7 +38,7 @@
 }
 
 impl Serialize for StateMachine {
-    /// Writes the fields of the stored form, without the layout byte.
+    /// Serializes the fields of [`StoredState`], without the layout byte.
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         let stored = StoredState {
             body: Cow::Borrowed(&self.configuration.body),
@@ -54,10 +54,10 @@
 }
 
 impl StateMachine {
-    /// Decodes the state of a snapshot, of either layout.
+    /// Decodes the state of a snapshot in either layout.
     ///
     /// # Errors
-    /// The bytes are not a state of a layout that this program knows.
+    /// The bytes are not a state in a layout that this version supports.
     pub fn from_snapshot(bytes: &[u8]) -> std::io::Result<Self> {
         let fields = bytes.strip_prefix(&[STATE_LAYOUT]).unwrap_or(bytes);
         let stored: StoredState<'static> = unpack(fields)?;
@@ -76,8 +76,8 @@
         })
     }
 
-    /// Encodes the state for a snapshot. As long as it holds nothing that the first layout has no
-    /// place for, it is encoded in that one, so that an older program can read it.
+    /// Encodes the state for a snapshot, in the first layout if that can represent it, so that
+    /// older versions can read it.
     pub fn to_snapshot(&self) -> Vec<u8> {
         let first_layout = self.departed.is_empty() && self.configuration.fits_first_layout();
         let prefix: &[u8] = if first_layout { &[] } else { &[STATE_LAYOUT] };
