--- a/src/state_machine/mod.rs
+++ b/src/state_machine/mod.rs
@@ -1,9 +1,9 @@
 //! The replicated state machine: the operator's configuration, the directory of databases, the
 //! primaries of the services, and the commands that change them.
 //!
-//! Every controller applies the committed log entries to its [`StateMachine`] in the order of the
-//! log; the same entries give the same state everywhere. The controller is the only caller that
-//! changes it. Nothing here knows a socket, a clock or a file.
+//! Every controller applies the committed log entries to its [`StateMachine`] in log order, so the
+//! same entries produce the same state everywhere. Only the controller changes it. The code here
+//! does no I/O and doesn't read the clock.
 mod commands;
 mod configuration_history;
 mod directory;
@@ -27,7 +27,7 @@
 use serde_bytes::ByteBuf;
 use std::collections::BTreeMap;
 
-/// The state that the controllers replicate.
+/// The state that the controllers replicate through the Raft log.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StateMachine {
     configuration: ConfigurationHistory,
@@ -74,22 +74,22 @@
         if !self.accepts_heartbeat(id, instance, sequence) {
             return CommandOutcome::NoChange;
         }
-        // A departed replica that is listed again has brought its log back.
+        // The log of a departed replica is available again once the replica is registered again.
         self.departed.remove(&instance.target_service, id);
         self.directory.insert(id, instance, sequence);
         CommandOutcome::Applied
     }
 
     fn remove_instance(&mut self, id: &InstanceId, sequence: u64) -> CommandOutcome {
-        let Some(record) = self.directory.unlist(id) else {
+        let Some(record) = self.directory.remove(id) else {
             return CommandOutcome::NoChange;
         };
-        let last = record.sequence.max(sequence);
-        self.directory.remember_removed(id, last);
+        let last_sequence = record.sequence.max(sequence);
+        self.directory.remember_removed(id, last_sequence);
         let service = record.instance.target_service;
-        // No commit is acknowledged before a service has a primary.
+        // A service that never had a primary has no acknowledged commits that could be lost.
         if self.primaries.by_service.contains_key(&service) {
-            self.departed.insert(service, id, last);
+            self.departed.insert(service, id, last_sequence);
         }
         CommandOutcome::Applied
     }
@@ -100,17 +100,17 @@
         term: DbTerm,
         primary: &InstanceId,
     ) -> CommandOutcome {
-        let Some(old) = self.primaries.replace_id(service, term, primary) else {
+        let Some(old) = self.primaries.replace_primary_id(service, term, primary) else {
             return CommandOutcome::NoChange;
         };
-        // The old id names the same log, not another replica, and is never used again.
-        self.directory.unlist(&old);
+        // The old id stands for the same log, not for another replica, and is never used again.
+        self.directory.remove(&old);
         self.directory.remember_removed(&old, u64::MAX);
         self.departed.remove(service, &old);
         CommandOutcome::Applied
     }
 
-    /// What `Command::PutConfiguration` would result in now.
+    /// The outcome that `Command::PutConfiguration` would have in the current state.
     pub fn evaluate_configuration(
         &self,
         base: Revision,
@@ -120,42 +120,42 @@
         self.configuration.evaluate(base, revision, body)
     }
 
-    /// Whether a heartbeat says something that has to be recorded.
+    /// Whether a heartbeat changes the directory and therefore has to be recorded.
     pub fn accepts_heartbeat(&self, id: &InstanceId, instance: &Instance, sequence: u64) -> bool {
         self.directory.accepts(id, instance, sequence)
     }
 
-    /// Whether any configuration or database was recorded yet. Until then, the controller that
-    /// founds the Raft group waits for enough other controllers; afterwards there may be fewer for
-    /// a moment, while one is replaced.
+    /// Whether a configuration or a database has been recorded. Until then, the controller that
+    /// bootstraps the Raft group waits for enough other controllers; afterwards there may be fewer
+    /// for a short time, while one is replaced.
     pub fn is_initialized(&self) -> bool {
         !self.configuration.body.is_empty() || !self.directory.instances().is_empty()
     }
 
-    /// The configuration in force, or none before the first.
+    /// The active configuration; `None` before the first.
     ///
     /// # Errors
-    /// There is a configuration in force that this program can't read.
+    /// The active configuration is invalid for this version.
     pub fn configuration(&self) -> Result<Option<Configuration>, StateError> {
         self.configuration.configuration()
     }
 
-    /// The configuration in force, byte for byte as the operator sent it; empty before the first.
+    /// The active configuration, unchanged as the operator sent it; empty before the first.
     pub fn configuration_body(&self) -> &ByteBuf {
         &self.configuration.body
     }
 
-    /// The revision of the configuration in force; 0 before the first.
+    /// The revision of the active configuration; 0 before the first.
     pub fn revision(&self) -> Revision {
         self.configuration.revision
     }
 
-    /// The directory of databases.
+    /// The registered databases.
     pub fn instances(&self) -> &BTreeMap<InstanceId, InstanceRecord> {
         self.directory.instances()
     }
 
-    /// The databases of a service.
+    /// The registered databases of a service.
     pub(crate) fn instances_of(
         &self,
         service: &ServiceName,
@@ -163,18 +163,19 @@
         self.directory.of_service(service)
     }
 
-    /// The services that have a database in the directory.
+    /// The services that have at least one registered database.
     pub(crate) fn services_with_instances(&self) -> impl Iterator<Item = &ServiceName> {
         self.directory.services()
     }
 
-    /// The primary of each service that ever had one.
+    /// The current or last primary of each service that ever had one.
     pub fn primaries(&self) -> &BTreeMap<ServiceName, PrimaryRecord> {
         &self.primaries.by_service
     }
 
-    /// The replicas of a service that left with commits that listed replicas may not have, each with
-    /// its last heartbeat sequence number. The primary is left out: its log is known to be missing.
+    /// The departed replicas of a service, which may hold commits that no registered replica has,
+    /// each with its last heartbeat sequence number. Excludes the primary, whose log is known to be
+    /// missing.
     pub fn departed_replicas(&self, service: &ServiceName) -> BTreeMap<InstanceId, u64> {
         let mut departed = self.departed.of_service(service);
         if let Some(record) = self.primaries.by_service.get(service) {
--- a/src/state_machine/primaries.rs
+++ b/src/state_machine/primaries.rs
@@ -1,22 +1,22 @@
-//! The primaries of the services, and the replicas that left and may hold commits of their own.
+//! The primaries of the services, and departed replicas that may hold commits no other replica has.
 use super::commands::CommandOutcome;
 use crate::base::ids::{DbTerm, InstanceId, ServiceName};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The number of departed replicas that are remembered for a service. As many as there are
-/// synchronous replicas already rule out every choice of a new primary.
-const DEPARTED_KEPT: usize = 64;
+/// The number of departed replicas that are remembered for each service. Once as many have departed
+/// as there are synchronous replicas, no new primary can be chosen, whatever else is remembered.
+const MAX_DEPARTED_PER_SERVICE: usize = 64;
 
 /// The primary of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PrimaryRecord {
-    /// The term in which it writes.
+    /// The term in which it accepts writes.
     pub term: DbTerm,
     /// The primary of that term.
     pub primary: InstanceId,
-    /// The replica that was chosen as the next primary; its promotion may not have happened yet.
-    /// Nothing else may be decided before this failover has ended.
+    /// The replica chosen as the next primary, which may not have been promoted yet. No other
+    /// decision on the service is made before this failover has ended.
     pub intent: Option<InstanceId>,
 }
 
@@ -27,7 +27,7 @@
 }
 
 impl Primaries {
-    /// Records the primary of a term, if the term is newer than the recorded one.
+    /// Records the primary of a term that is newer than the recorded one.
     pub(super) fn set(
         &mut self,
         service: &ServiceName,
@@ -42,20 +42,20 @@
         CommandOutcome::Applied
     }
 
-    /// The record of a service, if `term` is current and no failover is under way.
-    fn stable(&mut self, service: &ServiceName, term: DbTerm) -> Option<&mut PrimaryRecord> {
+    /// The record of a service, if `term` is current and no failover is in progress.
+    fn stable_record(&mut self, service: &ServiceName, term: DbTerm) -> Option<&mut PrimaryRecord> {
         let record = self.by_service.get_mut(service)?;
         (record.term == term && record.intent.is_none()).then_some(record)
     }
 
-    /// Records the replica that is to become primary.
+    /// Records the decision to promote `target`.
     pub(super) fn begin_failover(
         &mut self,
         service: &ServiceName,
         term: DbTerm,
         target: &InstanceId,
     ) -> CommandOutcome {
-        match self.stable(service, term) {
+        match self.stable_record(service, term) {
             Some(record) => {
                 record.intent = Some(target.clone());
                 CommandOutcome::Applied
@@ -79,22 +79,24 @@
         }
     }
 
-    /// Gives the primary of a term its new id; returns the old one, or none if `term` is not current
-    /// or a failover is under way.
-    pub(super) fn replace_id(
+    /// Replaces the id of the primary of `term` and returns the old id; `None` if `term` is not
+    /// current or a failover is in progress.
+    pub(super) fn replace_primary_id(
         &mut self,
         service: &ServiceName,
         term: DbTerm,
         primary: &InstanceId,
     ) -> Option<InstanceId> {
-        let record = self.stable(service, term)?;
+        let record = self.stable_record(service, term)?;
         Some(std::mem::replace(&mut record.primary, primary.clone()))
     }
 }
 
-/// Replicas that left with a log that may hold commits that no listed replica has, each with its
-/// last heartbeat sequence number. They count like replicas that don't respond, until enough listed
-/// replicas have every commit that was acknowledged before they left.
+/// Replicas removed from the directory whose logs may hold commits that no registered replica has,
+/// each with its last heartbeat sequence number.
+///
+/// They count as unresponsive replicas until enough registered replicas have every commit that was
+/// acknowledged before they left.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct DepartedReplicas {
     pub(super) by_service: BTreeMap<ServiceName, BTreeMap<InstanceId, u64>>,
@@ -106,24 +108,24 @@
         self.by_service.get(service).cloned().unwrap_or_default()
     }
 
-    /// Remembers a replica that left.
-    pub(super) fn insert(&mut self, service: ServiceName, id: &InstanceId, last: u64) {
+    /// Adds a replica whose last heartbeat had the sequence number `last_sequence`.
+    pub(super) fn insert(&mut self, service: ServiceName, id: &InstanceId, last_sequence: u64) {
         let departed = self.by_service.entry(service).or_default();
-        departed.insert(id.clone(), last);
-        if departed.len() > DEPARTED_KEPT {
+        departed.insert(id.clone(), last_sequence);
+        if departed.len() > MAX_DEPARTED_PER_SERVICE {
             departed.pop_first();
         }
     }
 
-    /// Forgets a replica that is listed again, or whose id is never used again. An empty set of the
-    /// service stays, as it is part of the stored form.
+    /// Removes a replica that is registered again, or whose id is never used again. An empty map
+    /// is kept for the service, as it is part of the storage format.
     pub(super) fn remove(&mut self, service: &ServiceName, id: &InstanceId) {
         if let Some(departed) = self.by_service.get_mut(service) {
             departed.remove(id);
         }
     }
 
-    /// Forgets replicas whose commits are covered by listed ones.
+    /// Removes departed replicas whose acknowledged commits registered replicas have.
     pub(super) fn forget(
         &mut self,
         service: &ServiceName,
@@ -132,7 +134,8 @@
         let Some(departed) = self.by_service.get_mut(service) else {
             return CommandOutcome::NoChange;
         };
-        // A replica that was listed again in between has left with a higher sequence number.
+        // A replica that registered again and left again has a higher sequence number than the
+        // one in the command, and stays.
         departed.retain(|id, last| covered.get(id) != Some(last));
         if departed.is_empty() {
             self.by_service.remove(service);
