--- a/src/controller/core.rs
+++ b/src/controller/core.rs
@@ -25,7 +25,7 @@
 use crate::raft::storage::StorageError;
 use crate::raft::validation::UnreadableMessage;
 use crate::state_machine::{
-    Command, StateError, StateMachine, read_persistent_state, validate_message,
+    Command, StateError, StateMachine, decode_persistent_state, validate_message,
 };
 use log::{error, info, warn};
 use serde_bytes::ByteBuf;
@@ -110,7 +110,7 @@
         let applied = state.snapshot.last_included.index;
         info!(target: "raft", "member {} starts at term {}, entry {}", state.member_id, state.term,
             state.log.last().map_or(applied, |e| e.index));
-        let state_machine = read_persistent_state(&state)?;
+        let state_machine = decode_persistent_state(&state)?;
         let config = state_machine.configuration().map_err(|e| Fatal::State(e.to_string()))?;
         let mut controller = Self {
             raft: RaftNode::new(state, restarted, now, random),
--- a/src/state_machine/mod.rs
+++ b/src/state_machine/mod.rs
@@ -15,7 +15,7 @@
 pub use directory::InstanceRecord;
 pub use primaries::PrimaryRecord;
 pub(crate) use snapshot_codec::STATE_LAYOUT;
-pub use validation::{StateError, read_persistent_state, validate_message};
+pub use validation::{StateError, decode_persistent_state, validate_message};
 pub(crate) use validation::{decode_command, decode_snapshot};
 
 use crate::base::ids::{DbTerm, InstanceId, Revision, ServiceName};
--- a/src/state_machine/validation.rs
+++ b/src/state_machine/validation.rs
@@ -1,5 +1,7 @@
-//! Decoding of log entries and snapshots, and the check that this program can read all of them
-//! before it accepts them from another controller or starts with them.
+//! Decoding and validation of log entries and snapshots.
+//!
+//! A controller checks that it can decode them before it accepts them from another controller or
+//! starts with them from disk.
 use super::StateMachine;
 use super::commands::Command;
 use crate::base::errors::Fatal;
@@ -9,20 +11,20 @@
 use crate::net::rpc::unpack;
 use crate::raft::state::PersistentState;
 
-/// A part of the replicated state that this program can't read, for example since a newer version
-/// wrote it.
+/// A part of the replicated state that this version can't decode, for example because a newer
+/// version wrote it.
 #[derive(Debug, thiserror::Error)]
 pub enum StateError {
     /// A log entry is not an encoded command.
-    #[error("entry {index} can't be read: {source}")]
+    #[error("cannot decode the command in log entry {index}: {source}")]
     Entry {
         /// The entry.
         index: LogIndex,
         /// Why it can't be decoded.
         source: std::io::Error,
     },
-    /// A log entry holds a configuration that can't be read.
-    #[error("entry {index} can't be read: {source}")]
+    /// A log entry holds an invalid configuration.
+    #[error("invalid configuration in log entry {index}: {source}")]
     EntryConfiguration {
         /// The entry.
         index: LogIndex,
@@ -30,23 +32,23 @@
         source: ConfigurationError,
     },
     /// A snapshot is not an encoded state.
-    #[error("the snapshot at entry {index} can't be read: {source}")]
+    #[error("cannot decode the snapshot at log index {index}: {source}")]
     Snapshot {
         /// The last entry that the snapshot covers.
         index: LogIndex,
         /// Why it can't be decoded.
         source: std::io::Error,
     },
-    /// A snapshot holds a configuration that can't be read.
-    #[error("the snapshot at entry {index} can't be read: {source}")]
+    /// A snapshot holds an invalid configuration.
+    #[error("cannot use the snapshot at log index {index}: {source}")]
     SnapshotConfiguration {
         /// The last entry that the snapshot covers.
         index: LogIndex,
-        /// The unreadable configuration, as `StateError::Configuration`.
+        /// The invalid configuration, as `StateError::Configuration`.
         source: Box<StateError>,
     },
-    /// The configuration in force can't be read.
-    #[error("configuration {revision} can't be read: {source}")]
+    /// The active configuration is invalid.
+    #[error("invalid configuration with revision {revision}: {source}")]
     Configuration {
         /// Its revision.
         revision: Revision,
@@ -58,7 +60,7 @@
 /// Decodes the command of a log entry.
 ///
 /// # Errors
-/// The command, or the configuration in it, can't be read by this program.
+/// This version can't decode the command, or the configuration in it is invalid.
 pub(crate) fn decode_command(index: LogIndex, bytes: &[u8]) -> Result<Command, StateError> {
     let command = unpack::<Command>(bytes).map_err(|source| StateError::Entry { index, source })?;
     if let Command::PutConfiguration { body, .. } = &command {
@@ -68,10 +70,11 @@
     Ok(command)
 }
 
-/// Decodes the state of a snapshot; the snapshot before the first log entry holds the empty state.
+/// Decodes the state of a snapshot. The snapshot that precedes the first log entry may have no
+/// bytes and stands for the empty state.
 ///
 /// # Errors
-/// The state, or the configuration in it, can't be read by this program.
+/// This version can't decode the state, or the configuration in it is invalid.
 pub(crate) fn decode_snapshot(snapshot: &Snapshot) -> Result<StateMachine, StateError> {
     let index = snapshot.last_included.index;
     if snapshot.state.is_empty() && index == LogIndex(0) {
@@ -92,11 +95,11 @@
     })
 }
 
-/// The controller's message validator: checks that this program can apply everything that a Raft
-/// message carries. A message that fails is not accepted.
+/// Checks that this version can decode all log entries and snapshots in a Raft message. A
+/// controller rejects a message that fails this check.
 ///
 /// # Errors
-/// A log entry or snapshot in the message can't be read by this program.
+/// A log entry or snapshot in the message can't be decoded, or holds an invalid configuration.
 pub fn validate_message(kind: &RaftMessageKind) -> Result<(), StateError> {
     match kind {
         RaftMessageKind::AppendEntries { entries, .. } => validate_entries(entries),
@@ -105,12 +108,13 @@
     }
 }
 
-/// Decodes the snapshot on disk, after a check that this program can read the whole log as well.
+/// Decodes the stored snapshot, after checking that every entry of the stored log can be decoded.
 ///
 /// # Errors
-/// `Fatal::State` if something can't be read; the files are left as they are.
-pub fn read_persistent_state(persistent: &PersistentState) -> Result<StateMachine, Fatal> {
-    let unreadable = |error: StateError| Fatal::State(format!("left as it is: {error}"));
+/// `Fatal::State` if the log or the snapshot can't be decoded; the files on disk are left
+/// unchanged.
+pub fn decode_persistent_state(persistent: &PersistentState) -> Result<StateMachine, Fatal> {
+    let unreadable = |error: StateError| Fatal::State(format!("files left unchanged: {error}"));
     validate_entries(&persistent.log).map_err(unreadable)?;
     decode_snapshot(&persistent.snapshot).map_err(unreadable)
 }
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -27,7 +27,7 @@
 };
 use silvertack::raft::state::PersistentState;
 use silvertack::raft::storage::{InitializedStorage, OpenedStorage, RaftStorage};
-use silvertack::state_machine::{Command, CommandOutcome, StateMachine, read_persistent_state};
+use silvertack::state_machine::{Command, CommandOutcome, StateMachine, decode_persistent_state};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write as _;
 use std::net::SocketAddr;
@@ -828,7 +828,7 @@
 
     let mut state_machine = StateMachine::from_snapshot(&read.snapshot.state).expect("a state");
     assert_eq!(state_machine, state());
-    assert_eq!(read_persistent_state(&read).expect("readable"), state_machine);
+    assert_eq!(decode_persistent_state(&read).expect("readable"), state_machine);
     assert_eq!(state_machine.to_snapshot(), *read.snapshot.state);
     let record = &state_machine.instances()[&"d2".into()];
     let draining = instance(213, Lifecycle::Draining, Role::Replica);
--- a/tests/storage.rs
+++ b/tests/storage.rs
@@ -21,7 +21,7 @@
 use silvertack::raft::storage::{InitializedStorage, OpenedStorage, RaftStorage, WriteBatch};
 use silvertack::raft::validation::UnreadableMessage;
 use silvertack::state_machine::{
-    Command, CommandOutcome, StateMachine, read_persistent_state, validate_message,
+    Command, CommandOutcome, StateMachine, decode_persistent_state, validate_message,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::{Read, Write};
@@ -751,7 +751,7 @@
         let before = std::fs::read(&file).expect("bytes");
         let read = RaftStorage::open(&folder)
             .map_err(Fatal::from)
-            .and_then(|opened| read_persistent_state(&opened.state.expect("a state")));
+            .and_then(|opened| decode_persistent_state(&opened.state.expect("a state")));
         let refused = read.err().unwrap_or_else(|| panic!("{what}: read"));
         assert!(
             matches!(refused, Fatal::State(_)) && refused.exit_code() == 3,
