--- a/src/leases/mod.rs
+++ b/src/leases/mod.rs
@@ -1,8 +1,8 @@
-//! What the leading controller grants to poolers and gateways: leases on primaries, quotas of
-//! connections, and subsets of databases; and the replication watermarks that it collects from them.
+//! The leader's grants to poolers and gateways (leases on primaries, connection quotas and database
+//! subsets), and the replication watermarks that it collects from poolers.
 //!
-//! The controller keeps these values while it leads and drops them when it no longer does; nothing
-//! here is replicated or stored. Time is handed in; nothing here knows a socket, a clock or a file.
+//! The leader keeps this state only while it leads; none of it is replicated or stored. The current
+//! time is a parameter: the code here does no I/O and doesn't read the clock.
 pub mod lease_table;
 pub mod passed_on;
 mod quotas;
