--- a/src/controller/lease_renewals.rs
+++ b/src/controller/lease_renewals.rs
@@ -116,7 +116,7 @@
         subscriber.answers.push_back(SentAnswer { seq: renewal.seq, sent_at: now });
         let requested = renewal.bounds_requested.iter();
         let position_bounds =
-            requested.filter_map(|name| leader_state.watermarks.bound(name, now)).collect();
+            requested.filter_map(|name| leader_state.watermarks.position_bound(name, now)).collect();
         let subset_ranges =
             leader_state.subset_assignments.take_updates(&subscriber.node, complete);
         let seq = renewal.seq;
--- a/tests/lease_table.rs
+++ b/tests/lease_table.rs
@@ -353,7 +353,7 @@
                         sent_after_ms: after,
                     };
                     known.observe(Some(&lead), leader(left), &saw, leader(answered));
-                    known.bound(&s, leader(answered)).expect("told")
+                    known.position_bound(&s, leader(answered)).expect("told")
                 },
             );
         let Some(fresh) = told else {
@@ -415,9 +415,9 @@
             sent_after_ms: after,
         };
         watermarks.observe(lead_now, Tick(answered), &saw, now);
-        let told = watermarks.bound(&s, now).map(|f| (f.position, f.age_ms));
+        let told = watermarks.position_bound(&s, now).map(|f| (f.position, f.age_ms));
         assert_eq!(told, known, "{what}");
-        assert_eq!(watermarks.bound(&"other".into(), now), None);
+        assert_eq!(watermarks.position_bound(&"other".into(), now), None);
     }
 }
 
