--- a/src/controller/failover_driver.rs
+++ b/src/controller/failover_driver.rs
@@ -10,7 +10,7 @@
     LeaseStatus, PromotionResponse, ServiceSnapshot,
 };
 use crate::leases::lease_table::CoverageRule;
-use crate::leases::passed_on::PassedOn;
+use crate::leases::passed_on::AcknowledgedCommits;
 use crate::net::rpc::pooler_messages::{Handover, ToPooler};
 use crate::net::rpc::{Frame, PARTS_LAYOUT, encode};
 use crate::state_machine::Command;
@@ -76,7 +76,7 @@
             sync_replicas: self.services.get(service).map_or(0, |s| s.sync_replicas),
             leases_expired: false,
             all_confirm: false,
-            passed_on: PassedOn::default(),
+            passed_on: AcknowledgedCommits::default(),
             primary_record: self.state_machine.primaries().get(service).cloned(),
         };
         // Without synchronous replicas no commit relies on a departed replica.
@@ -101,13 +101,14 @@
             let failover = leader_state.failovers.get(service);
             let handover = failover.and_then(|f| f.handover.as_ref()).map(|h| h.number);
             snapshot.leases_expired = leases.all_released(service, term, now);
-            snapshot.all_confirm = leases.all_confirm(service, term, handover, now);
+            snapshot.all_confirm = leases.all_confirm_handover(service, term, handover, now);
             let newest = leader_state.watermarks.latest(service);
             let rule = match snapshot.sync_replicas {
                 0 => CoverageRule::WatermarkOrTimeout,
                 _ => CoverageRule::Watermark,
             };
-            snapshot.passed_on = leases.passed_on(service, term, handover, newest, rule, now);
+            snapshot.passed_on =
+                leases.acknowledged_commits(service, term, handover, newest, rule, now);
         }
         snapshot
     }
@@ -226,7 +227,7 @@
         let hand_over = encode(&Frame::Controller(message));
         for (conn, subscriber) in &self.poolers {
             if subscriber.knows_handovers() {
-                leader_state.leases.hand_over(&subscriber.node, service, &handover);
+                leader_state.leases.record_handover(&subscriber.node, service, &handover);
                 // Behind the grants that are queued, so that none of them ends it.
                 self.effects.send(*conn, hand_over.clone());
             } else {
--- a/src/controller/leader_state.rs
+++ b/src/controller/leader_state.rs
@@ -69,7 +69,7 @@
         self.swept_at = now;
         self.subset_assignments.rebalance(|node| self.leases.poolers.contains_key(node), now);
         let expired = self.leases.knows_all_quotas(now);
-        if self.leases.expire_lost(now) || expired != self.earlier_shares_expired {
+        if self.leases.expire_disconnected(now) || expired != self.earlier_shares_expired {
             self.earlier_shares_expired = expired;
             self.pending_updates.mark_all_changed();
         }
--- a/src/controller/lease_renewals.rs
+++ b/src/controller/lease_renewals.rs
@@ -91,7 +91,7 @@
         let node = &subscriber.node;
         let complete = subscriber.updates_sent.is_none();
         let mut unsent = std::mem::take(&mut subscriber.released);
-        unsent.extend(leader_state.leases.services_with_requests(node).cloned());
+        unsent.extend(leader_state.leases.services_with_quota_requests(node).cloned());
         let sent = subscriber.updates_sent;
         let due: BTreeSet<&ServiceName> =
             match sent.and_then(|n| leader_state.pending_updates.changed_since(n)) {
@@ -115,8 +115,9 @@
         }
         subscriber.answers.push_back(SentAnswer { seq: renewal.seq, sent_at: now });
         let requested = renewal.bounds_requested.iter();
-        let position_bounds =
-            requested.filter_map(|name| leader_state.watermarks.position_bound(name, now)).collect();
+        let position_bounds = requested
+            .filter_map(|name| leader_state.watermarks.position_bound(name, now))
+            .collect();
         let subset_ranges =
             leader_state.subset_assignments.take_updates(&subscriber.node, complete);
         let seq = renewal.seq;
--- a/src/controller/pooler_subscriptions.rs
+++ b/src/controller/pooler_subscriptions.rs
@@ -258,7 +258,7 @@
             }
             ToController::Goodbye => {
                 if let Some(leader_state) = &mut self.leader_state {
-                    leader_state.leases.release_all(&node);
+                    leader_state.leases.withdraw_all_grants(&node);
                 }
             }
         }
--- a/src/failover/snapshot.rs
+++ b/src/failover/snapshot.rs
@@ -2,7 +2,7 @@
 
 use crate::base::ids::{InstanceId, ServiceName, Term};
 use crate::config::directory::Instance;
-use crate::leases::passed_on::PassedOn;
+use crate::leases::passed_on::AcknowledgedCommits;
 use crate::state_machine::PrimaryRecord;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -32,7 +32,7 @@
     pub all_confirm: bool,
     /// How far commits of the present term may have been passed on to clients; those left out that
     /// the target of the handover under way is known to have.
-    pub passed_on: PassedOn,
+    pub passed_on: AcknowledgedCommits,
 }
 
 impl ServiceSnapshot {
--- a/src/leases/passed_on.rs
+++ b/src/leases/passed_on.rs
@@ -1,32 +1,36 @@
-//! How far commits of a service may have been passed on to clients. A promotion rests on this and on
-//! the log of its target alone: only through poolers does a client hear of a commit.
+//! Which commits of a service may have been acknowledged to clients.
+//!
+//! Clients receive acknowledgements only through poolers. A promotion is therefore safe if the log
+//! of its target has every commit described here.
 use crate::base::ids::Position;
 
-/// What is known of the commits that poolers passed on to clients, up to the moment from which they
-/// pass on none that the next primary might lack: their leases are over, or they confirm each
-/// commit at the target of a handover.
+/// What is known of the commits that poolers acknowledged to clients.
+///
+/// Covers all commits that the next primary might lack: later ones are acknowledged only after
+/// their pooler has confirmed them at the target of a handover, or not at all, as its lease has
+/// ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct PassedOn {
-    /// The furthest commit that a pooler reported; none if none reported any.
+pub struct AcknowledgedCommits {
+    /// The furthest acknowledged commit that a pooler reported; `None` if none reported any.
     pub reported: Option<Position>,
-    /// What is known of the poolers that reported nothing.
+    /// What is known of the commits acknowledged by poolers that didn't report.
     pub unreported: UnreportedCommits,
 }
 
-/// What is known of the commits passed on by poolers that reported nothing.
+/// What is known of the commits acknowledged by poolers that didn't report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum UnreportedCommits {
-    /// They may have passed on any commit, and may still do so.
+    /// Any commit may have been acknowledged, and more may follow.
     #[default]
     Unknown,
-    /// They passed on none.
+    /// No commit was acknowledged.
     Nothing,
-    /// They passed on none beyond this position.
+    /// No commit beyond this position was acknowledged.
     UpTo(Position),
 }
 
-impl PassedOn {
-    /// Whether a database that received this position certainly has every commit that was passed on.
+impl AcknowledgedCommits {
+    /// Whether a database that received the log up to this position has every acknowledged commit.
     pub fn is_covered_by(&self, received: Position) -> bool {
         let unreported = match self.unreported {
             UnreportedCommits::Unknown => false,
@@ -36,7 +40,8 @@
         unreported && !self.exceeds(received)
     }
 
-    /// Whether a database that received this position certainly lacks a commit that was passed on.
+    /// Whether a database that received the log up to this position certainly lacks an acknowledged
+    /// commit.
     pub fn exceeds(&self, received: Position) -> bool {
         self.reported > Some(received)
     }
--- a/src/leases/quotas.rs
+++ b/src/leases/quotas.rs
@@ -1,58 +1,59 @@
-//! Quotas: how many connections each pooler may have to each database of a service.
+//! Connection quotas: how many connections each pooler may have to each database of a service.
 //!
-//! The connections that a database allows are divided evenly among the connected poolers. What the
-//! division leaves over goes, for a while, to poolers whose sessions wait for a connection. What a
-//! pooler may still have open is never given to another one: a quota grows only as others shrink.
+//! The connections that a database allows are divided into equal shares for the connected poolers.
+//! The remainder of the division is granted temporarily to poolers whose sessions wait for a
+//! connection. Connections that a pooler may still have open are never granted to another one: a
+//! quota grows only as others shrink.
 use super::lease_table::{LeaseTable, PoolerLeases};
 use crate::base::ids::{NodeName, ServiceName};
 use crate::base::time::Tick;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The quota of a lost pooler is counted for this long, in milliseconds: a database closes a
-/// connection whose other end does not respond after 3 s. For as long, a new leader can't know of
-/// every pooler that has a quota.
-pub(crate) const LOST_QUOTA_MS: u64 = 4_500;
+/// How long the quota of a disconnected pooler still counts, in milliseconds: a database closes a
+/// connection after 3 s without a response from the other end. For the same time after its
+/// election, a leader may not know of every pooler that has a quota.
+pub(crate) const DISCONNECTED_QUOTA_RETENTION_MS: u64 = 4_500;
 
-/// The quota that a new leader grants before a pooler has reported one.
+/// The quota that a new leader may grant even if no pooler has reported one yet.
 const INITIAL_QUOTA: u32 = 4;
 
-/// A quota beyond the even part is withdrawn when the pooler has not asked for it for this long, in
-/// milliseconds.
-const EXTRA_QUOTA_MS: u64 = 3_000;
+/// How long a request for more connections than the equal share lasts, in milliseconds. The extra
+/// connections are withdrawn if the pooler doesn't repeat its request within this time.
+const QUOTA_REQUEST_EXPIRY_MS: u64 = 3_000;
 
 /// Connections to each database reserved for the controllers' own requests.
 const RESERVED_CONNECTIONS: u32 = 4;
 
-/// Small limits reserve at most one connection in this many.
+/// At most one connection in this many is reserved, which matters for databases with a low limit.
 const RESERVED_FRACTION: u32 = 4;
 
-/// The quotas of one pooler, beside those in its grants.
+/// Quotas that a pooler reported and requested; the granted ones are in its lease grants.
 #[derive(Clone, Debug, Default)]
 pub(super) struct PoolerQuotas {
-    /// The quota that the pooler says it keeps to, by service.
+    /// The quota that the pooler last reported to enforce, by service.
     pub(super) reported: BTreeMap<ServiceName, u32>,
     requests: BTreeMap<ServiceName, QuotaRequest>,
 }
 
-/// A pooler's request for more connections than its even part.
+/// A pooler's request for more connections than its equal share.
 #[derive(Clone, Copy, Debug)]
 struct QuotaRequest {
-    /// The connections it could use in all.
+    /// The total number of connections that it could use.
     connections: u32,
     requested_at: Tick,
 }
 
-/// Sums over the poolers.
+/// Sums and maxima of the quotas of all poolers, by service.
 #[derive(Clone, Debug, Default)]
 pub(super) struct QuotaTotals {
-    /// The connections that all poolers together may have to each database of a service.
+    /// The sum of the quotas in use: connections that the poolers may have to each database.
     allocated: BTreeMap<ServiceName, u32>,
     /// The highest quota that any pooler has reported.
     highest_reported: BTreeMap<ServiceName, u32>,
 }
 
 impl QuotaTotals {
-    /// Follows a pooler's quota from `before` to `after`.
+    /// Adjusts the sum for a pooler's quota that changes from `before` to `after`.
     pub(super) fn update(&mut self, service: &ServiceName, before: u32, after: u32) {
         if before != after {
             let allocated = self.allocated.entry(service.clone()).or_default();
@@ -60,14 +61,14 @@
         }
     }
 
-    /// Counts the quotas of a pooler that is back.
+    /// Adds the quotas of a pooler that has reconnected.
     pub(super) fn add_pooler(&mut self, pooler: &PoolerLeases) {
         for (service, quota) in pooler.quotas_in_use() {
             self.update(service, 0, quota);
         }
     }
 
-    /// No longer counts the quotas of a pooler that is gone.
+    /// Subtracts the quotas of a pooler that is no longer counted.
     pub(super) fn remove_pooler(&mut self, pooler: &PoolerLeases) {
         for (service, quota) in pooler.quotas_in_use() {
             self.update(service, quota, 0);
@@ -76,8 +77,8 @@
 }
 
 impl PoolerLeases {
-    /// Connections that it may have to each database of the service: a lower quota holds once the
-    /// pooler has reported that it keeps to it.
+    /// The connections that it may have to each database of the service. A lower quota takes effect
+    /// only once the pooler has reported that it enforces it.
     pub(super) fn quota_in_use(&self, service: &ServiceName) -> u32 {
         let granted = self.grants.get(service).map_or(0, |grant| grant.quota);
         granted.max(self.quotas.reported.get(service).copied().unwrap_or(0))
@@ -91,8 +92,8 @@
 }
 
 impl LeaseTable {
-    /// Takes in a message of a pooler, with the quotas that it keeps to where these changed.
-    /// Returns the services of which other poolers may get more now.
+    /// Records a message of a pooler with the quotas that it now enforces, where these have
+    /// changed. Returns the services for which other poolers may now get a higher quota.
     pub fn report_quotas(
         &mut self,
         node: &NodeName,
@@ -119,23 +120,32 @@
         freed
     }
 
-    /// Takes in that a pooler's sessions wait for `more` connections beyond its quota.
-    pub fn request_quota(&mut self, node: &NodeName, service: &ServiceName, more: u32, now: Tick) {
+    /// Records that a pooler's sessions wait for `additional` connections beyond its quota.
+    pub fn request_quota(
+        &mut self,
+        node: &NodeName,
+        service: &ServiceName,
+        additional: u32,
+        now: Tick,
+    ) {
         if let Some(pooler) = self.poolers.get_mut(node) {
-            let connections = more.saturating_add(pooler.quota_in_use(service));
+            let connections = additional.saturating_add(pooler.quota_in_use(service));
             let request = QuotaRequest { connections, requested_at: now };
             pooler.quotas.requests.insert(service.clone(), request);
         }
     }
 
-    /// The services of which a pooler has more than its even part, or asked for more. Their quotas
-    /// have to be looked at in every grant, until what is beyond the part is withdrawn.
-    pub fn services_with_requests(&self, node: &NodeName) -> impl Iterator<Item = &ServiceName> {
+    /// The services for which a pooler requested or has more than its equal share. Their quotas are
+    /// reevaluated in every renewal, until the extra connections are withdrawn.
+    pub fn services_with_quota_requests(
+        &self,
+        node: &NodeName,
+    ) -> impl Iterator<Item = &ServiceName> {
         self.poolers.get(node).into_iter().flat_map(|pooler| pooler.quotas.requests.keys())
     }
 
-    /// The quota of a pooler: connections that it may have to each database of a service, of
-    /// `max_connections` that the database allows.
+    /// The quota to grant a pooler: how many connections it may have to each database of a service,
+    /// of the `max_connections` that the database allows.
     pub fn quota(
         &mut self,
         node: &NodeName,
@@ -154,19 +164,20 @@
         if self.knows_all_quotas(now) {
             return quota;
         }
-        // The leader before may have granted connections to poolers that this one does not know of
-        // yet. It granted everyone the same, so until then nobody gets more than one has reported.
+        // The previous leader may have granted connections to poolers that this one doesn't know
+        // yet. It granted all of them the same quota, so until they have been counted, no pooler
+        // gets more than the highest quota that any pooler has reported.
         let highest = self.totals.highest_reported.get(service).copied().unwrap_or(0);
         quota.min(highest.max(INITIAL_QUOTA))
     }
 
-    /// Whether this leader has led for long enough to know of every pooler that has a quota.
+    /// Whether this leader has led for long enough to know every pooler that has a quota.
     pub(crate) fn knows_all_quotas(&self, now: Tick) -> bool {
-        now.since(self.elected_at) >= LOST_QUOTA_MS
+        now.since(self.elected_at) >= DISCONNECTED_QUOTA_RETENTION_MS
     }
 
-    /// The quota that a pooler should have, whatever others still have. Forgets its request for more
-    /// once that has expired and nothing beyond the even part is left.
+    /// The quota that a pooler should have, regardless of what others still have in use. Removes
+    /// its request for more once that has expired and the pooler has no more than its equal share.
     fn target_quota(
         &mut self,
         node: &NodeName,
@@ -174,28 +185,28 @@
         available: u32,
         now: Tick,
     ) -> u32 {
-        let part = (available / self.connected.max(1)).max(1);
+        let equal_share = (available / self.connected_poolers.max(1)).max(1);
         let Some(pooler) = self.poolers.get_mut(node) else {
-            return part;
+            return equal_share;
         };
         let Some(request) = pooler.quotas.requests.get(service).copied() else {
-            return part;
+            return equal_share;
         };
-        if now.since(request.requested_at) >= EXTRA_QUOTA_MS {
-            if pooler.quota_in_use(service) <= part {
+        if now.since(request.requested_at) >= QUOTA_REQUEST_EXPIRY_MS {
+            if pooler.quota_in_use(service) <= equal_share {
                 pooler.quotas.requests.remove(service);
             }
-            return part;
+            return equal_share;
         }
-        let left_over = available
-            .saturating_sub(part.saturating_mul(self.connected))
-            .saturating_sub(self.extra_of_others(node, service, part));
-        part.saturating_add(left_over).min(request.connections.max(part))
+        let remainder = available
+            .saturating_sub(equal_share.saturating_mul(self.connected_poolers))
+            .saturating_sub(self.extra_of_others(node, service, equal_share));
+        equal_share.saturating_add(remainder).min(request.connections.max(equal_share))
     }
 
-    /// The connections beyond the even part that other poolers may have.
-    fn extra_of_others(&self, node: &NodeName, service: &ServiceName, part: u32) -> u32 {
+    /// The connections beyond the equal share that other poolers may have.
+    fn extra_of_others(&self, node: &NodeName, service: &ServiceName, equal_share: u32) -> u32 {
         let others = self.poolers.iter().filter(|(name, _)| *name != node);
-        others.map(|(_, pooler)| pooler.quota_in_use(service).saturating_sub(part)).sum()
+        others.map(|(_, pooler)| pooler.quota_in_use(service).saturating_sub(equal_share)).sum()
     }
 }
--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -7,7 +7,7 @@
     DatabaseRequest, DatabaseResponse, Failover, FailoverAction, FailoverState, PromotionResponse,
     ServiceSnapshot,
 };
-use silvertack::leases::passed_on::{PassedOn, UnreportedCommits};
+use silvertack::leases::passed_on::{AcknowledgedCommits, UnreportedCommits};
 use silvertack::net::rpc::pooler_messages::{Handover, SuspicionReason};
 use silvertack::net::statement_protocol::ServerDescription;
 use silvertack::state_machine::{Command, PrimaryRecord};
@@ -28,8 +28,8 @@
     }
 }
 /// What poolers reported: nothing yet, or the furthest commit of all.
-fn passed_on(reported: Option<Option<Position>>) -> PassedOn {
-    reported.map_or_else(PassedOn::default, |reported| PassedOn {
+fn passed_on(reported: Option<Option<Position>>) -> AcknowledgedCommits {
+    reported.map_or_else(AcknowledgedCommits::default, |reported| AcknowledgedCommits {
         reported,
         unreported: UnreportedCommits::Nothing,
     })
@@ -52,7 +52,7 @@
         sync_replicas: 1,
         leases_expired: true,
         all_confirm: false,
-        passed_on: PassedOn::default(),
+        passed_on: AcknowledgedCommits::default(),
     }
 }
 fn row(primary: bool, term: u64, received: Position) -> DatabaseResponse {
--- a/tests/failover_replicas.rs
+++ b/tests/failover_replicas.rs
@@ -7,7 +7,7 @@
     Attempt, DatabaseRequest, DatabaseResponse, Failover, FailoverAction, FailoverState,
     LeaseStatus, PromotionResponse, ServiceSnapshot,
 };
-use silvertack::leases::passed_on::{PassedOn, UnreportedCommits};
+use silvertack::leases::passed_on::{AcknowledgedCommits, UnreportedCommits};
 use silvertack::net::rpc::pack;
 use silvertack::net::rpc::pooler_messages::{Handover, SuspicionReason};
 use silvertack::net::statement_protocol::ServerDescription;
@@ -45,7 +45,7 @@
         sync_replicas: 1,
         leases_expired: true,
         all_confirm: false,
-        passed_on: PassedOn::default(),
+        passed_on: AcknowledgedCommits::default(),
     }
 }
 fn row(primary: bool, received: Position) -> DatabaseResponse {
@@ -265,9 +265,8 @@
     ];
     for (paused, reported, sync_replicas, may) in table {
         let listed = ServiceSnapshot { sync_replicas, ..snapshot() };
-        let passed_on = reported.map_or_else(PassedOn::default, |reported| PassedOn {
-            reported,
-            unreported: UnreportedCommits::Nothing,
+        let passed_on = reported.map_or_else(AcknowledgedCommits::default, |reported| {
+            AcknowledgedCommits { reported, unreported: UnreportedCommits::Nothing }
         });
         let left = ServiceSnapshot { passed_on, ..without_c(&listed) };
         let mut s = begin_steady(&listed, now);
@@ -388,7 +387,8 @@
     assert_eq!(s.tick(&all, now.plus(220)), [ask("c", PAUSE)]);
     tell(&mut s, &all, "c", PAUSE, 9, now.plus(230));
     all.all_confirm = true;
-    all.passed_on = PassedOn { reported: Some(at(9)), unreported: UnreportedCommits::Nothing };
+    all.passed_on =
+        AcknowledgedCommits { reported: Some(at(9)), unreported: UnreportedCommits::Nothing };
     assert_eq!(s.tick(&all, now.plus(235)), [ask("b", DatabaseRequest::Describe)]);
     assert_eq!(
         tell(&mut s, &all, "b", DatabaseRequest::Describe, 9, now.plus(240)),
@@ -815,14 +815,14 @@
         let under_way = self.due.iter().any(|(_, due)| matches!(due, Due::Lease(_)));
         (!under_way).then_some(&self.lease)
     }
-    fn passed_on(&self) -> PassedOn {
+    fn passed_on(&self) -> AcknowledgedCommits {
         if !self.reports || !self.confirms() {
-            return PassedOn::default();
+            return AcknowledgedCommits::default();
         }
         let last = self.acknowledged.last();
         let reported =
             last.map(|(place, term)| Position { term: DbTerm(*term), number: *place as u64 + 1 });
-        PassedOn { reported, unreported: UnreportedCommits::Nothing }
+        AcknowledgedCommits { reported, unreported: UnreportedCommits::Nothing }
     }
     /// Has the pooler told what the leader now grants; it hears of it some time later.
     fn grant_leases(&mut self) {
--- a/tests/lease_table.rs
+++ b/tests/lease_table.rs
@@ -5,7 +5,7 @@
 use silvertack::config::directory::{Instance, Lifecycle, Role};
 use silvertack::controller::pending_updates::PendingUpdates;
 use silvertack::leases::lease_table::{CoverageRule, LEASE_MS, LeaseTable};
-use silvertack::leases::passed_on::{PassedOn, UnreportedCommits};
+use silvertack::leases::passed_on::{AcknowledgedCommits, UnreportedCommits};
 use silvertack::leases::watermarks::{ReplicationWatermarks, Watermark};
 use silvertack::net::rpc::pack;
 use silvertack::net::rpc::pooler_messages::{LeaseGrant, ObservedPosition, PrimaryStatus};
@@ -26,8 +26,8 @@
     }
 }
 /// What poolers reported: nothing yet, or the furthest commit of all.
-fn passed_on(reported: Option<Option<Position>>) -> PassedOn {
-    reported.map_or_else(PassedOn::default, |reported| PassedOn {
+fn passed_on(reported: Option<Option<Position>>) -> AcknowledgedCommits {
+    reported.map_or_else(AcknowledgedCommits::default, |reported| AcknowledgedCommits {
         reported,
         unreported: UnreportedCommits::Nothing,
     })
@@ -54,8 +54,13 @@
 }
 
 /// What the book knows of commits of term 1.
-fn told(book: &LeaseTable, seen: Option<Watermark>, rule: CoverageRule, now: Tick) -> PassedOn {
-    book.passed_on(&"s".into(), DbTerm(1), None, seen, rule, now)
+fn told(
+    book: &LeaseTable,
+    seen: Option<Watermark>,
+    rule: CoverageRule,
+    now: Tick,
+) -> AcknowledgedCommits {
+    book.acknowledged_commits(&"s".into(), DbTerm(1), None, seen, rule, now)
 }
 
 #[test]
@@ -77,7 +82,7 @@
     assert!(!book.all_released(&s, DbTerm(1), now.plus(10)));
     assert_eq!(
         told(&book, None, CoverageRule::WatermarkOrTimeout, now),
-        PassedOn { reported: Some(at(5)), unreported: UnreportedCommits::Unknown },
+        AcknowledgedCommits { reported: Some(at(5)), unreported: UnreportedCommits::Unknown },
         "one has not said"
     );
     // A pooler that is lost keeps its lease until it runs out, and what it passed on is not known.
@@ -86,7 +91,7 @@
     assert!(book.all_released(&s, DbTerm(1), now.plus(LEASE_MS + 100)));
     assert_eq!(
         told(&book, None, CoverageRule::WatermarkOrTimeout, now.plus(LEASE_MS + 100)),
-        PassedOn { reported: Some(at(5)), unreported: UnreportedCommits::Unknown }
+        AcknowledgedCommits { reported: Some(at(5)), unreported: UnreportedCommits::Unknown }
     );
     book.acknowledge_revocation(&n2, &s, DbTerm(1), Some(at(8)));
     assert_eq!(
@@ -126,7 +131,7 @@
         match what {
             "lost" => {
                 book.disconnect(11, now.plus(20));
-                book.expire_lost(late);
+                book.expire_disconnected(late);
                 assert!(!book.poolers.contains_key(&"n2".into()));
             }
             "restarted" => {
@@ -164,7 +169,7 @@
     assert!(!book.all_released(&s, DbTerm(1), now.plus(30)));
     assert_eq!(
         told(&book, None, CoverageRule::WatermarkOrTimeout, now.plus(30)),
-        PassedOn::default()
+        AcknowledgedCommits::default()
     );
 }
 
@@ -195,7 +200,7 @@
     // Stiles come one after the other, some leave, and each asks in turn.
     for round in 0..60u64 {
         now = now.plus(450);
-        book.expire_lost(now);
+        book.expire_disconnected(now);
         for (i, node) in nodes.iter().enumerate() {
             let here = (i as u64) < round / 2 + 1 && !(round > 40 && i % 3 == 0);
             if here {
@@ -477,5 +482,5 @@
         granted(&mut book, &who, grant(&s, None, given), now);
         assert_eq!(given, share, "{who} at {after}");
     }
-    assert_eq!(book.services_with_requests(&node(0)).count(), 0, "and is looked at no more");
+    assert_eq!(book.services_with_quota_requests(&node(0)).count(), 0, "and is looked at no more");
 }
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -113,14 +113,14 @@
             "term 2 given back" => give_back(&mut book, 2),
             "term 3 given back" => give_back(&mut book, 3),
             "lost" => drop(book.disconnect(0, START.plus(5))),
-            "goodbye" => book.release_all(&node(0)),
+            "goodbye" => book.withdraw_all_grants(&node(0)),
             "given back, goodbye" => {
                 give_back(&mut book, 2);
-                book.release_all(&node(0));
+                book.withdraw_all_grants(&node(0));
             }
             "revoked, goodbye" => {
                 revoke(&mut book);
-                book.release_all(&node(0));
+                book.withdraw_all_grants(&node(0));
             }
             _ => assert_eq!(then, "nothing"),
         }
@@ -138,7 +138,8 @@
 
 /// How far commits of term 2 were passed on at most; none if that is not certain.
 fn known(book: &LeaseTable, seen: Option<Watermark>, now: Tick) -> Option<Option<Position>> {
-    let told = book.passed_on(&service(), TERM, None, seen, CoverageRule::Watermark, now);
+    let told =
+        book.acknowledged_commits(&service(), TERM, None, seen, CoverageRule::Watermark, now);
     match told.unreported {
         UnreportedCommits::Unknown => None,
         UnreportedCommits::Nothing => Some(told.reported),
@@ -184,15 +185,15 @@
             }
             "gave it back and said goodbye" => {
                 book.acknowledge_revocation(&node(0), &service(), TERM, Some(at(5)));
-                book.release_all(&node(0));
+                book.withdraw_all_grants(&node(0));
             }
             "gave it back and started anew" => {
                 book.acknowledge_revocation(&node(0), &service(), TERM, Some(at(5)));
-                book.release_all(&node(0));
+                book.withdraw_all_grants(&node(0));
                 book.register(&node(0), 2, 1, now);
                 book.acknowledge_revocation(&node(0), &service(), TERM, None);
             }
-            "said goodbye" => book.release_all(&node(0)),
+            "said goodbye" => book.withdraw_all_grants(&node(0)),
             "another process" => {
                 book.register(&node(0), 2, 1, now);
                 book.acknowledge_revocation(&node(0), &service(), TERM, None);
@@ -213,7 +214,7 @@
         book.disconnect(0, START.plus(2_100));
         book.disconnect(1, START.plus(2_100));
         let now = START.plus(2_100 + WORD_AWAITED_MS);
-        book.expire_lost(now);
+        book.expire_disconnected(now);
         assert!(book.poolers.is_empty());
         for (after, certain) in [(0, false), (1_999, false), (2_000, true)] {
             let as_of = START.plus(LEASE_ENDS_MS + after);
@@ -235,13 +236,13 @@
     ] {
         let mut lost = book(1);
         lost.disconnect(0, START);
-        assert_eq!(lost.expire_lost(START.plus(after)), freed, "after {after}");
+        assert_eq!(lost.expire_disconnected(START.plus(after)), freed, "after {after}");
         assert_eq!(lost.poolers.contains_key(&node(0)), known, "after {after}");
         // Back on a new connection it is lost no more, however much later that is looked at.
         let mut back = book(1);
         back.disconnect(0, START);
         back.register(&node(0), 1, 1, START.plus(1_000));
-        assert!(!back.expire_lost(START.plus(after)), "back, after {after}");
+        assert!(!back.expire_disconnected(START.plus(after)), "back, after {after}");
         assert!(back.poolers.contains_key(&node(0)), "back, after {after}");
     }
 }
@@ -294,7 +295,7 @@
             "lost" | "lost and back" => drop(book.disconnect(0, START)),
             _ => assert_eq!(what, "there"),
         }
-        book.expire_lost(now);
+        book.expire_disconnected(now);
         assert_eq!(book.quota(&node(1), &service(), total, now), others, "{what}");
         if what == "lost and back" {
             // The other was given all meanwhile, and the first still has what it had.
@@ -371,7 +372,11 @@
         let now = START.plus(after);
         book.report_quotas(&node(0), vec![(service(), says)], now);
         assert_eq!(quota(&mut book, 0, 12, now), share, "after {after}");
-        assert_eq!(book.services_with_requests(&node(0)).count() == 1, looked, "after {after}");
+        assert_eq!(
+            book.services_with_quota_requests(&node(0)).count() == 1,
+            looked,
+            "after {after}"
+        );
     }
 }
 
