--- a/tests/lease_table.rs
+++ b/tests/lease_table.rs
@@ -1,5 +1,5 @@
-//! The leader's tables: leases and quotas of poolers, replication watermarks, pending updates, and what
-//! the state machine makes of heartbeats and configurations.
+//! Tests of the leader's tables (leases, quotas, watermarks, pending updates), and of how the state
+//! machine applies heartbeats and configurations.
 use silvertack::base::ids::{DbTerm, InstanceId, NodeName, Position, Revision, ServiceName};
 use silvertack::base::time::Tick;
 use silvertack::config::directory::{Instance, Lifecycle, Role};
@@ -11,6 +11,7 @@
 use silvertack::net::rpc::pooler_messages::{LeaseGrant, ObservedPosition, PrimaryStatus};
 use silvertack::state_machine::{Command, CommandOutcome, PrimaryRecord, StateMachine};
 
+/// A log position in term 1.
 fn at(number: u64) -> Position {
     Position { term: DbTerm(1), number }
 }
@@ -25,289 +26,319 @@
         database_role: role,
     }
 }
-/// What poolers reported: nothing yet, or the furthest commit of all.
-fn passed_on(reported: Option<Option<Position>>) -> AcknowledgedCommits {
+/// The acknowledged commits once all poolers have reported; with `None`, nothing is known yet.
+fn acknowledged(reported: Option<Option<Position>>) -> AcknowledgedCommits {
     reported.map_or_else(AcknowledgedCommits::default, |reported| AcknowledgedCommits {
         reported,
         unreported: UnreportedCommits::Nothing,
     })
 }
-/// What is granted: a lease on `a` in this term, or none, and a quota.
-fn grant(service: &ServiceName, term: Option<u64>, share: u32) -> LeaseGrant {
-    let led = |term| PrimaryStatus::Active { term: DbTerm(term), primary: "a".into() };
+/// A grant of a quota, with a lease on primary `a` in this term or without a lease.
+fn lease_grant(service: &ServiceName, term: Option<u64>, quota: u32) -> LeaseGrant {
+    let active = |term| PrimaryStatus::Active { term: DbTerm(term), primary: "a".into() };
     LeaseGrant {
         service: service.clone(),
-        status: term.map_or(PrimaryStatus::Absent, led),
-        quota: share,
+        status: term.map_or(PrimaryStatus::Absent, active),
+        quota,
     }
 }
-/// A renewal is answered with this.
-fn granted(
-    book: &mut LeaseTable,
+/// Grants and renews, as the leader does when it responds to a renewal. Returns the grant if it has
+/// to be sent.
+fn grant_and_renew(
+    table: &mut LeaseTable,
     node: &NodeName,
     grant: LeaseGrant,
     now: Tick,
 ) -> Option<LeaseGrant> {
-    let told = book.grant(node, grant);
-    book.renew(node, now);
-    told
+    let sent = table.grant(node, grant);
+    table.renew(node, now);
+    sent
 }
 
-/// What the book knows of commits of term 1.
-fn told(
-    book: &LeaseTable,
-    seen: Option<Watermark>,
+/// The acknowledged commits of term 1, as far as the table knows.
+fn acknowledged_commits(
+    table: &LeaseTable,
+    watermark: Option<Watermark>,
     rule: CoverageRule,
     now: Tick,
 ) -> AcknowledgedCommits {
-    book.acknowledged_commits(&"s".into(), DbTerm(1), None, seen, rule, now)
+    table.acknowledged_commits(&"s".into(), DbTerm(1), None, watermark, rule, now)
 }
 
 #[test]
-fn leases_are_gone_only_when_no_pooler_can_use_one() {
-    let (n1, n2, s) = (NodeName::from("n1"), NodeName::from("n2"), ServiceName::from("s"));
+fn leases_are_released_only_when_no_pooler_can_use_one() {
+    let (n1, n2, service) = (NodeName::from("n1"), NodeName::from("n2"), ServiceName::from("s"));
     let start = Tick(100_000);
-    let mut book = LeaseTable::new(start);
+    let mut table = LeaseTable::new(start);
     assert!(
-        !book.all_released(&s, DbTerm(1), start.plus(LEASE_MS)),
-        "another leader may have granted before"
+        !table.all_released(&service, DbTerm(1), start.plus(LEASE_MS)),
+        "an earlier leader may have granted leases"
     );
     let now = start.plus(20_000);
-    assert!(book.all_released(&s, DbTerm(1), now));
-    book.register(&n1, 1, 10, now);
-    book.register(&n2, 1, 11, now);
-    granted(&mut book, &n1, grant(&s, Some(1), 8), now);
-    granted(&mut book, &n2, grant(&s, Some(1), 8), now);
-    book.acknowledge_revocation(&n1, &s, DbTerm(1), Some(at(5)));
-    assert!(!book.all_released(&s, DbTerm(1), now.plus(10)));
+    assert!(table.all_released(&service, DbTerm(1), now));
+    table.register(&n1, 1, 10, now);
+    table.register(&n2, 1, 11, now);
+    grant_and_renew(&mut table, &n1, lease_grant(&service, Some(1), 8), now);
+    grant_and_renew(&mut table, &n2, lease_grant(&service, Some(1), 8), now);
+    table.acknowledge_revocation(&n1, &service, DbTerm(1), Some(at(5)));
+    assert!(!table.all_released(&service, DbTerm(1), now.plus(10)));
     assert_eq!(
-        told(&book, None, CoverageRule::WatermarkOrTimeout, now),
+        acknowledged_commits(&table, None, CoverageRule::WatermarkOrTimeout, now),
         AcknowledgedCommits { reported: Some(at(5)), unreported: UnreportedCommits::Unknown },
-        "one has not said"
+        "the second pooler has not reported"
     );
-    // A pooler that is lost keeps its lease until it runs out, and what it passed on is not known.
-    book.disconnect(11, now.plus(20));
-    assert!(!book.all_released(&s, DbTerm(1), now.plus(LEASE_MS)));
-    assert!(book.all_released(&s, DbTerm(1), now.plus(LEASE_MS + 100)));
+    // A disconnected pooler keeps its lease until it expires, and the commits that it acknowledged
+    // are unknown.
+    table.disconnect(11, now.plus(20));
+    assert!(!table.all_released(&service, DbTerm(1), now.plus(LEASE_MS)));
+    assert!(table.all_released(&service, DbTerm(1), now.plus(LEASE_MS + 100)));
     assert_eq!(
-        told(&book, None, CoverageRule::WatermarkOrTimeout, now.plus(LEASE_MS + 100)),
+        acknowledged_commits(
+            &table,
+            None,
+            CoverageRule::WatermarkOrTimeout,
+            now.plus(LEASE_MS + 100)
+        ),
         AcknowledgedCommits { reported: Some(at(5)), unreported: UnreportedCommits::Unknown }
     );
-    book.acknowledge_revocation(&n2, &s, DbTerm(1), Some(at(8)));
+    table.acknowledge_revocation(&n2, &service, DbTerm(1), Some(at(8)));
     assert_eq!(
-        told(&book, None, CoverageRule::WatermarkOrTimeout, now),
-        passed_on(Some(Some(at(8))))
+        acknowledged_commits(&table, None, CoverageRule::WatermarkOrTimeout, now),
+        acknowledged(Some(Some(at(8))))
+    );
+    assert!(
+        table.all_released(&service, DbTerm(1), now.plus(30)),
+        "a lease that was given up ends at once"
     );
-    assert!(book.all_released(&s, DbTerm(1), now.plus(30)), "given back is gone at once");
 }
 
 #[test]
-fn a_pooler_that_says_nothing_is_covered_only_by_what_was_seen_after_its_lease() {
-    let s = ServiceName::from("s");
+fn a_pooler_without_a_report_is_covered_only_by_a_watermark_after_its_lease() {
+    let service = ServiceName::from("s");
     let (elected, now) = (Tick(100_000), Tick(150_000));
-    let late = now.plus(30_000);
+    let later = now.plus(30_000);
     let end = LEASE_MS + 50;
-    let watermark = |as_of, number| Some(Watermark { as_of, position: at(number) });
-    // (what became of the second pooler, what was seen when, the furthest position that is certain:
-    // the first one reported 5)
+    let watermark_at = |as_of, number| Some(Watermark { as_of, position: at(number) });
+    // (what happens to the second pooler, the watermark, the furthest commit that may have been
+    // acknowledged, if it is known); the first pooler has reported 5.
     let cases = [
-        ("there", None, None),
-        ("lost", None, None),
-        ("lost", watermark(now.plus(end - 1), 9), None),
-        ("lost", watermark(now.plus(end), 9), Some(Some(at(9)))),
-        ("lost", watermark(now.plus(end), 3), Some(Some(at(5)))),
+        ("connected", None, None),
+        ("disconnected", None, None),
+        ("disconnected", watermark_at(now.plus(end - 1), 9), None),
+        ("disconnected", watermark_at(now.plus(end), 9), Some(Some(at(9)))),
+        ("disconnected", watermark_at(now.plus(end), 3), Some(Some(at(5)))),
         ("restarted", None, None),
-        ("restarted", watermark(now.plus(end), 9), Some(Some(at(9)))),
-        ("gave back", None, None),
-        ("gave back", watermark(elected.plus(end), 2), Some(Some(at(8)))),
+        ("restarted", watermark_at(now.plus(end), 9), Some(Some(at(9)))),
+        ("gave up its lease", None, None),
+        ("gave up its lease", watermark_at(elected.plus(end), 2), Some(Some(at(8)))),
     ];
-    for (what, seen, certain) in cases {
-        let mut book = LeaseTable::new(elected);
-        for (node, conn) in [("n1", 10), ("n2", 11)] {
-            book.register(&node.into(), 1, conn, now);
-            granted(&mut book, &node.into(), grant(&s, Some(1), 8), now);
+    for (case, watermark, expected) in cases {
+        let mut table = LeaseTable::new(elected);
+        for (node, connection) in [("n1", 10), ("n2", 11)] {
+            table.register(&node.into(), 1, connection, now);
+            grant_and_renew(&mut table, &node.into(), lease_grant(&service, Some(1), 8), now);
         }
-        book.acknowledge_revocation(&"n1".into(), &s, DbTerm(1), Some(at(5)));
-        match what {
-            "lost" => {
-                book.disconnect(11, now.plus(20));
-                book.expire_disconnected(late);
-                assert!(!book.poolers.contains_key(&"n2".into()));
+        table.acknowledge_revocation(&"n1".into(), &service, DbTerm(1), Some(at(5)));
+        match case {
+            "disconnected" => {
+                table.disconnect(11, now.plus(20));
+                table.expire_disconnected(later);
+                assert!(!table.poolers.contains_key(&"n2".into()));
             }
             "restarted" => {
-                book.register(&"n2".into(), 2, 12, now.plus(20));
-                book.acknowledge_revocation(&"n2".into(), &s, DbTerm(1), None);
+                table.register(&"n2".into(), 2, 12, now.plus(20));
+                table.acknowledge_revocation(&"n2".into(), &service, DbTerm(1), None);
+            }
+            "gave up its lease" => {
+                table.acknowledge_revocation(&"n2".into(), &service, DbTerm(1), Some(at(8)))
             }
-            "gave back" => book.acknowledge_revocation(&"n2".into(), &s, DbTerm(1), Some(at(8))),
             _ => {}
         }
-        let told = told(&book, seen, CoverageRule::Watermark, late);
-        let known = match told.unreported {
+        let acknowledged = acknowledged_commits(&table, watermark, CoverageRule::Watermark, later);
+        let furthest = match acknowledged.unreported {
             UnreportedCommits::Unknown => None,
-            UnreportedCommits::Nothing => Some(told.reported),
-            UnreportedCommits::UpTo(position) => Some(told.reported.max(Some(position))),
+            UnreportedCommits::Nothing => Some(acknowledged.reported),
+            UnreportedCommits::UpTo(position) => Some(acknowledged.reported.max(Some(position))),
         };
-        assert_eq!(known, certain, "{what}, {seen:?}");
-        let reported = if what == "gave back" { 8 } else { 5 };
-        assert_eq!(told.reported, Some(at(reported)), "{what}, {seen:?}");
+        assert_eq!(furthest, expected, "{case}, {watermark:?}");
+        let reported = if case == "gave up its lease" { 8 } else { 5 };
+        assert_eq!(acknowledged.reported, Some(at(reported)), "{case}, {watermark:?}");
     }
 }
 
 #[test]
-fn a_term_granted_again_after_a_false_alarm_is_not_given_back_any_more() {
-    let (node, s) = (NodeName::from("n1"), ServiceName::from("s"));
+fn granting_a_term_again_after_a_canceled_failover_voids_its_revocation() {
+    let (node, service) = (NodeName::from("n1"), ServiceName::from("s"));
     let now = Tick(100_000);
-    let mut book = LeaseTable::new(Tick(0));
-    book.register(&node, 1, 10, now);
-    let full = grant(&s, Some(1), 8);
-    assert_eq!(granted(&mut book, &node, full.clone(), now), Some(full.clone()));
-    assert_eq!(granted(&mut book, &node, full.clone(), now), None, "nothing changed");
-    book.acknowledge_revocation(&node, &s, DbTerm(1), None);
-    assert!(book.all_released(&s, DbTerm(1), now.plus(10)));
-    // The pooler dropped it, so it has to be told in full again.
-    assert_eq!(granted(&mut book, &node, full.clone(), now.plus(20)), Some(full));
-    assert!(!book.all_released(&s, DbTerm(1), now.plus(30)));
+    let mut table = LeaseTable::new(Tick(0));
+    table.register(&node, 1, 10, now);
+    let grant = lease_grant(&service, Some(1), 8);
+    assert_eq!(grant_and_renew(&mut table, &node, grant.clone(), now), Some(grant.clone()));
+    assert_eq!(grant_and_renew(&mut table, &node, grant.clone(), now), None, "nothing changed");
+    table.acknowledge_revocation(&node, &service, DbTerm(1), None);
+    assert!(table.all_released(&service, DbTerm(1), now.plus(10)));
+    // The pooler discarded the grant, so it has to be sent again.
+    assert_eq!(grant_and_renew(&mut table, &node, grant.clone(), now.plus(20)), Some(grant));
+    assert!(!table.all_released(&service, DbTerm(1), now.plus(30)));
     assert_eq!(
-        told(&book, None, CoverageRule::WatermarkOrTimeout, now.plus(30)),
+        acknowledged_commits(&table, None, CoverageRule::WatermarkOrTimeout, now.plus(30)),
         AcknowledgedCommits::default()
     );
 }
 
 #[test]
-fn a_new_leader_does_not_give_all_to_the_first_who_comes() {
-    let s = ServiceName::from("s");
+fn a_new_leader_does_not_grant_all_connections_to_the_first_pooler() {
+    let service = ServiceName::from("s");
     let now = Tick(100_000);
-    let mut book = LeaseTable::new(now);
-    // A pooler that just started comes first, then those that hold eight each.
-    book.register(&"fresh".into(), 1, 0, now);
-    assert_eq!(book.quota(&"fresh".into(), &s, 92, now), 4);
+    let mut table = LeaseTable::new(now);
+    // A pooler that has just started registers first, then those that have eight connections each.
+    table.register(&"new".into(), 1, 0, now);
+    assert_eq!(table.quota(&"new".into(), &service, 92, now), 4);
     for i in 1..10 {
         let node = NodeName(format!("n{i}"));
-        book.register(&node, 1, i, now);
-        book.report_quotas(&node, vec![(s.clone(), 8)], now);
-        assert_eq!(book.quota(&node, &s, 92, now.plus(i)), 8, "{node} keeps what it had");
+        table.register(&node, 1, i, now);
+        table.report_quotas(&node, vec![(service.clone(), 8)], now);
+        assert_eq!(table.quota(&node, &service, 92, now.plus(i)), 8, "{node} keeps its quota");
     }
-    assert_eq!(book.quota(&"fresh".into(), &s, 92, now.plus(20)), 8);
+    assert_eq!(table.quota(&"new".into(), &service, 92, now.plus(20)), 8);
 }
 
 #[test]
-fn shares_never_add_up_to_more_than_the_total() {
-    let s = ServiceName::from("s");
-    let mut book = LeaseTable::new(Tick(0));
-    let nodes: Vec<NodeName> = (0..12).map(|i| NodeName(format!("n{i}"))).collect();
+fn quotas_never_exceed_the_available_connections() {
+    let service = ServiceName::from("s");
+    let mut table = LeaseTable::new(Tick(0));
+    let nodes: Vec<NodeName> = (0..12).map(|index| NodeName(format!("n{index}"))).collect();
     let mut now = Tick(100_000);
-    let mut held: Vec<u32> = vec![0; nodes.len()];
-    // Stiles come one after the other, some leave, and each asks in turn.
+    let mut quotas: Vec<u32> = vec![0; nodes.len()];
+    // Poolers connect one after the other, some disconnect, and each renews in turn.
     for round in 0..60u64 {
         now = now.plus(450);
-        book.expire_disconnected(now);
-        for (i, node) in nodes.iter().enumerate() {
-            let here = (i as u64) < round / 2 + 1 && !(round > 40 && i % 3 == 0);
-            if here {
-                if book.poolers.get(node).is_none_or(|p| p.connection.is_none()) {
-                    book.register(node, 1, i as u64, now);
+        table.expire_disconnected(now);
+        for (index, node) in nodes.iter().enumerate() {
+            let is_connected = (index as u64) < round / 2 + 1 && !(round > 40 && index % 3 == 0);
+            if is_connected {
+                if table.poolers.get(node).is_none_or(|pooler| pooler.connection.is_none()) {
+                    table.register(node, 1, index as u64, now);
                 }
-                book.report_quotas(node, vec![(s.clone(), held[i])], now);
-                held[i] = book.quota(node, &s, 92, now);
-                granted(&mut book, node, grant(&s, None, held[i]), now);
-            } else if held[i] > 0 {
-                book.disconnect(i as u64, now);
-                // Its connections end within three seconds of its loss.
-                held[i] = if round > 48 { 0 } else { held[i] };
+                table.report_quotas(node, vec![(service.clone(), quotas[index])], now);
+                quotas[index] = table.quota(node, &service, 92, now);
+                grant_and_renew(&mut table, node, lease_grant(&service, None, quotas[index]), now);
+            } else if quotas[index] > 0 {
+                table.disconnect(index as u64, now);
+                // Its database connections close within three seconds of the disconnection.
+                quotas[index] = if round > 48 { 0 } else { quotas[index] };
             }
-            assert!(held.iter().sum::<u32>() <= 88, "round {round}: {held:?}");
+            assert!(quotas.iter().sum::<u32>() <= 88, "round {round}: {quotas:?}");
         }
     }
-    let live = held.iter().filter(|h| **h > 0).count();
-    assert!(live == 8 && held.iter().all(|h| *h == 0 || *h == 11), "{held:?}");
+    let granted = quotas.iter().filter(|quota| **quota > 0).count();
+    assert!(granted == 8 && quotas.iter().all(|quota| *quota == 0 || *quota == 11), "{quotas:?}");
 }
 
 #[test]
-fn a_leaving_is_news_until_it_is_committed_and_nothing_brings_one_back_that_said_goodbye() {
+fn a_draining_heartbeat_is_recorded_once_and_a_removed_database_stays_removed() {
     let id = InstanceId::from("a");
-    let stays = database(Lifecycle::Available, Role::Replica, "v1");
-    let leaves = database(Lifecycle::Draining, Role::Replica, "v1");
+    let available = database(Lifecycle::Available, Role::Replica, "v1");
+    let draining = database(Lifecycle::Draining, Role::Replica, "v1");
     let heartbeat = |instance: &Instance, sequence| Command::Heartbeat {
         id: id.clone(),
         instance: instance.clone(),
         sequence,
     };
     let mut state_machine = StateMachine::default();
-    state_machine.apply(&heartbeat(&stays, 3));
-    // Heard once and perhaps lost with its leader: a repeat must not pass as known.
+    state_machine.apply(&heartbeat(&available, 3));
+    // A heartbeat that was received but not committed may be lost with its leader, so a retry must
+    // not count as recorded.
     for _ in 0..3 {
-        assert!(state_machine.accepts_heartbeat(&id, &leaves, 5));
+        assert!(state_machine.accepts_heartbeat(&id, &draining, 5));
     }
-    assert_eq!(state_machine.apply(&heartbeat(&leaves, 5)), CommandOutcome::Applied);
-    // (what is told, its sequence, whether it is news)
-    for (told, sequence, news) in [(&leaves, 5, false), (&leaves, 9, false), (&stays, 4, false)] {
+    assert_eq!(state_machine.apply(&heartbeat(&draining, 5)), CommandOutcome::Applied);
+    // (heartbeat, its sequence number, whether it is accepted)
+    for (instance, sequence, accepted) in
+        [(&draining, 5, false), (&draining, 9, false), (&available, 4, false)]
+    {
         assert_eq!(
-            state_machine.accepts_heartbeat(&id, told, sequence),
-            news,
-            "{told:?} {sequence}"
+            state_machine.accepts_heartbeat(&id, instance, sequence),
+            accepted,
+            "{instance:?} {sequence}"
         );
     }
-    assert_eq!(state_machine.instances()[&id].instance, leaves);
-    // It said goodbye: a heartbeat that was under way for long comes after all.
+    assert_eq!(state_machine.instances()[&id].instance, draining);
+    // The database has deregistered; a heartbeat that was delayed for long arrives afterwards.
     state_machine.apply(&Command::RemoveInstance { id: id.clone(), sequence: u64::MAX });
-    assert_eq!(state_machine.apply(&heartbeat(&leaves, 40)), CommandOutcome::NoChange);
-    // One that was only not heard of for long may come back with its next heartbeat.
+    assert_eq!(state_machine.apply(&heartbeat(&draining, 40)), CommandOutcome::NoChange);
+    // A database that was removed for missing heartbeats is added again by its next heartbeat.
     state_machine.apply(&Command::Heartbeat {
         id: "b".into(),
-        instance: stays.clone(),
+        instance: available.clone(),
         sequence: 7,
     });
     state_machine.apply(&Command::RemoveInstance { id: "b".into(), sequence: 0 });
     assert!(
-        !state_machine.accepts_heartbeat(&"b".into(), &stays, 7)
-            && state_machine.accepts_heartbeat(&"b".into(), &stays, 8)
+        !state_machine.accepts_heartbeat(&"b".into(), &available, 7)
+            && state_machine.accepts_heartbeat(&"b".into(), &available, 8)
     );
 }
 
 #[test]
-fn a_lease_that_is_not_renewed_runs_out_from_when_it_last_was() {
-    let (node, s, t) = (NodeName::from("n"), ServiceName::from("s"), ServiceName::from("t"));
+fn a_lease_expires_a_lease_period_after_its_last_renewal() {
+    let (node, service, other_service) =
+        (NodeName::from("n"), ServiceName::from("s"), ServiceName::from("t"));
     let now = Tick(100_000);
-    // (what happens to the lease on s after its renewal at +500)
-    for (what, how) in [("told so", 0), ("a new connection", 1), ("given to another", 2)] {
-        let mut book = LeaseTable::new(Tick(0));
-        book.register(&node, 1, 10, now);
-        granted(&mut book, &node, grant(&s, Some(1), 8), now);
-        granted(&mut book, &node, grant(&t, Some(1), 8), now.plus(500));
-        match how {
-            0 => drop(granted(&mut book, &node, grant(&s, None, 8), now.plus(1_000))),
-            1 => book.register(&node, 1, 11, now.plus(1_000)),
-            _ => drop(granted(&mut book, &node, grant(&s, Some(2), 8), now.plus(1_000))),
+    // (what happens to the lease on the first service after its renewal at 500 ms)
+    for (case, event) in [("revoked", 0), ("new connection", 1), ("granted in a new term", 2)] {
+        let mut table = LeaseTable::new(Tick(0));
+        table.register(&node, 1, 10, now);
+        grant_and_renew(&mut table, &node, lease_grant(&service, Some(1), 8), now);
+        grant_and_renew(&mut table, &node, lease_grant(&other_service, Some(1), 8), now.plus(500));
+        match event {
+            0 => drop(grant_and_renew(
+                &mut table,
+                &node,
+                lease_grant(&service, None, 8),
+                now.plus(1_000),
+            )),
+            1 => table.register(&node, 1, 11, now.plus(1_000)),
+            _ => drop(grant_and_renew(
+                &mut table,
+                &node,
+                lease_grant(&service, Some(2), 8),
+                now.plus(1_000),
+            )),
         }
         let until = 500 + LEASE_MS;
-        assert!(!book.all_released(&s, DbTerm(1), now.plus(until)), "{what}");
-        assert!(book.all_released(&s, DbTerm(1), now.plus(until + 100)), "{what}");
-        assert_eq!(book.all_released(&s, DbTerm(2), now.plus(until + 100)), how != 2, "{what}");
+        assert!(!table.all_released(&service, DbTerm(1), now.plus(until)), "{case}");
+        assert!(table.all_released(&service, DbTerm(1), now.plus(until + 100)), "{case}");
+        assert_eq!(
+            table.all_released(&service, DbTerm(2), now.plus(until + 100)),
+            event != 2,
+            "{case}"
+        );
     }
 }
 
 #[test]
-fn a_taken_configuration_is_known_again_after_a_snapshot_and_only_one_of_two_wins() {
-    let body = |n: u8| serde_bytes::ByteBuf::from(vec![n; 40]);
-    let put = |base, revision, n| Command::PutConfiguration {
+fn a_retried_configuration_is_recognized_after_a_snapshot_and_concurrent_ones_conflict() {
+    let body = |fill: u8| serde_bytes::ByteBuf::from(vec![fill; 40]);
+    let put = |base, revision, fill| Command::PutConfiguration {
         base: Revision(base),
         revision: Revision(revision),
-        body: body(n),
+        body: body(fill),
     };
     let mut state_machine = StateMachine::default();
     assert_eq!(state_machine.apply(&put(0, 3, 1)), CommandOutcome::Applied);
-    // Two built on the same version reach the log, one behind the other.
+    // Two configurations based on the same revision are committed one after the other.
     assert_eq!(state_machine.apply(&put(3, 5, 2)), CommandOutcome::Applied);
     assert_eq!(state_machine.apply(&put(3, 6, 9)), CommandOutcome::StaleBase);
     assert_eq!(
         (state_machine.revision(), state_machine.configuration_body()),
         (Revision(5), &body(2))
     );
-    // Another leader has it from a snapshot.
+    // Another controller restores the state from a snapshot.
     let bytes = pack(&state_machine);
-    let mut other = StateMachine::from_snapshot(&bytes).expect("as it was packed");
-    assert_eq!(other, state_machine);
-    // (base, revision, body, what comes of it)
+    let mut restored = StateMachine::from_snapshot(&bytes).expect("a decodable snapshot");
+    assert_eq!(restored, state_machine);
+    // (base, revision, body, outcome)
     let cases = [
         (0, 3, 1, CommandOutcome::NoChange),
         (3, 5, 2, CommandOutcome::NoChange),
@@ -316,60 +347,76 @@
         (5, 5, 7, CommandOutcome::RevisionNotAbove),
         (5, 4, 7, CommandOutcome::RevisionNotAbove),
     ];
-    for (base, revision, n, effect) in cases {
+    for (base, revision, fill, outcome) in cases {
         assert_eq!(
-            other.evaluate_configuration(Revision(base), Revision(revision), &body(n)),
-            effect
+            restored.evaluate_configuration(Revision(base), Revision(revision), &body(fill)),
+            outcome
         );
-        other.apply(&put(base, revision, n));
-        assert_eq!(other, state_machine, "{base} {revision} {n} changes nothing");
+        restored.apply(&put(base, revision, fill));
+        assert_eq!(restored, state_machine, "{base} {revision} {fill} changes nothing");
     }
 }
 
 #[test]
-fn a_floor_from_another_pooler_is_never_newer_than_it_was() {
-    let s = ServiceName::from("s");
-    let lead = PrimaryRecord { term: DbTerm(4), primary: "a".into(), intent: None };
-    // On one true clock, in tenths of a millisecond; each process counts whole milliseconds from a
-    // start of its own.
-    let (leader, one, other) = (
-        |t: u64| Tick((t + 317) / 10),
-        |t: u64| Tick((t + 9_004) / 10),
-        |t: u64| Tick((t + 55) / 10),
+fn a_position_bound_never_claims_to_be_newer_than_its_observation() {
+    let service = ServiceName::from("s");
+    let primary = PrimaryRecord { term: DbTerm(4), primary: "a".into(), intent: None };
+    // Times are in tenths of a millisecond on a common clock. Each process counts whole
+    // milliseconds from a start time of its own.
+    let (leader_clock, reporter_clock, reader_clock) = (
+        |time: u64| Tick((time + 317) / 10),
+        |time: u64| Tick((time + 9_004) / 10),
+        |time: u64| Tick((time + 55) / 10),
     );
-    // (an answer leaves, is in hand, the statement is sent; another asks, is answered)
+    // (the leader's response is sent, received, the pooler sends its statement; another pooler
+    // sends a renewal, its response is sent)
     let cases = [
         (10_000, 10_009, 10_019, 12_000, 12_009),
         (10_000, 14_000, 14_003, 14_500, 19_000),
         (10_001, 10_018, 14_449, 14_449, 14_450),
         (10_009, 10_010, 10_020, 10_021, 10_031),
-        // The one that tells was frozen before it had the answer in hand.
+        // The reporting pooler was suspended before it received the response.
         (10_000, 60_000, 60_020, 60_030, 60_040),
     ];
-    for (left, in_hand, sent, asked, answered) in cases {
-        let told =
-            silvertack::pooler::replica_reads::elapsed_lower_bound_ms(one(in_hand), one(sent)).map(
-                |after| {
-                    let mut known = ReplicationWatermarks::default();
-                    let saw = ObservedPosition {
-                        service: s.clone(),
-                        term: DbTerm(4),
-                        position: at(7),
-                        sent_after_ms: after,
-                    };
-                    known.observe(Some(&lead), leader(left), &saw, leader(answered));
-                    known.position_bound(&s, leader(answered)).expect("told")
-                },
+    for (response_sent, response_received, statement_sent, renewal_sent, renewal_answered) in cases
+    {
+        let bound = silvertack::pooler::replica_reads::elapsed_lower_bound_ms(
+            reporter_clock(response_received),
+            reporter_clock(statement_sent),
+        )
+        .map(|sent_after_ms| {
+            let mut watermarks = ReplicationWatermarks::default();
+            let observation = ObservedPosition {
+                service: service.clone(),
+                term: DbTerm(4),
+                position: at(7),
+                sent_after_ms,
+            };
+            watermarks.observe(
+                Some(&primary),
+                leader_clock(response_sent),
+                &observation,
+                leader_clock(renewal_answered),
+            );
+            watermarks
+                .position_bound(&service, leader_clock(renewal_answered))
+                .expect("a watermark")
+        });
+        let Some(bound) = bound else {
+            assert!(
+                statement_sent - response_received < 20,
+                "only an interval too short to measure is left out"
             );
-        let Some(fresh) = told else {
-            assert!(sent - in_hand < 20, "only what is too close to tell is left out");
             continue;
         };
-        // What the other takes for the time of sending, on the true clock.
-        let seen = (other(asked).0 - fresh.age_ms) * 10;
-        assert!(seen <= sent + 55, "{left} {in_hand} {sent} {asked}");
+        // The time that the other pooler infers for the statement, on the common clock.
+        let inferred = (reader_clock(renewal_sent).0 - bound.age_ms) * 10;
+        assert!(
+            inferred <= statement_sent + 55,
+            "{response_sent} {response_received} {statement_sent} {renewal_sent}"
+        );
     }
-    // Sent before the answer was in hand: nothing is known of when.
+    // The statement was sent before the response was received, so no lower bound is known.
     assert_eq!(
         silvertack::pooler::replica_reads::elapsed_lower_bound_ms(Tick(100), Tick(99)),
         None
@@ -377,68 +424,82 @@
 }
 
 #[test]
-fn what_a_pooler_saw_counts_only_if_it_can_be() {
-    let (s, now) = (ServiceName::from("s"), Tick(50_000));
-    let lead = PrimaryRecord { term: DbTerm(4), primary: "a".into(), intent: None };
+fn an_observation_is_recorded_only_if_it_is_newer_and_plausible() {
+    let (service, now) = (ServiceName::from("s"), Tick(50_000));
+    let primary = PrimaryRecord { term: DbTerm(4), primary: "a".into(), intent: None };
     let position = |term, number| Position { term: DbTerm(term), number };
     let first = position(4, 7);
-    let kept = Some((first, 301));
-    // (what, lead, term of the lease, position, when the answer left, ms after it, what is known then)
+    let unchanged = Some((first, 301));
+    // (case, primary, term of the lease, observed position, when the response was sent, ms from
+    // then to the observation, the position and age of the bound afterwards)
     let cases = [
-        ("newer", Some(&lead), 4, position(4, 9), 49_900, 50, Some((position(4, 9), 51))),
+        ("newer", Some(&primary), 4, position(4, 9), 49_900, 50, Some((position(4, 9), 51))),
         (
-            "of the term before, seen under the present one",
-            Some(&lead),
+            "position of an earlier term, observed in the current one",
+            Some(&primary),
             4,
             position(3, 9),
             49_900,
             50,
             Some((position(3, 9), 51)),
         ),
-        ("older", Some(&lead), 4, position(4, 9), 49_600, 50, kept),
-        ("as old", Some(&lead), 4, position(4, 9), 49_600, 100, kept),
-        ("from the future", Some(&lead), 4, position(4, 9), 49_900, 101, kept),
-        ("from far in the future", Some(&lead), 4, position(4, 9), 49_900, u64::MAX, kept),
-        ("under an older lease", Some(&lead), 3, position(3, 9), 49_900, 50, kept),
-        ("under a lease of a term to come", Some(&lead), 5, position(5, 1), 49_900, 50, kept),
-        ("a position of a term to come", Some(&lead), 4, position(5, 1), 49_900, 50, kept),
-        ("of a service that nobody leads", None, 4, position(4, 9), 49_900, 50, kept),
+        ("older", Some(&primary), 4, position(4, 9), 49_600, 50, unchanged),
+        ("equally old", Some(&primary), 4, position(4, 9), 49_600, 100, unchanged),
+        ("in the future", Some(&primary), 4, position(4, 9), 49_900, 101, unchanged),
+        ("far in the future", Some(&primary), 4, position(4, 9), 49_900, u64::MAX, unchanged),
+        ("under an older lease", Some(&primary), 3, position(3, 9), 49_900, 50, unchanged),
+        (
+            "under a lease of a future term",
+            Some(&primary),
+            5,
+            position(5, 1),
+            49_900,
+            50,
+            unchanged,
+        ),
+        ("position of a future term", Some(&primary), 4, position(5, 1), 49_900, 50, unchanged),
+        ("service without a primary", None, 4, position(4, 9), 49_900, 50, unchanged),
     ];
-    for (what, lead_now, term, position, answered, after, known) in cases {
+    for (case, current_primary, term, position, answered_at, sent_after_ms, expected) in cases {
         let mut watermarks = ReplicationWatermarks::default();
-        let before = ObservedPosition {
-            service: s.clone(),
+        let earlier = ObservedPosition {
+            service: service.clone(),
             term: DbTerm(4),
             position: first,
             sent_after_ms: 100,
         };
-        watermarks.observe(Some(&lead), Tick(49_600), &before, now);
-        let saw = ObservedPosition {
-            service: s.clone(),
+        watermarks.observe(Some(&primary), Tick(49_600), &earlier, now);
+        let observation = ObservedPosition {
+            service: service.clone(),
             term: DbTerm(term),
             position,
-            sent_after_ms: after,
+            sent_after_ms,
         };
-        watermarks.observe(lead_now, Tick(answered), &saw, now);
-        let told = watermarks.position_bound(&s, now).map(|f| (f.position, f.age_ms));
-        assert_eq!(told, known, "{what}");
+        watermarks.observe(current_primary, Tick(answered_at), &observation, now);
+        let bound =
+            watermarks.position_bound(&service, now).map(|bound| (bound.position, bound.age_ms));
+        assert_eq!(bound, expected, "{case}");
         assert_eq!(watermarks.position_bound(&"other".into(), now), None);
     }
 }
 
 #[test]
-fn tidings_name_what_was_stirred_since_and_everything_when_all_was() {
+fn pending_updates_list_the_services_changed_since_a_point() {
     let mut pending_updates = PendingUpdates::default();
     let (a, b) = (ServiceName::from("a"), ServiceName::from("b"));
-    let since = |t: &PendingUpdates, told| {
-        t.changed_since(told).map(|names| names.cloned().collect::<Vec<_>>())
+    let since = |updates: &PendingUpdates, update| {
+        updates.changed_since(update).map(|names| names.cloned().collect::<Vec<_>>())
     };
     assert_eq!(since(&pending_updates, 0), Some(vec![]));
     pending_updates.mark_changed(&a);
     let first = pending_updates.latest();
     pending_updates.mark_changed(&b);
     pending_updates.mark_changed(&a);
-    assert_eq!(since(&pending_updates, first), Some(vec![b.clone(), a.clone()]), "each once");
+    assert_eq!(
+        since(&pending_updates, first),
+        Some(vec![b.clone(), a.clone()]),
+        "each service once"
+    );
     assert_eq!(since(&pending_updates, pending_updates.latest()), Some(vec![]));
     pending_updates.mark_all_changed();
     assert_eq!(since(&pending_updates, first), None);
@@ -448,39 +509,48 @@
 }
 
 #[test]
-fn what_the_division_leaves_over_is_lent_and_comes_back() {
-    let s = ServiceName::from("s");
+fn remaining_connections_are_granted_temporarily() {
+    let service = ServiceName::from("s");
     let node = |i: u64| NodeName(format!("n{i}"));
-    let mut book = LeaseTable::new(Tick(0));
+    let mut table = LeaseTable::new(Tick(0));
     let start = Tick(100_000);
     for i in 0..4 {
-        book.register(&node(i), 1, i, start);
-        granted(&mut book, &node(i), grant(&s, None, 2), start);
-        book.report_quotas(&node(i), vec![(s.clone(), 2)], start);
+        table.register(&node(i), 1, i, start);
+        grant_and_renew(&mut table, &node(i), lease_grant(&service, None, 2), start);
+        table.report_quotas(&node(i), vec![(service.clone(), 2)], start);
     }
-    // Nine to give in all. (when, who, how many more it wants or what it says it has, its share)
+    // Nine connections are available. (ms, pooler, additional connections it requests, quota it
+    // reports, quota it is granted)
     let cases = [
         (0, 0, Some(3), None, 3),
         (10, 1, Some(1), None, 2),
         (20, 0, None, Some(3), 3),
         (2_000, 0, Some(2), None, 3),
         (4_000, 1, Some(1), None, 2),
-        // It wanted no more for long, and has to give back what it still has.
+        // Its request has expired, so it has to give up the extra connection.
         (5_100, 0, None, None, 2),
         (5_110, 1, Some(1), None, 2),
         (5_200, 0, None, Some(2), 2),
         (5_210, 1, Some(1), None, 3),
         (5_220, 2, Some(9), None, 2),
     ];
-    for (after, who, wants, says, share) in cases {
-        let (now, who) = (start.plus(after), node(who));
-        if let Some(more) = wants {
-            book.request_quota(&who, &s, more, now);
+    for (after, pooler, requested, reported, expected) in cases {
+        let (now, pooler) = (start.plus(after), node(pooler));
+        if let Some(additional) = requested {
+            table.request_quota(&pooler, &service, additional, now);
         }
-        book.report_quotas(&who, says.map(|n| (s.clone(), n)).into_iter().collect(), now);
-        let given = book.quota(&who, &s, 12, now);
-        granted(&mut book, &who, grant(&s, None, given), now);
-        assert_eq!(given, share, "{who} at {after}");
+        table.report_quotas(
+            &pooler,
+            reported.map(|quota| (service.clone(), quota)).into_iter().collect(),
+            now,
+        );
+        let quota = table.quota(&pooler, &service, 12, now);
+        grant_and_renew(&mut table, &pooler, lease_grant(&service, None, quota), now);
+        assert_eq!(quota, expected, "{pooler} at {after}");
     }
-    assert_eq!(book.services_with_quota_requests(&node(0)).count(), 0, "and is looked at no more");
+    assert_eq!(
+        table.services_with_quota_requests(&node(0)).count(),
+        0,
+        "its quota is no longer reevaluated"
+    );
 }
