--- a/src/leases/lease_table.rs
+++ b/src/leases/lease_table.rs
@@ -16,7 +16,7 @@
 
 /// How much longer than its validity the leader waits for a lease to expire, in milliseconds, as
 /// clocks may run at slightly different rates.
-const LEASE_SLACK_MS: u64 = 50;
+const LEASE_EXPIRY_MARGIN_MS: u64 = 50;
 
 /// How long a disconnected pooler is kept, in milliseconds. It may have acknowledged later commits
 /// than it reported; replicas have received those by the end of this time.
@@ -118,11 +118,11 @@
 
 /// When a lease granted at this time is certainly no longer in use.
 fn lease_end(granted_at: Tick) -> Tick {
-    granted_at.plus(LEASE_MS + LEASE_SLACK_MS)
+    granted_at.plus(LEASE_MS + LEASE_EXPIRY_MARGIN_MS)
 }
 
 fn has_expired(granted_at: Tick, now: Tick) -> bool {
-    now.since(granted_at) > LEASE_MS + LEASE_SLACK_MS
+    now.since(granted_at) > LEASE_MS + LEASE_EXPIRY_MARGIN_MS
 }
 
 /// When the commits acknowledged under a lease that was never given up count as covered.
@@ -148,8 +148,8 @@
     /// The number of connected poolers.
     pub(super) connected_poolers: u32,
     pub(super) totals: QuotaTotals,
-    /// For each service, when the leases of those poolers have expired that were removed from the
-    /// table, or restarted, without reporting which commits they acknowledged.
+    /// For each service, the end of the last lease of a pooler that was removed from the table, or
+    /// restarted, without reporting which commits it acknowledged.
     removed_leases_end: BTreeMap<ServiceName, Tick>,
     /// For each service, the furthest acknowledged commit that a pooler reported.
     reported: BTreeMap<ServiceName, Position>,
@@ -315,7 +315,7 @@
         let pooler = self.poolers.get_mut(node)?;
         let service = grant.service.clone();
         let old = pooler.grants.get(&service);
-        // A sealed position is valid only when it is sent, so it is sent each time.
+        // A sealed position is valid only at the time it is sent, so it is sent each time.
         let is_sealed = matches!(grant.status, PrimaryStatus::Sealed(_));
         if !is_sealed && old == Some(&grant) {
             return None;
