--- a/src/state_machine/snapshot_codec.rs
+++ b/src/state_machine/snapshot_codec.rs
@@ -38,7 +38,7 @@
 }
 
 impl Serialize for StateMachine {
-    /// Serializes the fields of [`StoredState`], without the layout byte.
+    /// Serializes the stored fields, without the layout byte.
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         let stored = StoredState {
             body: Cow::Borrowed(&self.configuration.body),
