--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -458,7 +458,7 @@
 struct RecordedEffects {
     write_started: bool,
     database_requests: Vec<(InstanceId, DatabaseRequest, Attempt)>,
-    promotion_requests: Vec<(InstanceId, Attempt)>,
+    promotions: Vec<(InstanceId, Attempt)>,
     sent_to_poolers: Vec<(u64, ToPooler)>,
     raft_messages: Vec<(MemberId, RaftMessage)>,
     leader_lease: Option<LeaderLease>,
@@ -502,7 +502,7 @@
         target: &InstanceId,
         attempt: Attempt,
     ) {
-        self.promotion_requests.push((target.clone(), attempt));
+        self.promotions.push((target.clone(), attempt));
     }
     fn send(&mut self, connection: u64, frame: Arc<[u8]>) {
         self.record_frame(connection, &frame);
@@ -581,22 +581,16 @@
             members: (1..=voters).map(member).collect(),
             state: serde_bytes::ByteBuf::from(state_machine.to_snapshot()),
         };
-        let persistent_state = |id| PersistentState {
+        let persisted = |id| PersistentState {
             member_id: MemberId(id),
             term: Term(1),
             snapshot: snapshot.clone(),
             ..PersistentState::default()
         };
-        let follower = |id| RaftNode::new(persistent_state(id), false, START, || 10);
+        let follower = |id| RaftNode::new(persisted(id), false, START, || 10);
         let settings = Settings::parse(SETTINGS).expect("settings");
-        let controller = Controller::new(
-            settings,
-            persistent_state(1),
-            true,
-            || 10,
-            RecordedEffects::default(),
-            START,
-        );
+        let controller =
+            Controller::new(settings, persisted(1), true, || 10, RecordedEffects::default(), START);
         let followers = (2..=voters).map(follower).collect();
         let controller = controller.expect("controller");
         let mut leader = Self { controller, followers, partitioned: false, now: START };
@@ -642,7 +636,7 @@
             self.step();
         }
     }
-    fn receive_from_pooler(&mut self, connection: u64, message: ToController) {
+    fn receive(&mut self, connection: u64, message: ToController) {
         self.controller.handle_input(Input::Frame(connection, Frame::Pooler(message)), self.now);
         self.step();
     }
@@ -653,10 +647,7 @@
     fn register_pooler_with_layout(&mut self, connection: u64, name: &str, layout: u8) {
         let (node, zone, revision) = (name.into(), "z".into(), Revision(1));
         self.controller.handle_input(Input::NodeLayout(connection, layout), self.now);
-        self.receive_from_pooler(
-            connection,
-            ToController::Hello { node, incarnation: 1, revision, zone },
-        );
+        self.receive(connection, ToController::Hello { node, incarnation: 1, revision, zone });
     }
     fn disconnect_pooler(&mut self, connection: u64) {
         self.controller.handle_input(Input::Closed(connection), self.now);
@@ -674,7 +665,7 @@
         self.controller.effects.sent_to_poolers.clear();
         let (quotas, demand, load) = (Vec::new(), Vec::new(), Vec::new());
         let bounds_requested = vec![service()];
-        self.receive_from_pooler(
+        self.receive(
             connection,
             ToController::RenewLeases {
                 seq,
@@ -697,10 +688,11 @@
         });
         responses.next_back()
     }
+    /// Renews and returns the grant if it is sent.
     fn renew(&mut self, connection: u64) -> Option<LeaseGrant> {
         self.renew_with_observations(connection, 1, 0, Vec::new()).expect("a response").0
     }
-    fn granted_status(&mut self, connection: u64) -> Option<PrimaryStatus> {
+    fn status(&mut self, connection: u64) -> Option<PrimaryStatus> {
         self.renew(connection).map(|grant| grant.status)
     }
     fn granted_quota(&mut self, connection: u64) -> Option<u32> {
@@ -709,7 +701,7 @@
     fn report_quota(&mut self, connection: u64, quota: u32) {
         let (quotas, demand, observed) = (vec![(service(), quota)], Vec::new(), Vec::new());
         let (seq, last_grant_seq, bounds_requested, load) = (1, 0, Vec::new(), Vec::new());
-        self.receive_from_pooler(
+        self.receive(
             connection,
             ToController::RenewLeases {
                 seq,
@@ -773,7 +765,7 @@
                 self.respond(
                     id,
                     |request| *request == DatabaseRequest::Continue,
-                    description(false, 1, 7),
+                    described(false, 1, 7),
                 );
             }
         }
@@ -781,23 +773,21 @@
     /// A pooler reports the primary as suspect, and the primary is unavailable.
     fn lose_primary(&mut self, connection: u64) {
         let (instance, reason) = ("a".into(), SuspicionReason::ConnectionsBroken);
-        self.receive_from_pooler(
-            connection,
-            ToController::Suspect { service: service(), instance, reason },
-        );
+        self.receive(connection, ToController::Suspect { service: service(), instance, reason });
         self.respond(
             "a",
             |request| *request == DatabaseRequest::Describe,
             DatabaseResponse::Unavailable,
         );
     }
-    fn primary_record(&self) -> &PrimaryRecord {
+    fn primary(&self) -> &PrimaryRecord {
         &self.controller.state_machine().primaries()[&service()]
     }
 }
 type RenewalResponse = Option<(Option<LeaseGrant>, Option<PositionBound>)>;
 
-fn description(primary: bool, term: u64, number: u64) -> DatabaseResponse {
+/// A database response with its role, its term and the last log position that it received.
+fn described(primary: bool, term: u64, number: u64) -> DatabaseResponse {
     DatabaseResponse::Description(ServerDescription {
         primary,
         term: DbTerm(term),
@@ -830,49 +820,34 @@
         leader.resume_replicas(&["b", "c"]);
         leader.register_pooler(1, "n1");
         leader.register_pooler(2, "n2");
-        assert_eq!(leader.granted_status(1), Some(active(1)), "{case}");
+        assert_eq!(leader.status(1), Some(active(1)), "{case}");
         let leased_at = leader.now;
         leader.lose_primary(2);
-        assert_eq!(
-            leader.granted_status(2),
-            Some(PrimaryStatus::Absent),
-            "{case}: it never had a lease"
-        );
+        assert_eq!(leader.status(2), Some(PrimaryStatus::Absent), "{case}: it had no lease");
         match case {
             "disconnects" => leader.disconnect_pooler(1),
-            "gives up its lease" => leader.receive_from_pooler(1, revoke_ack(Some(at(8)))),
-            "goodbye" => leader.receive_from_pooler(1, ToController::Goodbye),
+            "gives up its lease" => leader.receive(1, revoke_ack(Some(at(8)))),
+            "goodbye" => leader.receive(1, ToController::Goodbye),
             "gives up its lease, goodbye" => {
-                leader.receive_from_pooler(1, revoke_ack(Some(at(8))));
-                leader.receive_from_pooler(1, ToController::Goodbye);
+                leader.receive(1, revoke_ack(Some(at(8))));
+                leader.receive(1, ToController::Goodbye);
             }
-            _ => assert_eq!(leader.granted_status(1), Some(PrimaryStatus::Absent)),
+            _ => assert_eq!(leader.status(1), Some(PrimaryStatus::Absent)),
         }
-        leader.respond_to_all("b", is_pause, &description(false, 1, 7));
-        leader.respond_to_all("c", is_pause, &description(false, 1, 9));
-        while leader.primary_record().intent.is_none() {
-            assert!(
-                leader.now.since(leased_at) < min_delay_ms + 200,
-                "{case}: no replica is chosen"
-            );
+        leader.respond_to_all("b", is_pause, &described(false, 1, 7));
+        leader.respond_to_all("c", is_pause, &described(false, 1, 9));
+        while leader.primary().intent.is_none() {
+            assert!(leader.now.since(leased_at) < min_delay_ms + 200, "{case}: none is chosen");
             leader.run(50);
-            leader.respond_to_all("b", is_pause, &description(false, 1, 7));
-            leader.respond_to_all("c", is_pause, &description(false, 1, 9));
+            leader.respond_to_all("b", is_pause, &described(false, 1, 7));
+            leader.respond_to_all("c", is_pause, &described(false, 1, 9));
         }
-        assert!(
-            leader.now.since(leased_at) >= min_delay_ms,
-            "{case}: chosen while a lease may be in use"
-        );
-        assert_eq!(leader.primary_record().intent, Some("c".into()), "{case}");
+        assert!(leader.now.since(leased_at) >= min_delay_ms, "{case}: chosen during a lease");
+        assert_eq!(leader.primary().intent, Some("c".into()), "{case}");
         for _ in 0..2 {
-            assert_eq!(
-                leader.granted_status(2),
-                Some(PrimaryStatus::Sealed(at(9))),
-                "{case}: sent each time"
-            );
+            assert_eq!(leader.status(2), Some(PrimaryStatus::Sealed(at(9))), "{case}: resent");
         }
-        let (target, attempt) =
-            leader.controller.effects.promotion_requests.pop().expect("a promotion request");
+        let (target, attempt) = leader.controller.effects.promotions.pop().expect("a promotion");
         let response = Input::PromotionResponse {
             service: service(),
             target,
@@ -881,19 +856,15 @@
         };
         leader.controller.handle_input(response, leader.now);
         leader.run(600);
-        leader.respond(
-            "c",
-            |request| *request == DatabaseRequest::Describe,
-            description(true, 2, 9),
-        );
+        leader.respond("c", |request| *request == DatabaseRequest::Describe, described(true, 2, 9));
         leader.run(150);
         assert_eq!(
-            (&leader.primary_record().primary, leader.primary_record().term),
+            (&leader.primary().primary, leader.primary().term),
             (&"c".into(), TERM),
             "{case}"
         );
         let next_status = PrimaryStatus::Active { term: TERM, primary: "c".into() };
-        assert_eq!(leader.granted_status(2), Some(next_status), "{case}");
+        assert_eq!(leader.status(2), Some(next_status), "{case}");
     }
 }
 
@@ -949,7 +920,7 @@
     leader.register_pooler(1, "n1");
     leader.register_pooler_with_layout(2, "n2", layout_of_n2);
     for connection in [1, 2] {
-        assert_eq!(leader.granted_status(connection), Some(active(1)), "{connection}");
+        assert_eq!(leader.status(connection), Some(active(1)), "{connection}");
     }
     leader.controller.effects.sent_to_poolers.clear();
     let body = serde_json::json!({
@@ -978,16 +949,12 @@
     let is_describe = |request: &DatabaseRequest| *request == DatabaseRequest::Describe;
     let started_at = leader.now;
     while leader.now.since(started_at) < 2_500 {
-        leader.respond_to_all("a", is_describe, &description(true, 1, 9));
-        leader.respond_to_all("b", is_describe, &description(false, 1, 9));
+        leader.respond_to_all("a", is_describe, &described(true, 1, 9));
+        leader.respond_to_all("b", is_describe, &described(false, 1, 9));
         if n2_renews {
-            assert_ne!(
-                leader.granted_status(2),
-                Some(active(1)),
-                "the handover stays in its grant"
-            );
+            assert_ne!(leader.status(2), Some(active(1)), "the handover stays in its grant");
         }
-        if leader.primary_record().intent.is_some() {
+        if leader.primary().intent.is_some() {
             return Some(leader.now.since(started_at));
         }
         leader.run(10);
@@ -1021,28 +988,26 @@
             || ToController::RevokeAck { service: service(), term: DbTerm(1), highest: None };
         // The grants of known and of new poolers contain the handover.
         let status = PrimaryStatus::HandingOver { primary: "a".into(), handover: handover.clone() };
-        assert_eq!(leader.granted_status(1), None, "{case}: it was notified");
+        assert_eq!(leader.status(1), None, "{case}: it was notified");
         leader.register_pooler(3, "n3");
-        assert_eq!(leader.granted_status(3), Some(status.clone()), "{case}");
+        assert_eq!(leader.status(3), Some(status.clone()), "{case}");
         for connection in [1, 3] {
-            leader.receive_from_pooler(connection, handover_ack(handover.number));
+            leader.receive(connection, handover_ack(handover.number));
         }
         match case {
-            "confirms" => leader.receive_from_pooler(2, handover_ack(handover.number)),
-            "confirms another handover" => {
-                leader.receive_from_pooler(2, handover_ack(handover.number + 1))
-            }
-            "gives up its lease" => leader.receive_from_pooler(2, revoke_ack()),
+            "confirms" => leader.receive(2, handover_ack(handover.number)),
+            "confirms another handover" => leader.receive(2, handover_ack(handover.number + 1)),
+            "gives up its lease" => leader.receive(2, revoke_ack()),
             "disconnects" => leader.disconnect_pooler(2),
             "is restarted" => {
                 let (node, zone, revision) = ("n2".into(), "z".into(), Revision(1));
                 let hello = ToController::Hello { node, incarnation: 2, revision, zone };
                 leader.controller.handle_input(Input::NodeLayout(4, LAYOUT), leader.now);
-                leader.receive_from_pooler(4, hello);
+                leader.receive(4, hello);
             }
             "is of an older version" => {
-                assert_eq!(leader.granted_status(2), Some(PrimaryStatus::Absent));
-                leader.receive_from_pooler(2, revoke_ack());
+                assert_eq!(leader.status(2), Some(PrimaryStatus::Absent));
+                leader.receive(2, revoke_ack());
             }
             _ => assert_eq!(case, "renews without confirming"),
         }
@@ -1060,7 +1025,7 @@
         if chosen_after_ms.is_none() {
             // After the handover was canceled, the lease is granted as before.
             leader.run(1_000);
-            assert_eq!(leader.granted_status(1), Some(active(1)), "{case}");
+            assert_eq!(leader.status(1), Some(active(1)), "{case}");
         }
     }
 }
@@ -1084,7 +1049,7 @@
         leader.resume_replicas(&["b", "c"]);
         leader.register_pooler(1, "n1");
         leader.register_pooler(2, "n2");
-        assert_eq!(leader.granted_status(1), Some(active(1)), "{case}");
+        assert_eq!(leader.status(1), Some(active(1)), "{case}");
         // A position observed since the election covers poolers that only an earlier leader knew.
         if case != "reports 7, no watermark" {
             leader.run(100);
@@ -1103,19 +1068,19 @@
         };
         match case {
             "disconnects" => leader.disconnect_pooler(1),
-            "reports 7" | "reports 7, no watermark" => leader.receive_from_pooler(1, revoke_ack(7)),
-            "reports 8" => leader.receive_from_pooler(1, revoke_ack(8)),
+            "reports 7" | "reports 7, no watermark" => leader.receive(1, revoke_ack(7)),
+            "reports 8" => leader.receive(1, revoke_ack(8)),
             _ => assert_eq!(case, "nothing"),
         }
         // The other pooler never had a lease, and reports that it acknowledged nothing.
-        leader.receive_from_pooler(
+        leader.receive(
             2,
             ToController::RevokeAck { service: service(), term: DbTerm(1), highest: None },
         );
-        leader.respond("b", is_pause_or_describe, description(false, 1, 7));
+        leader.respond("b", is_pause_or_describe, described(false, 1, 7));
         leader.run(ms);
         let target = is_chosen.then(|| "b".into());
-        assert_eq!(leader.primary_record().intent, target, "{case} {sync_replicas} {ms}");
+        assert_eq!(leader.primary().intent, target, "{case} {sync_replicas} {ms}");
     }
 }
 
@@ -1189,22 +1154,18 @@
         None,
         "no lease on the older connection"
     );
-    assert_eq!(leader.granted_status(2), Some(active(1)));
-    assert_eq!(leader.granted_status(2), None, "nothing changed, so only the lease is renewed");
+    assert_eq!(leader.status(2), Some(active(1)));
+    assert_eq!(leader.status(2), None, "nothing changed, so only the lease is renewed");
     // A delayed revocation or goodbye would end the grants on the newer connection.
     for delayed in [
         ToController::RevokeAck { service: service(), term: DbTerm(1), highest: None },
         ToController::Goodbye,
     ] {
-        leader.receive_from_pooler(1, delayed);
-        assert_eq!(leader.granted_status(2), None, "its grant is unchanged");
+        leader.receive(1, delayed);
+        assert_eq!(leader.status(2), None, "its grant is unchanged");
     }
     leader.disconnect_pooler(1);
-    assert_eq!(
-        leader.granted_status(2),
-        None,
-        "the end of the older connection is no disconnection"
-    );
+    assert_eq!(leader.status(2), None, "the end of the older connection is no disconnection");
 }
 
 /// Twelve of sixteen connections can be granted.
@@ -1235,7 +1196,7 @@
     let mut leader = Leader::with_voters(3, 1, &[]);
     leader.resume_replicas(&["b", "c"]);
     leader.register_pooler(1, "n1");
-    assert_eq!(leader.granted_status(1), Some(active(1)));
+    assert_eq!(leader.status(1), Some(active(1)));
     leader.partitioned = true;
     while leader.controller.raft().holds_leader_lease(leader.now) {
         leader.run(10);
@@ -1244,7 +1205,7 @@
     assert_eq!(leader.renew_with_observations(1, 2, 1, Vec::new()), None, "no lease is renewed");
     leader.controller.effects.database_requests.clear();
     let (instance, reason) = ("a".into(), SuspicionReason::ConnectionsBroken);
-    leader.receive_from_pooler(1, ToController::Suspect { service: service(), instance, reason });
+    leader.receive(1, ToController::Suspect { service: service(), instance, reason });
     assert_eq!(leader.controller.effects.database_requests, [], "no database gets a request");
     leader.controller.effects.sent_to_poolers.clear();
     leader.register_pooler(2, "n2");
@@ -1257,7 +1218,7 @@
         leader.controller.effects.sent_to_poolers.iter().any(|(to, _)| *to == 2),
         "the new pooler is registered"
     );
-    assert_eq!(leader.granted_status(2), Some(active(1)));
+    assert_eq!(leader.status(2), Some(active(1)));
 }
 
 fn http_request(method: &str, path: &str, body: &serde_json::Value) -> Request {
