--- a/src/state_machine/validation.rs
+++ b/src/state_machine/validation.rs
@@ -16,7 +16,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum StateError {
     /// A log entry is not an encoded command.
-    #[error("cannot decode the command in log entry {index}: {source}")]
+    #[error("entry {index} can't be read: {source}")]
     Entry {
         /// The entry.
         index: LogIndex,
@@ -24,7 +24,7 @@
         source: std::io::Error,
     },
     /// A log entry holds an invalid configuration.
-    #[error("invalid configuration in log entry {index}: {source}")]
+    #[error("the configuration in entry {index} can't be read: {source}")]
     EntryConfiguration {
         /// The entry.
         index: LogIndex,
@@ -32,7 +32,7 @@
         source: ConfigurationError,
     },
     /// A snapshot is not an encoded state.
-    #[error("cannot decode the snapshot at log index {index}: {source}")]
+    #[error("the snapshot at entry {index} can't be read: {source}")]
     Snapshot {
         /// The last entry that the snapshot covers.
         index: LogIndex,
@@ -40,7 +40,7 @@
         source: std::io::Error,
     },
     /// A snapshot holds an invalid configuration.
-    #[error("cannot use the snapshot at log index {index}: {source}")]
+    #[error("the snapshot at entry {index} can't be read: {source}")]
     SnapshotConfiguration {
         /// The last entry that the snapshot covers.
         index: LogIndex,
@@ -48,7 +48,7 @@
         source: Box<StateError>,
     },
     /// The active configuration is invalid.
-    #[error("invalid configuration with revision {revision}: {source}")]
+    #[error("configuration {revision} can't be read: {source}")]
     Configuration {
         /// Its revision.
         revision: Revision,
