--- a/tests/storage.rs
+++ b/tests/storage.rs
@@ -1,4 +1,6 @@
-//! The controllers' state: what is read, refused, sent and folded. Time, links and disks are the test's.
+//! The controllers' stored and replicated state: reading files and frames of other layouts,
+//! rejecting what this program can't read, and replicating large entries and snapshots over slow
+//! links. Most tests run in simulated time; some start controller processes.
 mod support;
 
 use serde_bytes::ByteBuf;
@@ -41,29 +43,30 @@
         can_vote: true,
     }
 }
+/// Creates an empty temporary folder.
 fn folder(name: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("silvertack-{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
     std::fs::create_dir_all(&path).expect("folder");
     path
 }
-/// A member's folder, as the landing before this layout's code wrote it.
-fn old_folder(name: &str) -> PathBuf {
+/// A member's data folder as written by a program of the first layout.
+fn layout_1_folder(name: &str) -> PathBuf {
     let path = folder(name);
     let db = rusqlite::Connection::open(path.join("hedge.sqlite")).expect("file");
     db.execute_batch(include_str!("data/hedge-layout-1.sql")).expect("loaded");
-    db.execute_batch("PRAGMA journal_mode = WAL").expect("as it was");
-    std::fs::write(path.join("member"), "1").expect("mark");
+    db.execute_batch("PRAGMA journal_mode = WAL").expect("WAL mode");
+    std::fs::write(path.join("member"), "1").expect("identity file");
     path
 }
-/// What stands in that folder and in the frames.
-fn old_state() -> StateMachine {
+/// The state machine that is stored in that folder and in the frames of the first layout.
+fn layout_1_state() -> StateMachine {
     let body = br#"{"revision":12,"route_rules":[{"name":"strict","hostname":"strict","path_prefix":"/","route_type":"primary","timeout_ms":2000,"target_latency_ms":250,"priority":1,"target_service":"s","max_attempts":2,"stale_ms":1500}],"services":[{"name":"s","health_check_path":"/health","max_connections":16,"sync_replicas":1}],"limits":{"txn_idle_ms":3000}}"#;
-    old_state_with([&body[..], b"\n"].concat())
+    layout_1_state_with([&body[..], b"\n"].concat())
 }
 
-/// The same with another configuration of its revision.
-fn old_state_with(body: Vec<u8>) -> StateMachine {
+/// The same state machine with another configuration body for its revision.
+fn layout_1_state_with(body: Vec<u8>) -> StateMachine {
     let heartbeat = |id: &str, database_role, sequence| Command::Heartbeat {
         id: id.into(),
         instance: Instance {
@@ -79,7 +82,7 @@
     };
     let (service, term) = (ServiceName::from("s"), DbTerm(3));
     let mut state_machine = StateMachine::default();
-    for change in [
+    for command in [
         Command::PutConfiguration {
             base: Revision(0),
             revision: Revision(12),
@@ -92,294 +95,320 @@
         Command::BeginFailover { service, term, target: "b".into() },
         Command::RemoveInstance { id: "c".into(), sequence: 9 },
     ] {
-        state_machine.apply(&change);
+        state_machine.apply(&command);
     }
     state_machine
 }
 
 #[test]
-fn a_disk_of_the_previous_landing_is_read() {
-    let folder = old_folder("old");
-    let OpenedStorage { state: kept, .. } = RaftStorage::open(&folder).expect("opened");
-    let kept = kept.expect("a state");
-    let voted = Some(MemberId(1));
-    assert_eq!((kept.member_id, kept.term, kept.voted_for), (MemberId(1), Term(3), voted));
+fn storage_of_the_first_layout_is_read() {
+    let folder = layout_1_folder("old");
+    let OpenedStorage { state, .. } = RaftStorage::open(&folder).expect("open");
+    let state = state.expect("a state");
+    let vote = Some(MemberId(1));
+    assert_eq!((state.member_id, state.term, state.voted_for), (MemberId(1), Term(3), vote));
     assert_eq!(
-        (kept.last_led_term, kept.snapshot.last_included),
+        (state.last_led_term, state.snapshot.last_included),
         (Some(Term(3)), LogPosition::new(Term(2), LogIndex(8)))
     );
     let members = [member(1, true), member(2, true), member(3, false)];
-    assert_eq!(kept.snapshot.members, members);
-    // The same but for what that program did not keep: another digest of the order, and who departed.
-    let (read, made) =
-        (StateMachine::from_snapshot(&kept.snapshot.state).expect("a state"), old_state());
+    assert_eq!(state.snapshot.members, members);
+    // The state is the same but for what the first layout lacks: it has another digest of the
+    // configuration command and no departed replicas.
+    let (found, built) =
+        (StateMachine::from_snapshot(&state.snapshot.state).expect("a state"), layout_1_state());
     assert_eq!(
-        (read.configuration_body(), read.revision()),
-        (made.configuration_body(), made.revision())
+        (found.configuration_body(), found.revision()),
+        (built.configuration_body(), built.revision())
     );
-    assert_eq!((&read.instances(), &read.primaries()), (&made.instances(), &made.primaries()));
+    assert_eq!((&found.instances(), &found.primaries()), (&built.instances(), &built.primaries()));
     assert!(
-        read.departed_replicas(&"s".into()).is_empty()
-            && !made.departed_replicas(&"s".into()).is_empty()
+        found.departed_replicas(&"s".into()).is_empty()
+            && !built.departed_replicas(&"s".into()).is_empty()
     );
-    for (body, effect) in [
-        (&made.configuration_body()[..], CommandOutcome::NoChange),
+    for (body, outcome) in [
+        (&built.configuration_body()[..], CommandOutcome::NoChange),
         (b"{}", CommandOutcome::StaleBase),
     ] {
         assert_eq!(
-            read.evaluate_configuration(Revision(3), Revision(12), body),
-            effect,
-            "an order sent again"
+            found.evaluate_configuration(Revision(3), Revision(12), body),
+            outcome,
+            "a configuration that is sent again"
         );
     }
-    let late = &made.instances()[&"b".into()].instance;
-    for (sequence, news) in [(9, false), (10, true)] {
+    let late = &built.instances()[&"b".into()].instance;
+    for (sequence, accepted) in [(9, false), (10, true)] {
         assert_eq!(
-            read.accepts_heartbeat(&"c".into(), late, sequence),
-            news,
-            "a late beat of one that left"
+            found.accepts_heartbeat(&"c".into(), late, sequence),
+            accepted,
+            "a late heartbeat of a removed instance"
         );
     }
-    // Going back is possible as long as nothing new is in it, and of the new layout it is read again.
-    assert_eq!(read.to_snapshot(), *kept.snapshot.state);
-    assert_eq!(made.to_snapshot()[0], 2);
+    // A rollback is possible while the state has nothing of the new layout. A state of the new
+    // layout can be read again.
+    assert_eq!(found.to_snapshot(), *state.snapshot.state);
+    assert_eq!(built.to_snapshot()[0], 2);
     assert_eq!(
-        StateMachine::from_snapshot(&made.to_snapshot()).expect("a state").to_snapshot(),
-        made.to_snapshot()
+        StateMachine::from_snapshot(&built.to_snapshot()).expect("a state").to_snapshot(),
+        built.to_snapshot()
     );
-    assert_eq!(kept.log.iter().map(|e| e.index.0).collect::<Vec<_>>(), [9, 10, 11, 12]);
-    let EntryPayload::Command(bytes) = &kept.log[3].payload else { panic!("a change") };
-    let led = Command::SetPrimary { service: "s".into(), term: DbTerm(4), primary: "b".into() };
-    assert_eq!(unpack::<Command>(bytes).expect("a change"), led);
+    assert_eq!(state.log.iter().map(|e| e.index.0).collect::<Vec<_>>(), [9, 10, 11, 12]);
+    let EntryPayload::Command(bytes) = &state.log[3].payload else { panic!("not a command") };
+    let command = Command::SetPrimary { service: "s".into(), term: DbTerm(4), primary: "b".into() };
+    assert_eq!(unpack::<Command>(bytes).expect("a command"), command);
     let _ = std::fs::remove_dir_all(&folder);
 }
 
 #[test]
-fn frames_of_the_previous_landing_are_read() {
+fn frames_of_the_first_layout_are_read() {
     let mut bytes = &include_bytes!("data/frames-layout-1.bin")[..];
-    let mut seen = Vec::new();
+    let mut found = Vec::new();
     while !bytes.is_empty() {
-        let shown = format!("{:?}", receive(&mut bytes).expect("a frame"));
-        let words =
+        let frame = format!("{:?}", receive(&mut bytes).expect("a frame"));
+        let raft_kinds =
             ["RequestVote", "VoteResponse", "AppendEntries", "AppendResponse", "InstallSnapshot"];
-        let more =
+        let other_kinds =
             ["TimeoutNow", "Join ", "Joined", "Hello", "RenewLeases", "Welcome", "LeaseGrants"];
-        seen.extend(words.iter().chain(&more).find(|w| shown.contains(*w)).copied());
+        found.extend(
+            raft_kinds.iter().chain(&other_kinds).find(|kind| frame.contains(*kind)).copied(),
+        );
     }
-    assert_eq!(seen.len(), 12, "{seen:?}");
+    assert_eq!(found.len(), 12, "{found:?}");
 }
 
-/// How many bytes links carry, and how.
+/// How the simulated links carry bytes.
 #[derive(Clone, Copy)]
-struct Road {
-    /// Bytes a millisecond, and to whom only; to everybody if it is nobody's.
-    rate: usize,
-    only: u64,
-    /// All links of a machine share that.
+struct LinkModel {
+    /// The bandwidth of a slow link in bytes per millisecond.
+    bytes_per_ms: usize,
+    /// The member whose links are slow; 0 if all links are.
+    limited_member: u64,
+    /// All links of a machine share its bandwidth.
     shared: bool,
-    /// Bytes that the kernel takes from the sender before they leave.
-    kernel: usize,
+    /// How many bytes the kernel of the sender accepts before they leave.
+    kernel_buffer_bytes: usize,
 }
-const WIDE: usize = 100_000;
-/// Of 2 Mbit/s.
-const THIN: Road = Road { rate: 250, only: 0, shared: false, kernel: 0 };
+const FAST_LINK_BYTES_PER_MS: usize = 100_000;
+/// A link of 2 Mbit/s.
+const SLOW_LINK: LinkModel =
+    LinkModel { bytes_per_ms: 250, limited_member: 0, shared: false, kernel_buffer_bytes: 0 };
 const STEP_MS: u64 = 5;
-const FAR_MS: u64 = 5;
+const LATENCY_MS: u64 = 5;
 
-/// What a controller has applied: a count, a digest, and the newest large body.
+/// The state machine of the simulated controllers: how many commands were applied, a digest of
+/// them, and the last large command.
 #[derive(Clone, Default, PartialEq)]
-struct Sum {
+struct AppliedState {
     count: u64,
     digest: u64,
-    body: Vec<u8>,
+    large_command: Vec<u8>,
 }
-impl Sum {
-    fn add(&mut self, bytes: &[u8]) {
+impl AppliedState {
+    fn apply(&mut self, command: &[u8]) {
         self.count += 1;
-        for b in bytes.iter().take(16) {
+        for b in command.iter().take(16) {
             self.digest = self.digest.wrapping_mul(31).wrapping_add(u64::from(*b));
         }
-        if bytes.len() > 1_000 {
-            self.body = bytes.to_vec();
+        if command.len() > 1_000 {
+            self.large_command = command.to_vec();
         }
     }
-    fn bytes(&self) -> Vec<u8> {
-        [&self.count.to_be_bytes()[..], &self.digest.to_be_bytes(), &self.body].concat()
+    fn encode(&self) -> Vec<u8> {
+        [&self.count.to_be_bytes()[..], &self.digest.to_be_bytes(), &self.large_command].concat()
     }
-    fn read(bytes: &[u8]) -> Self {
-        let word = |at: usize| u64::from_be_bytes(bytes[at..at + 8].try_into().expect("8 bytes"));
+    fn decode(bytes: &[u8]) -> Self {
+        let number = |at: usize| u64::from_be_bytes(bytes[at..at + 8].try_into().expect("8 bytes"));
         match bytes {
             [] => Self::default(),
-            _ => Self { count: word(0), digest: word(8), body: bytes[16..].to_vec() },
+            _ => Self { count: number(0), digest: number(8), large_command: bytes[16..].to_vec() },
         }
     }
 }
+/// One direction of a link between two members.
 #[derive(Default)]
-struct Line {
-    frames: VecDeque<std::sync::Arc<[u8]>>,
-    left: usize,
-    waiting: usize,
-    flying: VecDeque<(Tick, std::sync::Arc<[u8]>)>,
+struct Link {
+    /// The frames that are waiting to be sent.
+    queue: VecDeque<std::sync::Arc<[u8]>>,
+    /// How many bytes of the first queued frame have been sent.
+    sent_of_first: usize,
+    /// How many bytes are waiting to be sent.
+    queued_bytes: usize,
+    /// The frames on their way, with their times of arrival.
+    in_flight: VecDeque<(Tick, std::sync::Arc<[u8]>)>,
 }
 
-/// Controllers on links of a rate. What is written is on disk at once.
-struct Country {
+/// Controllers on links with limited bandwidth. Writes to disk are durable at once.
+struct SimulatedCluster {
     now: Tick,
-    road: Road,
-    hedges: BTreeMap<u64, RaftNode>,
-    lines: BTreeMap<(u64, u64), Line>,
+    link_model: LinkModel,
+    nodes: BTreeMap<u64, RaftNode>,
+    links: BTreeMap<(u64, u64), Link>,
     down: BTreeSet<u64>,
-    sums: BTreeMap<u64, (LogIndex, Sum)>,
-    /// What everybody must have come to at an entry.
-    truth: BTreeMap<LogIndex, (u64, u64)>,
-    /// Members that read the first layout only.
-    old: BTreeSet<u64>,
-    led: BTreeSet<(u64, Term)>,
-    /// Milliseconds without a leader that may act.
-    unled: u64,
-    /// Entries and bytes of the longest and the largest log.
-    largest: (usize, usize),
-    lengths: BTreeMap<u64, usize>,
-    widest: usize,
-    /// Bytes that left for each member.
-    sent: BTreeMap<u64, usize>,
+    /// The last applied index and the state machine of each member.
+    applied: BTreeMap<u64, (LogIndex, AppliedState)>,
+    /// Count and digest of the state machine after each committed entry, the same on all members.
+    committed: BTreeMap<LogIndex, (u64, u64)>,
+    /// Members that read only the first frame layout.
+    old_layout_members: BTreeSet<u64>,
+    leaders: BTreeSet<(u64, Term)>,
+    /// For how many milliseconds no member held the leader lease.
+    leaderless_ms: u64,
+    /// The number of entries of the longest log and the number of bytes of the largest one.
+    largest_log: (usize, usize),
+    log_lengths: BTreeMap<u64, usize>,
+    largest_frame: usize,
+    /// How many bytes were queued for each member.
+    sent_bytes: BTreeMap<u64, usize>,
 }
-impl Country {
-    fn new(road: Road) -> Self {
-        let spreads: [fn() -> u64; 3] = [|| 10, || 130, || 250];
+impl SimulatedCluster {
+    fn new(link_model: LinkModel) -> Self {
+        let random_numbers: [fn() -> u64; 3] = [|| 10, || 130, || 250];
         let members: Vec<Member> = (1..=3).map(|i| member(i, true)).collect();
         let start = Tick(10_000);
         let raft = |id: u64| {
             let snapshot = Snapshot { members: members.clone(), ..Snapshot::default() };
-            let kept =
+            let state =
                 PersistentState { member_id: MemberId(id), snapshot, ..PersistentState::default() };
-            (id, RaftNode::new(kept, false, start, spreads[id as usize - 1]))
+            (id, RaftNode::new(state, false, start, random_numbers[id as usize - 1]))
         };
         let mut this = Self {
             now: start,
-            road,
-            hedges: (1..=3).map(raft).collect(),
-            lines: BTreeMap::new(),
+            link_model,
+            nodes: (1..=3).map(raft).collect(),
+            links: BTreeMap::new(),
             down: BTreeSet::new(),
-            sums: BTreeMap::new(),
-            truth: BTreeMap::new(),
-            old: BTreeSet::new(),
-            led: BTreeSet::new(),
-            unled: 0,
-            largest: (0, 0),
-            lengths: BTreeMap::new(),
-            sent: BTreeMap::new(),
-            widest: 0,
+            applied: BTreeMap::new(),
+            committed: BTreeMap::new(),
+            old_layout_members: BTreeSet::new(),
+            leaders: BTreeSet::new(),
+            leaderless_ms: 0,
+            largest_log: (0, 0),
+            log_lengths: BTreeMap::new(),
+            sent_bytes: BTreeMap::new(),
+            largest_frame: 0,
         };
         this.run(2_000);
-        this.unled = 0;
+        this.leaderless_ms = 0;
         this
     }
     fn leader(&self) -> Option<u64> {
-        let mut all = self.hedges.iter().filter(|(_, h)| h.holds_leader_lease(self.now));
-        let leader = all.next().map(|(id, _)| *id);
-        assert!(all.next().is_none(), "two lead");
+        let mut leaders = self.nodes.iter().filter(|(_, raft)| raft.holds_leader_lease(self.now));
+        let leader = leaders.next().map(|(id, _)| *id);
+        assert!(leaders.next().is_none(), "two members hold the leader lease");
         leader
     }
     fn step(&mut self) {
         self.now = self.now.plus(STEP_MS);
         let now = self.now;
         let mut budgets = BTreeMap::new();
-        for ((from, to), line) in &mut self.lines {
-            let thin = self.road.only == 0 || self.road.only == *to || self.road.only == *from;
-            let rate = if thin { self.road.rate } else { WIDE };
-            let key = (*from, if self.road.shared { 0 } else { *to });
-            let all = budgets.entry(key).or_insert(rate * STEP_MS as usize);
-            let mut room = if self.road.shared { *all / 2 } else { *all };
-            *all -= room;
-            while room > 0 && !line.frames.is_empty() {
-                let took = room.min(line.frames[0].len() - line.left);
-                (line.left, line.waiting, room) =
-                    (line.left + took, line.waiting - took, room - took);
-                if line.left == line.frames[0].len() {
-                    line.left = 0;
-                    let whole = line.frames.pop_front().expect("a frame");
-                    line.flying.push_back((now.plus(FAR_MS), whole));
+        for ((from, to), link) in &mut self.links {
+            let slow = self.link_model.limited_member == 0
+                || self.link_model.limited_member == *to
+                || self.link_model.limited_member == *from;
+            let bytes_per_ms =
+                if slow { self.link_model.bytes_per_ms } else { FAST_LINK_BYTES_PER_MS };
+            let key = (*from, if self.link_model.shared { 0 } else { *to });
+            let shared_budget = budgets.entry(key).or_insert(bytes_per_ms * STEP_MS as usize);
+            let mut budget =
+                if self.link_model.shared { *shared_budget / 2 } else { *shared_budget };
+            *shared_budget -= budget;
+            while budget > 0 && !link.queue.is_empty() {
+                let sent = budget.min(link.queue[0].len() - link.sent_of_first);
+                (link.sent_of_first, link.queued_bytes, budget) =
+                    (link.sent_of_first + sent, link.queued_bytes - sent, budget - sent);
+                if link.sent_of_first == link.queue[0].len() {
+                    link.sent_of_first = 0;
+                    let frame = link.queue.pop_front().expect("a frame");
+                    link.in_flight.push_back((now.plus(LATENCY_MS), frame));
                 }
             }
-            *all += room;
-            while line.flying.front().is_some_and(|(at, _)| *at <= now) {
-                let (_, bytes) = line.flying.pop_front().expect("a frame");
-                let ReceivedFrame { frame, sender_layout: layout } =
-                    receive_with_layout(&mut &bytes[..]).expect("readable");
-                let Frame::Raft { message, .. } = frame else { panic!("of the controllers") };
-                if self.old.contains(to) && matches!(message.kind, RaftMessageKind::Chunk { .. }) {
-                    // Too large a frame for the landed program, which closes the connection.
-                    *line = Line::default();
+            *shared_budget += budget;
+            while link.in_flight.front().is_some_and(|(arrives_at, _)| *arrives_at <= now) {
+                let (_, bytes) = link.in_flight.pop_front().expect("a frame");
+                let ReceivedFrame { frame, sender_layout } =
+                    receive_with_layout(&mut &bytes[..]).expect("a readable frame");
+                let Frame::Raft { message, .. } = frame else { panic!("not a Raft frame") };
+                if self.old_layout_members.contains(to)
+                    && matches!(message.kind, RaftMessageKind::Chunk { .. })
+                {
+                    // A program of the first layout takes the frame for too large and closes the
+                    // connection.
+                    *link = Link::default();
                     break;
                 }
-                let Some(raft) = self.hedges.get_mut(to).filter(|_| !self.down.contains(to)) else {
+                let Some(raft) = self.nodes.get_mut(to).filter(|_| !self.down.contains(to)) else {
                     continue;
                 };
                 raft.record_peer_layout(
                     MemberId(*from),
-                    if self.old.contains(from) { 1 } else { layout },
+                    if self.old_layout_members.contains(from) { 1 } else { sender_layout },
                 );
                 raft.step(*message, now);
             }
         }
-        let ids: Vec<u64> =
-            self.hedges.keys().filter(|i| !self.down.contains(i)).copied().collect();
+        let ids: Vec<u64> = self.nodes.keys().filter(|i| !self.down.contains(i)).copied().collect();
         for id in ids {
-            self.hedges.get_mut(&id).expect("there").tick(now);
-            self.settle(id);
+            self.nodes.get_mut(&id).expect("a node").tick(now);
+            self.process_outputs(id);
         }
         match self.leader() {
             Some(id) => {
-                let raft = &self.hedges[&id];
-                self.led.insert((id, raft.state.term));
-                let newest = self.truth.keys().next_back().copied().unwrap_or_default();
-                assert!(raft.commit_index >= newest, "{id} leads without all that was committed");
+                let raft = &self.nodes[&id];
+                self.leaders.insert((id, raft.state.term));
+                let newest = self.committed.keys().next_back().copied().unwrap_or_default();
+                assert!(raft.commit_index >= newest, "leader {id} lacks a committed entry");
             }
-            None => self.unled += STEP_MS,
+            None => self.leaderless_ms += STEP_MS,
         }
     }
-    /// The disk, what is applied, and what is to be sent.
-    fn settle(&mut self, id: u64) {
-        let raft = self.hedges.get_mut(&id).expect("there");
+    /// Persists a member's changes, applies its committed entries, compacts its log and queues its
+    /// messages.
+    fn process_outputs(&mut self, id: u64) {
+        let raft = self.nodes.get_mut(&id).expect("a node");
         if std::mem::take(&mut raft.unsaved) != Default::default() {
             raft.log_persisted(raft.last_position());
         }
-        let (applied, sum) = self.sums.entry(id).or_default();
+        let (applied, state) = self.applied.entry(id).or_default();
         if raft.state.snapshot.last_included.index > *applied {
             *applied = raft.state.snapshot.last_included.index;
-            *sum = Sum::read(&raft.state.snapshot.state);
+            *state = AppliedState::decode(&raft.state.snapshot.state);
         }
         for entry in raft.committed_entries_after(*applied) {
             *applied = entry.index;
             if let EntryPayload::Command(bytes) = &entry.payload {
-                sum.add(bytes);
+                state.apply(bytes);
             }
-            let same = *self.truth.entry(entry.index).or_insert((sum.count, sum.digest));
-            assert_eq!(same, (sum.count, sum.digest), "{id} at {}", entry.index);
+            let expected =
+                *self.committed.entry(entry.index).or_insert((state.count, state.digest));
+            assert_eq!(expected, (state.count, state.digest), "member {id}, entry {}", entry.index);
         }
-        raft.compact_log(*applied, || sum.bytes());
-        let bytes = |e: &LogEntry| match &e.payload {
+        raft.compact_log(*applied, || state.encode());
+        let command_size = |entry: &LogEntry| match &entry.payload {
             EntryPayload::Command(bytes) => bytes.len(),
             _ => 0,
         };
         let log = &raft.state.log;
-        if log.len() != self.lengths.insert(id, log.len()).unwrap_or_default() {
-            let (entries, most) = self.largest;
-            self.largest = (entries.max(log.len()), most.max(log.iter().map(bytes).sum()));
+        if log.len() != self.log_lengths.insert(id, log.len()).unwrap_or_default() {
+            let (entries, bytes) = self.largest_log;
+            self.largest_log =
+                (entries.max(log.len()), bytes.max(log.iter().map(command_size).sum()));
         }
         for (to, message) in raft.outbox.drain(..) {
-            let line = self.lines.entry((id, to.0)).or_default();
-            let gone = self.down.contains(&to.0);
-            if gone || exceeds_backlog(&message.kind, line.waiting.saturating_sub(self.road.kernel))
+            let link = self.links.entry((id, to.0)).or_default();
+            let receiver_down = self.down.contains(&to.0);
+            if receiver_down
+                || exceeds_backlog(
+                    &message.kind,
+                    link.queued_bytes.saturating_sub(self.link_model.kernel_buffer_bytes),
+                )
             {
                 continue;
             }
             let frame = encode(&Frame::Raft { to, message: Box::new(message) });
-            line.waiting += frame.len();
-            self.widest = self.widest.max(frame.len());
-            *self.sent.entry(to.0).or_default() += frame.len();
-            line.frames.push_back(frame);
+            link.queued_bytes += frame.len();
+            self.largest_frame = self.largest_frame.max(frame.len());
+            *self.sent_bytes.entry(to.0).or_default() += frame.len();
+            link.queue.push_back(frame);
         }
     }
     fn run(&mut self, ms: u64) {
@@ -387,421 +416,468 @@
             self.step();
         }
     }
-    fn propose(&mut self, bytes: Vec<u8>) -> Option<LogIndex> {
+    fn propose(&mut self, command: Vec<u8>) -> Option<LogIndex> {
         let (id, now) = (self.leader()?, self.now);
-        let body = EntryPayload::Command(ByteBuf::from(bytes));
-        let index = self.hedges.get_mut(&id)?.propose(body, now);
-        self.settle(id);
+        let payload = EntryPayload::Command(ByteBuf::from(command));
+        let index = self.nodes.get_mut(&id)?.propose(payload, now);
+        self.process_outputs(id);
         index
     }
-    fn restart(&mut self, id: u64, empty: bool) {
-        self.lines.retain(|(from, to), _| *from != id && *to != id);
-        let mut kept = self.hedges[&id].state.clone();
-        self.sums.remove(&id);
-        if empty {
-            kept = PersistentState { member_id: MemberId(id), ..PersistentState::default() };
+    fn restart(&mut self, id: u64, empty_disk: bool) {
+        self.links.retain(|(from, to), _| *from != id && *to != id);
+        let mut state = self.nodes[&id].state.clone();
+        self.applied.remove(&id);
+        if empty_disk {
+            state = PersistentState { member_id: MemberId(id), ..PersistentState::default() };
         }
-        self.hedges.insert(id, RaftNode::new(kept, !empty, self.now, || 200));
+        self.nodes.insert(id, RaftNode::new(state, !empty_disk, self.now, || 200));
         self.down.remove(&id);
     }
-    /// So many changes, a large one now and then, each large one once the one before is committed.
-    fn load(&mut self, changes: u64, every: u64, large: usize) {
-        let mut last = None;
-        for n in 0..changes {
+    /// Proposes this many commands, one every 20 ms. Each `large_every`th is large, unless the
+    /// large one before is not committed yet.
+    fn propose_many(&mut self, commands: u64, large_every: u64, large_bytes: usize) {
+        let mut last_large = None;
+        for n in 0..commands {
             self.run(20);
-            let committed = self.truth.keys().next_back().copied();
-            let wants = n % every == 0 && (last.is_none() || last <= committed);
-            let mut body = vec![n as u8; if wants { large } else { 150 }];
-            body[..8].copy_from_slice(&n.to_be_bytes());
-            let index = self.propose(body);
-            last = if wants { index } else { last };
+            let committed = self.committed.keys().next_back().copied();
+            let is_large =
+                n % large_every == 0 && (last_large.is_none() || last_large <= committed);
+            let mut command = vec![n as u8; if is_large { large_bytes } else { 150 }];
+            command[..8].copy_from_slice(&n.to_be_bytes());
+            let index = self.propose(command);
+            last_large = if is_large { index } else { last_large };
         }
     }
-    /// Milliseconds until a member has all that is committed at that moment, under small changes.
-    fn catches_up(&mut self, id: u64, within: u64) -> u64 {
-        for ms in 0..within / 20 {
-            let newest = self.truth.keys().next_back().copied().unwrap_or_default();
-            // One change may always be on its way.
-            if self.sums.get(&id).is_some_and(|(at, _)| at.0 + 8 >= newest.0) {
-                return ms * 20;
+    /// How many milliseconds a member takes to apply all committed entries while small commands are
+    /// proposed. Panics after `within_ms`.
+    fn ms_to_catch_up(&mut self, id: u64, within_ms: u64) -> u64 {
+        for round in 0..within_ms / 20 {
+            let newest = self.committed.keys().next_back().copied().unwrap_or_default();
+            // The newest commands may still be on their way.
+            if self.applied.get(&id).is_some_and(|(applied, _)| applied.0 + 8 >= newest.0) {
+                return round * 20;
             }
             self.propose(vec![7; 150]);
             self.run(20);
         }
-        let newest = self.truth.keys().next_back();
-        panic!("{id} at {:?} of {newest:?} after {within} ms", self.sums.get(&id).map(|s| s.0));
+        let newest = self.committed.keys().next_back();
+        panic!(
+            "member {id} has applied {:?} of {newest:?} after {within_ms} ms",
+            self.applied.get(&id).map(|applied| applied.0)
+        );
     }
 }
 
 #[test]
-fn a_leader_keeps_its_majority_while_much_is_under_way_on_thin_links() {
-    let shared = Road { shared: true, ..THIN };
-    // (what, links, changes, every which is large, how large)
+fn a_leader_keeps_its_quorum_while_it_sends_large_entries_over_slow_links() {
+    let shared = LinkModel { shared: true, ..SLOW_LINK };
+    // (case, links, number of commands, every how many one is large, size of a large one)
     let cases = [
-        ("a large configuration on thin links", THIN, 20, 10, 250_000),
-        ("the same, and the kernel takes much", Road { kernel: 200_000, ..THIN }, 20, 10, 250_000),
-        ("all links through one thin one", shared, 20, 10, 250_000),
-        ("one member behind a thin link", Road { only: 2, ..THIN }, 40, 5, 250_000),
-        ("many small ones", THIN, 600, 1_000, 0),
+        ("a large configuration on slow links", SLOW_LINK, 20, 10, 250_000),
+        (
+            "the same with a large kernel buffer",
+            LinkModel { kernel_buffer_bytes: 200_000, ..SLOW_LINK },
+            20,
+            10,
+            250_000,
+        ),
+        ("all links of a machine share a slow one", shared, 20, 10, 250_000),
+        (
+            "one member behind a slow link",
+            LinkModel { limited_member: 2, ..SLOW_LINK },
+            40,
+            5,
+            250_000,
+        ),
+        ("many small commands", SLOW_LINK, 600, 1_000, 0),
     ];
-    for (what, road, changes, every, large) in cases {
-        let mut country = Country::new(road);
-        country.load(changes, every, large.max(150));
-        country.run(12_000);
-        assert_eq!(country.led.len(), 1, "{what}: {:?}", country.led);
-        assert_eq!(country.unled, 0, "{what}: ms without one that may act");
-        let sums: Vec<u64> = country.sums.values().map(|(_, s)| s.count).collect();
-        assert_eq!(sums, [changes; 3], "{what}");
+    for (case, link_model, commands, large_every, large_bytes) in cases {
+        let mut cluster = SimulatedCluster::new(link_model);
+        cluster.propose_many(commands, large_every, large_bytes.max(150));
+        cluster.run(12_000);
+        assert_eq!(cluster.leaders.len(), 1, "{case}: {:?}", cluster.leaders);
+        assert_eq!(cluster.leaderless_ms, 0, "{case}: ms without a leader lease");
+        let counts: Vec<u64> = cluster.applied.values().map(|(_, state)| state.count).collect();
+        assert_eq!(counts, [commands; 3], "{case}");
     }
-    // Parts had become larger where there was room, and then there is none.
-    let mut country = Country::new(Road { rate: WIDE, ..THIN });
-    country.propose(vec![1; 2_000_000]);
-    country.run(200);
-    assert!(country.sums.values().all(|(_, s)| s.count == 0), "not there yet");
-    country.road.rate = 250;
-    country.run(15_000);
-    assert_eq!((country.led.len(), country.unled), (1, 0), "links that became thin");
-    assert!(country.sums.values().all(|(_, s)| s.count == 1));
+    // Chunks grow while the links are fast; then the links become slow.
+    let mut cluster =
+        SimulatedCluster::new(LinkModel { bytes_per_ms: FAST_LINK_BYTES_PER_MS, ..SLOW_LINK });
+    cluster.propose(vec![1; 2_000_000]);
+    cluster.run(200);
+    assert!(
+        cluster.applied.values().all(|(_, state)| state.count == 0),
+        "the transfer is not complete yet"
+    );
+    cluster.link_model.bytes_per_ms = 250;
+    cluster.run(15_000);
+    assert_eq!((cluster.leaders.len(), cluster.leaderless_ms), (1, 0), "links that become slow");
+    assert!(cluster.applied.values().all(|(_, state)| state.count == 1));
 }
 
 #[test]
-fn a_member_that_was_away_catches_up_while_changes_go_on() {
-    // (what, links, its disk is empty, whether it is of the landed layout, changes, every which is
-    // large, how large, most ms)
+fn a_member_that_was_down_catches_up_under_load() {
+    // (case, bandwidth of its link, whether its disk is empty, whether it reads only the first
+    // frame layout, (number of commands, every how many one is large, size of a large one), limit
+    // in ms)
     let many = (1_000, 25, 250_000);
     let few = (300, 150, 2_000_000);
     let cases = [
-        ("restarted", WIDE, false, false, many, 1_500),
-        ("with an empty disk", WIDE, true, false, many, 1_500),
-        ("of the landed program", WIDE, false, true, many, 1_500),
-        ("behind a thin link", 250, false, false, many, 20_000),
-        ("behind a thin link with an empty disk", 250, true, false, many, 20_000),
-        // Longer on its way than the log is otherwise kept.
-        ("a large state behind a thin link", 250, true, false, few, 15_000),
+        ("restarted", FAST_LINK_BYTES_PER_MS, false, false, many, 1_500),
+        ("with an empty disk", FAST_LINK_BYTES_PER_MS, true, false, many, 1_500),
+        ("with a program of the first layout", FAST_LINK_BYTES_PER_MS, false, true, many, 1_500),
+        ("behind a slow link", 250, false, false, many, 20_000),
+        ("behind a slow link with an empty disk", 250, true, false, many, 20_000),
+        // The transfer takes longer than the log is normally kept before it is compacted.
+        ("a large state behind a slow link", 250, true, false, few, 15_000),
     ];
-    for (what, rate, empty, old, (changes, every, large), most) in cases {
-        let mut country = Country::new(Road { rate, ..THIN });
-        let leader = country.leader().expect("a leader");
-        let late = (1..=3).find(|i| *i != leader).expect("another");
-        country.road.only = late;
-        country.down.insert(late);
-        if old {
-            country.old.insert(late);
+    for (
+        case,
+        bytes_per_ms,
+        empty_disk,
+        old_layout,
+        (commands, large_every, large_bytes),
+        limit_ms,
+    ) in cases
+    {
+        let mut cluster = SimulatedCluster::new(LinkModel { bytes_per_ms, ..SLOW_LINK });
+        let leader = cluster.leader().expect("a leader");
+        let late = (1..=3).find(|i| *i != leader).expect("a follower");
+        cluster.link_model.limited_member = late;
+        cluster.down.insert(late);
+        if old_layout {
+            cluster.old_layout_members.insert(late);
         }
-        // The two that are left hold all of it.
-        country.load(changes, every, large);
-        country.restart(late, empty);
-        let took = country.catches_up(late, most);
-        println!("{what}: {took} ms");
-        assert!(country.led.len() == 1 && country.unled == 0, "{what}: {:?}", country.led);
-        assert!(country.largest.0 <= 8_400, "{what}: {:?}", country.largest);
+        // The other two members form a quorum and commit all commands.
+        cluster.propose_many(commands, large_every, large_bytes);
+        cluster.restart(late, empty_disk);
+        let elapsed_ms = cluster.ms_to_catch_up(late, limit_ms);
+        println!("{case}: {elapsed_ms} ms");
+        assert!(
+            cluster.leaders.len() == 1 && cluster.leaderless_ms == 0,
+            "{case}: {:?}",
+            cluster.leaders
+        );
+        assert!(cluster.largest_log.0 <= 8_400, "{case}: {:?}", cluster.largest_log);
     }
 }
 
 #[test]
-fn nothing_large_goes_whole_to_one_that_was_never_heard_of() {
-    let mut country = Country::new(THIN);
-    country.load(300, 50, 250_000);
-    country.run(10_000);
-    let kept = PersistentState { member_id: MemberId(4), ..PersistentState::default() };
-    country.hedges.insert(4, RaftNode::new(kept, false, country.now, || 70));
+fn a_new_member_that_has_sent_no_frame_gets_large_messages_in_chunks() {
+    let mut cluster = SimulatedCluster::new(SLOW_LINK);
+    cluster.propose_many(300, 50, 250_000);
+    cluster.run(10_000);
+    let state = PersistentState { member_id: MemberId(4), ..PersistentState::default() };
+    cluster.nodes.insert(4, RaftNode::new(state, false, cluster.now, || 70));
     let members = (1..=4).map(|id| member(id, id < 4)).collect();
-    let (leader, now) = (country.leader().expect("a leader"), country.now);
-    let raft = country.hedges.get_mut(&leader).expect("there");
-    assert!(raft.state.snapshot.last_included.index > LogIndex(0), "it needs a snapshot");
-    raft.propose(EntryPayload::Membership(members), now).expect("taken");
-    country.catches_up(4, 5_000);
-    assert_eq!((country.led.len(), country.unled), (1, 0), "{:?}", country.led);
-    assert!(country.widest < 70_000, "{} bytes at once", country.widest);
+    let (leader, now) = (cluster.leader().expect("a leader"), cluster.now);
+    let raft = cluster.nodes.get_mut(&leader).expect("the leader");
+    assert!(
+        raft.state.snapshot.last_included.index > LogIndex(0),
+        "the new member needs a snapshot"
+    );
+    raft.propose(EntryPayload::Membership(members), now).expect("proposed");
+    cluster.ms_to_catch_up(4, 5_000);
+    assert_eq!((cluster.leaders.len(), cluster.leaderless_ms), (1, 0), "{:?}", cluster.leaders);
+    assert!(cluster.largest_frame < 70_000, "a frame of {} bytes", cluster.largest_frame);
 }
 
 #[test]
-fn a_member_whose_link_carries_less_than_is_changed_catches_up_once_there_is_less() {
-    let mut country = Country::new(Road { only: 0, ..THIN });
-    let leader = country.leader().expect("a leader");
-    country.road.only = (1..=3).find(|i| *i != leader).expect("another");
-    let late = country.road.only;
-    // Five times what the link carries.
-    country.load(1_000, 10, 250_000);
-    let newest = *country.truth.keys().next_back().expect("entries");
-    assert!(country.sums[&late].0.0 + 100 < newest.0, "it is behind");
-    let took = country.catches_up(late, 25_000);
-    println!("{took} ms, a log of {:?} entries and bytes", country.largest);
-    assert!(country.led.len() == 1 && country.unled == 0, "{:?}", country.led);
-    assert!(country.largest.1 < 5 << 20, "a bounded log: {:?}", country.largest);
+fn a_member_behind_an_overloaded_link_catches_up_when_the_load_drops() {
+    let mut cluster = SimulatedCluster::new(LinkModel { limited_member: 0, ..SLOW_LINK });
+    let leader = cluster.leader().expect("a leader");
+    cluster.link_model.limited_member = (1..=3).find(|i| *i != leader).expect("a follower");
+    let late = cluster.link_model.limited_member;
+    // Five times as many bytes as the link can carry.
+    cluster.propose_many(1_000, 10, 250_000);
+    let newest = *cluster.committed.keys().next_back().expect("entries");
+    assert!(cluster.applied[&late].0.0 + 100 < newest.0, "the member is behind");
+    let elapsed_ms = cluster.ms_to_catch_up(late, 25_000);
+    println!("{elapsed_ms} ms, a log of {:?} entries and bytes", cluster.largest_log);
+    assert!(cluster.leaders.len() == 1 && cluster.leaderless_ms == 0, "{:?}", cluster.leaders);
+    assert!(cluster.largest_log.1 < 5 << 20, "the log is bounded: {:?}", cluster.largest_log);
 }
 
 #[test]
-fn a_transfer_goes_on_where_it_stopped_and_begins_anew_only_where_it_must() {
+fn a_chunked_transfer_resumes_and_restarts_only_when_necessary() {
     const SIZE: usize = 2_000_000;
-    // (what, how often connections break, ms until the leader goes, or the member restarts; most
-    // bytes sent to it, most ms)
+    // (case, interval at which connections break in ms, ms until the leader transfers its
+    // leadership, ms until the member restarts, limit of bytes sent to the member, limit in ms); 0
+    // for never
     let cases = [
-        ("nothing happens", 0, 0, 0, SIZE + 400_000, 15_000),
+        ("no disturbance", 0, 0, 0, SIZE + 400_000, 15_000),
         ("connections break", 900, 0, 0, SIZE + 700_000, 18_000),
-        ("the leader goes half way", 0, 4_000, 0, 2 * SIZE, 25_000),
+        ("the leader changes half way", 0, 4_000, 0, 2 * SIZE, 25_000),
         ("the member restarts half way", 0, 0, 4_000, 2 * SIZE, 25_000),
     ];
-    for (what, breaks, leader_goes, restarts, bytes, most) in cases {
-        let mut country = Country::new(THIN);
-        let leader = country.leader().expect("a leader");
-        let late = (1..=3).find(|i| *i != leader).expect("another");
-        country.road.only = late;
-        country.down.insert(late);
-        country.load(300, 150, SIZE);
-        country.restart(late, true);
-        country.sent.clear();
-        let began = country.now;
-        for at in (0..most).step_by(STEP_MS as usize) {
-            country.step();
-            if breaks > 0 && at % breaks == 0 {
-                country.lines.retain(|(from, to), _| *from != late && *to != late);
+    for (case, break_interval_ms, transfer_ms, restart_ms, max_bytes, limit_ms) in cases {
+        let mut cluster = SimulatedCluster::new(SLOW_LINK);
+        let leader = cluster.leader().expect("a leader");
+        let late = (1..=3).find(|i| *i != leader).expect("a follower");
+        cluster.link_model.limited_member = late;
+        cluster.down.insert(late);
+        cluster.propose_many(300, 150, SIZE);
+        cluster.restart(late, true);
+        cluster.sent_bytes.clear();
+        let started = cluster.now;
+        for ms in (0..limit_ms).step_by(STEP_MS as usize) {
+            cluster.step();
+            if break_interval_ms > 0 && ms % break_interval_ms == 0 {
+                cluster.links.retain(|(from, to), _| *from != late && *to != late);
             }
-            if at == leader_goes && at > 0 {
-                let now = country.now;
-                country.hedges.get_mut(&leader).expect("leader").transfer_leadership(now);
-                country.settle(leader);
+            if ms == transfer_ms && ms > 0 {
+                let now = cluster.now;
+                cluster.nodes.get_mut(&leader).expect("the leader").transfer_leadership(now);
+                cluster.process_outputs(leader);
             }
-            if at == restarts && at > 0 {
-                country.restart(late, false);
+            if ms == restart_ms && ms > 0 {
+                cluster.restart(late, false);
             }
-            if country.sums.get(&late).is_some_and(|(_, s)| s.count == 300) {
+            if cluster.applied.get(&late).is_some_and(|(_, state)| state.count == 300) {
                 break;
             }
         }
-        let took = country.now.since(began);
-        assert_eq!(country.sums[&late].1.count, 300, "{what}: after {took} ms");
-        let sent = country.sent[&late];
-        println!("{what}: {took} ms, {sent} bytes");
-        assert!(sent <= bytes, "{what}: {sent} bytes");
+        let elapsed_ms = cluster.now.since(started);
+        assert_eq!(cluster.applied[&late].1.count, 300, "{case}: after {elapsed_ms} ms");
+        let sent = cluster.sent_bytes[&late];
+        println!("{case}: {elapsed_ms} ms, {sent} bytes");
+        assert!(sent <= max_bytes, "{case}: {sent} bytes");
     }
 }
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario, told in order")]
-fn parts_that_do_not_belong_are_not_taken() {
+fn chunks_that_do_not_fit_the_transfer_are_rejected() {
     let snapshot = Snapshot {
         last_included: LogPosition::new(Term(4), LogIndex(9)),
         members: vec![member(1, true), member(2, true)],
         state: ByteBuf::from(vec![5; 3_000]),
     };
-    let whole = pack(&RaftMessageKind::InstallSnapshot { snapshot, sent_at: 1 });
-    let size = whole.len() as u64;
-    let part = |leader, term, transfer, size, offset: usize, upto: usize| {
-        let bytes = ByteBuf::from(&whole[offset..upto]);
+    let encoded = pack(&RaftMessageKind::InstallSnapshot { snapshot, sent_at: 1 });
+    let size = encoded.len() as u64;
+    let chunk = |leader, term, transfer_id, total_size, offset: usize, end: usize| {
+        let bytes = ByteBuf::from(&encoded[offset..end]);
         let kind = RaftMessageKind::Chunk {
-            transfer_id: transfer,
-            total_size: size,
+            transfer_id,
+            total_size,
             offset: offset as u64,
             bytes,
             sent_at: 7,
         };
         RaftMessage { from: MemberId(leader), term: Term(term), kind }
     };
-    let end = whole.len();
-    // (parts in their order, what is answered to each, whether the snapshot is taken)
+    let end = encoded.len();
+    // (case, chunks in order, received bytes in the response to each, whether the snapshot is
+    // installed)
     type Case = (&'static str, Vec<RaftMessage>, Vec<Option<u64>>, bool);
     let cases: Vec<Case> = vec![
         (
             "in order",
-            vec![part(1, 4, 1, size, 0, 1_000), part(1, 4, 1, size, 1_000, end)],
+            vec![chunk(1, 4, 1, size, 0, 1_000), chunk(1, 4, 1, size, 1_000, end)],
             vec![Some(1_000), Some(size)],
             true,
         ),
         (
-            "twice, and one too many",
+            "repeated, before and after the transfer is complete",
             vec![
-                part(1, 4, 1, size, 0, 1_000),
-                part(1, 4, 1, size, 0, 1_000),
-                part(1, 4, 1, size, 1_000, end),
-                part(1, 4, 1, size, 1_000, end),
+                chunk(1, 4, 1, size, 0, 1_000),
+                chunk(1, 4, 1, size, 0, 1_000),
+                chunk(1, 4, 1, size, 1_000, end),
+                chunk(1, 4, 1, size, 1_000, end),
             ],
             vec![Some(1_000), Some(1_000), Some(size), Some(size)],
             true,
         ),
         (
             "with a gap",
-            vec![part(1, 4, 1, size, 0, 500), part(1, 4, 1, size, 1_000, end)],
+            vec![chunk(1, 4, 1, size, 0, 500), chunk(1, 4, 1, size, 1_000, end)],
             vec![Some(500), Some(500)],
             false,
         ),
         (
-            "of another transfer, another term and an earlier leader",
+            "of another transfer, of another term and of an earlier leader",
             vec![
-                part(1, 4, 1, size, 0, 1_000),
-                part(1, 4, 2, size, 1_000, end),
-                part(2, 5, 2, size, 1_000, end),
-                part(1, 4, 1, size, 1_000, end),
+                chunk(1, 4, 1, size, 0, 1_000),
+                chunk(1, 4, 2, size, 1_000, end),
+                chunk(2, 5, 2, size, 1_000, end),
+                chunk(1, 4, 1, size, 1_000, end),
             ],
             vec![Some(1_000), Some(0), Some(0), None],
             false,
         ),
-        ("larger than any may be", vec![part(1, 4, 1, 1 << 40, 0, 1_000)], vec![None], false),
-        ("more than it said", vec![part(1, 4, 1, 10, 0, 1_000)], vec![Some(0)], false),
+        ("larger than the size limit", vec![chunk(1, 4, 1, 1 << 40, 0, 1_000)], vec![None], false),
+        (
+            "longer than the announced size",
+            vec![chunk(1, 4, 1, 10, 0, 1_000)],
+            vec![Some(0)],
+            false,
+        ),
     ];
-    for (what, parts, answers, taken) in cases {
-        let kept = PersistentState { member_id: MemberId(2), ..PersistentState::default() };
-        let mut raft = RaftNode::new(kept, false, Tick(9_000), || 10);
-        for (message, answer) in parts.into_iter().zip(answers) {
+    for (case, chunks, responses, installed) in cases {
+        let state = PersistentState { member_id: MemberId(2), ..PersistentState::default() };
+        let mut raft = RaftNode::new(state, false, Tick(9_000), || 10);
+        for (message, expected) in chunks.into_iter().zip(responses) {
             raft.step(message, Tick(9_010));
-            let told = raft.outbox.drain(..).find_map(|(_, m)| match m.kind {
-                RaftMessageKind::ChunkResponse { received: upto, .. } => Some(upto),
+            let received = raft.outbox.drain(..).find_map(|(_, m)| match m.kind {
+                RaftMessageKind::ChunkResponse { received, .. } => Some(received),
                 _ => None,
             });
-            assert_eq!(told, answer, "{what}");
+            assert_eq!(received, expected, "{case}");
         }
-        assert_eq!(raft.last_position().index == LogIndex(9), taken, "{what}");
-        assert!(raft.unreadable_message.is_none(), "{what}");
+        assert_eq!(raft.last_position().index == LogIndex(9), installed, "{case}");
+        assert!(raft.unreadable_message.is_none(), "{case}");
     }
 }
 
-/// A change that a program of a later layout may write, and one whose configuration it may take.
-fn of_later() -> [Vec<u8>; 2] {
-    let change = Command::AbandonFailover { service: "s".into(), target: "b".into() };
+/// A command of a newer layout, and one with a configuration that only a newer program can read.
+fn newer_commands() -> [Vec<u8>; 2] {
+    let abandon = Command::AbandonFailover { service: "s".into(), target: "b".into() };
     let configure = Command::PutConfiguration {
         base: Revision(12),
         revision: Revision(13),
         body: ByteBuf::from(br#"{"revision":13,"new":{}"#.to_vec()),
     };
-    [[&[2][..], &pack(&change)].concat(), pack(&configure)]
+    [[&[2][..], &pack(&abandon)].concat(), pack(&configure)]
 }
-fn entry(index: u64, term: u64, bytes: Vec<u8>) -> LogEntry {
-    let body = EntryPayload::Command(ByteBuf::from(bytes));
-    LogEntry { term: Term(term), index: LogIndex(index), payload: body }
+fn entry(index: u64, term: u64, command: Vec<u8>) -> LogEntry {
+    let payload = EntryPayload::Command(ByteBuf::from(command));
+    LogEntry { term: Term(term), index: LogIndex(index), payload }
 }
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario, told in order")]
-fn a_disk_that_can_not_be_what_it_should_be_stops_the_program_and_is_left_as_it_is() {
-    let set = |sql: &'static str| {
+fn an_invalid_state_on_disk_stops_the_program_and_is_left_unchanged() {
+    let execute = |sql: &'static str| {
         move |folder: &Path| {
             let db = rusqlite::Connection::open(folder.join("hedge.sqlite")).expect("file");
             db.execute_batch(sql).expect(sql);
         }
     };
-    let cut = |to: u64| {
+    let truncate = |length: u64| {
         move |folder: &Path| {
             let file = std::fs::OpenOptions::new().write(true).open(folder.join("hedge.sqlite"));
-            file.and_then(|f| f.set_len(to)).expect("cut");
+            file.and_then(|f| f.set_len(length)).expect("truncate");
         }
     };
-    let keep = |change: fn(&mut PersistentState)| {
+    let save = |change: fn(&mut PersistentState)| {
         move |folder: &Path| {
-            let OpenedStorage { mut storage, state: kept } =
-                RaftStorage::open(folder).expect("opened");
-            let mut kept = kept.expect("a state");
-            change(&mut kept);
-            storage.save(&WriteBatch::new(&kept, &UnsavedChanges::all())).expect("saved");
+            let OpenedStorage { mut storage, state } = RaftStorage::open(folder).expect("open");
+            let mut state = state.expect("a state");
+            change(&mut state);
+            storage.save(&WriteBatch::new(&state, &UnsavedChanges::all())).expect("save");
         }
     };
-    // (what, what becomes of the folder, a part of what is said)
+    // (case, how the folder is damaged, a part of the error message)
     type Case = (&'static str, Box<dyn Fn(&Path)>, &'static str);
     let cases: Vec<Case> = vec![
-        ("cut to nothing", Box::new(cut(0)), "is gone"),
-        ("cut within the header", Box::new(cut(60)), "malformed"),
-        ("cut to a page", Box::new(cut(4_096)), "malformed"),
-        ("cut by a page", Box::new(cut(16_384)), "malformed"),
-        ("newer as a whole", Box::new(set("PRAGMA user_version = 2")), "newer than 1"),
+        ("truncated to nothing", Box::new(truncate(0)), "is gone"),
+        ("truncated within the header", Box::new(truncate(60)), "malformed"),
+        ("truncated to one page", Box::new(truncate(4_096)), "malformed"),
+        ("truncated by one page", Box::new(truncate(16_384)), "malformed"),
+        ("a newer schema", Box::new(execute("PRAGMA user_version = 2")), "newer than 1"),
         (
-            "another program's",
-            Box::new(set("CREATE TABLE t (a)")),
+            "a file of another program",
+            Box::new(execute("CREATE TABLE t (a)")),
             "tables that no controller creates",
         ),
         (
-            "another layout",
-            Box::new(set("ALTER TABLE log RENAME COLUMN body TO bytes")),
+            "another schema",
+            Box::new(execute("ALTER TABLE log RENAME COLUMN body TO bytes")),
             "no such column",
         ),
         (
-            "without an entry",
-            Box::new(set("DELETE FROM log WHERE place = 10")),
+            "a missing entry",
+            Box::new(execute("DELETE FROM log WHERE place = 10")),
             "entry 10 is missing",
         ),
         (
-            "of another member",
-            Box::new(|folder| std::fs::write(folder.join("member"), "members 8 9").expect("mark")),
+            "the state of another member",
+            Box::new(|folder| {
+                std::fs::write(folder.join("member"), "members 8 9").expect("identity file")
+            }),
             "belongs to member 1, but the identity file names 8, 9",
         ),
         (
-            "a change of a newer layout",
-            Box::new(keep(|k| k.log.push(entry(13, 3, of_later()[0].clone())))),
+            "a command of a newer layout",
+            Box::new(save(|s| s.log.push(entry(13, 3, newer_commands()[0].clone())))),
             "entry 13 can't be read: of layout 2, this program reads 1",
         ),
         (
             "a configuration of a newer program",
-            Box::new(keep(|k| k.log.push(entry(13, 3, of_later()[1].clone())))),
+            Box::new(save(|s| s.log.push(entry(13, 3, newer_commands()[1].clone())))),
             "entry 13 can't be read",
         ),
         (
             "a snapshot of a newer layout",
-            Box::new(keep(|k| k.snapshot.state.insert(0, 3))),
+            Box::new(save(|s| s.snapshot.state.insert(0, 3))),
             "the snapshot at entry 8 can't be read: of layout 3, this program reads 1",
         ),
         (
-            "a snapshot with more in it",
-            Box::new(keep(|k| {
-                // More fields than are likely to come soon.
-                k.snapshot.state[0] += 8;
-                k.snapshot.state.extend([0x90; 8]);
+            "a snapshot with additional fields",
+            Box::new(save(|s| {
+                // More fields than a later version is likely to add.
+                s.snapshot.state[0] += 8;
+                s.snapshot.state.extend([0x90; 8]);
             })),
             "the snapshot at entry 8 can't be read",
         ),
         (
-            "a snapshot with nothing in it",
-            Box::new(keep(|k| k.snapshot.state.clear())),
+            "an empty snapshot",
+            Box::new(save(|s| s.snapshot.state.clear())),
             "the snapshot at entry 8 can't be read",
         ),
     ];
-    for (what, spoil, said) in cases {
-        let folder = old_folder("bad");
-        spoil(&folder);
+    for (case, damage, expected) in cases {
+        let folder = layout_1_folder("bad");
+        damage(&folder);
         let file = folder.join("hedge.sqlite");
-        let before = std::fs::read(&file).expect("bytes");
-        let read = RaftStorage::open(&folder)
+        let before = std::fs::read(&file).expect("read the database file");
+        let result = RaftStorage::open(&folder)
             .map_err(Fatal::from)
             .and_then(|opened| read_persistent_state(&opened.state.expect("a state")));
-        let refused = read.err().unwrap_or_else(|| panic!("{what}: read"));
+        let error = result.err().unwrap_or_else(|| panic!("{case}: no error"));
+        assert!(matches!(error, Fatal::State(_)) && error.exit_code() == 3, "{case}: {error}");
+        assert!(error.to_string().contains(expected), "{case}: {error}");
         assert!(
-            matches!(refused, Fatal::State(_)) && refused.exit_code() == 3,
-            "{what}: {refused}"
+            std::fs::read(&file).expect("read the database file") == before,
+            "{case}: the file is unchanged"
         );
-        assert!(refused.to_string().contains(said), "{what}: {refused}");
-        assert!(std::fs::read(&file).expect("bytes") == before, "{what}: left as it is");
         let _ = std::fs::remove_dir_all(&folder);
     }
 }
 
 #[test]
-fn a_folder_is_marked_as_the_members_it_was() {
-    let folder = old_folder("marked");
-    let marked = || std::fs::read_to_string(folder.join("member")).expect("mark");
-    // The landed program did not keep the mark when a removed member began anew.
-    std::fs::write(folder.join("member"), "77").expect("mark");
-    let OpenedStorage { mut storage, state: kept } =
-        RaftStorage::open(&folder).expect("not relied on");
-    assert_eq!(marked(), "members 1\n");
-    let mut kept = PersistentState { member_id: MemberId(5), ..kept.expect("a state") };
-    storage.save(&WriteBatch::new(&kept, &UnsavedChanges::all())).expect("saved");
+fn the_identity_file_names_all_members_that_used_the_folder() {
+    let folder = layout_1_folder("marked");
+    let identity_file =
+        || std::fs::read_to_string(folder.join("member")).expect("read the identity file");
+    // The first release did not update the file when a removed member rejoined under a new id.
+    std::fs::write(folder.join("member"), "77").expect("write the identity file");
+    let OpenedStorage { mut storage, state } =
+        RaftStorage::open(&folder).expect("the id in the file is ignored");
+    assert_eq!(identity_file(), "members 1\n");
+    let mut state = PersistentState { member_id: MemberId(5), ..state.expect("a state") };
+    storage.save(&WriteBatch::new(&state, &UnsavedChanges::all())).expect("save");
     drop(storage);
-    assert_eq!(marked(), "members 1 5\n");
-    // As if the machine had stopped between the mark and the state.
-    std::fs::write(folder.join("member"), "members 1 5 6\n").expect("mark");
-    let OpenedStorage { mut storage, state: found } = RaftStorage::open(&folder).expect("again");
+    assert_eq!(identity_file(), "members 1 5\n");
+    // As after a crash between the write of the identity file and that of the state.
+    std::fs::write(folder.join("member"), "members 1 5 6\n").expect("write the identity file");
+    let OpenedStorage { mut storage, state: found } = RaftStorage::open(&folder).expect("reopen");
     assert_eq!(found.expect("a state").member_id, MemberId(5));
-    // Where the mark can't be written, neither is the state.
-    std::fs::create_dir_all(folder.join("member.new")).expect("in the way");
-    kept.member_id = MemberId(7);
-    assert!(storage.save(&WriteBatch::new(&kept, &UnsavedChanges::all())).is_err());
+    // If the identity file can't be written, the state is not written either.
+    std::fs::create_dir_all(folder.join("member.new")).expect("block the temporary file");
+    state.member_id = MemberId(7);
+    assert!(storage.save(&WriteBatch::new(&state, &UnsavedChanges::all())).is_err());
     drop(storage);
-    let OpenedStorage { state: found, .. } = RaftStorage::open(&folder).expect("again");
+    let OpenedStorage { state: found, .. } = RaftStorage::open(&folder).expect("reopen");
     assert_eq!(found.expect("a state").member_id, MemberId(5));
     let _ = std::fs::remove_dir_all(&folder);
 }
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario, told in order")]
-fn what_can_not_be_read_is_neither_taken_nor_acknowledged() {
-    let [newer, unknown] = of_later();
+fn unreadable_messages_are_neither_applied_nor_acknowledged() {
+    let [newer, invalid_configuration] = newer_commands();
     let base = LogPosition::new(Term(2), LogIndex(8));
     let append = |entries| RaftMessageKind::AppendEntries {
         previous: base,
@@ -817,35 +893,35 @@
         },
         sent_at: 1,
     };
-    let good = Command::AbandonFailover { service: "s".into(), target: "b".into() };
-    let other = old_state_with(b"{}".to_vec());
-    // (what, message, a part of what is said; nothing where it is taken)
+    let readable = Command::AbandonFailover { service: "s".into(), target: "b".into() };
+    let other = layout_1_state_with(b"{}".to_vec());
+    // (case, message, a part of the error message; empty if the message is applied)
     let cases = [
-        ("a change", append(vec![entry(9, 3, pack(&good))]), ""),
-        ("a state", snapshot(pack(&old_state())), ""),
-        ("a newer change", append(vec![entry(9, 3, newer)]), "of layout 2, this program reads 1"),
-        ("no change", append(vec![entry(9, 3, Vec::new())]), "entry 9"),
+        ("a command", append(vec![entry(9, 3, pack(&readable))]), ""),
+        ("a state", snapshot(pack(&layout_1_state())), ""),
+        ("a newer command", append(vec![entry(9, 3, newer)]), "of layout 2, this program reads 1"),
+        ("an empty command", append(vec![entry(9, 3, Vec::new())]), "entry 9"),
         (
-            "a configuration that is none, behind a good change",
-            append(vec![entry(9, 3, pack(&good)), entry(10, 3, unknown)]),
+            "an invalid configuration after a readable command",
+            append(vec![entry(9, 3, pack(&readable)), entry(10, 3, invalid_configuration)]),
             "entry 10",
         ),
-        ("a state of this layout", snapshot(old_state().to_snapshot()), ""),
-        ("a newer state", snapshot([&[3][..], &pack(&old_state())].concat()), "of layout 3"),
-        ("a state with a configuration that is none", snapshot(pack(&other)), "configuration 12"),
-        ("no state", snapshot(Vec::new()), "entry 20"),
+        ("a state of this layout", snapshot(layout_1_state().to_snapshot()), ""),
+        ("a newer state", snapshot([&[3][..], &pack(&layout_1_state())].concat()), "of layout 3"),
+        ("a state with an invalid configuration", snapshot(pack(&other)), "configuration 12"),
+        ("an empty state", snapshot(Vec::new()), "entry 20"),
     ];
-    for (what, kind, said) in cases {
+    for (case, kind, expected) in cases {
         let members = vec![member(1, true), member(2, true)];
-        let state = ByteBuf::from(pack(&old_state()));
+        let state = ByteBuf::from(pack(&layout_1_state()));
         let before = Snapshot { last_included: base, members, state };
-        let kept = PersistentState {
+        let state = PersistentState {
             member_id: MemberId(2),
             term: Term(3),
             snapshot: before.clone(),
             ..PersistentState::default()
         };
-        let mut raft = RaftNode::new(kept, true, Tick(9_000), || 10);
+        let mut raft = RaftNode::new(state, true, Tick(9_000), || 10);
         raft.message_validator = |kind| validate_message(kind).map_err(UnreadableMessage::content);
         raft.step(RaftMessage { from: MemberId(1), term: Term(3), kind }, Tick(9_500));
         raft.log_persisted(raft.last_position());
@@ -853,80 +929,86 @@
             .outbox
             .iter()
             .any(|(_, m)| matches!(m.kind, RaftMessageKind::AppendResponse { success: true, .. }));
-        let refused = raft.unreadable_message.as_ref().map(ToString::to_string).unwrap_or_default();
+        let error = raft.unreadable_message.as_ref().map(ToString::to_string).unwrap_or_default();
         assert!(
-            refused.contains(said) && refused.is_empty() == said.is_empty(),
-            "{what}: {refused}"
+            error.contains(expected) && error.is_empty() == expected.is_empty(),
+            "{case}: {error}"
         );
-        let untouched = raft.state.log.is_empty() && raft.state.snapshot == before;
-        assert_eq!((acked, untouched), (said.is_empty(), !said.is_empty()), "{what}");
+        let unchanged = raft.state.log.is_empty() && raft.state.snapshot == before;
+        assert_eq!((acked, unchanged), (expected.is_empty(), !expected.is_empty()), "{case}");
         assert!(
-            untouched != (raft.unsaved != UnsavedChanges::default()),
-            "{what}: {:?}",
+            unchanged != (raft.unsaved != UnsavedChanges::default()),
+            "{case}: {:?}",
             raft.unsaved
         );
     }
 }
 
 #[test]
-fn a_frame_of_another_layout_is_read_or_refused_by_name() {
-    let appended =
+fn a_frame_of_another_layout_is_read_or_rejected_with_its_layout() {
+    let response =
         RaftMessageKind::AppendResponse { match_index: LogIndex(3), success: true, sent_at: 7 };
     let raft = |kind| Frame::Raft {
         to: MemberId(2),
         message: Box::new(RaftMessage { from: MemberId(1), term: Term(3), kind }),
     };
-    let whole = encode(&raft(appended)).to_vec();
-    let part = RaftMessageKind::Chunk {
+    let frame = encode(&raft(response)).to_vec();
+    let chunk = RaftMessageKind::Chunk {
         transfer_id: 1,
         total_size: 9,
         offset: 0,
         bytes: ByteBuf::from(vec![1; 9]),
         sent_at: 7,
     };
-    let with = |at: usize, byte: u8| {
-        let mut bytes = whole.clone();
-        bytes[at] = byte;
+    let with_byte = |offset: usize, byte: u8| {
+        let mut bytes = frame.clone();
+        bytes[offset] = byte;
         bytes
     };
-    let end = whole.len() - 1;
-    let mut first = whole[..end].to_vec();
+    let end = frame.len() - 1;
+    let mut first = frame[..end].to_vec();
     first[3] -= 1;
-    let mut garbled = with(end, 9);
-    garbled[4] = 0xc1;
-    // (what, bytes, the layout its sender reads or what is said)
+    let mut undecodable = with_byte(end, 9);
+    undecodable[4] = 0xc1;
+    // (case, bytes, the layout that the sender reads or a part of the error message)
     let cases: Vec<(&str, Vec<u8>, Result<u8, &str>)> = vec![
-        ("this one", whole.clone(), Ok(3)),
-        ("a part, which a landed program takes for too large", encode(&raft(part)).to_vec(), Ok(3)),
-        ("the first", first, Ok(1)),
-        ("readable, of a newer program", with(end, 9), Ok(9)),
-        ("newer", with(0, 4), Err("a frame of layout 4, this program reads 3")),
+        ("this layout", frame.clone(), Ok(3)),
         (
-            "newer, though it does not say so",
-            garbled,
+            "a chunk, which programs of the first layout take for too large a frame",
+            encode(&raft(chunk)).to_vec(),
+            Ok(3),
+        ),
+        ("the first layout", first, Ok(1)),
+        ("a readable frame of a newer program", with_byte(end, 9), Ok(9)),
+        ("a newer layout", with_byte(0, 4), Err("a frame of layout 4, this program reads 3")),
+        (
+            "an undecodable frame of a newer program",
+            undecodable,
             Err("that reads layout 9, this program reads 3"),
         ),
-        ("too large", with(1, 0xff), Err("frame of")),
-        ("cut", whole[..end].to_vec(), Err("")),
+        ("too large", with_byte(1, 0xff), Err("frame of")),
+        ("truncated", frame[..end].to_vec(), Err("")),
     ];
-    for (what, bytes, wanted) in cases {
-        let read = receive_with_layout(&mut &bytes[..]);
-        match (read, wanted) {
-            (Ok(read), Ok(wanted)) => assert_eq!(read.sender_layout, wanted, "{what}"),
-            (Err(e), Err(said)) => assert!(e.to_string().contains(said), "{what}: {e}"),
-            (read, _) => panic!("{what}: {read:?}"),
+    for (case, bytes, expected) in cases {
+        let result = receive_with_layout(&mut &bytes[..]);
+        match (result, expected) {
+            (Ok(received), Ok(layout)) => assert_eq!(received.sender_layout, layout, "{case}"),
+            (Err(error), Err(text)) => assert!(error.to_string().contains(text), "{case}: {error}"),
+            (result, _) => panic!("{case}: {result:?}"),
         }
     }
-    // Only parts ask for more than the first layout: all else is read by landed programs.
-    assert_eq!(whole[0], 0);
+    // Only chunks require more than the first layout; programs of that layout read all other
+    // frames.
+    assert_eq!(frame[0], 0);
 }
 
 #[test]
-fn answers_of_one_that_was_removed_say_nothing() {
-    let mut country = Country::new(Road { rate: WIDE, ..THIN });
-    let leader = country.leader().expect("a leader");
-    let (now, raft) = (country.now, country.hedges.get_mut(&leader).expect("leader"));
-    assert!(raft.all_peers_read_layout(LAYOUT), "the others said so");
+fn responses_of_a_removed_member_are_ignored() {
+    let mut cluster =
+        SimulatedCluster::new(LinkModel { bytes_per_ms: FAST_LINK_BYTES_PER_MS, ..SLOW_LINK });
+    let leader = cluster.leader().expect("a leader");
+    let (now, raft) = (cluster.now, cluster.nodes.get_mut(&leader).expect("the leader"));
+    assert!(raft.all_peers_read_layout(LAYOUT), "as stated in the frames of the others");
     raft.record_peer_layout(MemberId(if leader == 1 { 2 } else { 1 }), FIRST_LAYOUT);
     assert!(!raft.all_peers_read_layout(LAYOUT));
     for kind in [
@@ -939,50 +1021,50 @@
     }
 }
 
-/// A controller as a process, on a folder; what it logs stands in `log` there.
-struct Process {
+/// A controller process with its data folder. Its log is the file `log` in that folder.
+struct ControllerProcess {
     child: Child,
     folder: PathBuf,
     peer: SocketAddr,
     admin: SocketAddr,
 }
-impl Process {
+impl ControllerProcess {
     fn start(folder: &Path) -> Self {
         let ports = [0; 4].map(|_| free_port());
         let seeds = format!("seed_nodes = [\"127.0.0.1:{}\"]\n", ports[1]);
         Self::start_at(folder, 1, ports, &seeds)
     }
     fn start_at(folder: &Path, host: u8, ports: [u16; 4], seeds: &str) -> Self {
-        let [peer, admin, front, ready] = ports;
+        let [peer, admin, frontend, readiness] = ports;
         let settings = format!(
             "node_name = \"n{host}\"\nip_address = \"127.0.0.{host}\"\nzone = \"z\"\n\
              port_range = [{peer}, {peer}]\n{seeds}data_path = \"{}\"\n[listeners]\n\
-             frontend = \"127.0.0.{host}:{front}\"\nreadiness = \"127.0.0.{host}:{ready}\"\n\
+             frontend = \"127.0.0.{host}:{frontend}\"\nreadiness = \"127.0.0.{host}:{readiness}\"\n\
              admin = \"127.0.0.{host}:{admin}\"\n",
             folder.display()
         );
-        std::fs::write(folder.join("node.toml"), settings).expect("settings");
-        let log = std::fs::File::create(folder.join("log")).expect("log");
+        std::fs::write(folder.join("node.toml"), settings).expect("write the settings");
+        let log = std::fs::File::create(folder.join("log")).expect("create the log");
         let child = process::Command::new(env!("CARGO_BIN_EXE_silvertack"))
             .args(["controller", "--settings"])
             .arg(folder.join("node.toml"))
             .stderr(log)
             .spawn()
-            .expect("controller");
-        let at = |port: u16| SocketAddr::from(([127, 0, 0, host], port));
-        Self { child, folder: folder.to_owned(), peer: at(peer), admin: at(admin) }
+            .expect("start the controller");
+        let address = |port: u16| SocketAddr::from(([127, 0, 0, host], port));
+        Self { child, folder: folder.to_owned(), peer: address(peer), admin: address(admin) }
     }
     fn log(&self) -> String {
-        std::fs::read_to_string(self.folder.join("log")).expect("log")
+        std::fs::read_to_string(self.folder.join("log")).expect("read the log")
     }
-    fn answers(&self) -> bool {
+    fn is_responding(&self) -> bool {
         http(self.admin, "GET", "/status", &[], "").is_ok_and(|(status, _)| status == 200)
     }
-    /// What it ended with, if it does within a few seconds.
-    fn ended(&mut self) -> Option<i32> {
+    /// The exit code, if the process ends within a few seconds.
+    fn exit_code(&mut self) -> Option<i32> {
         let start = Instant::now();
         while start.elapsed() < Duration::from_secs(5) {
-            if let Some(status) = self.child.try_wait().expect("asked") {
+            if let Some(status) = self.child.try_wait().expect("query the exit status") {
                 return status.code();
             }
             std::thread::sleep(Duration::from_millis(20));
@@ -990,30 +1072,30 @@
         None
     }
 }
-impl Drop for Process {
+impl Drop for ControllerProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
-fn eventually(what: &str, mut check: impl FnMut() -> bool) {
+fn wait_until(event: &str, mut has_happened: impl FnMut() -> bool) {
     let start = Instant::now();
-    while !check() {
-        assert!(start.elapsed() < Duration::from_secs(10), "never: {what}");
+    while !has_happened() {
+        assert!(start.elapsed() < Duration::from_secs(10), "timed out waiting for {event}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
 #[test]
-fn a_controller_that_can_not_read_what_was_agreed_stops_and_says_why() {
-    let newer = || of_later()[0].clone();
-    let found = |name: &str, voters: u64, log: Vec<LogEntry>| {
+fn a_controller_that_cannot_read_a_log_entry_exits_with_the_reason() {
+    let newer = || newer_commands()[0].clone();
+    let data_folder = |name: &str, voters: u64, log: Vec<LogEntry>| {
         let folder = folder(name);
         let members = (1..=voters).map(|id| member(id, true)).collect();
         let snapshot = Snapshot { members, ..Snapshot::default() };
         let term = Term(3);
-        let kept = PersistentState {
+        let state = PersistentState {
             member_id: MemberId(1),
             term,
             log,
@@ -1021,42 +1103,44 @@
             ..PersistentState::default()
         };
         let InitializedStorage { storage, .. } =
-            RaftStorage::open_or_initialize(&folder, || kept).expect("founded");
+            RaftStorage::open_or_initialize(&folder, || state).expect("initialize");
         drop(storage);
         folder
     };
-    // From its own disk: alone, it would lead and commit that.
-    let mut controller = Process::start(&found("own", 1, vec![entry(1, 3, newer())]));
-    assert_eq!(controller.ended(), Some(3), "{}", controller.log());
-    let said = "entry 1 can't be read: of layout 2, this program reads 1";
-    assert!(controller.log().contains(said), "{}", controller.log());
-    // From its leader: a newer frame first, which only costs the connection.
-    let mut controller = Process::start(&found("told", 2, Vec::new()));
-    eventually("an answer", || controller.answers());
-    let mut stream = TcpStream::connect(controller.peer).expect("connected");
-    stream.set_read_timeout(Some(Duration::from_secs(5))).expect("timeout");
-    stream.write_all(&[4, 0, 0, 1, 0x80]).expect("sent");
-    assert_eq!(stream.read(&mut [0; 8]).expect("closed in order"), 0);
-    let said = "a frame of layout 4, this program reads 3";
-    eventually("a line", || controller.log().contains(said));
-    assert!(controller.answers());
-    let mut stream = TcpStream::connect(controller.peer).expect("connected");
+    // The entry is on its own disk. As the only voter it would lead and commit the entry.
+    let mut controller =
+        ControllerProcess::start(&data_folder("own", 1, vec![entry(1, 3, newer())]));
+    assert_eq!(controller.exit_code(), Some(3), "{}", controller.log());
+    let expected = "entry 1 can't be read: of layout 2, this program reads 1";
+    assert!(controller.log().contains(expected), "{}", controller.log());
+    // The entry comes from its leader. Before that, a frame of a newer layout only closes the
+    // connection.
+    let mut controller = ControllerProcess::start(&data_folder("told", 2, Vec::new()));
+    wait_until("a response", || controller.is_responding());
+    let mut stream = TcpStream::connect(controller.peer).expect("connect");
+    stream.set_read_timeout(Some(Duration::from_secs(5))).expect("set the timeout");
+    stream.write_all(&[4, 0, 0, 1, 0x80]).expect("send");
+    assert_eq!(stream.read(&mut [0; 8]).expect("an orderly close"), 0);
+    let expected = "a frame of layout 4, this program reads 3";
+    wait_until("the log line", || controller.log().contains(expected));
+    assert!(controller.is_responding());
+    let mut stream = TcpStream::connect(controller.peer).expect("connect");
     let previous = LogPosition::new(Term(0), LogIndex(0));
     let entries = vec![entry(1, 9, newer())];
     let kind =
         RaftMessageKind::AppendEntries { previous, entries, commit_index: LogIndex(1), sent_at: 1 };
     let message = Box::new(RaftMessage { from: MemberId(2), term: Term(9), kind });
-    send(&mut stream, &Frame::Raft { to: MemberId(1), message }).expect("sent");
-    assert_eq!(controller.ended(), Some(3), "{}", controller.log());
-    let said = "not taken from the leader: entry 1 can't be read: of layout 2";
-    assert!(controller.log().contains(said), "{}", controller.log());
-    let OpenedStorage { state: kept, .. } = RaftStorage::open(&controller.folder).expect("opened");
-    assert!(kept.expect("a state").log.is_empty());
+    send(&mut stream, &Frame::Raft { to: MemberId(1), message }).expect("send");
+    assert_eq!(controller.exit_code(), Some(3), "{}", controller.log());
+    let expected = "not taken from the leader: entry 1 can't be read: of layout 2";
+    assert!(controller.log().contains(expected), "{}", controller.log());
+    let OpenedStorage { state, .. } = RaftStorage::open(&controller.folder).expect("open");
+    assert!(state.expect("a state").log.is_empty());
 }
 
 #[test]
-fn a_late_beat_brings_nothing_back_though_hundreds_left_since() {
-    let mut state_machine = old_state();
+fn a_late_heartbeat_restores_no_removed_instance_after_many_removals() {
+    let mut state_machine = layout_1_state();
     let instance = state_machine.instances()[&InstanceId::from("b")].instance.clone();
     let heartbeat = |n: u64| Command::Heartbeat {
         id: InstanceId(format!("d{n}")),
@@ -1074,16 +1158,17 @@
     for n in 0..2_000 {
         state_machine.apply(&heartbeat(n));
     }
-    assert_eq!(state_machine.instances().len(), 2, "only those that never left");
-    assert!(pack(&state_machine).len() < 64 << 10, "and they take little room");
+    assert_eq!(state_machine.instances().len(), 2, "only the instances that were not removed");
+    assert!(pack(&state_machine).len() < 64 << 10, "the removed ones take little space");
 }
 
 #[test]
-fn an_empty_disk_gets_a_folded_state_from_a_leader_it_only_asked_to_be_taken_in_by() {
+fn a_joining_controller_with_an_empty_disk_gets_a_snapshot() {
     let ports = [0; 4].map(|_| free_port());
-    let at = |host: u8, port: u16| SocketAddr::from(([127, 0, 0, host], port));
-    let seeds = format!("seed_nodes = [\"{}\"]\nbootstrap = true\n", at(1, ports[1]));
-    let start = |host| Process::start_at(&folder(&format!("join{host}")), host, ports, &seeds);
+    let address = |host: u8, port: u16| SocketAddr::from(([127, 0, 0, host], port));
+    let seeds = format!("seed_nodes = [\"{}\"]\nbootstrap = true\n", address(1, ports[1]));
+    let start =
+        |host| ControllerProcess::start_at(&folder(&format!("join{host}")), host, ports, &seeds);
     let first = start(1);
     let put = |revision: u64| {
         let route = |n: usize| {
@@ -1100,45 +1185,50 @@
             "limits": { "txn_idle_ms": 3000 },
         });
         let base = (revision - 1).to_string();
-        let sent = [("If-Match", base.as_str())];
-        http(first.admin, "PUT", "/configuration", &sent, &body.to_string())
+        let headers = [("If-Match", base.as_str())];
+        http(first.admin, "PUT", "/configuration", &headers, &body.to_string())
     };
-    eventually("taken", || put(1).is_ok_and(|(status, _)| status == 200));
+    wait_until("the configuration to be accepted", || {
+        put(1).is_ok_and(|(status, _)| status == 200)
+    });
     for revision in 2..=12 {
-        assert_eq!(put(revision).expect("answered").0, 200);
+        assert_eq!(put(revision).expect("a response").0, 200);
     }
     let second = start(2);
-    eventually("caught up", || {
-        let status = http(second.admin, "GET", "/status", &[], "");
-        status.is_ok_and(|(_, body)| body.contains("\"revision\":12"))
+    wait_until("the second controller to catch up", || {
+        let response = http(second.admin, "GET", "/status", &[], "");
+        response.is_ok_and(|(_, body)| body.contains("\"revision\":12"))
     });
 }
 
 #[test]
-fn a_member_whose_list_lacks_the_leader_still_catches_up() {
+fn a_member_whose_member_list_lacks_the_leader_still_catches_up() {
     let ports = [0; 4].map(|_| free_port());
-    let at = |host: u64, port: u16| -> SocketAddr {
+    let address = |host: u64, port: u16| -> SocketAddr {
         format!("127.0.0.{host}:{port}").parse().expect("address")
     };
-    let real =
-        |id: u64| Member { peer: at(id, ports[0]), admin: at(id, ports[1]), ..member(id, true) };
-    // With as many as are needed to bear a loss, nobody is removed for being silent.
-    let tolerates = "fault_tolerance = { machines = 1 }\n";
-    let seeds = format!("seed_nodes = [\"{}\"]\n{tolerates}", at(1, ports[1]));
+    let local_member = |id: u64| Member {
+        peer: address(id, ports[0]),
+        admin: address(id, ports[1]),
+        ..member(id, true)
+    };
+    // There are just enough voters to tolerate one loss, so no silent voter is removed.
+    let fault_tolerance = "fault_tolerance = { machines = 1 }\n";
+    let seeds = format!("seed_nodes = [\"{}\"]\n{fault_tolerance}", address(1, ports[1]));
     let start = |id: u64, members: Vec<Member>| {
         let folder = folder(&format!("list{id}"));
         let snapshot = Snapshot { members, ..Snapshot::default() };
-        let kept = PersistentState {
+        let state = PersistentState {
             member_id: MemberId(id),
             term: Term(1),
             snapshot,
             ..PersistentState::default()
         };
-        drop(RaftStorage::open_or_initialize(&folder, || kept).expect("founded"));
-        Process::start_at(&folder, id as u8, ports, &seeds)
+        drop(RaftStorage::open_or_initialize(&folder, || state).expect("initialize"));
+        ControllerProcess::start_at(&folder, id as u8, ports, &seeds)
     };
-    let now = || vec![real(1), real(2), real(3)];
-    let both = [1, 3].map(|id| start(id, now()));
+    let current_members = || vec![local_member(1), local_member(2), local_member(3)];
+    let running = [1, 3].map(|id| start(id, current_members()));
     let put = |revision: u64| {
         let body = serde_json::json!({
             "revision": revision, "route_rules": [], "limits": { "txn_idle_ms": 3000 },
@@ -1146,17 +1236,19 @@
                 "sync_replicas": 1 }],
         });
         let base = (revision - 1).to_string();
-        let sent = [("If-Match", base.as_str())];
-        let ask = |p: &Process| http(p.admin, "PUT", "/configuration", &sent, &body.to_string());
-        both.iter().any(|p| ask(p).is_ok_and(|(status, _)| status == 200))
+        let headers = [("If-Match", base.as_str())];
+        let put_to = |p: &ControllerProcess| {
+            http(p.admin, "PUT", "/configuration", &headers, &body.to_string())
+        };
+        running.iter().any(|p| put_to(p).is_ok_and(|(status, _)| status == 200))
     };
     for revision in 1..=3 {
-        eventually("taken", || put(revision));
+        wait_until("the configuration to be accepted", || put(revision));
     }
-    // Away while the others were taken in.
-    let second = start(2, vec![real(2), member(7, true)]);
-    eventually("caught up", || {
-        let status = http(second.admin, "GET", "/status", &[], "");
-        status.is_ok_and(|(_, body)| body.contains("\"revision\":3"))
+    // This member was down while the others were added.
+    let second = start(2, vec![local_member(2), member(7, true)]);
+    wait_until("the second controller to catch up", || {
+        let response = http(second.admin, "GET", "/status", &[], "");
+        response.is_ok_and(|(_, body)| body.contains("\"revision\":3"))
     });
 }
