--- a/tests/raft.rs
+++ b/tests/raft.rs
@@ -803,7 +803,7 @@
 
 /// Takes the vote responses from the outbox: whether each is for a pre-vote, whether it is granted,
 /// and its term.
-fn take_vote_responses(raft: &mut RaftNode) -> Vec<(bool, bool, u64)> {
+fn take_votes(raft: &mut RaftNode) -> Vec<(bool, bool, u64)> {
     let messages = raft.outbox.drain(..);
     messages
         .filter_map(|(_, m)| match m.kind {
@@ -845,7 +845,7 @@
             last_log: last,
         };
         voter.step(message(2, term, request(false)), ELECTED_AT);
-        assert_eq!(take_vote_responses(&mut voter), [(false, granted, term_after)], "{case}");
+        assert_eq!(take_votes(&mut voter), [(false, granted, term_after)], "{case}");
         assert_eq!(voter.state.term, Term(term_after), "{case}");
         if granted {
             assert_eq!(voter.state.voted_for, Some(MemberId(2)), "{case}");
@@ -854,7 +854,7 @@
             // The vote of this term is used up now.
             voter.step(message(3, term, request(false)), ELECTED_AT);
             assert_eq!(
-                take_vote_responses(&mut voter),
+                take_votes(&mut voter),
                 [(false, false, term_after)],
                 "{case}: a second candidate"
             );
@@ -864,19 +864,11 @@
         let mut voter = replica(3, 5, log);
         voter.state.voted_for = voted_for.map(MemberId);
         voter.step(message(2, 5, request(true)), ELECTED_AT);
-        assert_eq!(
-            take_vote_responses(&mut voter),
-            [(true, false, 5)],
-            "{case}: pre-vote for this term"
-        );
+        assert_eq!(take_votes(&mut voter), [(true, false, 5)], "{case}: pre-vote for this term");
         voter.step(message(2, 6, request(true)), ELECTED_AT);
         let up_to_date = last >= LogPosition::new(Term(3), LogIndex(3));
-        let response_term = if up_to_date { 6 } else { 5 };
-        assert_eq!(
-            take_vote_responses(&mut voter),
-            [(true, up_to_date, response_term)],
-            "{case}: pre-vote"
-        );
+        let answer_term = if up_to_date { 6 } else { 5 };
+        assert_eq!(take_votes(&mut voter), [(true, up_to_date, answer_term)], "{case}: pre-vote");
         assert_eq!(
             (voter.state.term.0, voter.state.voted_for),
             (5, voted_for.map(MemberId)),
@@ -919,14 +911,14 @@
             };
             follower.step(message(3, 6, request.clone()), ELECTED_AT.plus(silent_ms));
             let expected = if responds { vec![(pre_vote, true, 6)] } else { vec![] };
-            assert_eq!(take_vote_responses(&mut follower), expected, "{case}");
+            assert_eq!(take_votes(&mut follower), expected, "{case}");
             let term_changes = responds && !pre_vote;
             assert_eq!(follower.state.term, Term(if term_changes { 6 } else { 5 }), "{case}");
             // A leader responds in the same way, depending on when a quorum last answered it.
             let mut leader = elected_leader(3, 5, &[1]);
             leader.step(message(2, 5, append_success(2)), ELECTED_AT);
             leader.step(message(3, 6, request), ELECTED_AT.plus(silent_ms));
-            assert_eq!(take_vote_responses(&mut leader), expected, "{case}: leader");
+            assert_eq!(take_votes(&mut leader), expected, "{case}: leader");
             assert_eq!(leader.is_leader(), !term_changes, "{case}");
         }
     }
@@ -943,7 +935,7 @@
         last_log: last,
     };
     follower.step(message(3, 5, request), ELECTED_AT.plus(60_000));
-    assert_eq!(take_vote_responses(&mut follower), [(false, false, 5)]);
+    assert_eq!(take_votes(&mut follower), [(false, false, 5)]);
     assert_eq!((follower.leader, follower.state.voted_for), (Some(MemberId(2)), None));
 }
 
