--- a/src/raft/storage/error.rs
+++ b/src/raft/storage/error.rs
@@ -5,8 +5,8 @@
 use std::io;
 use std::num::ParseIntError;
 
-/// Why the state of a member can't be read or written. The files on disk are left unchanged in
-/// every case.
+/// Why the state of a member can't be read or written. Whatever is wrong with the state, the files
+/// on disk are left unchanged.
 #[derive(Debug, thiserror::Error)]
 pub enum StorageError {
     /// SQLite refused an operation on the database file.
