--- a/src/controller/admin_handler.rs
+++ b/src/controller/admin_handler.rs
@@ -99,7 +99,8 @@
             Ok(Operation::Submit(command)) => AdminCall::Command(command),
             Ok(Operation::ReadConfiguration) => AdminCall::ReadConfiguration,
         };
-        let decided = self.reads.submit(&mut self.raft, &self.state_machine, call, reply, now);
+        let decided =
+            self.pending_reads.submit(&mut self.raft, &self.state_machine, call, reply, now);
         self.execute_decisions(decided, now);
         // A single controller has no other to wait for.
         self.answer_confirmed_reads(now);
@@ -154,7 +155,12 @@
 
     /// Answers the reads that are confirmed or have timed out.
     pub(super) fn answer_confirmed_reads(&mut self, now: Tick) {
-        let decided = self.reads.take_decided(&self.raft, &self.state_machine, self.applied, now);
+        let decided = self.pending_reads.take_decided(
+            &self.raft,
+            &self.state_machine,
+            self.last_applied,
+            now,
+        );
         self.execute_decisions(decided, now);
     }
 
@@ -179,7 +185,7 @@
         now: Tick,
     ) {
         match self.propose(command, now) {
-            Some(index) => self.proposed.insert(self.raft.state.term, index, reply),
+            Some(index) => self.pending_proposals.insert(self.raft.state.term, index, reply),
             None => drop(reply.try_send(Response::refusal(503, "no leader"))),
         }
     }
--- a/src/controller/committed_entries.rs
+++ b/src/controller/committed_entries.rs
@@ -24,7 +24,7 @@
     /// Applies the entries that are committed and not applied yet. If one can't be read, the
     /// reason is noted in `unreadable` and nothing is applied any more.
     pub(super) fn apply_committed_entries(&mut self, now: Tick) {
-        if self.raft.commit_index <= self.applied || self.unreadable.is_some() {
+        if self.raft.commit_index <= self.last_applied || self.unreadable.is_some() {
             return;
         }
         if let Err(why) = self.apply_readable_entries(now) {
@@ -34,20 +34,20 @@
 
     fn apply_readable_entries(&mut self, now: Tick) -> Result<(), StateError> {
         let snapshot = &self.raft.state.snapshot;
-        if snapshot.last_included.index > self.applied {
+        if snapshot.last_included.index > self.last_applied {
             self.state_machine = decode_snapshot(snapshot)?;
             self.directory_frame = None;
-            self.applied = snapshot.last_included.index;
+            self.last_applied = snapshot.last_included.index;
         }
         let mut new_members = None;
-        for entry in self.raft.committed_entries_after(self.applied) {
+        for entry in self.raft.committed_entries_after(self.last_applied) {
             // Read first: an entry that can't be read does not count as applied.
             let command = match &entry.payload {
                 EntryPayload::Command(bytes) => Some(decode_command(entry.index, bytes)?),
                 EntryPayload::NoOp | EntryPayload::Membership(_) => None,
             };
-            self.applied = entry.index;
-            let caller = self.proposed.complete(&entry);
+            self.last_applied = entry.index;
+            let caller = self.pending_proposals.complete(&entry);
             if let EntryPayload::Membership(members) = &entry.payload {
                 self.join.remove_members(members);
                 self.effects.retain_peer_links(members);
@@ -65,7 +65,7 @@
             self.activate_configuration(now)?;
         }
         let state_machine = &self.state_machine;
-        self.raft.compact_log(self.applied, || state_machine.to_snapshot());
+        self.raft.compact_log(self.last_applied, || state_machine.to_snapshot());
         Ok(())
     }
 
@@ -86,7 +86,7 @@
         if self.route_tables.len() > MAX_ROUTE_TABLES {
             self.route_tables.pop_front();
         }
-        let conns: Vec<u64> = self.poolers.keys().copied().collect();
+        let conns: Vec<u64> = self.subscribers.keys().copied().collect();
         for conn in conns {
             self.send_due_updates(conn, now);
         }
--- a/src/controller/core.rs
+++ b/src/controller/core.rs
@@ -1,6 +1,7 @@
-//! One controller as a step function: inputs and the time go in, effects come out. It owns the Raft
-//! node, the replicated state and what the leader keeps; it knows no socket, thread, clock or file.
-//! The event loop and the simulation call `handle_input` for what arrived, and `step` after that.
+//! The controller as a deterministic step function: it takes inputs and the current time and emits
+//! effects. It owns the Raft node, the replicated state machine and the leader's volatile state,
+//! and uses no sockets, threads, clocks or files. The event loop and the simulation call
+//! `handle_input` for each input, and `step` afterwards.
 use crate::base::errors::Fatal;
 use crate::base::ids::{InstanceId, LogIndex, MemberId, Revision, ServiceName};
 use crate::base::time::Tick;
@@ -14,7 +15,7 @@
 use crate::controller::linearizable_reads::{LinearizableReads, PendingProposals};
 use crate::controller::membership::JoinState;
 use crate::controller::pooler_subscriptions::{
-    DIRECTORY_BATCH_MS, DirectoryUpdates, Greeting, Subscriber,
+    DIRECTORY_BATCH_MS, DirectoryUpdates, SubscribeRequest, Subscriber,
 };
 use crate::net::http::Response;
 use crate::net::rpc::raft_messages::{EntryPayload, RaftMessage, RaftMessageKind};
@@ -34,71 +35,73 @@
 use std::sync::Arc;
 use std::sync::mpsc::SyncSender;
 
-/// The longest pause between two steps, in milliseconds.
+/// The longest interval between two steps, in milliseconds.
 const MAX_IDLE_MS: u64 = 200;
 
-/// The longest pause between two steps while a failover is active, in milliseconds.
+/// The longest interval between two steps while a failover is active, in milliseconds.
 const MAX_ACTIVE_IDLE_MS: u64 = 25;
 
-/// One controller; `E` carries out what it decides.
+/// One controller. `E` executes its side effects.
 pub struct Controller<E> {
     pub(super) settings: Settings,
     pub(super) raft: RaftNode,
     pub(super) persister: LogPersister,
     pub(super) state_machine: StateMachine,
-    /// The last log entry that the state machine holds.
-    pub(super) applied: LogIndex,
+    /// The index of the last log entry applied to the state machine.
+    pub(super) last_applied: LogIndex,
+    /// The current configuration; `None` until the first one is committed.
     pub(super) config: Option<Configuration>,
     /// The services of the current configuration by name.
     pub(super) services: BTreeMap<ServiceName, Service>,
-    /// The newest route tables, the current one last; deltas are computed against the older ones.
+    /// The most recent route tables, the current one last. Deltas are computed against the others.
     pub(super) route_tables: VecDeque<RouteTable>,
-    /// The frame that updates a pooler from a revision to the current one.
+    /// Encoded frames that update a node from the given revision to the current route table.
     pub(super) route_table_frames: HashMap<Revision, Arc<[u8]>>,
-    /// The frame with the whole directory, until that changes.
+    /// Encoded frame with the complete directory; cleared whenever the directory changes.
     pub(super) directory_frame: Option<Arc<[u8]>>,
-    /// The newest frame layout that a node reads, by connection.
+    /// The newest frame layout that the node on each connection can read.
     pub(super) node_layouts: HashMap<u64, u8>,
-    /// The nodes that follow this leader, by connection.
-    pub(super) poolers: BTreeMap<u64, Subscriber>,
-    /// Greetings that came before this leader had applied all that was committed.
-    pub(super) deferred_greetings: Vec<Greeting>,
-    /// What is collected for all nodes before it is sent.
+    /// The poolers and gateways subscribed to this leader, by connection.
+    pub(super) subscribers: BTreeMap<u64, Subscriber>,
+    /// Subscribe requests received before this leader had applied all committed entries.
+    pub(super) deferred_subscribe_requests: Vec<SubscribeRequest>,
+    /// Changes batched for the next broadcast to all subscribers.
     pub(super) directory_updates: DirectoryUpdates,
-    /// This controller's own join requests, and those it received.
+    /// This controller's own join requests and the ones it received.
     pub(super) join: JoinState,
-    /// Only while this controller leads.
+    /// The leader's volatile state; `None` while this controller is not the leader.
     pub(super) leader_state: Option<LeaderState>,
-    /// Where databases listened that left the directory since this process started; they may serve on.
+    /// Last addresses of databases removed from the directory since this process started. Such a
+    /// database may still be serving.
     pub(super) departed_addresses: BTreeMap<InstanceId, SocketAddr>,
-    /// Callers that wait for their command to be applied.
-    pub(super) proposed: PendingProposals<SyncSender<Response>>,
-    /// Callers that wait until this controller is confirmed as the leader.
-    pub(super) reads: LinearizableReads<SyncSender<Response>>,
-    /// Requests of failovers to databases.
+    /// Callers waiting for their command to be applied.
+    pub(super) pending_proposals: PendingProposals<SyncSender<Response>>,
+    /// Callers waiting for a confirmation that this controller is still the leader.
+    pub(super) pending_reads: LinearizableReads<SyncSender<Response>>,
+    /// Requests that failovers send to databases.
     pub(super) database_requests: DatabaseRequests,
-    /// The source of member ids and of the spread of election time-outs.
+    /// Source of randomness for member ids and election time-outs.
     pub(super) random: fn() -> u64,
-    /// What carries out the decisions; the simulation and the tests read them there.
+    /// Executes the side effects. Public so that the simulation and the tests can inspect them.
     pub effects: E,
-    /// The leader that was last written to the log file.
+    /// The leader most recently reported in the log output; a change of leader is logged once.
     pub(super) logged_leader: Option<MemberId>,
-    /// Why something that is committed can't be read here; from then on nothing is answered or
-    /// done on this state.
+    /// Set once committed data can't be decoded. From then on the controller neither acts on its
+    /// state nor answers from it.
     pub(super) unreadable: Option<StateError>,
 }
 
-/// The state machine's check of Raft messages, in the form that the Raft node takes.
+/// Adapts the state machine's validation of Raft messages to the Raft node's validator type.
 pub(super) fn validate_raft_message(kind: &RaftMessageKind) -> Result<(), UnreadableMessage> {
     validate_message(kind).map_err(UnreadableMessage::content)
 }
 
 impl<E: Effects> Controller<E> {
-    /// A controller as it starts with the state on its disk. `restarted` is false for a new disk,
-    /// and `random` gives uniformly distributed numbers.
+    /// Creates a controller from its persisted state. `restarted` is false for a new disk, and
+    /// `random` returns uniformly distributed numbers.
     ///
     /// # Errors
-    /// `Fatal::State` if the state can't be read.
+    /// `Fatal::State` if the state can't be decoded.
     pub fn new(
         settings: Settings,
         state: PersistentState,
@@ -107,9 +110,9 @@
         effects: E,
         now: Tick,
     ) -> Result<Self, Fatal> {
-        let applied = state.snapshot.last_included.index;
-        info!(target: "raft", "member {} starts at term {}, entry {}", state.member_id, state.term,
-            state.log.last().map_or(applied, |e| e.index));
+        let last_applied = state.snapshot.last_included.index;
+        info!(target: "raft", "member {} starts in term {} with last log index {}",
+            state.member_id, state.term, state.log.last().map_or(last_applied, |e| e.index));
         let state_machine = read_persistent_state(&state)?;
         let config = state_machine.configuration().map_err(|e| Fatal::State(e.to_string()))?;
         let mut controller = Self {
@@ -117,21 +120,21 @@
             settings,
             persister: LogPersister::default(),
             state_machine,
-            applied,
+            last_applied,
             route_tables: config.iter().map(RouteTable::of).collect(),
             config: None,
             services: BTreeMap::new(),
             route_table_frames: HashMap::new(),
             directory_frame: None,
             node_layouts: HashMap::new(),
-            poolers: BTreeMap::new(),
-            deferred_greetings: Vec::new(),
+            subscribers: BTreeMap::new(),
+            deferred_subscribe_requests: Vec::new(),
             directory_updates: DirectoryUpdates::default(),
             join: JoinState::new(now),
             leader_state: None,
             departed_addresses: BTreeMap::new(),
-            proposed: PendingProposals::default(),
-            reads: LinearizableReads::default(),
+            pending_proposals: PendingProposals::default(),
+            pending_reads: LinearizableReads::default(),
             database_requests: DatabaseRequests::default(),
             random,
             effects,
@@ -143,7 +146,7 @@
         Ok(controller)
     }
 
-    /// Milliseconds until the next step is due if no input arrives.
+    /// Returns the number of milliseconds until the next step is due if no input arrives.
     pub fn millis_until_step(&self, now: Tick) -> u64 {
         let active = self.leader_state.as_ref().is_some_and(|l| !l.active_services.is_empty());
         let longest = if active { MAX_ACTIVE_IDLE_MS } else { MAX_IDLE_MS };
@@ -152,10 +155,11 @@
         self.raft.next_tick_at().since(now).clamp(1, longest)
     }
 
-    /// Does what is due, after inputs were handled.
+    /// Performs all work that is due: persists, sends and applies Raft entries, runs the leader's
+    /// periodic work and sends updates to subscribers. Call it after each batch of inputs.
     ///
     /// # Errors
-    /// `Fatal::State` if something that is committed can't be read here: the process has to end.
+    /// `Fatal::State` if committed data can't be decoded. The process must exit.
     pub fn step(&mut self, now: Tick) -> Result<(), Fatal> {
         self.raft.tick(now);
         self.check_readable()?;
@@ -170,52 +174,54 @@
         Ok(())
     }
 
-    /// Tells the threads that act in this controller's name for how long it leads.
+    /// Publishes the leader lease to the threads that send requests on the leader's behalf.
     fn publish_leader_lease(&mut self, now: Tick) {
         let term = self.raft.state.term;
         let lease = self.raft.leader_lease_end(now).map(|until| LeaderLease { term, until });
         self.effects.set_leader_lease(lease);
     }
 
-    /// Fails once something committed can't be read: all that followed would rest on an old state.
+    /// Fails if committed data couldn't be decoded: all later decisions would use stale state.
     fn check_readable(&self) -> Result<(), Fatal> {
         match (&self.unreadable, &self.raft.unreadable_message) {
-            (Some(why), _) => Err(Fatal::State(format!("left as it is: {why}"))),
-            (_, Some(why)) => Err(Fatal::State(format!("not taken from the leader: {why}"))),
+            (Some(error), _) => {
+                Err(Fatal::State(format!("committed state is left unchanged: {error}")))
+            }
+            (_, Some(error)) => Err(Fatal::State(format!("not taken from the leader: {error}"))),
             _ => Ok(()),
         }
     }
 
-    /// Hands leadership to another controller, as this one is asked to stop.
+    /// Transfers leadership to another controller before this one stops.
     pub fn transfer_leadership(&mut self, now: Tick) {
         self.raft.transfer_leadership(now);
         self.persist_and_apply(now);
         self.publish_leader_lease(now);
     }
 
-    /// The Raft node.
+    /// Returns the Raft node.
     pub fn raft(&self) -> &RaftNode {
         &self.raft
     }
 
-    /// The replicated state, as far as it is applied.
+    /// Returns the replicated state with all entries up to [`Self::last_applied`].
     pub fn state_machine(&self) -> &StateMachine {
         &self.state_machine
     }
 
-    /// The last log entry that the state machine holds.
-    pub fn applied(&self) -> LogIndex {
-        self.applied
+    /// Returns the index of the last log entry applied to the state machine.
+    pub fn last_applied(&self) -> LogIndex {
+        self.last_applied
     }
 
-    /// Sends the Raft messages that wait for no write, starts the next write, and applies what is
-    /// committed, until no further message arises from it.
+    /// Sends the Raft messages that don't depend on an unfinished write, starts the next write and
+    /// applies committed entries. Repeats until the Raft node has no more messages to send.
     fn persist_and_apply(&mut self, now: Tick) {
         let failing = self.persister.is_storage_failing(now);
         if failing != self.raft.storage_failing {
             match failing {
-                true => warn!(target: "disk", "unhealthy, handing over leadership"),
-                false => info!(target: "disk", "healthy again"),
+                true => warn!(target: "disk", "storage is failing; leadership is transferred"),
+                false => info!(target: "disk", "storage is healthy again"),
             }
         }
         self.raft.set_storage_failing(failing, now);
@@ -226,7 +232,7 @@
             if let Some(batch) = self.persister.begin_write(&mut self.raft, now)
                 && !self.effects.start_write(batch)
             {
-                error!(target: "raft", "the storage thread has ended");
+                error!(target: "raft", "storage thread has exited; write batch not started");
             }
             self.apply_committed_entries(now);
             self.update_leadership(now);
@@ -236,13 +242,13 @@
         }
     }
 
-    /// Handles the end of the write in flight. A failed one is retried until it succeeds.
+    /// Handles completion of the write in flight. A failed write is retried until it succeeds.
     fn handle_write_result(&mut self, result: Result<(), StorageError>, now: Tick) {
-        // One line for the first failure is enough.
+        // Log only the first of a series of failures.
         if let Err(e) = &result
             && !self.raft.storage_failing
         {
-            error!(target: "disk", "cannot write: {e}");
+            error!(target: "disk", "write to Raft storage failed and will be retried: {e}");
         }
         let outcome = match result {
             Ok(()) => WriteOutcome::Durable,
@@ -253,25 +259,26 @@
         }
     }
 
-    /// Sends a Raft message to a member, or to the leader that accepted this controller; drops it
-    /// if the address is unknown.
+    /// Sends a Raft message to a member, or to the leader that accepted this controller. Drops the
+    /// message if the address is unknown.
     fn send_raft_message(&mut self, to: MemberId, message: RaftMessage, now: Tick) {
         let member = self.raft.members().iter().find(|m| m.id == to);
-        // A new controller knows no members yet, and one that was away may not know the leader.
+        // A new controller has no member list yet, and the list of one that was partitioned may
+        // lack the current leader.
         let accepted_by = self.join.accepted_by.filter(|_| self.raft.leader == Some(to));
         if let Some(address) = member.map(|m| m.peer).or(accepted_by) {
             self.effects.send_raft(to, address, message, now);
         }
     }
 
-    /// Sends more to the peers that did not take everything at once.
+    /// Continues sending to peers whose sockets accepted only part of the queued data.
     pub(super) fn flush_connections(&mut self, now: Tick) {
         for conn in self.effects.flush() {
             self.send_due_updates(conn, now);
         }
     }
 
-    /// Handles what arrived; `step` follows.
+    /// Handles one input. The caller must call `step` afterwards.
     pub fn handle_input(&mut self, input: Input, now: Tick) {
         match input {
             Input::Frame(conn, frame) => self.handle_frame(conn, frame, now),
@@ -299,16 +306,17 @@
             Frame::Raft { to, message } if to == self.raft.state.member_id => {
                 self.raft.step(*message, now);
             }
-            Frame::Join { member, was_member: was } => {
-                self.handle_join_request(conn, member, was, now)
+            Frame::Join { member, was_member } => {
+                self.handle_join_request(conn, member, was_member, now)
             }
             Frame::Pooler(message) => self.handle_pooler_message(conn, message, now),
-            // Meant for an earlier id of this controller's, or never sent to a controller.
+            // Addressed to a previous member id of this controller, or of a kind that no controller
+            // receives.
             _ => {}
         }
     }
 
-    /// Proposes a command. Its index in the log, or none if this controller does not lead.
+    /// Proposes a command. Returns its log index, or `None` if this controller is not the leader.
     pub(super) fn propose(&mut self, command: &Command, now: Tick) -> Option<LogIndex> {
         self.raft.propose(EntryPayload::Command(ByteBuf::from(pack(command))), now)
     }
--- a/src/controller/event_loop.rs
+++ b/src/controller/event_loop.rs
@@ -44,8 +44,8 @@
             self.step(now)?;
             if now.since(last_housekeeping) > HOUSEKEEPING_INTERVAL_MS {
                 last_housekeeping = now;
-                let poolers = &self.poolers;
-                self.effects.close_stalled(|conn| poolers.contains_key(&conn), now);
+                let subscribers = &self.subscribers;
+                self.effects.close_stalled(|conn| subscribers.contains_key(&conn), now);
                 if let Some(settings) = watched.poll(signals.take_hup()) {
                     self.settings = settings;
                 }
--- a/src/controller/failover_driver.rs
+++ b/src/controller/failover_driver.rs
@@ -1,5 +1,5 @@
-//! Runs the failover of each service on the leader: hands `Failover` what happened with a snapshot
-//! of the service, and carries out the actions that it returns.
+//! Drives the failover state machine of each service on the leader: passes events and a snapshot of
+//! the service to `Failover`, and executes the actions that it returns.
 use crate::base::ids::{DbTerm, InstanceId, ServiceName};
 use crate::base::time::Tick;
 use crate::config::settings::Rollout;
@@ -18,17 +18,18 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// Requests to databases in flight at once. Each occupies a thread, and unreachable databases take
-/// long to answer.
+/// Maximum number of database requests in flight. Each occupies a thread until it completes or
+/// times out, which takes long for an unreachable database.
 const MAX_REQUESTS_IN_FLIGHT: usize = 96;
 
-/// Requests to databases that wait for one in flight to end.
+/// Maximum number of database requests queued behind those in flight.
 const MAX_QUEUED_REQUESTS: usize = 4_096;
 
-/// Heartbeat intervals without a heartbeat after which an instance no longer counts as alive.
+/// Number of heartbeat intervals without a heartbeat after which an instance no longer counts as
+/// alive.
 const MISSED_HEARTBEATS: u64 = 3;
 
-/// A request to a database, and the failover attempt that needs it.
+/// A request to a database and the failover attempt that made it.
 #[derive(PartialEq)]
 struct QueuedRequest {
     service: ServiceName,
@@ -37,7 +38,7 @@
     attempt: Attempt,
 }
 
-/// The requests to databases: how many are in flight, and those that wait.
+/// Database requests: the number in flight and the queue of those not sent yet.
 #[derive(Default)]
 pub(super) struct DatabaseRequests {
     in_flight: usize,
@@ -45,16 +46,16 @@
 }
 
 impl DatabaseRequests {
-    /// How many wait to be sent.
+    /// Returns the number of queued requests.
     pub(super) fn queued(&self) -> usize {
         self.queue.len()
     }
-    /// Drops those that wait, as this controller no longer leads.
+    /// Drops all queued requests. Called when this controller loses leadership.
     pub(super) fn clear_queue(&mut self) {
         self.queue.clear();
     }
-    /// Adds a request. One that waits already is not added again, nor one beyond the bound: the
-    /// failover that needs the answer sends it again.
+    /// Queues a request, unless it is already queued or the queue is full. The failover that needs
+    /// the response retries.
     fn push(&mut self, request: QueuedRequest) {
         if self.queue.len() < MAX_QUEUED_REQUESTS && !self.queue.contains(&request) {
             self.queue.push_back(request);
@@ -63,8 +64,8 @@
 }
 
 impl<E: Effects> Controller<E> {
-    /// What the failover of `service` decides on: the applied state, and what the leader knows of
-    /// heartbeats and leases.
+    /// Builds the snapshot on which the failover of `service` decides: the applied state, and the
+    /// heartbeats and leases known to the leader.
     fn service_snapshot(&self, service: &ServiceName, now: Tick) -> ServiceSnapshot {
         let databases = self.state_machine.instances_of(service);
         let mut snapshot = ServiceSnapshot {
@@ -79,17 +80,17 @@
             passed_on: PassedOn::default(),
             primary_record: self.state_machine.primaries().get(service).cloned(),
         };
-        // Without synchronous replicas no commit relies on a departed replica.
+        // Without synchronous replicas no commit depends on a departed replica.
         if snapshot.sync_replicas > 0 {
             snapshot.departed = self.state_machine.departed_replicas(service);
         }
         let Some(leader_state) = &self.leader_state else {
             return snapshot;
         };
-        let patience = MISSED_HEARTBEATS * self.settings.heartbeat_ms;
+        let heartbeat_timeout_ms = MISSED_HEARTBEATS * self.settings.heartbeat_ms;
         let alive = |id: &&InstanceId| {
             let last = leader_state.heartbeats.get(*id);
-            last.is_some_and(|last| now.since(last.received_at) < patience)
+            last.is_some_and(|last| now.since(last.received_at) < heartbeat_timeout_ms)
         };
         snapshot.alive =
             snapshot.databases.iter().map(|(id, _)| id).filter(alive).cloned().collect();
@@ -102,35 +103,35 @@
             let handover = failover.and_then(|f| f.handover.as_ref()).map(|h| h.number);
             snapshot.leases_expired = leases.all_released(service, term, now);
             snapshot.all_confirm = leases.all_confirm(service, term, handover, now);
-            let newest = leader_state.watermarks.latest(service);
+            let latest = leader_state.watermarks.latest(service);
             let rule = match snapshot.sync_replicas {
                 0 => CoverageRule::WatermarkOrTimeout,
                 _ => CoverageRule::Watermark,
             };
-            snapshot.passed_on = leases.passed_on(service, term, handover, newest, rule, now);
+            snapshot.passed_on = leases.passed_on(service, term, handover, latest, rule, now);
         }
         snapshot
     }
 
-    /// Takes one step of the failover of `service`, and carries out the actions it returns. Does
-    /// nothing unless this controller leads, and has applied what is committed or runs this
-    /// failover already.
+    /// Performs one step of the failover of `service` and executes the actions it returns. Does
+    /// nothing unless this controller holds the leader lease and either has applied all committed
+    /// entries or is already running this failover.
     pub(super) fn step_failover(
         &mut self,
         service: &ServiceName,
         now: Tick,
         step: impl FnOnce(&mut Failover, &ServiceSnapshot) -> Vec<FailoverAction>,
     ) {
-        // The databases of a gateway are equal: none is a primary.
+        // Behind API gateways all endpoints of a service are equal: none of them is a primary.
         if !self.raft.holds_leader_lease(now) || self.settings.rollout == Rollout::Api {
             return;
         }
         let snapshot = self.service_snapshot(service, now);
-        let behind = self.applied < self.raft.commit_index;
+        let behind = self.last_applied < self.raft.commit_index;
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        // The next entry may hold what an earlier leader decided.
+        // An entry that is not applied yet may contain a decision of an earlier leader.
         if behind && !leader_state.failovers.contains_key(service) {
             return;
         }
@@ -150,14 +151,16 @@
         }
         if status_before.as_ref() != Some(&lease_status) {
             leader_state.pending_updates.mark_changed(service);
-            // A sealed position holds only for the moment it is sent in, so it is in each answer.
+            // A sealed position is valid only in the response that carries it, so each renewal
+            // response includes it.
             match lease_status {
                 LeaseStatus { revoking: true, sealed: Some(_), .. } => {
                     leader_state.sealed.insert(service.clone())
                 }
                 _ => leader_state.sealed.remove(service),
             };
-            // A handover that was called off costs each commit a question to its target.
+            // After an aborted handover each commit has to consult the handover target until the
+            // leases are renewed.
             let handed_over = status_before.is_some_and(|status| status.handover.is_some());
             self.directory_updates.renewal_due |=
                 handed_over && !lease_status.revoking && lease_status.handover.is_none();
@@ -171,7 +174,7 @@
         }
     }
 
-    /// Lets the failover of `service` act on the time that has passed.
+    /// Advances the time of the failover of `service`.
     pub(super) fn tick_failover(&mut self, service: &ServiceName, now: Tick) {
         self.step_failover(service, now, |failover, snapshot| failover.tick(snapshot, now));
     }
@@ -187,14 +190,17 @@
             FailoverAction::Propose(
                 Command::ForgetDeparted { .. } | Command::PrimaryReturned { .. },
             ) if !self.raft.all_peers_read_layout(PARTS_LAYOUT) => {
-                debug!(target: "failover", "{service}: waits until all controllers run the new version");
+                debug!(
+                    target: "failover",
+                    "{service}: proposal deferred until all controllers read layout {PARTS_LAYOUT}"
+                );
             }
             FailoverAction::Propose(command) => {
                 self.propose(&command, now);
             }
             FailoverAction::RevokeLeases(term) => {
-                let frame = revocation(service, term);
-                for conn in self.poolers.keys() {
+                let frame = revocation_frame(service, term);
+                for conn in self.subscribers.keys() {
                     self.effects.send_first(*conn, frame.clone());
                 }
                 self.flush_connections(now);
@@ -208,7 +214,10 @@
             }
             FailoverAction::Promote(target) => {
                 let Some(provider) = &self.settings.provider else {
-                    warn!(target: "failover", "no provider is set, {service} can't be moved");
+                    warn!(
+                        target: "failover",
+                        "{service}: cannot promote {target}: no provider is configured"
+                    );
                     return;
                 };
                 let (address, holder) = (provider.address, &self.settings.node_name);
@@ -217,17 +226,17 @@
         }
     }
 
-    /// Tells all poolers that the service is handed over. One of an older version, which doesn't know
-    /// handovers, has its lease revoked for as long as that lasts.
+    /// Notifies all subscribers that a handover of the service has begun. The lease of a subscriber
+    /// that doesn't support handovers is revoked for the duration of the handover.
     fn announce_handover(&mut self, service: &ServiceName, handover: Handover, now: Tick) {
         let Some(leader_state) = &mut self.leader_state else { return };
-        let revoke = revocation(service, handover.term);
+        let revoke = revocation_frame(service, handover.term);
         let message = ToPooler::HandOver { service: service.clone(), handover: handover.clone() };
         let hand_over = encode(&Frame::Controller(message));
-        for (conn, subscriber) in &self.poolers {
-            if subscriber.knows_handovers() {
+        for (conn, subscriber) in &self.subscribers {
+            if subscriber.supports_handover() {
                 leader_state.leases.hand_over(&subscriber.node, service, &handover);
-                // Behind the grants that are queued, so that none of them ends it.
+                // Sent after all queued grants, so that none of them cancels the handover.
                 self.effects.send(*conn, hand_over.clone());
             } else {
                 self.effects.send_first(*conn, revoke.clone());
@@ -236,7 +245,7 @@
         self.flush_connections(now);
     }
 
-    /// Sends queued requests up to the bound of those in flight.
+    /// Sends queued requests until the limit of requests in flight is reached.
     fn send_database_requests(&mut self) {
         while self.database_requests.in_flight < MAX_REQUESTS_IN_FLIGHT
             && let Some(next) = self.database_requests.queue.pop_front()
@@ -249,12 +258,12 @@
             };
             let started =
                 self.effects.call_database(&service, &instance, address, request, attempt);
-            // Without a thread it is not sent; the failover that needs the answer retries.
+            // If no thread is available, the request is dropped and the failover retries.
             self.database_requests.in_flight += usize::from(started);
         }
     }
 
-    /// Handles what came of a request to a database.
+    /// Handles the response to a database request, or the reason why there is none.
     pub(super) fn handle_database_response(
         &mut self,
         service: &ServiceName,
@@ -264,18 +273,21 @@
         response: &DatabaseResponse,
         now: Tick,
     ) {
-        // `Connected` is not the end of a request: another response follows.
+        // `Connected` is an intermediate response: the final one follows.
         if *response != DatabaseResponse::Connected {
             self.database_requests.in_flight -= 1;
             self.send_database_requests();
-            info!(target: "failover", "{service}: {instance} on {request:?}: {response:?}");
+            info!(
+                target: "failover",
+                "{service}: database {instance} answered request {request:?} with {response:?}"
+            );
         }
         self.step_failover(service, now, |failover, snapshot| {
             failover.handle_response(snapshot, attempt, instance, request, response, now)
         });
     }
 
-    /// Handles the platform's answer to a promotion.
+    /// Handles the infrastructure provider's response to a promotion request.
     pub(super) fn handle_promotion_response(
         &mut self,
         service: &ServiceName,
@@ -284,14 +296,17 @@
         response: PromotionResponse,
         now: Tick,
     ) {
-        info!(target: "failover", "{service}: promote of {target}: {response:?}");
+        info!(
+            target: "failover",
+            "{service}: promotion request for {target} returned {response:?}"
+        );
         self.step_failover(service, now, |failover, snapshot| {
             failover.handle_promotion_response(snapshot, attempt, target, response, now)
         });
     }
 }
 
-/// The frame that revokes the leases on this term of a service.
-fn revocation(service: &ServiceName, term: DbTerm) -> Arc<[u8]> {
+/// Encodes the frame that revokes all leases on `term` of a service.
+fn revocation_frame(service: &ServiceName, term: DbTerm) -> Arc<[u8]> {
     encode(&Frame::Controller(ToPooler::Revoke { service: service.clone(), term }))
 }
--- a/src/controller/leader_state.rs
+++ b/src/controller/leader_state.rs
@@ -1,5 +1,5 @@
-//! What only the leader keeps: it is built when an election is won and dropped when leadership
-//! ends. The leader's periodic work is here too; `Controller` calls it in each step.
+//! The leader's volatile state, built when this controller wins an election and dropped when its
+//! leadership ends. The leader's periodic work is also here; `Controller` runs it in each step.
 use crate::base::ids::{InstanceId, ServiceName};
 use crate::base::time::Tick;
 use crate::controller::core::Controller;
@@ -17,76 +17,78 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Milliseconds between two checks of all services; active services are checked in each step.
+/// Milliseconds between two checks of all services. Active services are checked in each step.
 const SWEEP_INTERVAL_MS: u64 = 100;
 
-/// What only the leader keeps, and drops when it no longer leads.
+/// The state that only the leader keeps and that is dropped when its leadership ends.
 pub(super) struct LeaderState {
-    /// The leases of poolers and their quota shares.
+    /// Leases and connection quotas granted to poolers and gateways.
     pub(super) leases: LeaseTable,
-    /// The newest heartbeat of each instance.
+    /// The latest heartbeat of each instance.
     pub(super) heartbeats: BTreeMap<InstanceId, LastHeartbeat>,
     /// The failover of each service that has been checked since the election.
     pub(super) failovers: BTreeMap<ServiceName, Failover>,
-    /// Services whose failover is not steady or has just acted: they are checked in each step.
+    /// Services whose failover is not steady or has just returned actions. They are checked in
+    /// each step.
     pub(super) active_services: BTreeSet<ServiceName>,
     /// When all services were last checked.
-    swept_at: Tick,
-    /// Services whose lease grants changed, for the next answer to each pooler.
+    last_sweep_at: Tick,
+    /// Services whose lease grants changed and have to be sent with the next renewal response.
     pub(super) pending_updates: PendingUpdates,
-    /// Services with a sealed position: they are part of each answer.
+    /// Services with a sealed position. Each renewal response includes them.
     pub(super) sealed: BTreeSet<ServiceName>,
-    /// Replication positions that poolers observed.
+    /// Replication watermarks, from the positions that poolers observed at primaries.
     pub(super) watermarks: ReplicationWatermarks,
-    /// The subset of each service's endpoints that a gateway uses.
+    /// The subset of each service's endpoints assigned to each gateway.
     pub(super) subset_assignments: SubsetAssignments,
-    /// Whether all leases and quota shares from before the election have expired.
-    earlier_shares_expired: bool,
+    /// Whether all leases and quotas granted before the election have expired.
+    earlier_quotas_expired: bool,
 }
 
 impl LeaderState {
-    /// The state right after the election: each known instance counts as heard of now.
+    /// Creates the state of a newly elected leader. Each known instance counts as having sent a
+    /// heartbeat at `now`.
     fn new(state_machine: &StateMachine, now: Tick) -> Self {
         let instances = state_machine.instances().iter();
-        let heard = |sequence| LastHeartbeat { received_at: now, sequence };
+        let heartbeat_now = |sequence| LastHeartbeat { received_at: now, sequence };
         Self {
             leases: LeaseTable::new(now),
-            heartbeats: instances.map(|(id, r)| (id.clone(), heard(r.sequence))).collect(),
+            heartbeats: instances.map(|(id, r)| (id.clone(), heartbeat_now(r.sequence))).collect(),
             failovers: BTreeMap::new(),
             active_services: BTreeSet::new(),
-            swept_at: Tick(0),
+            last_sweep_at: Tick(0),
             pending_updates: PendingUpdates::default(),
             sealed: BTreeSet::new(),
             watermarks: ReplicationWatermarks::default(),
             subset_assignments: SubsetAssignments::new(now),
-            earlier_shares_expired: false,
+            earlier_quotas_expired: false,
         }
     }
 
-    /// Assigns subsets anew and drops expired leases. If quota shares become free by this, all
-    /// services are due in the next answer to each pooler.
+    /// Rebalances the endpoint subsets and drops expired leases. If that frees connection quota,
+    /// the next response to each subscriber includes all services.
     fn refresh_leases(&mut self, now: Tick) {
-        self.swept_at = now;
+        self.last_sweep_at = now;
         self.subset_assignments.rebalance(|node| self.leases.poolers.contains_key(node), now);
         let expired = self.leases.knows_all_quotas(now);
-        if self.leases.expire_lost(now) || expired != self.earlier_shares_expired {
-            self.earlier_shares_expired = expired;
+        if self.leases.expire_lost(now) || expired != self.earlier_quotas_expired {
+            self.earlier_quotas_expired = expired;
             self.pending_updates.mark_all_changed();
         }
     }
 }
 
-/// Where the leader is reached.
+/// The network addresses of the leader.
 #[derive(Clone, Copy)]
 pub(super) struct LeaderAddress {
-    /// Its peer port: controllers and nodes connect there.
+    /// Peer address, for controllers, poolers and gateways.
     pub(super) peer: SocketAddr,
-    /// Its admin address: operators and databases call there.
+    /// Admin address, for operators and databases.
     pub(super) admin: SocketAddr,
 }
 
 impl<E: Effects> Controller<E> {
-    /// Builds or drops the leader's state when this controller wins or loses leadership.
+    /// Creates or drops the leader's state when this controller gains or loses leadership.
     pub(super) fn update_leadership(&mut self, now: Tick) {
         if self.logged_leader != self.raft.leader {
             self.logged_leader = self.raft.leader;
@@ -106,16 +108,17 @@
         self.leader_state = None;
         self.database_requests.clear_queue();
         self.directory_updates.clear();
-        for reply in self.proposed.drain() {
-            // Whether the command will be committed is unknown here; a retry of the caller shows.
+        for reply in self.pending_proposals.drain() {
+            // The command may still be committed by another leader; the caller finds out by
+            // retrying.
             drop(reply.try_send(Response::refusal(503, "no longer the leader")));
         }
-        for (conn, _) in std::mem::take(&mut self.poolers) {
+        for (conn, _) in std::mem::take(&mut self.subscribers) {
             self.send_not_leader(conn);
         }
     }
 
-    /// Where other controllers, nodes and callers reach the leader, as far as it is known.
+    /// Returns the addresses of the leader, if known.
     pub(super) fn leader_address(&self) -> Option<LeaderAddress> {
         let observed = || {
             let peer = self.join.observed_leader?;
@@ -126,18 +129,19 @@
         listed.or_else(observed)
     }
 
-    /// The leader, if it is one of the members known here.
+    /// Returns the leader, if it is in this controller's member list.
     pub(super) fn leader(&self) -> Option<&Member> {
         let id = self.raft.leader?;
         self.raft.members().iter().find(|m| m.id == id)
     }
 
-    /// The periodic work: answers reads and deferred greetings, joins the Raft group, and as the
-    /// leader changes the membership and checks services and instances.
+    /// Performs the periodic work: answers confirmed reads and deferred subscribe requests and
+    /// joins the Raft group. The leader also changes the membership and checks services and
+    /// instances.
     pub(super) fn run_periodic_work(&mut self, now: Tick) {
         self.answer_confirmed_reads(now);
         self.request_membership(now);
-        self.handle_deferred_greetings(now);
+        self.handle_deferred_subscribe_requests(now);
         if !self.raft.holds_leader_lease(now) {
             return;
         }
@@ -145,7 +149,7 @@
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
-        if now.since(leader_state.swept_at) < SWEEP_INTERVAL_MS {
+        if now.since(leader_state.last_sweep_at) < SWEEP_INTERVAL_MS {
             let active: Vec<ServiceName> = leader_state.active_services.iter().cloned().collect();
             for service in active {
                 self.tick_failover(&service, now);
@@ -153,11 +157,11 @@
             return;
         }
         leader_state.refresh_leases(now);
-        let known = self
+        let known_services = self
             .state_machine
             .services_with_instances()
             .chain(self.state_machine.primaries().keys());
-        let services: BTreeSet<ServiceName> = known.cloned().collect();
+        let services: BTreeSet<ServiceName> = known_services.cloned().collect();
         for service in services {
             self.tick_failover(&service, now);
         }
--- a/src/controller/lease_renewals.rs
+++ b/src/controller/lease_renewals.rs
@@ -40,7 +40,7 @@
         else {
             return;
         };
-        let zone = self.poolers.get(&conn).map(|s| s.zone.as_str()).unwrap_or_default();
+        let zone = self.subscribers.get(&conn).map(|s| s.zone.as_str()).unwrap_or_default();
         if let Some(leader_state) = &mut self.leader_state {
             for (service, load) in load {
                 leader_state.subset_assignments.report_load(node, zone, service, load);
@@ -55,7 +55,7 @@
             }
         }
         self.record_observed_positions(conn, last_grant_seq, &observed, now);
-        if let Some(subscriber) = self.poolers.get_mut(&conn) {
+        if let Some(subscriber) = self.subscribers.get_mut(&conn) {
             subscriber.renewal = Some(PendingRenewal { seq, bounds_requested });
         }
         self.send_due_updates(conn, now);
@@ -70,7 +70,7 @@
         observed: &[ObservedPosition],
         now: Tick,
     ) {
-        let subscriber = self.poolers.get(&conn);
+        let subscriber = self.subscribers.get(&conn);
         let answer = subscriber.and_then(|s| s.answers.iter().find(|a| a.seq == last_grant_seq));
         if let (Some(answer), Some(leader_state)) = (answer, &mut self.leader_state) {
             for position in observed {
@@ -87,7 +87,7 @@
             return;
         }
         let Some(leader_state) = &mut self.leader_state else { return };
-        let Some(subscriber) = self.poolers.get_mut(&conn) else { return };
+        let Some(subscriber) = self.subscribers.get_mut(&conn) else { return };
         let node = &subscriber.node;
         let complete = subscriber.updates_sent.is_none();
         let mut unsent = std::mem::take(&mut subscriber.released);
@@ -102,7 +102,7 @@
         for service in due.into_iter().filter_map(|name| self.services.get(name)) {
             let record = self.state_machine.primaries().get(&service.name);
             let failover = leader_state.failovers.get(&service.name);
-            let status = primary_status(record, failover, subscriber.knows_handovers());
+            let status = primary_status(record, failover, subscriber.supports_handover());
             let limit = service.max_connections;
             let quota = leader_state.leases.quota(node, &service.name, limit, now);
             let grant = LeaseGrant { service: service.name.clone(), status, quota };
@@ -137,7 +137,7 @@
 fn primary_status(
     record: Option<&PrimaryRecord>,
     failover: Option<&Failover>,
-    knows_handovers: bool,
+    supports_handover: bool,
 ) -> PrimaryStatus {
     let (Some(record), Some(failover)) = (record, failover) else {
         return PrimaryStatus::Absent;
@@ -148,7 +148,7 @@
     let primary = record.primary.clone();
     match &failover.handover {
         None => PrimaryStatus::Active { term: record.term, primary },
-        Some(handover) if knows_handovers => {
+        Some(handover) if supports_handover => {
             PrimaryStatus::HandingOver { primary, handover: handover.clone() }
         }
         Some(_) => PrimaryStatus::Absent,
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -209,7 +209,7 @@
         self.raft.unsaved = UnsavedChanges::all();
         self.persister.discard_held();
         self.state_machine = StateMachine::default();
-        self.applied = LogIndex(0);
+        self.last_applied = LogIndex(0);
         self.set_configuration(None);
         self.route_tables.clear();
         self.directory_frame = None;
--- a/src/controller/mod.rs
+++ b/src/controller/mod.rs
@@ -1,11 +1,12 @@
-//! The controller: consensus, replicated state, failover and leases behind one step function.
+//! The controller: Raft consensus, replicated state, database failover and leases, driven by one
+//! step function.
 //!
-//! `core` holds `Controller`, whose step takes inputs and the time and hands out effects; `effects`
-//! is its boundary. Its methods stand in a module a job: `committed_entries`, `leader_state`,
-//! `membership`, `failover_driver`, `heartbeats`, `pooler_subscriptions`, `lease_renewals`,
-//! `admin_handler` and `status`. None of these knows a socket, thread, clock or file. `process`,
-//! `event_loop` and `transport` run the step in the program; the simulation and the tests run it
-//! in virtual time.
+//! `core` defines `Controller`, which takes inputs and the current time and emits effects;
+//! `effects` defines that interface. The methods of `Controller` are split by responsibility into
+//! `committed_entries`, `leader_state`, `membership`, `failover_driver`, `heartbeats`,
+//! `pooler_subscriptions`, `lease_renewals`, `admin_handler` and `status`. None of these modules
+//! uses sockets, threads, clocks or files. `process`, `event_loop` and `transport` run the
+//! controller in production; the simulation and the tests run it in virtual time.
 pub mod admin_api;
 mod admin_handler;
 mod committed_entries;
--- a/src/controller/pooler_subscriptions.rs
+++ b/src/controller/pooler_subscriptions.rs
@@ -22,7 +22,7 @@
 pub(super) const DIRECTORY_BATCH_MS: u64 = 20;
 
 /// A node's first message on a connection.
-pub(super) struct Greeting {
+pub(super) struct SubscribeRequest {
     conn: u64,
     node: NodeName,
     /// Of the node's process: a newer one ends the leases of an older one.
@@ -68,7 +68,7 @@
 
 impl Subscriber {
     /// Whether it can be told of a handover.
-    pub(super) fn knows_handovers(&self) -> bool {
+    pub(super) fn supports_handover(&self) -> bool {
         self.layout >= HANDOVER_LAYOUT
     }
 }
@@ -113,7 +113,7 @@
     pub(super) fn send_controller_list(&mut self) {
         let controllers = self.raft.members().iter().map(|m| m.peer).collect();
         let frame = encode(&Frame::Controller(ToPooler::Welcome { controllers }));
-        for conn in self.poolers.keys() {
+        for conn in self.subscribers.keys() {
             self.effects.send(*conn, frame.clone());
         }
     }
@@ -121,7 +121,7 @@
     /// Sends all nodes a message; one with too much queued gets the whole directory later instead.
     fn broadcast(&mut self, message: ToPooler) {
         let frame = encode(&Frame::Controller(message));
-        for (conn, subscriber) in &mut self.poolers {
+        for (conn, subscriber) in &mut self.subscribers {
             let queued = self.effects.queued_bytes(*conn).unwrap_or(0);
             if queued + frame.len() <= MAX_QUEUED_DELTA_BYTES {
                 self.effects.send(*conn, frame.clone());
@@ -170,14 +170,14 @@
         }
         self.send_due_directory(conn);
         self.send_due_route_table(conn);
-        let renewal = self.poolers.get_mut(&conn).and_then(|s| s.renewal.take());
+        let renewal = self.subscribers.get_mut(&conn).and_then(|s| s.renewal.take());
         if let Some(renewal) = renewal {
             self.answer_renewal(conn, &renewal, now);
         }
     }
 
     fn send_due_directory(&mut self, conn: u64) {
-        let Some(subscriber) = self.poolers.get_mut(&conn) else {
+        let Some(subscriber) = self.subscribers.get_mut(&conn) else {
             return;
         };
         if !std::mem::take(&mut subscriber.directory_due) {
@@ -194,7 +194,7 @@
 
     fn send_due_route_table(&mut self, conn: u64) {
         let Some(current) = self.route_tables.back() else { return };
-        let Some(subscriber) = self.poolers.get_mut(&conn) else { return };
+        let Some(subscriber) = self.subscribers.get_mut(&conn) else { return };
         if subscriber.revision >= current.revision {
             return;
         }
@@ -215,10 +215,10 @@
             return self.send_not_leader(conn);
         }
         if let ToController::Hello { node, incarnation, revision, zone } = message {
-            let greeting = Greeting { conn, node, incarnation, revision, zone };
-            return self.handle_greeting(greeting, now);
+            let request = SubscribeRequest { conn, node, incarnation, revision, zone };
+            return self.handle_subscribe_request(request, now);
         }
-        let Some(node) = self.poolers.get(&conn).map(|s| s.node.clone()) else {
+        let Some(node) = self.subscribers.get(&conn).map(|s| s.node.clone()) else {
             return;
         };
         // A newer connection of the same node replaces what an older one still brings.
@@ -229,7 +229,7 @@
         match message {
             ToController::Hello { .. } => {}
             ToController::RequestFullTable => {
-                if let Some(subscriber) = self.poolers.get_mut(&conn) {
+                if let Some(subscriber) = self.subscribers.get_mut(&conn) {
                     subscriber.revision = Revision(0);
                     self.send_due_updates(conn, now);
                 }
@@ -247,7 +247,7 @@
                 if let Some(leader_state) = &mut self.leader_state {
                     leader_state.leases.acknowledge_revocation(&node, &service, term, highest);
                 }
-                if let Some(subscriber) = self.poolers.get_mut(&conn) {
+                if let Some(subscriber) = self.subscribers.get_mut(&conn) {
                     subscriber.released.insert(service);
                 }
             }
@@ -265,29 +265,29 @@
     }
 
     /// Handles the greetings that were deferred, once this controller is sure whether it leads.
-    pub(super) fn handle_deferred_greetings(&mut self, now: Tick) {
-        if self.deferred_greetings.is_empty()
+    pub(super) fn handle_deferred_subscribe_requests(&mut self, now: Tick) {
+        if self.deferred_subscribe_requests.is_empty()
             || (self.leader_state.is_some() && !self.raft.holds_leader_lease(now))
         {
             return;
         }
-        for greeting in std::mem::take(&mut self.deferred_greetings) {
+        for request in std::mem::take(&mut self.deferred_subscribe_requests) {
             match self.leader_state {
-                Some(_) => self.handle_greeting(greeting, now),
-                None => self.send_not_leader(greeting.conn),
+                Some(_) => self.handle_subscribe_request(request, now),
+                None => self.send_not_leader(request.conn),
             }
         }
     }
 
     /// Begins to send a node updates and to grant it leases.
-    fn handle_greeting(&mut self, greeting: Greeting, now: Tick) {
-        if !self.raft.holds_leader_lease(now) || self.applied < self.raft.commit_index {
+    fn handle_subscribe_request(&mut self, request: SubscribeRequest, now: Tick) {
+        if !self.raft.holds_leader_lease(now) || self.last_applied < self.raft.commit_index {
             // What is applied here may be older than what the node received from an earlier leader.
-            self.deferred_greetings.push(greeting);
+            self.deferred_subscribe_requests.push(request);
             return;
         }
-        let Greeting { conn, node, incarnation, revision, zone } = greeting;
-        // Its connection may have ended while the greeting was deferred; nothing would end its
+        let SubscribeRequest { conn, node, incarnation, revision, zone } = request;
+        // Its connection may have ended while the request was deferred; nothing would end its
         // leases.
         if self.effects.queued_bytes(conn).is_none() {
             return;
@@ -308,7 +308,7 @@
             released: BTreeSet::new(),
             answers: VecDeque::new(),
         };
-        self.poolers.insert(conn, subscriber);
+        self.subscribers.insert(conn, subscriber);
         let controllers = self.raft.members().iter().map(|m| m.peer).collect();
         self.send_frame(conn, &Frame::Controller(ToPooler::Welcome { controllers }));
         self.send_due_updates(conn, now);
@@ -318,7 +318,7 @@
     /// expire.
     pub(super) fn handle_closed_connection(&mut self, conn: u64, now: Tick) {
         self.node_layouts.remove(&conn);
-        if let Some(Subscriber { node, .. }) = self.poolers.remove(&conn)
+        if let Some(Subscriber { node, .. }) = self.subscribers.remove(&conn)
             && let Some(leader_state) = &mut self.leader_state
             && leader_state.leases.disconnect(conn, now).is_some()
         {
--- a/src/simulation/checker.rs
+++ b/src/simulation/checker.rs
@@ -68,7 +68,7 @@
                 wrong = Some(format!("entry {} differs at n{number}", entry.index));
             }
         }
-        let applied = controller.applied();
+        let applied = controller.last_applied();
         if applied > machine.applied {
             machine.applied = applied;
             let mut hasher = DefaultHasher::new();
@@ -134,14 +134,14 @@
             return self.report_violation(format!("in the end {} lead", leading.len()));
         };
         let Some(controller) = &self.machines[leader].controller else { return };
-        let (revision, applied) = (controller.state_machine().revision(), controller.applied());
+        let (revision, applied) =
+            (controller.state_machine().revision(), controller.last_applied());
         let voters = controller.raft().members().iter().filter(|m| m.voter).count();
         let listed =
             controller.state_machine().instances().keys().find(|id| self.goodbyes.contains(*id));
-        let behind = self
-            .machines
-            .iter()
-            .position(|m| m.controller.as_ref().is_some_and(|s| s.applied().0 + 40 < applied.0));
+        let behind = self.machines.iter().position(|m| {
+            m.controller.as_ref().is_some_and(|s| s.last_applied().0 + 40 < applied.0)
+        });
         let late = self.nodes.iter().position(|n| {
             let newest = n.config.as_ref().map(|c| c.revision);
             let old = self.committed_configurations.iter().rev().find(|f| f.at + 3_000 < self.now);
--- a/src/simulation/databases.rs
+++ b/src/simulation/databases.rs
@@ -220,7 +220,7 @@
     pub(super) fn check_acknowledged(&mut self, number: usize, what: AcknowledgedHeartbeat) {
         let id = &self.databases[number].id;
         let best = self.machines.iter().filter_map(|m| m.controller.as_ref());
-        let best = best.max_by_key(|s| s.applied()).map(|s| s.state_machine());
+        let best = best.max_by_key(|s| s.last_applied()).map(|s| s.state_machine());
         let listed = best.and_then(|a| a.instances().get(id)).map(|r| r.instance.lifecycle_state);
         let (known, said) = match what {
             AcknowledgedHeartbeat::Draining => (
