--- a/src/controller/committed_entries.rs
+++ b/src/controller/committed_entries.rs
@@ -1,5 +1,5 @@
-//! Applies committed log entries to the state machine, and acts on what they change. An entry that
-//! can't be read here stops the controller: it must not go on with an older state.
+//! Applies committed log entries to the state machine and reacts to their changes. An entry that
+//! can't be decoded stops the controller, which must not continue with stale state.
 use crate::base::ids::{InstanceId, Revision};
 use crate::base::time::Tick;
 use crate::config::configuration::Configuration;
@@ -13,22 +13,23 @@
 use log::info;
 use std::sync::mpsc::SyncSender;
 
-/// Route tables kept, the current one among them. A pooler that has one of them is sent only what
-/// changed since, any other the whole table.
+/// Number of route tables kept, including the current one. A node that has one of them is sent a
+/// delta, any other node the complete table.
 const MAX_ROUTE_TABLES: usize = 8;
 
-/// Addresses of departed databases that are remembered; a departure that lasts is one of the newest.
+/// Maximum number of remembered addresses of departed databases. A departure that still matters to
+/// a failover is one of the most recent.
 const MAX_DEPARTED_ADDRESSES: usize = 4_096;
 
 impl<E: Effects> Controller<E> {
-    /// Applies the entries that are committed and not applied yet. If one can't be read, the
-    /// reason is noted in `unreadable` and nothing is applied any more.
+    /// Applies committed entries that are not applied yet. If one can't be decoded, `unreadable` is
+    /// set and no further entry is applied.
     pub(super) fn apply_committed_entries(&mut self, now: Tick) {
         if self.raft.commit_index <= self.last_applied || self.unreadable.is_some() {
             return;
         }
-        if let Err(why) = self.apply_readable_entries(now) {
-            self.unreadable = Some(why);
+        if let Err(error) = self.apply_readable_entries(now) {
+            self.unreadable = Some(error);
         }
     }
 
@@ -41,7 +42,7 @@
         }
         let mut new_members = None;
         for entry in self.raft.committed_entries_after(self.last_applied) {
-            // Read first: an entry that can't be read does not count as applied.
+            // Decode first: an entry that can't be decoded must not count as applied.
             let command = match &entry.payload {
                 EntryPayload::Command(bytes) => Some(decode_command(entry.index, bytes)?),
                 EntryPayload::NoOp | EntryPayload::Membership(_) => None,
@@ -71,15 +72,15 @@
 
     fn announce_members(&mut self, members: &[Member]) {
         let describe =
-            |m: &Member| format!("{}{}", m.node, if m.voter { "" } else { " (learning)" });
-        let names: Vec<_> = members.iter().map(describe).collect();
+            |m: &Member| format!("{}{}", m.node, if m.voter { "" } else { " (learner)" });
+        let descriptions: Vec<_> = members.iter().map(describe).collect();
         self.send_controller_list();
-        info!(target: "raft", "members: {}", names.join(", "));
+        info!(target: "raft", "members: {}", descriptions.join(", "));
     }
 
-    /// Makes the configuration in the state machine the current one, and sends its route table.
+    /// Activates the configuration in the state machine and sends its route table to subscribers.
     fn activate_configuration(&mut self, now: Tick) -> Result<(), StateError> {
-        info!(target: "state", "configuration {} is in force", self.state_machine.revision());
+        info!(target: "state", "configuration {} is active", self.state_machine.revision());
         let config = self.state_machine.configuration()?;
         self.set_configuration(config);
         self.route_tables.extend(self.config.as_ref().map(RouteTable::of));
@@ -93,7 +94,7 @@
         Ok(())
     }
 
-    /// Sets the current configuration, and drops what was derived from the one before.
+    /// Sets the current configuration and discards data derived from the previous one.
     pub(super) fn set_configuration(&mut self, config: Option<Configuration>) {
         let services = config.iter().flat_map(|c| &c.services);
         self.services = services.map(|s| (s.name.clone(), s.clone())).collect();
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Applies a command, answers the caller that waits for it, and acts on what it changed.
+    /// Applies a command, replies to the waiting caller and reacts to the changes.
     fn apply_command(
         &mut self,
         command: &Command,
@@ -117,15 +118,15 @@
             }
             _ => None,
         };
-        self.note_departed_address(command);
+        self.record_departed_address(command);
         let outcome = self.state_machine.apply(command);
         if let Some(reply) = caller {
-            let answer = match command {
+            let response = match command {
                 Command::Heartbeat { .. } => self.heartbeat_response(),
                 _ => outcome_response(&outcome),
             };
-            // The caller may no longer wait.
-            drop(reply.try_send(answer));
+            // The caller may have stopped waiting.
+            drop(reply.try_send(response));
         }
         if outcome != CommandOutcome::Applied {
             return;
@@ -133,27 +134,27 @@
         log_applied(command);
         match command {
             Command::Heartbeat { id, instance, .. } => {
-                self.note_directory_change(id, now);
+                self.record_directory_change(id, now);
                 let (service, role) = (&instance.target_service, instance.database_role);
                 self.step_failover(service, now, |failover, snapshot| {
                     failover.handle_heartbeat(snapshot, id, role, now)
                 });
                 self.tick_failover(service, now);
             }
-            Command::RemoveInstance { id, .. } => self.note_directory_change(id, now),
+            Command::RemoveInstance { id, .. } => self.record_directory_change(id, now),
             Command::SetPrimary { .. }
             | Command::BeginFailover { .. }
             | Command::AbandonFailover { .. }
             | Command::PrimaryReturned { .. } => {
                 self.handle_primary_change(command, previous_primary, now);
             }
-            // The configuration is activated once all committed entries are applied.
+            // The configuration is activated after all committed entries have been applied.
             Command::PutConfiguration { .. } | Command::ForgetDeparted { .. } => {}
         }
     }
 
-    /// Notes where a database listened that is about to leave the directory.
-    fn note_departed_address(&mut self, command: &Command) {
+    /// Records the address of a database before it is removed from the directory.
+    fn record_departed_address(&mut self, command: &Command) {
         let Command::RemoveInstance { id, .. } = command else { return };
         if let Some(record) = self.state_machine.instances().get(id) {
             if self.departed_addresses.len() >= MAX_DEPARTED_ADDRESSES {
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Acts on a command that changes the primary of a service or the intent to change it.
+    /// Handles a command that changes the primary of a service or the failover intent for it.
     fn handle_primary_change(
         &mut self,
         command: &Command,
@@ -177,9 +178,9 @@
         else {
             return;
         };
-        // A primary that returned ends the record of the instance that it was before.
+        // A primary that returned under a new instance id replaces its previous instance record.
         if let Some(previous) = &previous_primary {
-            self.note_directory_change(previous, now);
+            self.record_directory_change(previous, now);
         }
         self.tick_failover(service, now);
         if let Some(leader_state) = &mut self.leader_state {
@@ -192,28 +193,40 @@
 
 fn log_applied(command: &Command) {
     match command {
-        // Logged when it is activated.
+        // Logged when the configuration is activated.
         Command::PutConfiguration { .. } => {}
         Command::Heartbeat { id, instance, .. } => {
-            info!(target: "state", "{id} of {}: {:?}, {:?}", instance.target_service,
+            info!(target: "state", "heartbeat of {id} for {}: {:?}, {:?}", instance.target_service,
                 instance.database_role, instance.lifecycle_state);
         }
-        Command::RemoveInstance { id, .. } => info!(target: "state", "{id} left the directory"),
+        Command::RemoveInstance { id, .. } => {
+            info!(target: "state", "instance {id} removed from the directory")
+        }
         Command::SetPrimary { service, term, primary } => {
             info!(target: "failover", "{service}: {primary} leads term {term}");
         }
         Command::BeginFailover { service, target, .. } => {
-            info!(target: "failover", "{service}: {target} is chosen as the next primary");
+            info!(target: "failover", "{service}: {target} chosen as the next primary");
         }
         Command::AbandonFailover { service, target } => {
-            info!(target: "failover", "{service}: {target} is not running, another target is chosen");
+            info!(
+                target: "failover",
+                "{service}: {target} is not running; choosing another target"
+            );
         }
         Command::PrimaryReturned { service, term, primary } => {
-            info!(target: "failover", "{service}: {primary} is the primary of term {term} again, under a new id");
+            info!(
+                target: "failover",
+                "{service}: primary of term {term} returned under the new id {primary}"
+            );
         }
         Command::ForgetDeparted { service, departed } => {
-            let names: Vec<String> = departed.keys().map(|id| id.to_string()).collect();
-            info!(target: "failover", "{service}: departed replica {} is covered by the others", names.join(", "));
+            let replicas: Vec<String> = departed.keys().map(|id| id.to_string()).collect();
+            info!(
+                target: "failover",
+                "{service}: enough listed replicas hold all commits of departed replicas {}",
+                replicas.join(", ")
+            );
         }
     }
 }
--- a/src/controller/lease_renewals.rs
+++ b/src/controller/lease_renewals.rs
@@ -1,10 +1,10 @@
-//! Lease renewals of poolers and gateways: takes in what a renewal reports, and answers with the
-//! leases, quota shares, watermarks and subset ranges that are due to the node.
+//! Lease renewals of poolers and gateways (nodes): records what a renewal reports, and responds
+//! with the leases, connection quotas, replication watermarks and subset ranges for the node.
 use crate::base::ids::{NodeName, ServiceName};
 use crate::base::time::Tick;
 use crate::controller::core::Controller;
 use crate::controller::effects::Effects;
-use crate::controller::pooler_subscriptions::{PendingRenewal, SentAnswer};
+use crate::controller::pooler_subscriptions::{PendingRenewal, SentGrants};
 use crate::failover::Failover;
 use crate::leases::lease_table::LEASE_MS;
 use crate::net::rpc::Frame;
@@ -14,12 +14,12 @@
 use crate::state_machine::PrimaryRecord;
 use std::collections::BTreeSet;
 
-/// Answers to one node that are remembered: what it observes is dated by the newest of them that
-/// it had received before.
-const MAX_REMEMBERED_ANSWERS: usize = 4;
+/// Number of sent responses remembered for each node. A reported observation is dated by the latest
+/// response that the node had received when it made the observation.
+const MAX_SENT_GRANTS: usize = 4;
 
 impl<E: Effects> Controller<E> {
-    /// Handles a renewal; it is answered once nothing older is queued for the node. Other messages
+    /// Handles a renewal. The response is sent once the node's send queue is empty. Other messages
     /// are ignored.
     pub(super) fn handle_renewal(
         &mut self,
@@ -48,9 +48,9 @@
             for service in leader_state.leases.report_quotas(node, quotas, now) {
                 leader_state.pending_updates.mark_changed(&service);
             }
-            for (service, more) in demand {
+            for (service, requested) in demand {
                 if self.services.contains_key(&service) {
-                    leader_state.leases.request_quota(node, &service, more, now);
+                    leader_state.leases.request_quota(node, &service, requested, now);
                 }
             }
         }
@@ -61,8 +61,9 @@
         self.send_due_updates(conn, now);
     }
 
-    /// Records the positions that a node observed at primaries after it had received the answer
-    /// with the number `last_grant_seq`. Without that answer their age is unknown.
+    /// Records the replication positions that a node observed at primaries after it had received
+    /// the response `last_grant_seq`. If that response is no longer remembered, the age of the
+    /// positions is unknown and they are ignored.
     fn record_observed_positions(
         &mut self,
         conn: u64,
@@ -71,18 +72,19 @@
         now: Tick,
     ) {
         let subscriber = self.subscribers.get(&conn);
-        let answer = subscriber.and_then(|s| s.answers.iter().find(|a| a.seq == last_grant_seq));
-        if let (Some(answer), Some(leader_state)) = (answer, &mut self.leader_state) {
+        let grants =
+            subscriber.and_then(|s| s.sent_grants.iter().find(|g| g.seq == last_grant_seq));
+        if let (Some(grants), Some(leader_state)) = (grants, &mut self.leader_state) {
             for position in observed {
                 let record = self.state_machine.primaries().get(&position.service);
-                leader_state.watermarks.observe(record, answer.sent_at, position, now);
+                leader_state.watermarks.observe(record, grants.sent_at, position, now);
             }
         }
     }
 
-    /// Answers a renewal: it renews all grants that were sent on this connection, and holds those
-    /// that changed.
-    pub(super) fn answer_renewal(&mut self, conn: u64, renewal: &PendingRenewal, now: Tick) {
+    /// Responds to a renewal. The response renews all grants sent on this connection and contains
+    /// those that changed.
+    pub(super) fn send_lease_grants(&mut self, conn: u64, renewal: &PendingRenewal, now: Tick) {
         if !self.raft.holds_leader_lease(now) {
             return;
         }
@@ -110,17 +112,17 @@
         }
         leader_state.leases.renew(node, now);
         subscriber.updates_sent = Some(leader_state.pending_updates.latest());
-        if subscriber.answers.len() == MAX_REMEMBERED_ANSWERS {
-            subscriber.answers.pop_front();
+        if subscriber.sent_grants.len() == MAX_SENT_GRANTS {
+            subscriber.sent_grants.pop_front();
         }
-        subscriber.answers.push_back(SentAnswer { seq: renewal.seq, sent_at: now });
+        subscriber.sent_grants.push_back(SentGrants { seq: renewal.seq, sent_at: now });
         let requested = renewal.bounds_requested.iter();
         let position_bounds =
             requested.filter_map(|name| leader_state.watermarks.bound(name, now)).collect();
         let subset_ranges =
             leader_state.subset_assignments.take_updates(&subscriber.node, complete);
         let seq = renewal.seq;
-        let answer = ToPooler::LeaseGrants {
+        let response = ToPooler::LeaseGrants {
             seq,
             lease_ms: LEASE_MS,
             complete,
@@ -128,12 +130,13 @@
             position_bounds,
             subset_ranges,
         };
-        self.send_frame(conn, &Frame::Controller(answer));
+        self.send_frame(conn, &Frame::Controller(response));
     }
 }
 
-/// What a node may know of a service's primary: it is absent while its leases are revoked, before
-/// this leader has checked the service, and during a handover to a node that knows none.
+/// Returns the status of a service's primary as granted to a node. It is `Absent` while the leases
+/// are being revoked, before this leader has checked the service, and during a handover if the node
+/// doesn't support handovers.
 fn primary_status(
     record: Option<&PrimaryRecord>,
     failover: Option<&Failover>,
--- a/src/controller/pooler_subscriptions.rs
+++ b/src/controller/pooler_subscriptions.rs
@@ -1,8 +1,9 @@
-//! The poolers and gateways that follow this leader: their greetings, and what they are sent when
-//! endpoints, the directory or the route table change. Lease renewals are in `lease_renewals`.
+//! Subscriptions of poolers and gateways (nodes) to the leader: subscribe requests, and the updates
+//! sent when the controller addresses, the directory or the route table change. Lease renewals are
+//! in `lease_renewals`.
 //!
-//! Where a connection is slow, newer state replaces older state that was not sent yet, so that no
-//! queue grows without bound.
+//! On a slow connection newer state replaces older state that has not been sent, which bounds the
+//! send queue.
 use crate::base::ids::{InstanceId, NodeName, Revision, ServiceName};
 use crate::base::time::Tick;
 use crate::config::directory::DirectoryEntry;
@@ -14,84 +15,85 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// Bytes of directory changes that may be queued for one connection; beyond it the whole directory
-/// is sent later.
+/// Maximum bytes of directory deltas queued for one connection. Beyond this limit the complete
+/// directory is sent later instead.
 const MAX_QUEUED_DELTA_BYTES: usize = 64 << 10;
 
-/// Milliseconds for which changes of the directory are collected into one message.
+/// Milliseconds for which directory changes are batched into one message.
 pub(super) const DIRECTORY_BATCH_MS: u64 = 20;
 
-/// A node's first message on a connection.
+/// The first message of a node on a connection.
 pub(super) struct SubscribeRequest {
     conn: u64,
     node: NodeName,
-    /// Of the node's process: a newer one ends the leases of an older one.
+    /// Identifies the node's process: a newer incarnation ends the leases of an older one.
     incarnation: u64,
-    /// The revision of the route table that it has.
+    /// Revision of the node's route table.
     revision: Revision,
     zone: String,
 }
 
-/// A renewal that is not answered yet.
+/// A lease renewal that has not been answered yet.
 pub(super) struct PendingRenewal {
-    /// The node's number for it, repeated in the answer.
+    /// Sequence number chosen by the node and repeated in the response.
     pub(super) seq: u64,
-    /// The services whose replication watermark it asks for.
+    /// Services for which the node requests the replication watermark.
     pub(super) bounds_requested: Vec<ServiceName>,
 }
 
-/// An answer to a renewal, for dating what the node observes after it.
-pub(super) struct SentAnswer {
+/// A sent renewal response. Whatever the node observes after receiving it is no older than
+/// `sent_at`.
+pub(super) struct SentGrants {
     pub(super) seq: u64,
     pub(super) sent_at: Tick,
 }
 
-/// A node that follows this leader: what it was sent, and what is still due to it.
+/// A node subscribed to this leader: what it has been sent and what remains to be sent.
 pub(super) struct Subscriber {
     pub(super) node: NodeName,
     pub(super) zone: String,
-    /// The newest layout of frames that it reads.
+    /// The newest frame layout that the node can read.
     layout: u8,
-    /// The revision it has, or will have once what is queued has arrived.
+    /// The node's route table revision once it has received all queued frames.
     revision: Revision,
-    /// Whether the whole directory is due, instead of the changes that did not fit.
+    /// Whether the complete directory has to be sent, as a delta exceeded the queue limit.
     directory_due: bool,
-    /// The renewal to be answered once the queue of the connection is empty.
+    /// The renewal to answer once the connection's send queue is empty.
     pub(super) renewal: Option<PendingRenewal>,
-    /// Up to which of the pending updates it was answered; none before the first answer.
+    /// Number of the latest pending update included in a response; `None` before the first one.
     pub(super) updates_sent: Option<u64>,
-    /// Services whose leases it released: their grants are part of the next answer.
+    /// Services whose leases the node released. The next response includes their grants.
     pub(super) released: BTreeSet<ServiceName>,
-    /// The newest answers.
-    pub(super) answers: VecDeque<SentAnswer>,
+    /// The most recent renewal responses.
+    pub(super) sent_grants: VecDeque<SentGrants>,
 }
 
 impl Subscriber {
-    /// Whether it can be told of a handover.
+    /// Whether the node can read handover messages.
     pub(super) fn supports_handover(&self) -> bool {
         self.layout >= HANDOVER_LAYOUT
     }
 }
 
-/// What all nodes are to be sent once it has been collected for a moment.
+/// Updates batched for a broadcast to all nodes.
 #[derive(Default)]
 pub(super) struct DirectoryUpdates {
-    /// The instances that changed.
+    /// The changed instances.
     changed: BTreeSet<InstanceId>,
-    /// When the first of them did.
+    /// When the first of these changes was recorded.
     changed_since: Option<Tick>,
-    /// Whether all nodes have to renew their leases, as a primary changed.
+    /// Whether all nodes have to renew their leases, because a primary changed.
     pub(super) renewal_due: bool,
-    /// When they were last asked to.
+    /// When nodes were last asked to renew.
     renewal_sent_at: Tick,
 }
 
 impl DirectoryUpdates {
-    /// Whether something waits to be sent.
+    /// Whether any update is waiting to be sent.
     pub(super) fn is_pending(&self) -> bool {
         self.changed_since.is_some() || self.renewal_due
     }
-    /// Drops the changes of the directory, as this controller no longer leads.
+    /// Drops the pending directory changes. Called when this controller loses leadership.
     pub(super) fn clear(&mut self) {
         self.changed.clear();
         self.changed_since = None;
@@ -103,13 +105,14 @@
         self.effects.send(conn, encode(frame));
     }
 
-    /// Answers that this controller does not lead, and who does as far as it knows.
+    /// Replies that this controller is not the leader, with the leader's address if known.
     pub(super) fn send_not_leader(&mut self, conn: u64) {
         let leader = self.leader_address().map(|l| l.peer);
         self.send_frame(conn, &Frame::Controller(ToPooler::NotLeader(leader)));
     }
 
-    /// Sends all nodes the list of controllers: a node that loses this leader searches there.
+    /// Sends all nodes the list of controllers. A node that loses this leader looks for the next
+    /// one among them.
     pub(super) fn send_controller_list(&mut self) {
         let controllers = self.raft.members().iter().map(|m| m.peer).collect();
         let frame = encode(&Frame::Controller(ToPooler::Welcome { controllers }));
@@ -118,7 +121,8 @@
         }
     }
 
-    /// Sends all nodes a message; one with too much queued gets the whole directory later instead.
+    /// Sends a message to all nodes. A node whose queue is too long gets the complete directory
+    /// later instead.
     fn broadcast(&mut self, message: ToPooler) {
         let frame = encode(&Frame::Controller(message));
         for (conn, subscriber) in &mut self.subscribers {
@@ -131,8 +135,8 @@
         }
     }
 
-    /// Notes that an instance in the directory changed, for the next message to all nodes.
-    pub(super) fn note_directory_change(&mut self, id: &InstanceId, now: Tick) {
+    /// Records a changed directory instance for the next broadcast to all nodes.
+    pub(super) fn record_directory_change(&mut self, id: &InstanceId, now: Tick) {
         self.directory_frame = None;
         if self.leader_state.is_some() {
             self.directory_updates.changed.insert(id.clone());
@@ -140,10 +144,11 @@
         }
     }
 
-    /// Sends all nodes what was collected for them, if it is due.
+    /// Broadcasts the batched updates if they are due.
     pub(super) fn send_directory_updates(&mut self, now: Tick) {
         let updates = &mut self.directory_updates;
-        // At once for the first service, and once for many that follow within a moment.
+        // Immediate for the first changed service; changes within the batch interval share one
+        // message.
         if updates.renewal_due && now.since(updates.renewal_sent_at) >= DIRECTORY_BATCH_MS {
             (updates.renewal_due, updates.renewal_sent_at) = (false, now);
             self.broadcast(ToPooler::RenewNow);
@@ -163,7 +168,7 @@
         self.broadcast(ToPooler::DirectoryDelta { upserted, removed });
     }
 
-    /// Sends a node all that is due to it, if nothing older is queued for it.
+    /// Sends a node all due updates, if its send queue is empty.
     pub(super) fn send_due_updates(&mut self, conn: u64, now: Tick) {
         if self.effects.queued_bytes(conn) != Some(0) {
             return;
@@ -172,7 +177,7 @@
         self.send_due_route_table(conn);
         let renewal = self.subscribers.get_mut(&conn).and_then(|s| s.renewal.take());
         if let Some(renewal) = renewal {
-            self.answer_renewal(conn, &renewal, now);
+            self.send_lease_grants(conn, &renewal, now);
         }
     }
 
@@ -209,7 +214,7 @@
         self.effects.send(conn, Arc::clone(frame));
     }
 
-    /// Handles a message of a pooler or gateway.
+    /// Handles a message from a pooler or gateway.
     pub(super) fn handle_pooler_message(&mut self, conn: u64, message: ToController, now: Tick) {
         if self.leader_state.is_none() {
             return self.send_not_leader(conn);
@@ -221,7 +226,7 @@
         let Some(node) = self.subscribers.get(&conn).map(|s| s.node.clone()) else {
             return;
         };
-        // A newer connection of the same node replaces what an older one still brings.
+        // Ignore messages from a connection that the node has replaced by a newer one.
         let leases = self.leader_state.as_ref().and_then(|l| l.leases.poolers.get(&node));
         if leases.is_none_or(|l| l.connection != Some(conn)) {
             return;
@@ -238,7 +243,10 @@
                 self.handle_renewal(conn, &node, renewal, now);
             }
             ToController::Suspect { service, instance, reason } => {
-                debug!(target: "failover", "{service}: {node} suspects {instance} ({reason:?})");
+                debug!(
+                    target: "failover",
+                    "{service}: node {node} suspects database {instance} ({reason:?})"
+                );
                 self.step_failover(&service, now, |failover, snapshot| {
                     failover.report_suspicion(snapshot, &node, &instance, reason, now)
                 });
@@ -264,7 +272,8 @@
         }
     }
 
-    /// Handles the greetings that were deferred, once this controller is sure whether it leads.
+    /// Handles the deferred subscribe requests, once this controller has confirmed or lost its
+    /// leadership.
     pub(super) fn handle_deferred_subscribe_requests(&mut self, now: Tick) {
         if self.deferred_subscribe_requests.is_empty()
             || (self.leader_state.is_some() && !self.raft.holds_leader_lease(now))
@@ -279,20 +288,23 @@
         }
     }
 
-    /// Begins to send a node updates and to grant it leases.
+    /// Subscribes a node to updates and lease grants.
     fn handle_subscribe_request(&mut self, request: SubscribeRequest, now: Tick) {
         if !self.raft.holds_leader_lease(now) || self.last_applied < self.raft.commit_index {
-            // What is applied here may be older than what the node received from an earlier leader.
+            // The applied state may be older than what the node received from an earlier leader.
             self.deferred_subscribe_requests.push(request);
             return;
         }
         let SubscribeRequest { conn, node, incarnation, revision, zone } = request;
-        // Its connection may have ended while the request was deferred; nothing would end its
-        // leases.
+        // The connection may have closed while the request was deferred. Then no later event would
+        // end the node's leases.
         if self.effects.queued_bytes(conn).is_none() {
             return;
         }
-        info!(target: "poolers", "{node} connected");
+        info!(
+            target: "poolers",
+            "node {node} connected from zone {zone} with route table revision {revision}"
+        );
         if let Some(leader_state) = &mut self.leader_state {
             leader_state.leases.register(&node, incarnation, conn, now);
             leader_state.pending_updates.mark_all_changed();
@@ -306,7 +318,7 @@
             renewal: None,
             updates_sent: None,
             released: BTreeSet::new(),
-            answers: VecDeque::new(),
+            sent_grants: VecDeque::new(),
         };
         self.subscribers.insert(conn, subscriber);
         let controllers = self.raft.members().iter().map(|m| m.peer).collect();
@@ -314,8 +326,8 @@
         self.send_due_updates(conn, now);
     }
 
-    /// Ends the subscription of a node whose connection has closed; its leases run on until they
-    /// expire.
+    /// Ends the subscription of a node whose connection has closed. Its leases stay valid until
+    /// they expire.
     pub(super) fn handle_closed_connection(&mut self, conn: u64, now: Tick) {
         self.node_layouts.remove(&conn);
         if let Some(Subscriber { node, .. }) = self.subscribers.remove(&conn)
@@ -323,7 +335,7 @@
             && leader_state.leases.disconnect(conn, now).is_some()
         {
             leader_state.pending_updates.mark_all_changed();
-            info!(target: "poolers", "{node} disconnected");
+            info!(target: "poolers", "node {node} disconnected; its leases run until they expire");
         }
     }
 }
