--- a/src/controller/admin_handler.rs
+++ b/src/controller/admin_handler.rs
@@ -133,13 +133,13 @@
             return Err(Response::refusal(503, "stopping"));
         }
         if matches!(operation, Operation::Submit(_)) && !self.state_machine.is_initialized() {
-            self.check_founding(now)?;
+            self.check_bootstrap(now)?;
         }
         Ok(operation)
     }
 
     /// Rejects the first command of a new Raft group until it has the voters that it needs.
-    fn check_founding(&self, now: Tick) -> Result<(), Response> {
+    fn check_bootstrap(&self, now: Tick) -> Result<(), Response> {
         let tolerated = self.settings.tolerated();
         let (voters, needed) = (self.raft.voters().len(), 2 * tolerated + 1);
         if !self.raft.may_bootstrap(tolerated, now) {
--- a/src/controller/heartbeats.rs
+++ b/src/controller/heartbeats.rs
@@ -1,5 +1,6 @@
-//! Heartbeats of databases: a heartbeat counts as a sign of life at once, its content only once it
-//! is committed. The admin handler calls this; instances that fall silent leave the directory.
+//! Heartbeats of database instances. A heartbeat proves that the instance is alive as soon as it is
+//! received; its content takes effect once it is committed. Instances that send no heartbeats are
+//! removed from the directory. The admin handler calls this module.
 use crate::base::ids::InstanceId;
 use crate::base::time::Tick;
 use crate::config::directory::{Instance, Role};
@@ -12,17 +13,17 @@
 /// Milliseconds without a heartbeat after which an instance is removed from the directory.
 const INSTANCE_EXPIRY_MS: u64 = 60_000;
 
-/// What the leader knows of an instance's heartbeats.
+/// The latest heartbeat of an instance, as received by the leader.
 pub(super) struct LastHeartbeat {
-    /// When the newest one was received.
+    /// When it was received.
     pub(super) received_at: Tick,
-    /// Its sequence number; 0 if none was received yet.
+    /// Its sequence number; 0 if none has been received yet.
     pub(super) sequence: u64,
 }
 
 impl<E: Effects> Controller<E> {
-    /// The answer to a heartbeat: it names this controller, so that later heartbeats come to the
-    /// leader without a redirect.
+    /// Returns the response to a heartbeat. It contains this controller's address, so that later
+    /// heartbeats reach the leader without a redirect.
     pub(super) fn heartbeat_response(&self) -> Response {
         match self.settings.listeners.admin {
             Some(admin) => {
@@ -33,8 +34,8 @@
         }
     }
 
-    /// Handles a heartbeat received by the leader. One that changes nothing is answered at once,
-    /// all others when they are committed and applied.
+    /// Handles a heartbeat received by the leader. A heartbeat that changes nothing is answered
+    /// immediately, any other one after it has been committed and applied.
     pub(super) fn handle_heartbeat(
         &mut self,
         id: InstanceId,
@@ -49,19 +50,19 @@
             let command = Command::Heartbeat { id, instance, sequence };
             return self.propose_for_caller(&command, reply, now);
         }
-        // The caller may no longer wait.
+        // The caller may have stopped waiting.
         drop(reply.try_send(self.heartbeat_response()));
-        // Only a primary that is not the known one matters to the failover.
-        let known_primary =
-            self.state_machine.primaries().get(&service).is_some_and(|l| l.primary == id);
-        if newest && role == Role::Primary && !known_primary {
+        // Only a heartbeat from a primary other than the recorded one matters to the failover.
+        let recorded_primary =
+            self.state_machine.primaries().get(&service).is_some_and(|r| r.primary == id);
+        if newest && role == Role::Primary && !recorded_primary {
             self.step_failover(&service, now, |failover, snapshot| {
                 failover.handle_heartbeat(snapshot, &id, role, now)
             });
         }
     }
 
-    /// Notes a sign of life. Whether the heartbeat is newer than all received before.
+    /// Records a heartbeat. Returns whether it is newer than all heartbeats received before.
     fn record_heartbeat(&mut self, id: &InstanceId, sequence: u64, now: Tick) -> bool {
         let Some(leader_state) = &mut self.leader_state else {
             return false;
@@ -77,8 +78,9 @@
         newest
     }
 
-    /// Proposes to remove the instances that have been silent for too long; a primary stays.
-    pub(super) fn remove_silent_instances(&mut self, now: Tick) {
+    /// Proposes to remove instances that have sent no heartbeat for too long. A primary is never
+    /// removed.
+    pub(super) fn remove_expired_instances(&mut self, now: Tick) {
         let Some(leader_state) = &mut self.leader_state else {
             return;
         };
@@ -89,7 +91,7 @@
             .filter(|(id, last)| {
                 now.since(last.received_at) > INSTANCE_EXPIRY_MS
                     && state_machine.instances().contains_key(*id)
-                    && !state_machine.primaries().values().any(|l| l.primary == **id)
+                    && !state_machine.primaries().values().any(|r| r.primary == **id)
             })
             .map(|(id, _)| id.clone())
             .collect();
--- a/src/controller/leader_lease.rs
+++ b/src/controller/leader_lease.rs
@@ -1,41 +1,41 @@
-//! The leader lease as threads see it that act in the leader's name.
+//! The leader lease, shared with the threads that send requests on the leader's behalf.
 //!
-//! A call to a database or to the platform connects and waits on a thread of its own. Its machine may
-//! stand still meanwhile, and another controller lead when it goes on. So right before the bytes of
-//! an order leave, the thread looks here whether the leadership in which the order was given still
-//! lasts.
+//! A request to a database or to the infrastructure provider connects and waits on its own thread.
+//! The machine may freeze meanwhile, and another controller may be the leader when it resumes. So
+//! right before sending a request, the thread checks here whether the leader's term in which the
+//! request was made is still covered by the lease.
 use crate::base::ids::Term;
 use crate::base::sync::lock;
 use crate::base::time::Tick;
 use std::sync::{Arc, Mutex};
 
-/// The leadership of a controller, and until when no other can lead.
+/// A controller's leadership, and the time until which no other controller can become leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaderLease {
     /// The term in which the controller was elected.
     pub term: Term,
-    /// From here on another controller may have been elected.
+    /// From this time on another controller may have been elected.
     pub until: Tick,
 }
 
 impl LeaderLease {
-    /// Whether the controller that was elected in `term` certainly leads.
+    /// Whether the controller elected in `term` is guaranteed to be the leader at `now`.
     pub fn covers(&self, term: Term, now: Tick) -> bool {
         self.term == term && now < self.until
     }
 }
 
-/// The leader lease, set by the controller's thread and read by others.
+/// The leader lease, written by the controller's thread and read by other threads.
 #[derive(Clone, Debug, Default)]
 pub struct SharedLeaderLease(Arc<Mutex<Option<LeaderLease>>>);
 
 impl SharedLeaderLease {
-    /// Sets the lease; none if this controller does not lead.
+    /// Sets the lease, or `None` if this controller is not the leader.
     pub fn set(&self, lease: Option<LeaderLease>) {
         *lock(&self.0) = lease;
     }
 
-    /// Whether this controller certainly leads in `term`.
+    /// Whether this controller is guaranteed to be the leader of `term` at `now`.
     pub fn covers(&self, term: Term, now: Tick) -> bool {
         lock(&self.0).is_some_and(|lease| lease.covers(term, now))
     }
--- a/src/controller/leader_state.rs
+++ b/src/controller/leader_state.rs
@@ -165,6 +165,6 @@
         for service in services {
             self.tick_failover(&service, now);
         }
-        self.remove_silent_instances(now);
+        self.remove_expired_instances(now);
     }
 }
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -1,5 +1,6 @@
-//! How a controller joins, founds or is removed from the Raft group. `Controller` calls this for
-//! join requests and their answers and once in each step; nothing here waits.
+//! Membership of the Raft cluster: how a controller joins, bootstraps or is removed from it.
+//! `Controller` calls this module for join requests, their responses and once in each step. Nothing
+//! here blocks.
 use crate::base::ids::{LogIndex, MemberId};
 use crate::base::time::Tick;
 use crate::controller::core::{Controller, validate_raft_message};
@@ -14,60 +15,62 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Milliseconds after which a candidate that no longer asks to join is forgotten.
-const CANDIDATE_EXPIRY_MS: u64 = 3_000;
+/// Milliseconds after which a join request that is not repeated is dropped.
+const JOIN_REQUEST_EXPIRY_MS: u64 = 3_000;
 
-/// Milliseconds between two join requests of a controller that is no member.
+/// Milliseconds between two join requests of a controller that is not a member.
 const JOIN_RETRY_MS: u64 = 250;
 
-/// Milliseconds without a message of a leader after which a member asks whether it still is one.
-const LEADER_SILENCE_MS: u64 = 1_200;
+/// Milliseconds without a message from a leader after which a member checks whether it is still a
+/// member.
+const LEADER_TIMEOUT_MS: u64 = 1_200;
 
-/// Milliseconds that a seed without a disk collects candidates before it nominates the founder of
-/// the Raft group.
+/// Milliseconds for which a seed without a disk collects join requests before it nominates the
+/// founder, the controller that bootstraps the cluster.
 const NOMINATION_DELAY_MS: u64 = 500;
 
-/// A controller that asked to join.
-struct Candidate {
+/// The join request of another controller.
+struct JoinRequest {
     member: Member,
-    /// When it last asked.
-    asked_at: Tick,
+    /// When the latest one was received.
+    received_at: Tick,
 }
 
-/// What a controller knows about joining: its own requests, and those it received.
+/// The state of joining the cluster: this controller's own requests and the ones it received.
 pub(super) struct JoinState {
-    candidates: BTreeMap<MemberId, Candidate>,
-    /// No request of this controller's own is sent before this.
-    next_request_at: Tick,
-    /// The leader that another controller named in its answer: the next request goes only there.
+    /// The join requests of other controllers, by member id.
+    received_requests: BTreeMap<MemberId, JoinRequest>,
+    /// The earliest time for this controller's next join request.
+    next_join_request_at: Tick,
+    /// The leader named in another controller's response. The next request goes only there.
     redirected_to: Option<SocketAddr>,
-    /// The leader that accepted this controller. Raft messages to the leader go there as long as
-    /// it is missing from this controller's endpoint list.
+    /// Address of the leader that accepted this controller. Used for Raft messages to the leader
+    /// while the leader is missing from this controller's member list.
     pub(super) accepted_by: Option<SocketAddr>,
-    /// The founder that this process nominated, as no seed has a disk.
+    /// The founder nominated by this process, if it has no disk itself.
     nominated: Option<MemberId>,
-    /// Peer address of the leader, known only to a controller without a disk: it is never a
-    /// member, it redirects callers there.
+    /// Peer address of the leader, tracked only by a controller without a disk. Such a controller
+    /// is never a member and redirects callers to the leader.
     pub(super) observed_leader: Option<SocketAddr>,
 }
 
 impl JoinState {
     pub(super) fn new(now: Tick) -> Self {
         Self {
-            candidates: BTreeMap::new(),
-            next_request_at: now,
+            received_requests: BTreeMap::new(),
+            next_join_request_at: now,
             redirected_to: None,
             accepted_by: None,
             nominated: None,
             observed_leader: None,
         }
     }
-    /// Drops the candidates that are members by now.
+    /// Drops the requests of controllers that have become members.
     pub(super) fn remove_members(&mut self, members: &[Member]) {
-        self.candidates.retain(|id, _| !members.iter().any(|m| m.id == *id));
+        self.received_requests.retain(|id, _| !members.iter().any(|m| m.id == *id));
     }
     fn add(&mut self, member: Member, now: Tick) {
-        self.candidates.insert(member.id, Candidate { member, asked_at: now });
+        self.received_requests.insert(member.id, JoinRequest { member, received_at: now });
     }
 }
 
@@ -77,21 +80,21 @@
         self.raft.members().iter().any(|m| m.id == own_id)
     }
 
-    /// Asks to join if this controller is no member, and whether it still is one if it hears no
-    /// leader.
+    /// Sends join requests if this controller is not a member. A member that has lost contact with
+    /// the leader asks whether it is still a member.
     pub(super) fn request_membership(&mut self, now: Tick) {
         let was_member = self.is_member();
-        // A leader that is missing from the members here sends messages, but its address is
-        // unknown: asking finds it.
+        // The address of a leader that is missing from the member list is unknown, although it
+        // sends messages. Join requests find its address.
         let leader_unlisted = self.raft.leader.is_some() && self.leader().is_none();
         let leader_lost =
-            self.raft.leader_silent_longer_than(now, LEADER_SILENCE_MS) || leader_unlisted;
+            self.raft.leader_silent_longer_than(now, LEADER_TIMEOUT_MS) || leader_unlisted;
         let settled = was_member && (self.raft.is_leader() || !leader_lost);
-        if settled || now < self.join.next_request_at {
+        if settled || now < self.join.next_join_request_at {
             return;
         }
-        let interval = if was_member { LEADER_SILENCE_MS } else { JOIN_RETRY_MS };
-        self.join.next_request_at = now.plus(interval);
+        let interval = if was_member { LEADER_TIMEOUT_MS } else { JOIN_RETRY_MS };
+        self.join.next_join_request_at = now.plus(interval);
         let Some(admin) = self.settings.listeners.admin else {
             return;
         };
@@ -107,7 +110,7 @@
         }
     }
 
-    /// Answers another controller that asks to join, or whether it still is a member.
+    /// Responds to another controller that requests to join or asks whether it is still a member.
     pub(super) fn handle_join_request(
         &mut self,
         conn: u64,
@@ -115,24 +118,24 @@
         was_member: bool,
         now: Tick,
     ) {
-        let mut answer = self.raft.answer_join(&member, was_member, now);
+        let mut response = self.raft.answer_join(&member, was_member, now);
         if self.nominates_as_founder(&member, now) {
-            answer = JoinResponse::FoundCluster;
+            response = JoinResponse::FoundCluster;
         }
-        // A removed member may join again with what is on its disk.
-        if matches!(answer, JoinResponse::Accepted | JoinResponse::Removed) {
+        // A removed member may rejoin with the data on its disk.
+        if matches!(response, JoinResponse::Accepted | JoinResponse::Removed) {
             self.join.add(member, now);
         }
-        self.send_frame(conn, &Frame::Joined(answer));
+        self.send_frame(conn, &Frame::Joined(response));
     }
 
-    /// Handles the answer of the controller at `from` to a request that named `requested_id`;
-    /// none if it could not be reached.
+    /// Handles the response of the controller at `from` to a join request for `requested_id`.
+    /// `None` means that the controller could not be reached.
     pub(super) fn handle_join_response(
         &mut self,
         requested_id: MemberId,
         from: SocketAddr,
-        answer: Option<JoinResponse>,
+        response: Option<JoinResponse>,
         now: Tick,
     ) {
         let own_id = self.raft.state.member_id;
@@ -140,39 +143,43 @@
             return;
         }
         if !self.settings.can_vote() {
-            self.update_observed_leader(from, answer.as_ref());
+            self.update_observed_leader(from, response.as_ref());
         }
-        let Some(answer) = answer else { return };
-        if matches!(answer, JoinResponse::Accepted | JoinResponse::Current | JoinResponse::Removed)
-            && self.join.accepted_by != Some(from)
+        let Some(response) = response else { return };
+        if matches!(
+            response,
+            JoinResponse::Accepted | JoinResponse::Current | JoinResponse::Removed
+        ) && self.join.accepted_by != Some(from)
         {
             self.join.accepted_by = Some(from);
             self.effects.retain_peer_links(self.raft.members());
         }
-        match answer {
+        match response {
             JoinResponse::NotLeader(Some(leader)) if self.join.redirected_to.is_none() => {
                 self.join.redirected_to = Some(leader);
-                self.join.next_request_at = now;
+                self.join.next_join_request_at = now;
             }
-            // An id stands for a disk with its vote and its log, so it may come back as a learner.
+            // A member id identifies a disk with its vote and log, so this controller may rejoin as
+            // a learner under the same id.
             JoinResponse::Removed if self.is_member() && !self.raft.is_leader() => {
-                info!(target: "raft", "member {own_id} was removed, asks to join again");
+                info!(target: "raft", "member {own_id} was removed; requesting to rejoin");
             }
             JoinResponse::FoundCluster
                 if !self.is_member() && self.settings.bootstrap && self.settings.can_vote() =>
             {
-                self.found_cluster(now);
+                self.bootstrap_cluster(now);
             }
             _ => {}
         }
     }
 
-    /// A controller without a disk remembers who says that it leads, until that one says otherwise.
-    fn update_observed_leader(&mut self, from: SocketAddr, answer: Option<&JoinResponse>) {
+    /// Updates the leader that a controller without a disk redirects to: the last controller that
+    /// claimed leadership, until that controller no longer claims it.
+    fn update_observed_leader(&mut self, from: SocketAddr, response: Option<&JoinResponse>) {
         let observed = self.join.observed_leader == Some(from);
-        match answer {
+        match response {
             Some(JoinResponse::Current) if !observed => {
-                info!(target: "raft", "{from} leads");
+                info!(target: "raft", "controller at {from} is the leader");
                 self.join.observed_leader = Some(from);
             }
             Some(JoinResponse::Current) => {}
@@ -181,19 +188,19 @@
         }
     }
 
-    /// Begins a Raft group with this controller as its only voter.
-    fn found_cluster(&mut self, now: Tick) {
+    /// Bootstraps a Raft cluster with this controller as its only voter.
+    fn bootstrap_cluster(&mut self, now: Tick) {
         let Some(admin) = self.settings.listeners.admin else {
             return;
         };
-        info!(target: "raft", "founds the cluster");
+        info!(target: "raft", "bootstrapping the cluster with this controller as the only voter");
         let own_id = self.raft.state.member_id;
         let founder = Member { voter: true, ..new_member(&self.settings, admin, own_id) };
         self.reset_with_members(vec![founder], now);
     }
 
-    /// Begins with an empty log and state under a fresh id, which all `members` get; the old id is
-    /// never used again.
+    /// Resets this controller to an empty log and state under a new member id, which is assigned to
+    /// all `members`. The old id is never used again.
     fn reset_with_members(&mut self, mut members: Vec<Member>, now: Tick) {
         let member_id = new_member_id(self.random);
         members.iter_mut().for_each(|m| m.id = member_id);
@@ -214,11 +221,12 @@
         self.route_tables.clear();
         self.directory_frame = None;
         self.effects.retain_peer_links(&[]);
-        self.join.candidates.clear();
+        self.join.received_requests.clear();
     }
 
-    /// Whether this controller is the first seed, has no disk, and nominates `member` as founder
-    /// of the Raft group: of those that asked in the first moments the one with the lowest address.
+    /// Whether this controller is the first seed, has no disk and nominates `member` as the
+    /// founder. The founder is the controller with the lowest address among those that requested
+    /// to join within [`NOMINATION_DELAY_MS`].
     fn nominates_as_founder(&mut self, member: &Member, now: Tick) -> bool {
         let own_address = self.settings.listeners.admin;
         if self.settings.can_vote()
@@ -229,26 +237,27 @@
             return false;
         }
         self.join
-            .candidates
+            .received_requests
             .entry(member.id)
-            .or_insert_with(|| Candidate { member: member.clone(), asked_at: now });
-        let oldest = self.join.candidates.values().map(|c| c.asked_at).min();
+            .or_insert_with(|| JoinRequest { member: member.clone(), received_at: now });
+        let oldest = self.join.received_requests.values().map(|r| r.received_at).min();
         if self.join.nominated.is_none()
             && oldest.is_some_and(|t| now.since(t) > NOMINATION_DELAY_MS)
         {
-            let chosen = self.join.candidates.values().min_by_key(|c| c.member.admin);
-            self.join.nominated = chosen.map(|c| c.member.id);
+            let chosen = self.join.received_requests.values().min_by_key(|r| r.member.admin);
+            self.join.nominated = chosen.map(|r| r.member.id);
         }
         self.join.nominated == Some(member.id)
     }
 
-    /// As the leader: proposes the next change of the membership, if one is needed.
+    /// Proposes the next membership change, if one is needed. Called only on the leader.
     pub(super) fn propose_membership_change(&mut self, now: Tick) {
-        self.join.candidates.retain(|_, c| now.since(c.asked_at) < CANDIDATE_EXPIRY_MS);
+        self.join
+            .received_requests
+            .retain(|_, r| now.since(r.received_at) < JOIN_REQUEST_EXPIRY_MS);
         let (tolerated, silent) = (self.settings.tolerated(), self.settings.silent_voter_ms());
-        let candidates = self.join.candidates.values().map(|c| &c.member);
-        if let Some(members) = self.raft.next_membership_change(candidates, tolerated, silent, now)
-        {
+        let joining = self.join.received_requests.values().map(|r| &r.member);
+        if let Some(members) = self.raft.next_membership_change(joining, tolerated, silent, now) {
             self.raft.propose(EntryPayload::Membership(members), now);
         }
     }
