--- a/src/controller/admin_api.rs
+++ b/src/controller/admin_api.rs
@@ -1,17 +1,17 @@
-//! The calls on the admin address: how they are read, decided and answered.
+//! The admin API: parsing calls, deciding them and building the responses.
 //!
-//! The controller's admin handler calls it. Everything here is pure: a decision follows from the
-//! call and the applied state alone, so that it can be made again where a command is applied.
+//! The controller's admin handler calls this module. All functions are pure: a decision depends
+//! only on the call and the applied state, so it can be repeated when a command is applied.
 use crate::base::ids::Revision;
 use crate::config::configuration::Configuration;
 use crate::net::http::{Request, Response};
 use crate::state_machine::{Command, CommandOutcome, StateMachine};
 use serde_bytes::ByteBuf;
 
-/// The longest name that is taken from outside, in bytes.
+/// Maximum length of a name in a request, in bytes.
 const MAX_NAME_BYTES: usize = 200;
 
-/// A call whose answer depends on the current state.
+/// A call whose response depends on the replicated state.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdminCall {
     /// `GET /configuration`.
@@ -20,18 +20,18 @@
     Command(Command),
 }
 
-/// What becomes of a call.
+/// The decision on a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallDecision {
-    /// It is answered at once.
+    /// Send this response immediately.
     Answer(Response),
-    /// It has to go into the log; its outcome shows when the entry is applied.
+    /// Append this command to the Raft log. The outcome is known once the entry is applied.
     Propose(Command),
 }
 
 impl AdminCall {
-    /// Decides a call by the applied state: a command that would change nothing, or would be
-    /// refused, is answered without going into the log.
+    /// Decides a call on the applied state. A command that would change nothing or be refused is
+    /// answered without a log entry.
     pub fn decide(self, state_machine: &StateMachine) -> CallDecision {
         let outcome = match &self {
             Self::ReadConfiguration if state_machine.configuration_body().is_empty() => {
@@ -62,15 +62,15 @@
     }
 }
 
-/// Whether a name from outside can be used: not empty, not too long, without white space or control
-/// characters.
+/// Whether a name in a request is valid: neither empty nor too long, and without white space and
+/// control characters.
 pub(crate) fn is_valid_name(text: &str) -> bool {
     !text.is_empty()
         && text.len() <= MAX_NAME_BYTES
         && !text.contains(|c: char| c.is_whitespace() || c.is_control())
 }
 
-/// The answer to a command with this outcome.
+/// Returns the response to a command with this outcome.
 pub(crate) fn outcome_response(outcome: &CommandOutcome) -> Response {
     match outcome {
         CommandOutcome::Applied | CommandOutcome::NoChange => Response::ok(),
@@ -78,19 +78,19 @@
         CommandOutcome::RevisionNotAbove => {
             Response::refusal(400, "revision is not above the current one")
         }
-        // A 4xx would deny a configuration that may have been applied.
+        // Not a 4xx status, which would deny a configuration that may have been applied.
         CommandOutcome::HistoryExpired => {
             Response::refusal(503, "too old to know whether it was taken")
         }
     }
 }
 
-/// Reads a `PUT /configuration` as a command.
+/// Parses a `PUT /configuration` request into a command.
 ///
 /// # Errors
-/// The refusal to send: the header or the configuration can't be used.
+/// The response that refuses a request with an invalid header or configuration.
 pub(crate) fn read_configuration(request: &Request) -> Result<Command, Response> {
-    let refuse = |why: &str| Err(Response::refusal(400, why));
+    let refuse = |reason: &str| Err(Response::refusal(400, reason));
     let base = match request.if_match.as_deref().map(str::parse) {
         Some(Ok(base)) => Revision(base),
         Some(Err(_)) => return refuse("If-Match is no number"),
--- a/src/controller/admin_handler.rs
+++ b/src/controller/admin_handler.rs
@@ -1,6 +1,6 @@
-//! Handles the calls on the admin address: recognises the operation, rejects what can't be read,
-//! redirects to the leader, and answers or proposes. A caller may have stopped waiting, so failed
-//! sends of answers are ignored throughout.
+//! Handles calls on the admin address: parses the operation, refuses invalid requests, redirects to
+//! the leader, and responds or proposes a command. A caller may have stopped waiting, so a failure
+//! to deliver a response is always ignored.
 use crate::base::ids::InstanceId;
 use crate::base::time::Tick;
 use crate::config::directory::Heartbeat;
@@ -13,10 +13,10 @@
 use log::warn;
 use std::sync::mpsc::SyncSender;
 
-/// Longest id of an instance in a path, in bytes.
+/// Maximum length of an instance id in a path, in bytes.
 const MAX_INSTANCE_ID_BYTES: usize = 200;
 
-/// What a call asks for.
+/// The operation that a call requests.
 enum Operation {
     ReadStatus,
     ReadConfiguration,
@@ -24,8 +24,8 @@
 }
 
 impl Operation {
-    /// The operation that a request names; the refusal if there is none, or its body can't be
-    /// read.
+    /// Parses the operation of a request. The error is the response that refuses an unknown
+    /// operation or an invalid body.
     fn parse(request: &Request, path: &str) -> Result<Self, Response> {
         let method = request.method.as_str();
         let wrong_method = || Err(Response::refusal(405, "not with this method"));
@@ -47,7 +47,8 @@
         };
         match method {
             "PUT" => read_heartbeat(request, id).map(Self::Submit),
-            // An instance that removes itself has ended: heartbeats of it still on the way are late.
+            // An instance that removes itself has stopped. Heartbeats still in transit must not
+            // bring it back, so the removal has the highest sequence number.
             "DELETE" => Ok(Self::Submit(Command::RemoveInstance { id, sequence: u64::MAX })),
             _ => wrong_method(),
         }
@@ -77,7 +78,8 @@
 }
 
 impl<E: Effects> Controller<E> {
-    /// Handles a call; the answer is sent to `reply` now, or once it is confirmed or committed.
+    /// Handles a call. The response is sent to `reply` immediately, or once the read is confirmed
+    /// or the command committed.
     pub(super) fn handle_admin_request(
         &mut self,
         request: Request,
@@ -102,12 +104,12 @@
         let decided =
             self.pending_reads.submit(&mut self.raft, &self.state_machine, call, reply, now);
         self.execute_decisions(decided, now);
-        // A single controller has no other to wait for.
+        // A single controller needs no confirmation from others.
         self.answer_confirmed_reads(now);
     }
 
-    /// Lets through the operations that this controller may carry out now: the status always, all
-    /// others as the leader of a quorum with a readable state.
+    /// Checks whether this controller may perform the operation now. The status is always allowed,
+    /// any other operation only on a leader that has a quorum and decodable state.
     fn accept_operation(
         &mut self,
         operation: Operation,
@@ -123,8 +125,8 @@
                 None => Response::refusal(503, "no leader"),
             });
         }
-        // Without a quorum nothing can be confirmed, and a new leader may not have applied yet what
-        // the one before acknowledged.
+        // Without a quorum nothing can be confirmed, and a new leader may not have applied yet all
+        // that its predecessor acknowledged.
         if !self.raft.holds_leader_lease(now) {
             return Err(Response::refusal(503, "no quorum"));
         }
@@ -138,22 +140,22 @@
         Ok(operation)
     }
 
-    /// Rejects the first command of a new Raft group until it has the voters that it needs.
+    /// Refuses the first command of a new cluster until the cluster has the voters that it needs.
     fn check_bootstrap(&self, now: Tick) -> Result<(), Response> {
         let tolerated = self.settings.tolerated();
         let (voters, needed) = (self.raft.voters().len(), 2 * tolerated + 1);
         if !self.raft.may_bootstrap(tolerated, now) {
-            let why = format!("being founded: {voters} of {needed} controllers vote");
-            return Err(Response::refusal(503, &why));
+            let reason = format!("being founded: {voters} of {needed} controllers vote");
+            return Err(Response::refusal(503, &reason));
         }
         if voters < needed {
-            warn!(target: "raft", "begins with {voters} voters of {needed}: not as many \
-                machines may be lost as fault_tolerance says");
+            warn!(target: "raft", "cluster starts with {voters} of {needed} voters: it tolerates \
+                fewer lost machines than fault_tolerance requires");
         }
         Ok(())
     }
 
-    /// Answers the reads that are confirmed or have timed out.
+    /// Responds to the reads that have been confirmed or have timed out.
     pub(super) fn answer_confirmed_reads(&mut self, now: Tick) {
         let decided = self.pending_reads.take_decided(
             &self.raft,
@@ -177,7 +179,8 @@
         }
     }
 
-    /// Proposes what a caller asked for; it is answered when that is committed and applied.
+    /// Proposes a caller's command. The caller receives its response once the command has been
+    /// committed and applied.
     pub(super) fn propose_for_caller(
         &mut self,
         command: &Command,
--- a/src/controller/core.rs
+++ b/src/controller/core.rs
@@ -285,7 +285,7 @@
             Input::PeerLayout(member, layout) => self.raft.record_peer_layout(member, layout),
             Input::NodeLayout(conn, layout) => drop(self.node_layouts.insert(conn, layout)),
             Input::Closed(conn) => self.handle_closed_connection(conn, now),
-            Input::Http(request, reply) => self.handle_admin_request(request, reply, now),
+            Input::AdminRequest(request, reply) => self.handle_admin_request(request, reply, now),
             Input::DatabaseResponse { service, instance, request, attempt, response } => {
                 self.handle_database_response(
                     &service, &instance, request, attempt, &response, now,
@@ -297,7 +297,7 @@
             Input::JoinResponse { requested_id, from, answer } => {
                 self.handle_join_response(requested_id, from, answer, now);
             }
-            Input::Saved(result) => self.handle_write_result(result, now),
+            Input::WriteFinished(result) => self.handle_write_result(result, now),
         }
     }
 
--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -1,5 +1,5 @@
-//! The boundary of the controller's step: `Input` is what reaches a controller, `Effects` what it
-//! does to the world outside. The process carries effects out with sockets, threads and a disk, the
+//! The interface of the controller's step function: `Input` is an event that it handles, `Effects`
+//! are its side effects. The process implements the effects with sockets, threads and a disk, the
 //! simulation and the tests with queues in virtual time.
 use crate::base::ids::{InstanceId, MemberId, ServiceName};
 use crate::base::time::Tick;
@@ -14,70 +14,74 @@
 use std::sync::Arc;
 use std::sync::mpsc::SyncSender;
 
-/// What reaches a controller.
+/// An event that a controller handles.
 pub enum Input {
-    /// A frame from a connection on the peer port, and the number of the connection.
+    /// A frame received on the peer port, with the number of its connection.
     Frame(u64, Frame),
-    /// The newest frame layout that a controller can read, ahead of each frame that names it.
+    /// The newest frame layout that a controller can read. Precedes each frame that names the
+    /// controller.
     PeerLayout(MemberId, u8),
-    /// The newest frame layout that the node on this connection can read, ahead of its greeting.
+    /// The newest frame layout that the node on this connection can read. Precedes its
+    /// subscribe request.
     NodeLayout(u64, u8),
-    /// A connection on the peer port has ended.
+    /// A connection on the peer port was closed.
     Closed(u64),
-    /// A call on the admin address, and where its answer goes.
-    Http(Request, SyncSender<Response>),
-    /// What came of `Effects::call_database`.
+    /// A call on the admin address, and the channel for its response.
+    AdminRequest(Request, SyncSender<Response>),
+    /// The result of `Effects::call_database`.
     DatabaseResponse {
         /// The service of the database.
         service: ServiceName,
         /// The database.
         instance: InstanceId,
-        /// What it was asked.
+        /// The request that was made.
         request: DatabaseRequest,
-        /// The failover attempt that asked.
+        /// The failover attempt that made the request.
         attempt: Attempt,
-        /// What it answered, or why it did not.
+        /// Its response, or the reason why there is none.
         response: DatabaseResponse,
     },
-    /// What came of `Effects::request_promotion`.
+    /// The result of `Effects::request_promotion`.
     PromotionResponse {
-        /// The service that is to get a new primary.
+        /// The service that needs a new primary.
         service: ServiceName,
         /// The instance to be promoted.
         target: InstanceId,
-        /// The failover attempt that asked.
+        /// The failover attempt that made the request.
         attempt: Attempt,
-        /// What the platform answered, or that it did not.
+        /// The infrastructure provider's response, or the reason why there is none.
         response: PromotionResponse,
     },
-    /// What came of `Effects::request_membership`.
+    /// The result of `Effects::request_membership`.
     JoinResponse {
-        /// The member id that the request named.
+        /// The member id in the request.
         requested_id: MemberId,
-        /// Peer address of the controller that was asked.
+        /// Peer address of the controller to which the request was sent.
         from: SocketAddr,
-        /// Its answer; none if it could not be reached.
+        /// Its response, or `None` if it could not be reached.
         answer: Option<JoinResponse>,
     },
-    /// The write in flight has ended, with its error if it failed.
-    Saved(Result<(), StorageError>),
+    /// The write in flight has succeeded or failed.
+    WriteFinished(Result<(), StorageError>),
 }
 
-/// What a controller does to the world outside. No method waits.
+/// The side effects of a controller. No method blocks.
 pub trait Effects {
-    /// Sends a Raft message to another controller, or drops it: Raft retries what gets lost.
+    /// Sends a Raft message to another controller. The message may be dropped: Raft retries.
     fn send_raft(&mut self, to: MemberId, address: SocketAddr, message: RaftMessage, now: Tick);
     /// Closes the connections to controllers that are not in `members`.
     fn retain_peer_links(&mut self, members: &[Member]);
-    /// Starts a write; `Input::Saved` follows. False if the storage thread has ended.
+    /// Starts a write; `Input::WriteFinished` follows. Returns false if the storage thread
+    /// has exited.
     fn start_write(&mut self, batch: WriteBatch) -> bool;
-    /// Asks a controller for membership, or with `was_member` whether `member` still is one;
-    /// `Input::JoinResponse` follows.
+    /// Requests membership for `member` from a controller, or with `was_member` asks whether
+    /// `member` is still a member. `Input::JoinResponse` follows.
     fn request_membership(&mut self, address: SocketAddr, member: Member, was_member: bool);
-    /// Sets until when this controller certainly leads, if it does. What is called for in a term is
-    /// given up if that has ended when the bytes would leave.
+    /// Sets the time until which this controller is guaranteed to be the leader, if it is. Requests
+    /// made in a term are discarded if its lease has ended when they are about to be sent.
     fn set_leader_lease(&mut self, lease: Option<LeaderLease>);
-    /// Sends a database a request; `Input::DatabaseResponse` follows, unless this is false.
+    /// Sends a request to a database. Returns whether it was started; if so,
+    /// `Input::DatabaseResponse` follows.
     fn call_database(
         &mut self,
         service: &ServiceName,
@@ -86,24 +90,24 @@
         request: DatabaseRequest,
         attempt: Attempt,
     ) -> bool;
-    /// Calls the platform at `provider` to promote `target`, in the name of `holder`;
-    /// `Input::PromotionResponse` follows.
+    /// Requests the infrastructure provider at `provider` to promote `target`, on behalf of the
+    /// leader `leader_name`. `Input::PromotionResponse` follows.
     fn request_promotion(
         &mut self,
         provider: SocketAddr,
-        holder: &str,
+        leader_name: &str,
         service: &ServiceName,
         target: &InstanceId,
         attempt: Attempt,
     );
-    /// Queues a frame on a connection of the peer port, behind all that is queued there.
+    /// Appends a frame to the send queue of a connection on the peer port.
     fn send(&mut self, conn: u64, frame: Arc<[u8]>);
-    /// Queues a frame ahead of all of which no byte has been sent.
+    /// Queues a frame ahead of all queued frames of which no byte has been sent yet.
     fn send_first(&mut self, conn: u64, frame: Arc<[u8]>);
-    /// Bytes queued on a connection; none if it has ended.
+    /// Returns the number of bytes queued on a connection, or `None` if it is closed.
     fn queued_bytes(&self, conn: u64) -> Option<usize>;
-    /// Sends more of what is queued; returns the connections of the peer port that had any.
+    /// Continues sending queued frames. Returns the connections on the peer port that had any.
     fn flush(&mut self) -> Vec<u64>;
-    /// The number of connections on the peer port.
+    /// Returns the number of connections on the peer port.
     fn connection_count(&self) -> usize;
 }
--- a/src/controller/event_loop.rs
+++ b/src/controller/event_loop.rs
@@ -1,5 +1,5 @@
-//! The event loop of the controller's process: waits for events and for the time of the next step,
-//! hands both to `Controller`, reads changed settings, and ends the process in order.
+//! The event loop of the controller process: waits for events and for the next step to be due,
+//! passes both to `Controller`, reloads changed settings and shuts down gracefully.
 use crate::base::errors::Fatal;
 use crate::base::signals::Signals;
 use crate::base::time::Tick;
@@ -11,23 +11,23 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::Duration;
 
-/// Milliseconds between two attempts to send to peers that did not take everything at once.
+/// Milliseconds between two attempts to send the remaining data to peers with full sockets.
 const FLUSH_INTERVAL_MS: u64 = 5;
 
 /// Milliseconds between two checks for idle connections and changed settings.
 const HOUSEKEEPING_INTERVAL_MS: u64 = 1_000;
 
-/// Milliseconds that a leader asked to stop waits for another to take over.
+/// Milliseconds for which a stopping leader waits for another controller to take over.
 const TRANSFER_TIMEOUT_MS: u64 = 500;
 
-/// Events handled after the one that was waited for, before the next step.
-const MAX_FURTHER_EVENTS: usize = 64;
+/// Maximum number of further events handled between two steps after the first one.
+const MAX_EXTRA_EVENTS: usize = 64;
 
 impl Controller<SocketTransport> {
-    /// Runs the controller until it is asked to stop.
+    /// Runs the controller until a signal requests termination.
     ///
     /// # Errors
-    /// `Fatal::State` if something that is committed can't be read here.
+    /// `Fatal::State` if committed data can't be decoded.
     pub(crate) fn serve(
         &mut self,
         events: Receiver<Event>,
@@ -51,21 +51,21 @@
                 }
             }
             if signals.terminated() && stopping_since.is_none() {
-                info!(target: "raft", "stopping");
+                info!(target: "raft", "stopping; leadership is transferred if held");
                 stopping_since = Some(now);
                 self.transfer_leadership(now);
             }
-            // The transfer of leadership needs a moment; a follower can end at once.
-            let ended = |since| !self.raft.is_leader() || now.since(since) > TRANSFER_TIMEOUT_MS;
-            if stopping_since.is_some_and(ended) {
+            // A leader waits for the transfer of its leadership; a follower can stop immediately.
+            let finished = |since| !self.raft.is_leader() || now.since(since) > TRANSFER_TIMEOUT_MS;
+            if stopping_since.is_some_and(finished) {
                 info!(target: "raft", "stopped");
                 return Ok(());
             }
         }
     }
 
-    /// Waits for an event until the next step is due, and handles it with those that follow it.
-    /// False if no event can arrive any more.
+    /// Waits for an event until the next step is due, and handles it and further events already
+    /// queued. Returns false if the event channel is closed.
     fn handle_next_events(&mut self, events: &Receiver<Event>) -> bool {
         let wait = self.millis_until_step(Tick::now());
         let wait =
@@ -73,7 +73,7 @@
         match events.recv_timeout(Duration::from_millis(wait)) {
             Ok(event) => {
                 self.handle_event(event, Tick::now());
-                for _ in 0..MAX_FURTHER_EVENTS {
+                for _ in 0..MAX_EXTRA_EVENTS {
                     let Ok(event) = events.try_recv() else { break };
                     self.handle_event(event, Tick::now());
                 }
@@ -86,8 +86,8 @@
 
     fn handle_event(&mut self, event: Event, now: Tick) {
         match event {
-            Event::Opened(conn, stream) => self.effects.add_connection(conn, stream, now),
-            Event::Linked(member, connection) => self.effects.finish_dial(member, connection),
+            Event::Accepted(conn, stream) => self.effects.add_connection(conn, stream, now),
+            Event::DialFinished(member, connection) => self.effects.finish_dial(member, connection),
             Event::Input(input) => {
                 match &input {
                     Input::Frame(conn, _) => self.effects.frame_received(*conn, now),
--- a/src/controller/linearizable_reads.rs
+++ b/src/controller/linearizable_reads.rs
@@ -1,8 +1,9 @@
-//! Admin calls that wait for Raft: until this controller is confirmed as the leader, or until their
-//! log entry is committed.
+//! Admin calls that wait for Raft: linearizable reads wait until this controller is confirmed as
+//! the leader, proposals until their log entry is committed.
 //!
-//! The controller's admin handler owns both collections and polls them after each step. `R` is how
-//! a caller is answered; the collections only keep it. Both are pure: time is handed in.
+//! The controller's admin handler polls both collections after each step. `R` is the handle for
+//! responding to a caller, which the collections only store. Neither reads a clock: the time is a
+//! parameter.
 use crate::base::ids::{LogIndex, Term};
 use crate::base::time::Tick;
 use crate::controller::admin_api::{AdminCall, CallDecision};
@@ -13,21 +14,21 @@
 use crate::state_machine::StateMachine;
 use std::collections::BTreeMap;
 
-/// Milliseconds after which a call that can't be answered for certain is refused. Callers turn to
-/// another controller after a second.
-const READ_LIMIT_MS: u64 = 800;
+/// Milliseconds after which an unconfirmed read is refused. Callers switch to another controller
+/// after one second.
+const READ_TIMEOUT_MS: u64 = 800;
 
-/// A caller and what is decided about its call.
+/// A caller and the decision on its call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DecidedCall<R> {
-    /// Who made the call.
+    /// The caller.
     pub caller: R,
-    /// What becomes of it.
+    /// The decision on the call.
     pub decision: CallDecision,
 }
 
 impl<R> DecidedCall<R> {
-    /// A call that is refused as its answer can't be known.
+    /// Refuses a call, because its correct response is unknown.
     fn unavailable(caller: R, reason: &str) -> Self {
         Self { caller, decision: CallDecision::Answer(Response::refusal(503, reason)) }
     }
@@ -39,8 +40,9 @@
     caller: R,
 }
 
-/// Calls that are answered from the applied state, once this controller is confirmed to have led
-/// after they came (Raft paper, section 8; the ReadIndex of Ongaro's dissertation, section 6.4).
+/// Calls that are answered from the applied state once it is confirmed that this controller was
+/// still the leader after they arrived (Raft paper, section 8; ReadIndex in Ongaro's dissertation,
+/// section 6.4).
 pub struct LinearizableReads<R> {
     pending: Vec<PendingRead<R>>,
 }
@@ -52,10 +54,11 @@
 }
 
 impl<R> LinearizableReads<R> {
-    /// Takes in a call; gives it back where it need not wait.
+    /// Submits a call. Returns it with its decision if it doesn't have to wait.
     ///
-    /// A command that the applied state accepts goes into the log at once: it is decided again
-    /// where it is applied. Whatever else is answered from state has to wait for confirmation.
+    /// A command that the applied state accepts can be appended to the log immediately, as it is
+    /// decided again when it is applied. All other responses depend on the state and have to wait
+    /// for confirmation.
     pub fn submit(
         &mut self,
         raft: &mut RaftNode,
@@ -74,8 +77,8 @@
         self.pending.push(PendingRead { read, call, caller });
         None
     }
-    /// Removes the calls that wait no longer, each decided by what is applied now: as confirmed, as
-    /// refused since this controller leads no more, or as timed out.
+    /// Removes and returns the calls that have finished waiting. A confirmed call is decided on the
+    /// state applied now; a call is refused if leadership was lost or the call has timed out.
     pub fn take_decided(
         &mut self,
         raft: &RaftNode,
@@ -89,7 +92,7 @@
                 ReadConfirmation::LeadershipLost => {
                     decided.push(DecidedCall::unavailable(caller, "no longer the leader"));
                 }
-                _ if now.since(read.requested_at) > READ_LIMIT_MS => {
+                _ if now.since(read.requested_at) > READ_TIMEOUT_MS => {
                     decided.push(DecidedCall::unavailable(caller, "no quorum"));
                 }
                 ReadConfirmation::Confirmed if applied >= read.index => {
@@ -107,7 +110,7 @@
     caller: R,
 }
 
-/// Callers whose command has been proposed, by its index in the log.
+/// Callers whose command has been proposed, by log index.
 pub struct PendingProposals<R> {
     pending: BTreeMap<LogIndex, PendingProposal<R>>,
 }
@@ -119,18 +122,18 @@
 }
 
 impl<R> PendingProposals<R> {
-    /// Remembers the caller of the command that was proposed at this index in this term.
+    /// Adds the caller of the command that was proposed at this index in this term.
     pub fn insert(&mut self, term: Term, index: LogIndex, caller: R) {
         self.pending.insert(index, PendingProposal { term, caller });
     }
-    /// Removes the caller whose command this committed entry is; none if nobody here waits for it,
-    /// or another leader's entry has taken the index.
+    /// Removes and returns the caller whose command is in this committed entry. Returns `None` if
+    /// no caller waits for this index, or if the entry was proposed by another leader.
     pub fn complete(&mut self, entry: &LogEntry) -> Option<R> {
         let proposal = self.pending.remove(&entry.index)?;
         (proposal.term == entry.term).then_some(proposal.caller)
     }
-    /// Removes all callers, as this controller no longer leads: what became of their commands is
-    /// not known here.
+    /// Removes and returns all callers. Called when this controller loses leadership: whether their
+    /// commands will be committed is unknown.
     pub fn drain(&mut self) -> impl Iterator<Item = R> + use<R> {
         std::mem::take(&mut self.pending).into_values().map(|proposal| proposal.caller)
     }
--- a/src/controller/peer_listener.rs
+++ b/src/controller/peer_listener.rs
@@ -66,7 +66,7 @@
 /// Reads a connection to its end and reports what comes over it.
 fn serve_peer(id: u64, stream: TcpStream, events: &Sender<Event>) {
     let Ok(writer) = prepare(&stream) else { return };
-    if events.send(Event::Opened(id, writer)).is_err() {
+    if events.send(Event::Accepted(id, writer)).is_err() {
         return;
     }
     let mut reader = BufReader::with_capacity(READ_BUFFER_BYTES, stream);
--- a/src/controller/pending_updates.rs
+++ b/src/controller/pending_updates.rs
@@ -1,17 +1,17 @@
-//! Which services have changed since a pooler was last answered.
+//! Tracks which services have changed since the last response to each subscriber.
 //!
-//! The leader keeps one log of changes for all poolers; each pooler's subscription remembers the
-//! number up to which it was answered. A pure value: it knows no clock and no connection.
+//! The leader keeps one change log for all subscribers, and each subscription stores the number of
+//! the last change that was sent. This type uses neither a clock nor connections.
 use crate::base::ids::ServiceName;
 use std::collections::BTreeMap;
 
-/// The services that changed, each once, in the order of their latest changes.
+/// The changed services, each listed once, in the order of their latest change.
 #[derive(Clone, Debug, Default)]
 pub struct PendingUpdates {
-    /// The number of the latest change; numbers rise by one with each.
+    /// Number of the latest change. It increases by one with each change.
     latest: u64,
-    /// The latest change that may have concerned every service.
-    latest_of_all: u64,
+    /// Number of the latest change that may affect every service.
+    latest_full_change: u64,
     services_by_change: BTreeMap<u64, ServiceName>,
     changes_by_service: BTreeMap<ServiceName, u64>,
 }
@@ -25,19 +25,19 @@
         }
         self.services_by_change.insert(self.latest, service.clone());
     }
-    /// Records a change that may concern every service.
+    /// Records a change that may affect every service.
     pub fn mark_all_changed(&mut self) {
         self.latest += 1;
-        self.latest_of_all = self.latest;
+        self.latest_full_change = self.latest;
     }
-    /// The number of the latest change; one that is answered now has seen all up to it.
+    /// Returns the number of the latest change. A response sent now includes all changes up to it.
     pub fn latest(&self) -> u64 {
         self.latest
     }
-    /// The services that changed after the change number `acknowledged`, the latest change last;
-    /// none if any service may have.
-    pub fn changed_since(&self, acknowledged: u64) -> Option<impl Iterator<Item = &ServiceName>> {
-        (acknowledged >= self.latest_of_all)
-            .then(|| self.services_by_change.range(acknowledged + 1..).map(|(_, name)| name))
+    /// Returns the services that changed after change number `last_sent`, the latest change last.
+    /// Returns `None` if every service may have changed.
+    pub fn changed_since(&self, last_sent: u64) -> Option<impl Iterator<Item = &ServiceName>> {
+        (last_sent >= self.latest_full_change)
+            .then(|| self.services_by_change.range(last_sent + 1..).map(|(_, name)| name))
     }
 }
--- a/src/controller/process.rs
+++ b/src/controller/process.rs
@@ -9,7 +9,7 @@
 use crate::controller::core::Controller;
 use crate::controller::effects::Input;
 use crate::controller::peer_listener::accept_peers;
-use crate::controller::transport::{Event, SocketTransport, ask_core};
+use crate::controller::transport::{Event, SocketTransport, submit_admin_request};
 use crate::net::http;
 use crate::net::rpc::raft_messages::Member;
 use crate::net::sockets::listen;
@@ -53,7 +53,7 @@
     accept_peers(peer, max_connections, events.clone())?;
     // Each database may keep a connection for its heartbeats, and all of them come to the leader.
     let http_events = events.clone();
-    let answer = move |request| ask_core(&http_events, request);
+    let answer = move |request| submit_admin_request(&http_events, request);
     http::serve(listen(admin)?, "admin", max_connections, answer)
         .map_err(|e| Fatal::Listen(admin.to_string(), e))?;
     let writes = start_storage_thread(storage, events.clone())?;
@@ -102,7 +102,7 @@
     must_start("the disk", move || {
         for batch in queue {
             let saved = storage.save(&batch);
-            if events.send(Event::Input(Input::Saved(saved))).is_err() {
+            if events.send(Event::Input(Input::WriteFinished(saved))).is_err() {
                 return;
             }
         }
--- a/src/controller/transport.rs
+++ b/src/controller/transport.rs
@@ -25,7 +25,7 @@
 use std::time::Duration;
 
 /// Time for the controller to answer an HTTP call; callers give up some time after.
-const ANSWER_LIMIT: Duration = Duration::from_secs(4);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Milliseconds from one attempt to connect to a controller to the next.
 const DIAL_INTERVAL_MS: u64 = 100;
@@ -34,13 +34,13 @@
 const UNREACHABLE_LIMIT: Duration = Duration::from_secs(2);
 
 /// Hands an HTTP request to the controller's thread and waits for its answer.
-pub(crate) fn ask_core(events: &Sender<Event>, request: Request) -> Response {
+pub(crate) fn submit_admin_request(events: &Sender<Event>, request: Request) -> Response {
     let (reply, answer) = sync_channel(1);
-    if events.send(Event::Input(Input::Http(request, reply))).is_err() {
+    if events.send(Event::Input(Input::AdminRequest(request, reply))).is_err() {
         return Response::refusal(503, "stopping");
     }
     answer
-        .recv_timeout(ANSWER_LIMIT)
+        .recv_timeout(RESPONSE_TIMEOUT)
         .unwrap_or_else(|_| Response::refusal(503, "no quorum in time"))
 }
 
@@ -49,9 +49,9 @@
     /// An input of the controller itself.
     Input(Input),
     /// A connection was accepted on the peer port: its number, and a handle to write to it.
-    Opened(u64, TcpStream),
+    Accepted(u64, TcpStream),
     /// An attempt to connect to another controller has ended; none if it failed.
-    Linked(MemberId, Option<PeerConnection>),
+    DialFinished(MemberId, Option<PeerConnection>),
 }
 
 /// The controller's effects with real sockets, threads and a disk.
@@ -137,7 +137,7 @@
                 connection.queue.push(first);
                 connection
             });
-            let _ = events.send(Event::Linked(to, connection));
+            let _ = events.send(Event::DialFinished(to, connection));
         })
     }
 }
--- a/src/simulation/callers.rs
+++ b/src/simulation/callers.rs
@@ -66,13 +66,13 @@
             // Gave up on it, but what is on its direction arrives all the same.
             let to = caller.next;
             let (reply, _) = sync_channel(1);
-            return self.step(to, Some(Input::Http(request, reply)));
+            return self.step(to, Some(Input::AdminRequest(request, reply)));
         }
         let to = caller.next;
         let (reply, answer) = sync_channel(1);
         let incarnation = self.machines[to].incarnation;
         self.caller(who).answer = Some((to, incarnation, answer));
-        self.step(to, Some(Input::Http(request, reply)));
+        self.step(to, Some(Input::AdminRequest(request, reply)));
     }
 
     /// What this controller has answered goes on its direction.
--- a/src/simulation/events.rs
+++ b/src/simulation/events.rs
@@ -149,14 +149,14 @@
             }
             Some(DiskFault { full: true, .. }) => {
                 machine.pending_write = None;
-                let failed = Input::Saved(Err(StorageError::Io(io::Error::other("full"))));
+                let failed = Input::WriteFinished(Err(StorageError::Io(io::Error::other("full"))));
                 return self.step(number, Some(failed));
             }
             None => {}
         }
         if let Some(batch) = machine.pending_write.take() {
             let saved = machine.disk.save(&batch);
-            self.step(number, Some(Input::Saved(saved)));
+            self.step(number, Some(Input::WriteFinished(saved)));
         }
     }
 
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -531,7 +531,7 @@
     fn turn(&mut self) {
         self.controller.step(self.now).expect("readable");
         while std::mem::take(&mut self.controller.effects.writes) {
-            self.controller.handle_input(Input::Saved(Ok(())), self.now);
+            self.controller.handle_input(Input::WriteFinished(Ok(())), self.now);
             self.controller.step(self.now).expect("readable");
             self.exchange();
         }
@@ -821,7 +821,7 @@
     let (path, body) = ("/instances/a".to_owned(), body.to_string().into_bytes());
     let request = Request { method: "PUT".to_owned(), path, if_match: None, body };
     let (sender, _answer) = sync_channel(1);
-    leader.controller.handle_input(Input::Http(request, sender), leader.now);
+    leader.controller.handle_input(Input::AdminRequest(request, sender), leader.now);
     leader.run(50);
     let told = leader.controller.effects.sent.iter().find_map(|(to, message)| match message {
         ToPooler::HandOver { handover, .. } if *to == 1 => Some(handover.clone()),
@@ -1120,7 +1120,7 @@
             });
             let (reply, answer) = sync_channel(1);
             let heartbeat = call("PUT", "/instances/a", &body);
-            leader.controller.handle_input(Input::Http(heartbeat, reply), leader.now);
+            leader.controller.handle_input(Input::AdminRequest(heartbeat, reply), leader.now);
             leader.turn();
             assert_eq!(answer.try_recv().map(|a| a.status), Ok(200), "{sequence}");
         }
@@ -1161,7 +1161,7 @@
     leader.cut = true;
     let (reply, answer) = sync_channel(1);
     let order = call("DELETE", "/instances/b", &serde_json::Value::Null);
-    leader.controller.handle_input(Input::Http(order, reply), leader.now);
+    leader.controller.handle_input(Input::AdminRequest(order, reply), leader.now);
     leader.turn();
     assert!(answer.try_recv().is_err(), "it waits for the quorum");
     let previous = LogPosition::new(Term(0), LogIndex(0));
