--- a/src/controller/failover_driver.rs
+++ b/src/controller/failover_driver.rs
@@ -220,8 +220,8 @@
                     );
                     return;
                 };
-                let (address, holder) = (provider.address, &self.settings.node_name);
-                self.effects.request_promotion(address, holder, service, &target, attempt);
+                let (address, leader_name) = (provider.address, &self.settings.node_name);
+                self.effects.request_promotion(address, leader_name, service, &target, attempt);
             }
         }
     }
--- a/src/controller/outgoing_calls.rs
+++ b/src/controller/outgoing_calls.rs
@@ -1,8 +1,8 @@
-//! Blocking calls that a controller makes: to databases, to the platform, and to other controllers
-//! for joining.
+//! Blocking calls of a controller to databases, to the infrastructure provider, and to other
+//! controllers in order to join.
 //!
-//! [`SocketTransport`](crate::controller::transport::SocketTransport) runs each on a thread of the
-//! worker pool and hands the result to the controller's event queue. Every call has a time limit.
+//! [`SocketTransport`](crate::controller::transport::SocketTransport) runs each call on a thread of
+//! the worker pool and sends the result to the controller's event queue. Every call has a time-out.
 use crate::base::errors::ErrorKind;
 use crate::base::ids::{InstanceId, ServiceName};
 use crate::failover::{DatabaseRequest, DatabaseResponse, PromotionResponse};
@@ -16,37 +16,37 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// How a controller names its role in the greeting to a database. It is part of the wire format:
-/// databases know controllers by this word.
-const GREETING_ROLE: &str = "steward";
+/// A controller's role in the `CONNECT` request to a database. Part of the wire format: databases
+/// recognise controllers by this word.
+const CONNECT_ROLE: &str = "steward";
 
-/// Time for connecting to a database. A lost machine must not use up the time of the failover.
-const DATABASE_CONNECT_LIMIT: Duration = Duration::from_millis(300);
+/// Time-out for connecting to a database. A lost machine must not delay the failover for long.
+const DATABASE_CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Time that a database may take for each read of an answer.
-const DATABASE_READ_LIMIT: Duration = Duration::from_secs(1);
+/// Time-out for each read of a database's response.
+const DATABASE_READ_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time for a platform's whole answer to a promotion.
-const PLATFORM_LIMIT: Duration = Duration::from_secs(1);
+/// Time-out for the infrastructure provider's complete response to a promotion request.
+const PROVIDER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time for another controller's answer to a request to join.
-const JOIN_LIMIT: Duration = Duration::from_secs(1);
+/// Time-out for another controller's response to a join request.
+const JOIN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// TCP gives a connection up after unacknowledged bytes of so long.
-const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_secs(1);
+/// Time after which TCP drops a connection with unacknowledged data.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Asks the controller at `address` to take `member` into the Raft group; one that `was_member` asks
-/// whether it still belongs.
+/// Requests the controller at `address` to add `member` to the Raft cluster. With `was_member` it
+/// asks whether `member` is still a member.
 pub(super) fn request_join(
     address: SocketAddr,
     member: Member,
     was_member: bool,
 ) -> io::Result<JoinResponse> {
-    let mut stream = connect_stream(address, PEER_CONNECT_TIMEOUT, UNACKNOWLEDGED_LIMIT)?;
-    stream.set_read_timeout(Some(JOIN_LIMIT))?;
+    let mut stream = connect_stream(address, PEER_CONNECT_TIMEOUT, UNACKNOWLEDGED_TIMEOUT)?;
+    stream.set_read_timeout(Some(JOIN_TIMEOUT))?;
     send(&mut stream, &Frame::Join { member, was_member })?;
     match receive(&mut stream)? {
-        Frame::Joined(answer) => Ok(answer),
+        Frame::Joined(response) => Ok(response),
         _ => Err(io::ErrorKind::InvalidData.into()),
     }
 }
@@ -57,17 +57,18 @@
     pub(super) service: &'a ServiceName,
     /// The database.
     pub(super) id: &'a InstanceId,
-    /// Where it listens.
+    /// The database's address.
     pub(super) address: SocketAddr,
-    /// What it is asked.
+    /// The request.
     pub(super) request: DatabaseRequest,
 }
 
-/// Sends a database one request on a connection of its own.
+/// Sends one request to a database on a separate connection.
 ///
-/// `connected` is called once the connection is there, ahead of the answer. `leads` is asked right
-/// before the request leaves: if the leadership in which it was made has ended, it is given up.
-pub(super) fn ask_database(
+/// `connected` is called once the connection is established, before the response. `leads` is called
+/// right before the request is sent: if it returns false, because the leadership in which the
+/// request was made has ended, the request is not sent.
+pub(super) fn call_database(
     call: &DatabaseCall<'_>,
     connected: impl FnOnce(),
     leads: impl Fn() -> bool,
@@ -84,16 +85,16 @@
     leads: impl Fn() -> bool,
 ) -> io::Result<DatabaseResponse> {
     let DatabaseCall { service, id, address, request } = *call;
-    let mut stream = connect_stream(address, DATABASE_CONNECT_LIMIT, UNACKNOWLEDGED_LIMIT)?;
+    let mut stream = connect_stream(address, DATABASE_CONNECT_TIMEOUT, UNACKNOWLEDGED_TIMEOUT)?;
     connected();
-    stream.set_read_timeout(Some(DATABASE_READ_LIMIT))?;
-    stream.write_all(format!("CONNECT {service} {GREETING_ROLE} {id}\r\n").as_bytes())?;
+    stream.set_read_timeout(Some(DATABASE_READ_TIMEOUT))?;
+    stream.write_all(format!("CONNECT {service} {CONNECT_ROLE} {id}\r\n").as_bytes())?;
     let mut buffer = ReadBuffer::default();
-    match read_greeting(&mut stream, &mut buffer)? {
-        Greeting::Ready => {}
-        // Another database has taken over the address.
-        Greeting::Refused(ErrorKind::WrongNode) => return Ok(DatabaseResponse::Unavailable),
-        Greeting::Refused(_) => return Ok(DatabaseResponse::NoDescription),
+    match read_connect_reply(&mut stream, &mut buffer)? {
+        ConnectReply::Ready => {}
+        // Another database now uses this address.
+        ConnectReply::Refused(ErrorKind::WrongNode) => return Ok(DatabaseResponse::Unavailable),
+        ConnectReply::Refused(_) => return Ok(DatabaseResponse::NoDescription),
     }
     if !leads() {
         return Ok(DatabaseResponse::NotSent);
@@ -110,7 +111,7 @@
     }
 }
 
-/// The statement that carries a request.
+/// Returns the statement for a request.
 fn statement(request: DatabaseRequest) -> String {
     match request {
         DatabaseRequest::Describe => "DESCRIBE".to_owned(),
@@ -120,32 +121,32 @@
     }
 }
 
-/// A database's answer to `CONNECT`.
-enum Greeting {
+/// A database's reply to `CONNECT`.
+enum ConnectReply {
     Ready,
     Refused(ErrorKind),
 }
 
-fn read_greeting(stream: &mut TcpStream, buffer: &mut ReadBuffer) -> io::Result<Greeting> {
+fn read_connect_reply(stream: &mut TcpStream, buffer: &mut ReadBuffer) -> io::Result<ConnectReply> {
     loop {
         if let Some(kind) = statement_protocol::refused_connect(buffer.pending()) {
-            return Ok(Greeting::Refused(kind));
+            return Ok(ConnectReply::Refused(kind));
         }
         if let Some(reply) = next_reply(buffer)? {
             buffer.consume(reply.end);
-            return Ok(Greeting::Ready);
+            return Ok(ConnectReply::Ready);
         }
         read_more(stream, buffer)?;
     }
 }
 
-/// The reply at the start of the buffer, if it is complete.
+/// Parses the reply at the start of the buffer, if it is complete.
 fn next_reply(buffer: &ReadBuffer) -> io::Result<Option<Reply>> {
     statement_protocol::reply(buffer.pending())
         .map_err(|MalformedReply| io::ErrorKind::InvalidData.into())
 }
 
-/// Reads once; the end of the stream within a reply is an error.
+/// Reads once. An end of the stream within a reply is an error.
 fn read_more(stream: &mut TcpStream, buffer: &mut ReadBuffer) -> io::Result<()> {
     match buffer.fill(stream)? {
         0 => Err(io::ErrorKind::UnexpectedEof.into()),
@@ -153,46 +154,50 @@
     }
 }
 
-/// Who calls the platform, and where it is.
+/// A call to the infrastructure provider.
 pub(super) struct PromotionCall<'a> {
-    /// The platform's address.
-    pub(super) platform: SocketAddr,
-    /// The name of the leader that asks.
-    pub(super) holder: &'a str,
-    /// Its fencing token: the platform refuses a lower one than it has seen.
-    pub(super) fence: u64,
+    /// The provider's address.
+    pub(super) provider: SocketAddr,
+    /// The node name of the leader that makes the call.
+    pub(super) leader_name: &'a str,
+    /// The leader's fencing token. The provider refuses a token lower than one that it has seen.
+    pub(super) fencing_token: u64,
 }
 
-/// Has the platform promote the instance `target` of `service`. `leads` is asked right before the
-/// call leaves: if the leadership in which it was made has ended, it is given up.
+/// Requests the infrastructure provider to promote the instance `target` of `service`. `leads` is
+/// called right before the request is sent: if it returns false, because the leadership in which
+/// the call was made has ended, the request is not sent.
 pub(super) fn request_promotion(
     call: &PromotionCall<'_>,
     service: &ServiceName,
     target: &InstanceId,
     leads: impl Fn() -> bool,
 ) -> PromotionResponse {
-    let PromotionCall { platform, holder, fence } = *call;
+    let PromotionCall { provider, leader_name, fencing_token } = *call;
     let body = serde_json::json!({ "target_service": service, "instance_id": target }).to_string();
-    let headers = [("Duty-Holder", holder.to_owned()), ("Fence-Token", fence.to_string())];
+    let headers =
+        [("Duty-Holder", leader_name.to_owned()), ("Fence-Token", fencing_token.to_string())];
     let request = http::OutgoingRequest {
         method: "POST",
         path: "/failovers",
         headers: &headers,
         body: body.as_bytes(),
     };
-    match http::call_while(platform, &request, PLATFORM_LIMIT, leads) {
+    match http::call_while(provider, &request, PROVIDER_TIMEOUT, leads) {
         Ok(Response { status: 200..=299, .. }) => PromotionResponse::Accepted,
         Ok(Response { status: 409, .. }) => PromotionResponse::NotRunning,
         Ok(Response { status: 429, .. }) => PromotionResponse::NotAttempted,
         Ok(Response { status, body, .. }) => {
             let body = String::from_utf8_lossy(&body);
-            warn!(target: "failover", "platform answered {status}: {body}");
+            warn!(target: "failover", "{service}: provider {provider} answered the promotion of \
+                {target} with status {status}: {body}");
             PromotionResponse::Unknown
         }
         // Nothing was sent.
         Err(http::CallError::NotSent) => PromotionResponse::NotAttempted,
         Err(http::CallError::Io(e)) => {
-            warn!(target: "failover", "platform: {e}");
+            warn!(target: "failover", "{service}: promotion of {target} by provider {provider} \
+                failed: {e}");
             PromotionResponse::Unknown
         }
     }
--- a/src/controller/peer_connections.rs
+++ b/src/controller/peer_connections.rs
@@ -1,8 +1,8 @@
-//! Sockets between this controller and its peers: other controllers, poolers and gateways.
+//! Connections between this controller and its peers: other controllers, poolers and gateways.
 //!
-//! `SocketTransport` owns them. Writing never
-//! blocks: what a socket does not take at once waits in the connection's send queue. Reading is
-//! done elsewhere, by one thread a connection (see `peer_listener`).
+//! `SocketTransport` owns them. Writing never blocks: data that a socket doesn't accept immediately
+//! stays in the connection's send queue. Reading is done in `peer_listener`, by one thread for each
+//! connection.
 use crate::base::time::Tick;
 use crate::net::rpc::raft_messages::RaftMessageKind;
 use crate::net::send_queue::SendQueue;
@@ -10,29 +10,29 @@
 use std::io;
 use std::net::{Shutdown, TcpStream};
 
-/// Milliseconds without progress after which a connection is closed: the peer takes nothing of what
-/// waits for it, or sends nothing though it should. Long enough for a stall of a loaded machine.
-const STALLED_MS: u64 = 10_000;
+/// Milliseconds without progress after which a connection is closed: the peer reads none of the
+/// queued data, or sends nothing although it should. Long enough for a stall of a loaded machine.
+const STALL_TIMEOUT_MS: u64 = 10_000;
 
-/// Bytes that may wait on a link to another controller before even heartbeats are left out.
-const MAX_LINK_BACKLOG: usize = 4 * MAX_IN_FLIGHT_BYTES;
+/// Queued bytes on a link to another controller above which even Raft heartbeats are dropped.
+const MAX_LINK_BACKLOG_BYTES: usize = 4 * MAX_IN_FLIGHT_BYTES;
 
-/// The outgoing connection to another controller, if there is one.
+/// The outgoing link to another controller, connected or not.
 pub(super) struct PeerLink {
-    /// The connection; none before the first attempt succeeds and after an error.
+    /// The connection, or `None` before the first successful attempt and after an error.
     pub(super) connection: Option<PeerConnection>,
-    /// Whether a thread is connecting now.
+    /// Whether a thread is currently connecting.
     pub(super) dialing: bool,
-    /// Not before this is the next attempt to connect made.
-    pub(super) next_attempt: Tick,
+    /// The earliest time for the next attempt to connect.
+    pub(super) next_dial_at: Tick,
 }
 
 impl PeerLink {
-    /// A link that has not been connected yet; the first attempt may begin at `now`.
+    /// Creates a link without a connection. The first attempt may start at `now`.
     pub(super) fn new(now: Tick) -> Self {
-        Self { connection: None, dialing: false, next_attempt: now }
+        Self { connection: None, dialing: false, next_dial_at: now }
     }
-    /// Writes what the socket takes without waiting; a broken connection is dropped.
+    /// Writes what the socket accepts without blocking. A broken connection is dropped.
     pub(super) fn flush(&mut self) {
         if self.connection.as_mut().is_some_and(|connection| connection.flush().is_err()) {
             self.connection = None;
@@ -40,11 +40,11 @@
     }
 }
 
-/// Whether a Raft message is to be dropped instead of queued behind `pending_bytes`.
+/// Whether a Raft message has to be dropped instead of queued behind `pending_bytes`.
 ///
-/// The larger the message, the sooner: snapshots wait for an empty queue, entries for less than
-/// the bytes that replication keeps in flight. Raft sends again what was dropped, and heartbeats
-/// go on as long as the link moves at all.
+/// The limit is lower for larger messages: snapshots need an empty queue, entries a queue no longer
+/// than the bytes that replication keeps in flight. Raft retransmits dropped messages, and
+/// heartbeats continue as long as the link makes any progress.
 pub fn exceeds_backlog(kind: &RaftMessageKind, pending_bytes: usize) -> bool {
     match kind {
         RaftMessageKind::InstallSnapshot { .. } => pending_bytes > 0,
@@ -52,53 +52,54 @@
             pending_bytes > MAX_IN_FLIGHT_BYTES
         }
         RaftMessageKind::AppendEntries { .. } | RaftMessageKind::Chunk { .. } => {
-            pending_bytes > MAX_LINK_BACKLOG
+            pending_bytes > MAX_LINK_BACKLOG_BYTES
         }
         _ => false,
     }
 }
 
-/// A peer's socket and the frames that wait for it.
+/// A peer's socket and the frames queued for it.
 pub(crate) struct PeerConnection {
     stream: TcpStream,
     pub(super) queue: SendQueue,
-    /// The queue's total at the last check that found progress.
-    written_at_check: u64,
-    /// The last check that found progress in writing, or nothing to write.
-    last_progress: Tick,
-    /// When the peer last sent a frame, if it ever did.
-    last_received: Option<Tick>,
-    opened: Tick,
+    /// The queue's total of written bytes at the last check that found progress.
+    written_at_last_check: u64,
+    /// Time of the last check that found progress in writing, or nothing to write.
+    last_progress_at: Tick,
+    /// When the peer last sent a frame, or `None` if it never has.
+    last_received_at: Option<Tick>,
+    opened_at: Tick,
 }
 
 impl PeerConnection {
-    /// Takes over a connected socket.
+    /// Wraps a connected socket.
     pub(super) fn new(stream: TcpStream, now: Tick) -> Self {
         Self {
             stream,
             queue: SendQueue::default(),
-            written_at_check: 0,
-            last_progress: now,
-            last_received: None,
-            opened: now,
+            written_at_last_check: 0,
+            last_progress_at: now,
+            last_received_at: None,
+            opened_at: now,
         }
     }
-    /// Records that the peer sent a frame.
+    /// Records that a frame was received from the peer.
     pub(super) fn received(&mut self, now: Tick) {
-        self.last_received = Some(now);
+        self.last_received_at = Some(now);
     }
-    /// Whether the peer has read nothing for too long, or has sent nothing though it should: each
-    /// peer has to send a first frame, and one that `sends_regularly` has to go on.
+    /// Whether the peer has read nothing for too long, or has sent nothing although it should: each
+    /// peer has to send a first frame, and one that `sends_regularly` has to keep sending.
     pub(super) fn is_stalled(&mut self, sends_regularly: bool, now: Tick) -> bool {
-        if self.queue.is_empty() || self.queue.total_written() != self.written_at_check {
-            self.written_at_check = self.queue.total_written();
-            self.last_progress = now;
+        if self.queue.is_empty() || self.queue.total_written() != self.written_at_last_check {
+            self.written_at_last_check = self.queue.total_written();
+            self.last_progress_at = now;
         }
-        let must_send = sends_regularly || self.last_received.is_none();
-        now.since(self.last_progress) > STALLED_MS
-            || (must_send && now.since(self.last_received.unwrap_or(self.opened)) > STALLED_MS)
+        let must_send = sends_regularly || self.last_received_at.is_none();
+        now.since(self.last_progress_at) > STALL_TIMEOUT_MS
+            || (must_send
+                && now.since(self.last_received_at.unwrap_or(self.opened_at)) > STALL_TIMEOUT_MS)
     }
-    /// Writes what the socket takes without waiting.
+    /// Writes what the socket accepts without blocking.
     ///
     /// # Errors
     /// If the connection is broken.
@@ -114,7 +115,7 @@
         }
         Ok(())
     }
-    /// Ends the connection in both directions. Its reader sees the end and reports it.
+    /// Closes the connection in both directions. Its reader thread detects and reports this.
     pub(super) fn close(&self) {
         drop(self.stream.shutdown(Shutdown::Both));
     }
--- a/src/controller/peer_listener.rs
+++ b/src/controller/peer_listener.rs
@@ -1,7 +1,7 @@
 //! Accepts connections on the peer port and reads their frames.
 //!
-//! Each connection has a thread that reads, on the worker pool, and tells the controller's event
-//! queue of its beginning, its frames and its end. Writing is `peer_connections`' part.
+//! A worker pool thread reads each connection and reports its opening, its frames and its end to
+//! the controller's event queue. Writing is done in `peer_connections`.
 use crate::base::errors::Fatal;
 use crate::base::worker_pool::{must_start, start_thread};
 use crate::controller::effects::Input;
@@ -17,23 +17,25 @@
 use std::sync::mpsc::Sender;
 use std::time::Duration;
 
-/// A peer whose machine does not acknowledge for so long has gone: its connection is given up.
-const UNREACHABLE_LIMIT: Duration = Duration::from_secs(3);
+/// Time without TCP acknowledgements after which a peer is considered unreachable and its
+/// connection is dropped.
+const UNREACHABLE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Pause after a failed `accept`, mostly for lack of file descriptors, so as not to spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed `accept`, which mostly means a lack of file descriptors. Avoids a busy
+/// loop.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Bytes read at once from a peer; most frames are far smaller.
+/// Size of the read buffer of a connection. Most frames are far smaller.
 const READ_BUFFER_BYTES: usize = 4096;
 
-/// Listens on the peer port and serves up to `max_connections` at a time, refusing those beyond.
+/// Listens on the peer port and serves up to `max_connections` connections at a time. Further ones
+/// are refused.
 ///
-/// The thread that accepts has no owner that joins it: it waits in the kernel for connections and
-/// ends with the process. The threads that read end with their connection, or once the event queue
-/// is gone.
+/// The accepting thread is never joined: it blocks in the kernel and ends with the process. The
+/// reading threads end when their connection or the event queue is closed.
 ///
 /// # Errors
-/// If the address can't be listened on, or there is no thread for it.
+/// If the address can't be bound or no thread is available.
 pub(crate) fn accept_peers(
     address: SocketAddr,
     max_connections: usize,
@@ -41,31 +43,31 @@
 ) -> Result<(), Fatal> {
     let listener = listen(address)?;
     let next_id = AtomicU64::new(1);
-    // Each connection holds a clone; their count is the number of open connections.
-    let open = Arc::new(());
+    // Each connection holds a clone, so the reference count gives the number of open connections.
+    let open_connections = Arc::new(());
     must_start("peers", move || {
         for stream in listener.incoming() {
             let Ok(stream) = stream else {
-                std::thread::sleep(ACCEPT_PAUSE);
+                std::thread::sleep(ACCEPT_RETRY_DELAY);
                 continue;
             };
-            if Arc::strong_count(&open) > max_connections {
+            if Arc::strong_count(&open_connections) > max_connections {
                 continue;
             }
-            let counted = Arc::clone(&open);
+            let connection_count_guard = Arc::clone(&open_connections);
             let id = next_id.fetch_add(1, Ordering::Relaxed);
             let events = events.clone();
             start_thread(move || {
-                let _counted = counted;
+                let _connection_count_guard = connection_count_guard;
                 serve_peer(id, stream, &events);
             });
         }
     })
 }
 
-/// Reads a connection to its end and reports what comes over it.
+/// Reads frames from a connection until it ends and reports them to the event queue.
 fn serve_peer(id: u64, stream: TcpStream, events: &Sender<Event>) {
-    let Ok(writer) = prepare(&stream) else { return };
+    let Ok(writer) = configure_socket(&stream) else { return };
     if events.send(Event::Accepted(id, writer)).is_err() {
         return;
     }
@@ -79,24 +81,24 @@
             }
             Err(e) => {
                 if e.kind() == io::ErrorKind::InvalidData {
-                    warn!(target: "peers", "closed a connection: {e}");
+                    warn!(target: "peers", "closed connection {id}: invalid frame: {e}");
                 }
                 break;
             }
         }
     }
-    // The controller may have ended already, as the process does.
+    // The controller's thread may have ended already, if the process is exiting.
     let _ = events.send(Event::Input(Input::Closed(id)));
 }
 
-/// Sets the socket's options; gives a second handle on it, for writing.
-fn prepare(stream: &TcpStream) -> io::Result<TcpStream> {
-    configure_stream(stream, UNREACHABLE_LIMIT)?;
-    enable_keep_alive(stream, UNREACHABLE_LIMIT)?;
+/// Sets the socket options and returns a second handle for writing.
+fn configure_socket(stream: &TcpStream) -> io::Result<TcpStream> {
+    configure_stream(stream, UNREACHABLE_TIMEOUT)?;
+    enable_keep_alive(stream, UNREACHABLE_TIMEOUT)?;
     stream.try_clone()
 }
 
-/// The controller's thread has ended, as the process does.
+/// Error: the controller's thread has ended, because the process is exiting.
 struct ControllerEnded;
 
 fn report_frame(
--- a/src/controller/process.rs
+++ b/src/controller/process.rs
@@ -1,4 +1,4 @@
-//! The controller's process: opens the storage, starts the listeners and the storage thread, and runs
+//! The controller process: opens the storage, starts the listeners and the storage thread, and runs
 //! the controller on the main thread. The command line calls [`run`].
 use crate::base::errors::Fatal;
 use crate::base::ids::MemberId;
@@ -21,24 +21,24 @@
 use std::sync::mpsc::{Sender, channel};
 use std::time::Duration;
 
-/// Pause between attempts to open the disk while it fails.
-const DISK_RETRY: Duration = Duration::from_millis(500);
+/// Interval between attempts to open the storage while the disk fails.
+const DISK_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The part of `max_open_files` that each of the two listeners may use: one in so many.
-const OPEN_FILES_SHARE: usize = 4;
+/// Each of the two listeners may use `max_open_files` divided by this number for connections.
+const OPEN_FILES_DIVISOR: usize = 4;
 
-/// A bit that every member id has, so that none is small or zero.
+/// A bit set in every member id, so that no id is small or zero.
 const MEMBER_ID_BIT: u64 = 1 << 40;
 
-/// Runs a controller until it is asked to end. `path` is the settings file, for reloads.
+/// Runs a controller until a signal requests termination. `path` is the settings file, for reloads.
 ///
-/// The main thread runs the controller. When it ends, the process does: the threads that listen,
-/// read or call out are not joined, as none of them holds anything that has to be finished. The same
-/// is true of the storage thread: SQLite's journal makes a write that is cut off look as if it had
-/// never begun, and what is not stored has not been acknowledged.
+/// The main thread runs the controller, and the process exits when it returns. The threads that
+/// listen, read or make outgoing calls are not joined, as none of them has work that must be
+/// completed. Neither is the storage thread: SQLite's journal rolls back an interrupted write, and
+/// data that is not stored has not been acknowledged.
 ///
 /// # Errors
-/// Why the controller can't start or go on.
+/// If the controller can't start or continue.
 pub fn run(path: PathBuf, settings: Settings) -> Result<(), Fatal> {
     let admin = settings
         .listeners
@@ -48,13 +48,13 @@
     let InitializedStorage { storage, state, restarted } =
         open_storage(&settings, admin, &signals)?;
     let (events, queue) = channel();
-    let max_connections = settings.limits.max_open_files as usize / OPEN_FILES_SHARE;
+    let max_connections = settings.limits.max_open_files as usize / OPEN_FILES_DIVISOR;
     let peer = SocketAddr::new(settings.ip_address, settings.peer_port());
     accept_peers(peer, max_connections, events.clone())?;
-    // Each database may keep a connection for its heartbeats, and all of them come to the leader.
+    // Each database may keep a connection open for its heartbeats, which all go to the leader.
     let http_events = events.clone();
-    let answer = move |request| submit_admin_request(&http_events, request);
-    http::serve(listen(admin)?, "admin", max_connections, answer)
+    let respond = move |request| submit_admin_request(&http_events, request);
+    http::serve(listen(admin)?, "admin", max_connections, respond)
         .map_err(|e| Fatal::Listen(admin.to_string(), e))?;
     let writes = start_storage_thread(storage, events.clone())?;
     let transport = SocketTransport::new(writes, events);
@@ -63,37 +63,37 @@
     controller.serve(queue, &signals, SettingsWatcher::new(path))
 }
 
-/// Opens the disk, or an empty state in memory where this machine has no vote. Tries again while the
-/// disk is full or fails: it may work again later.
+/// Opens the storage on disk, or in-memory storage if this controller can't vote. Retries while the
+/// disk is full or failing, as it may recover.
 fn open_storage(
     settings: &Settings,
     admin: SocketAddr,
     signals: &Signals,
 ) -> Result<InitializedStorage, Fatal> {
-    let first = || first_state(settings, admin, rand::random::<u64>);
+    let new_state = || initial_state(settings, admin, rand::random::<u64>);
     loop {
         let opened =
             match &settings.data_path {
                 Some(folder) if settings.can_vote() => {
-                    RaftStorage::open_or_initialize(folder, first).map_err(Fatal::from)
+                    RaftStorage::open_or_initialize(folder, new_state).map_err(Fatal::from)
                 }
                 _ => RaftStorage::in_memory().map_err(Fatal::from).map(|storage| {
-                    InitializedStorage { storage, state: first(), restarted: false }
+                    InitializedStorage { storage, state: new_state(), restarted: false }
                 }),
             };
         match opened {
             Err(Fatal::Disk(reason)) if !signals.terminated() => {
                 warn!(target: "disk", "cannot be used, tried again soon: {reason}");
-                std::thread::sleep(DISK_RETRY);
+                std::thread::sleep(DISK_RETRY_INTERVAL);
             }
             opened => return opened,
         }
     }
 }
 
-/// Starts the thread that writes to the disk, so that the controller's thread never waits for it.
+/// Starts the thread that writes to the disk, so that the controller's thread never blocks on it.
 ///
-/// It ends once the sender that is given back is dropped, or the event queue is gone.
+/// The thread ends once the returned sender is dropped or the event queue is closed.
 fn start_storage_thread(
     mut storage: RaftStorage,
     events: Sender<Event>,
@@ -101,8 +101,8 @@
     let (writes, queue) = channel::<WriteBatch>();
     must_start("the disk", move || {
         for batch in queue {
-            let saved = storage.save(&batch);
-            if events.send(Event::Input(Input::WriteFinished(saved))).is_err() {
+            let result = storage.save(&batch);
+            if events.send(Event::Input(Input::WriteFinished(result))).is_err() {
                 return;
             }
         }
@@ -110,11 +110,15 @@
     Ok(writes)
 }
 
-/// The first state of an empty disk, under a new member id.
+/// Returns the initial state of an empty disk, under a new member id.
 ///
-/// When the system starts for the first time, the first of the seeds founds the Raft group with
-/// itself as its only member; all others start without members and ask to join.
-pub fn first_state(settings: &Settings, admin: SocketAddr, random: fn() -> u64) -> PersistentState {
+/// When the system starts for the first time, the first seed bootstraps the Raft cluster with
+/// itself as the only member. All other controllers start without members and request to join.
+pub fn initial_state(
+    settings: &Settings,
+    admin: SocketAddr,
+    random: fn() -> u64,
+) -> PersistentState {
     let mut state =
         PersistentState { member_id: new_member_id(random), ..PersistentState::default() };
     if settings.can_vote() && settings.founder() == Some(admin) {
@@ -124,13 +128,13 @@
     state
 }
 
-/// Draws an id for a member with a new disk.
+/// Generates a random id for a member with a new disk.
 pub(crate) fn new_member_id(random: fn() -> u64) -> MemberId {
-    // SQLite's integers are signed: the two highest bits stay free.
+    // SQLite's integers are signed: leave the two highest bits unset.
     MemberId((random() >> 2) | MEMBER_ID_BIT)
 }
 
-/// This controller as a member that does not vote yet.
+/// Describes this controller as a member that does not vote yet.
 pub(crate) fn new_member(settings: &Settings, admin: SocketAddr, id: MemberId) -> Member {
     Member {
         id,
--- a/src/controller/status.rs
+++ b/src/controller/status.rs
@@ -1,9 +1,9 @@
-//! The status report: `GET /status` answers with it on each controller, leader or not.
+//! The status report returned by `GET /status` on each controller, whether or not it is the leader.
 //!
-//! The keys are an interface that operators' tools read, and `tests/interfaces.rs` pins them. So
-//! they keep words that the code no longer uses: `stiles` are the poolers and gateways, `epoch` is
-//! the Raft term, `entry` the last index of the log, and `questions_waiting` counts the requests to
-//! databases that are queued.
+//! The keys are an interface for operators' tools and are checked by `tests/interfaces.rs`. Some
+//! differ from the terms in the code: `stiles` are the poolers and gateways, `epoch` is the Raft
+//! term, `entry` is the last log index, and `questions_waiting` is the number of queued database
+//! requests.
 use crate::base::time::Tick;
 use crate::controller::core::Controller;
 use crate::controller::effects::Effects;
@@ -12,7 +12,7 @@
 use serde_json::{Value, json};
 
 impl<E: Effects> Controller<E> {
-    /// The whole report.
+    /// Builds the status report.
     pub(super) fn status(&self, now: Tick) -> Value {
         json!({
             "node": self.settings.node_name,
--- a/src/controller/transport.rs
+++ b/src/controller/transport.rs
@@ -1,14 +1,15 @@
-//! The controller's effects with real sockets, threads and a disk, and the queue of its events.
+//! The production implementation of the controller's effects, with sockets, threads and a disk, and
+//! the events of the controller's thread.
 //!
-//! The process makes one `SocketTransport` for its controller and feeds that with `Event`s. The
-//! controller sees only the `Effects` trait, which the simulation implements as well.
+//! The process creates one `SocketTransport` for its controller. The controller uses it only
+//! through the `Effects` trait, which the simulation also implements.
 use crate::base::ids::{InstanceId, MemberId, ServiceName};
 use crate::base::time::Tick;
 use crate::base::worker_pool::start_thread;
 use crate::controller::effects::{Effects, Input};
 use crate::controller::leader_lease::{LeaderLease, SharedLeaderLease};
 use crate::controller::outgoing_calls::{
-    DatabaseCall, PromotionCall, ask_database, request_join, request_promotion,
+    DatabaseCall, PromotionCall, call_database, request_join, request_promotion,
 };
 use crate::controller::peer_connections::{PeerConnection, PeerLink, exceeds_backlog};
 use crate::failover::{Attempt, DatabaseRequest, DatabaseResponse, PromotionResponse};
@@ -24,76 +25,76 @@
 use std::sync::mpsc::{Sender, sync_channel};
 use std::time::Duration;
 
-/// Time for the controller to answer an HTTP call; callers give up some time after.
+/// Time-out for the controller's response to an HTTP request. Callers wait somewhat longer.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Milliseconds from one attempt to connect to a controller to the next.
-const DIAL_INTERVAL_MS: u64 = 100;
+/// Milliseconds between two attempts to connect to a controller.
+const DIAL_RETRY_INTERVAL_MS: u64 = 100;
 
-/// TCP gives a link up after unacknowledged bytes of so long.
-const UNREACHABLE_LIMIT: Duration = Duration::from_secs(2);
+/// Time after which TCP drops a link with unacknowledged data.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Hands an HTTP request to the controller's thread and waits for its answer.
+/// Passes an admin request to the controller's thread and waits for the response.
 pub(crate) fn submit_admin_request(events: &Sender<Event>, request: Request) -> Response {
-    let (reply, answer) = sync_channel(1);
+    let (reply, response) = sync_channel(1);
     if events.send(Event::Input(Input::AdminRequest(request, reply))).is_err() {
         return Response::refusal(503, "stopping");
     }
-    answer
+    response
         .recv_timeout(RESPONSE_TIMEOUT)
         .unwrap_or_else(|_| Response::refusal(503, "no quorum in time"))
 }
 
-/// What reaches the controller's thread.
+/// An event for the controller's thread.
 pub(crate) enum Event {
-    /// An input of the controller itself.
+    /// An input for the controller itself.
     Input(Input),
-    /// A connection was accepted on the peer port: its number, and a handle to write to it.
+    /// A connection was accepted on the peer port: its number and a handle for writing to it.
     Accepted(u64, TcpStream),
-    /// An attempt to connect to another controller has ended; none if it failed.
+    /// An attempt to connect to another controller has ended. `None` if it failed.
     DialFinished(MemberId, Option<PeerConnection>),
 }
 
-/// The controller's effects with real sockets, threads and a disk.
+/// The controller's effects with sockets, threads and a disk.
 ///
-/// Nothing here blocks the controller's thread, which owns it. Calls that take time run on the
-/// worker pool and report to the event queue; they end by their own time limits, so that nobody
-/// joins them. Their reports are dropped if the controller has ended meanwhile.
+/// The controller's thread owns this value, and no method blocks it. Slow calls run on the worker
+/// pool and report to the event queue. They are never joined, as their time-outs end them; their
+/// reports are dropped if the controller has ended.
 pub(crate) struct SocketTransport {
     /// Accepted connections by number.
     connections: HashMap<u64, PeerConnection>,
     /// Outgoing connections to other controllers.
     links: HashMap<MemberId, PeerLink>,
-    /// Where the storage thread takes its writes from.
+    /// The queue of writes for the storage thread.
     storage: Sender<WriteBatch>,
     /// The controller's event queue.
     events: Sender<Event>,
-    /// For the threads that call databases and the platform.
+    /// Shared with the threads that call databases and the infrastructure provider.
     leader_lease: SharedLeaderLease,
 }
 
 impl SocketTransport {
-    /// A transport without connections. `storage` leads to the storage thread, `events` to the
-    /// controller's thread.
+    /// Creates a transport without connections. `storage` sends to the storage thread, `events` to
+    /// the controller's thread.
     pub(crate) fn new(storage: Sender<WriteBatch>, events: Sender<Event>) -> Self {
         let leader_lease = SharedLeaderLease::default();
         Self { connections: HashMap::new(), links: HashMap::new(), storage, events, leader_lease }
     }
-    /// Takes over a connection that was accepted on the peer port.
+    /// Adds a connection accepted on the peer port.
     pub(crate) fn add_connection(&mut self, conn: u64, stream: TcpStream, now: Tick) {
         self.connections.insert(conn, PeerConnection::new(stream, now));
     }
-    /// Forgets an accepted connection that has ended.
+    /// Removes an accepted connection that has ended.
     pub(crate) fn remove_connection(&mut self, conn: u64) {
         self.connections.remove(&conn);
     }
-    /// Records that a frame came over an accepted connection.
+    /// Records that a frame was received on an accepted connection.
     pub(crate) fn frame_received(&mut self, conn: u64, now: Tick) {
         if let Some(connection) = self.connections.get_mut(&conn) {
             connection.received(now);
         }
     }
-    /// Takes over the outcome of an attempt to connect to another controller, if that is still a
+    /// Records the result of an attempt to connect to another controller, if that is still a
     /// member.
     pub(crate) fn finish_dial(&mut self, member: MemberId, connection: Option<PeerConnection>) {
         if let Some(link) = self.links.get_mut(&member) {
@@ -101,23 +102,27 @@
             link.connection = connection;
         }
     }
-    /// Whether frames wait for a socket that did not take them at once.
+    /// Whether any frames are queued because a socket did not accept them immediately.
     pub(crate) fn has_pending_writes(&self) -> bool {
         let pending = |connection: &PeerConnection| !connection.queue.is_empty();
         self.connections.values().any(pending)
             || self.links.values().any(|link| link.connection.as_ref().is_some_and(pending))
     }
-    /// Closes accepted connections that make no progress. `sends_regularly` says of a connection
-    /// whether frames have to go on coming over it.
+    /// Closes accepted connections that make no progress. `sends_regularly` tells whether the peer
+    /// on a connection has to keep sending frames.
     pub(crate) fn close_stalled(&mut self, sends_regularly: impl Fn(u64) -> bool, now: Tick) {
         for (conn, connection) in &mut self.connections {
             if connection.is_stalled(sends_regularly(*conn), now) {
-                info!(target: "peers", "closed a connection that neither read nor sent");
+                info!(
+                    target: "peers",
+                    "closed connection {conn}: the peer neither read nor sent for too long"
+                );
                 connection.close();
             }
         }
     }
-    /// Writes what an accepted connection takes; a broken one is closed, and its reader reports it.
+    /// Writes what an accepted connection can take. A broken connection is closed, which its reader
+    /// thread reports.
     fn flush_connection(&mut self, conn: u64) {
         if let Some(connection) = self.connections.get_mut(&conn)
             && connection.flush().is_err()
@@ -125,13 +130,13 @@
             connection.close();
         }
     }
-    /// Starts to connect to another controller; `first` is the first frame to be sent there.
+    /// Starts to connect to another controller. `first` is the first frame to send.
     ///
-    /// False if there is no thread for it.
+    /// Returns false if no thread is available.
     fn dial_controller(&self, to: MemberId, address: SocketAddr, first: Arc<[u8]>) -> bool {
         let events = self.events.clone();
         start_thread(move || {
-            let stream = connect_stream(address, PEER_CONNECT_TIMEOUT, UNREACHABLE_LIMIT);
+            let stream = connect_stream(address, PEER_CONNECT_TIMEOUT, UNACKNOWLEDGED_TIMEOUT);
             let connection = stream.ok().map(|stream| {
                 let mut connection = PeerConnection::new(stream, Tick::now());
                 connection.queue.push(first);
@@ -149,7 +154,7 @@
         if backlog.is_some_and(|pending| exceeds_backlog(&message.kind, pending)) {
             return;
         }
-        let may_dial = !link.dialing && now >= link.next_attempt;
+        let may_dial = !link.dialing && now >= link.next_dial_at;
         if backlog.is_none() && !may_dial {
             return;
         }
@@ -159,7 +164,7 @@
             link.flush();
             return;
         }
-        link.next_attempt = now.plus(DIAL_INTERVAL_MS);
+        link.next_dial_at = now.plus(DIAL_RETRY_INTERVAL_MS);
         let dialing = self.dial_controller(to, address, frame);
         if let Some(link) = self.links.get_mut(&to) {
             link.dialing = dialing;
@@ -171,15 +176,15 @@
     fn start_write(&mut self, batch: WriteBatch) -> bool {
         self.storage.send(batch).is_ok()
     }
-    fn request_membership(&mut self, at: SocketAddr, member: Member, was: bool) {
+    fn request_membership(&mut self, address: SocketAddr, member: Member, was_member: bool) {
         let events = self.events.clone();
         start_thread(move || {
             let id = member.id;
-            // A failure is no answer: the controller asks again soon.
-            let answer = request_join(at, member, was).ok();
+            // A failed request counts as unanswered: the controller soon retries.
+            let answer = request_join(address, member, was_member).ok();
             drop(events.send(Event::Input(Input::JoinResponse {
                 requested_id: id,
-                from: at,
+                from: address,
                 answer,
             })));
         });
@@ -192,7 +197,7 @@
         service: &ServiceName,
         id: &InstanceId,
         address: SocketAddr,
-        ask: DatabaseRequest,
+        request: DatabaseRequest,
         attempt: Attempt,
     ) -> bool {
         let (events, service, id) = (self.events.clone(), service.clone(), id.clone());
@@ -201,50 +206,46 @@
             let leads = || leader_lease.covers(attempt.raft_term, Tick::now());
             let report = |response| {
                 let (service, id) = (service.clone(), id.clone());
-                let input = Input::DatabaseResponse {
-                    service,
-                    instance: id,
-                    request: ask,
-                    attempt,
-                    response,
-                };
+                let input =
+                    Input::DatabaseResponse { service, instance: id, request, attempt, response };
                 drop(events.send(Event::Input(input)));
             };
-            // Only a description has to tell an unreachable machine from a slow database.
+            // Only for a description does it matter whether the machine is unreachable or the
+            // database is slow.
             let connected = || {
-                if ask == DatabaseRequest::Describe {
+                if request == DatabaseRequest::Describe {
                     report(DatabaseResponse::Connected);
                 }
             };
-            let database = DatabaseCall { service: &service, id: &id, address, request: ask };
-            report(ask_database(&database, connected, leads));
+            let call = DatabaseCall { service: &service, id: &id, address, request };
+            report(call_database(&call, connected, leads));
         })
     }
     fn request_promotion(
         &mut self,
         provider: SocketAddr,
-        holder: &str,
+        leader_name: &str,
         service: &ServiceName,
         target: &InstanceId,
         attempt: Attempt,
     ) {
-        let (events, holder) = (self.events.clone(), holder.to_owned());
+        let (events, leader_name) = (self.events.clone(), leader_name.to_owned());
         let (service, target) = (service.clone(), target.clone());
         let report = move |service, target, response| {
             let input = Input::PromotionResponse { service, target, attempt, response };
             drop(events.send(Event::Input(input)));
         };
-        let (not_started, names) = (report.clone(), (service.clone(), target.clone()));
+        let (report_not_started, names) = (report.clone(), (service.clone(), target.clone()));
         let leader_lease = self.leader_lease.clone();
         let started = start_thread(move || {
             let leads = || leader_lease.covers(attempt.raft_term, Tick::now());
-            let fence = attempt.fencing_token();
-            let call = PromotionCall { platform: provider, holder: &holder, fence };
+            let fencing_token = attempt.fencing_token();
+            let call = PromotionCall { provider, leader_name: &leader_name, fencing_token };
             let response = request_promotion(&call, &service, &target, leads);
             report(service, target, response);
         });
         if !started {
-            not_started(names.0, names.1, PromotionResponse::NotAttempted);
+            report_not_started(names.0, names.1, PromotionResponse::NotAttempted);
         }
     }
     fn send(&mut self, conn: u64, frame: Arc<[u8]>) {
--- a/src/simulation/machines.rs
+++ b/src/simulation/machines.rs
@@ -4,7 +4,7 @@
 use crate::config::settings::Settings;
 use crate::controller::core::Controller;
 use crate::controller::effects::Input;
-use crate::controller::process::first_state;
+use crate::controller::process::initial_state;
 use crate::net::rpc::raft_messages::Member;
 use crate::net::rpc::{Frame, receive};
 use crate::raft::storage::{RaftStorage, WriteBatch};
@@ -128,7 +128,7 @@
         let kept = match machine.disk.load() {
             Ok(Some(kept)) => Ok((kept, true)),
             Ok(None) => {
-                let first = first_state(&machine.settings, address_of(number, ADMIN), draw);
+                let first = initial_state(&machine.settings, address_of(number, ADMIN), draw);
                 let saved = machine
                     .disk
                     .save(&WriteBatch::new(&first, &crate::raft::state::UnsavedChanges::all()));
