--- a/tests/support/controllers.rs
+++ b/tests/support/controllers.rs
@@ -1,5 +1,5 @@
-//! Machines with a controller each, in simulated time and on a simulated network. They are lost and
-//! come back.
+//! A cluster of machines, each with a Raft node, in simulated time and on a simulated network.
+//! Machines can be lost and can return.
 use silvertack::base::ids::{LogIndex, MemberId, NodeName};
 use silvertack::base::time::Tick;
 use silvertack::net::rpc::raft_messages::{
@@ -9,21 +9,21 @@
 use silvertack::raft::state::{PersistentState, UnsavedChanges};
 use std::collections::VecDeque;
 
-/// How long after its return or its start a machine still counts as lost (`join_sync_s`).
+/// Milliseconds after its start or return for which a machine still counts as lost (`join_sync_s`).
 pub(crate) const SYNC_MS: u64 = 4_000;
-/// A spare voter that is silent for this long may be removed.
+/// Milliseconds of silence after which a spare voter may be removed.
 pub(crate) const REMOVE_SILENT_AFTER_MS: u64 = 2_000;
-/// How long after its return a removed member asks to join again.
+/// Milliseconds from the return of a removed member to its request to rejoin.
 const REJOIN_AFTER_MS: u64 = 1_500;
-/// How long after its start a new machine asks to join.
+/// Milliseconds from the start of a new machine to its join request.
 const JOIN_AFTER_MS: u64 = 300;
-/// The time between two ticks.
+/// Milliseconds between two ticks.
 const TICK_MS: u64 = 50;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub(crate) enum State {
+pub(crate) enum MachineState {
     Up,
-    /// Partitioned from the others, with its state.
+    /// Running, but unreachable from the others.
     Partitioned,
     /// Down, and its disk is lost.
     DiskLost,
@@ -32,7 +32,7 @@
 pub(crate) struct Machine {
     pub(crate) id: u64,
     pub(crate) slot: u64,
-    pub(crate) state: State,
+    pub(crate) state: MachineState,
     pub(crate) returned_at: Tick,
     pub(crate) raft: RaftNode,
 }
@@ -47,23 +47,24 @@
         can_vote: true,
     }
 }
-fn controller(id: u64, members: Vec<Member>, now: Tick) -> RaftNode {
+fn raft_node(id: u64, members: Vec<Member>, now: Tick) -> RaftNode {
     const RANDOM_NUMBERS: [fn() -> u64; 5] = [|| 10, || 130, || 250, || 370, || 70];
     let snapshot = Snapshot { members, ..Snapshot::default() };
     let state = PersistentState { member_id: MemberId(id), snapshot, ..PersistentState::default() };
     RaftNode::new(state, false, now, RANDOM_NUMBERS[id as usize % 5])
 }
 
-/// One machine for each slot of the deployment: a replacement takes the slot of a lost one.
+/// A cluster with one machine for each slot of the deployment. A replacement takes the slot of a
+/// lost machine.
 #[derive(Clone)]
 pub(crate) struct TestCluster {
     pub(crate) now: Tick,
     pub(crate) tolerated: usize,
     pub(crate) machines: Vec<Machine>,
-    /// The commands that were acknowledged, by log index.
+    /// The acknowledged commands with their log indexes.
     pub(crate) acknowledged: Vec<(LogIndex, u8)>,
-    /// A member, and how many entries were sent to it; a snapshot counts as 1,000.
-    pub(crate) sent_to: (u64, usize),
+    /// The observed member and the number of entries sent to it. A snapshot counts as 1,000.
+    pub(crate) entries_sent: (u64, usize),
     next_id: u64,
 }
 impl TestCluster {
@@ -73,9 +74,9 @@
         let machines = (1..=count).map(|id| Machine {
             id,
             slot: id,
-            state: State::Up,
+            state: MachineState::Up,
             returned_at: Tick(0),
-            raft: controller(id, members.clone(), now),
+            raft: raft_node(id, members.clone(), now),
         });
         let machines = machines.collect();
         Self {
@@ -83,44 +84,47 @@
             tolerated,
             machines,
             acknowledged: Vec::new(),
-            sent_to: (0, 0),
+            entries_sent: (0, 0),
             next_id: count + 1,
         }
     }
-    pub(crate) fn in_sync(&self, at: usize) -> bool {
+    /// Whether the machine is up and no longer counts as lost.
+    pub(crate) fn is_synced(&self, at: usize) -> bool {
         let machine = &self.machines[at];
-        machine.state == State::Up && self.now.since(machine.returned_at) >= SYNC_MS
+        machine.state == MachineState::Up && self.now.since(machine.returned_at) >= SYNC_MS
     }
-    pub(crate) fn lost(&self) -> usize {
-        (0..self.machines.len()).filter(|i| !self.in_sync(*i)).count()
+    /// The number of machines that count as lost.
+    pub(crate) fn lost_machines(&self) -> usize {
+        (0..self.machines.len()).filter(|i| !self.is_synced(*i)).count()
     }
     pub(crate) fn leader(&self) -> Option<usize> {
-        let leads = |m: &Machine| m.state == State::Up && m.raft.holds_leader_lease(self.now);
+        let leads =
+            |m: &Machine| m.state == MachineState::Up && m.raft.holds_leader_lease(self.now);
         self.machines.iter().position(leads)
     }
-    /// The members, as the one with the newest log among those that can be reached has them.
+    /// The member list of the reachable machine with the most recent log.
     pub(crate) fn members(&self) -> &[Member] {
-        let there = self.machines.iter().filter(|m| m.state == State::Up);
-        there.map(|m| &m.raft).max_by_key(|h| h.last_position()).map_or(&[], |h| h.members())
+        let reachable = self.machines.iter().filter(|m| m.state == MachineState::Up);
+        reachable.map(|m| &m.raft).max_by_key(|r| r.last_position()).map_or(&[], |r| r.members())
     }
 
-    pub(crate) fn lose(&mut self, at: usize, state: State) {
+    pub(crate) fn lose(&mut self, at: usize, state: MachineState) {
         self.machines[at].state = state;
     }
-    /// Comes back with its state, or with an empty disk at its own address or another one.
-    pub(crate) fn come_back(&mut self, at: usize, at_new_address: bool) {
+    /// Returns a machine with its state, or with an empty disk at its old or a new address.
+    pub(crate) fn return_machine(&mut self, at: usize, at_new_address: bool) {
         let (now, id) = (self.now, self.next_id);
         let machine = &mut self.machines[at];
         (machine.returned_at, self.next_id) = (now, id + 1);
-        if machine.state == State::DiskLost {
+        if machine.state == MachineState::DiskLost {
             machine.id = id;
             machine.slot = if at_new_address { id } else { machine.slot };
-            machine.raft = controller(id, Vec::new(), now);
+            machine.raft = raft_node(id, Vec::new(), now);
         }
-        machine.state = State::Up;
+        machine.state = MachineState::Up;
     }
 
-    /// Delivers messages until none is left. Everything is on disk before a message leaves.
+    /// Delivers messages until none is left. All state is persisted before a message is sent.
     pub(crate) fn deliver_all(&mut self) {
         let mut network: VecDeque<(MemberId, RaftMessage)> = VecDeque::new();
         for _ in 0..10_000 {
@@ -129,38 +133,39 @@
                 if std::mem::take(&mut raft.unsaved) != UnsavedChanges::default() {
                     raft.log_persisted(raft.last_position());
                 }
-                let up = machine.state == State::Up;
+                let up = machine.state == MachineState::Up;
                 let list = raft.members().to_vec();
-                // Whoever is not in its list has no address that it knows.
-                let knows = |to: MemberId| list.iter().any(|m| m.id == to);
-                network.extend(raft.outbox.drain(..).filter(|(to, _)| up && knows(*to)));
+                // A machine knows only the addresses of the members in its list.
+                let knows_address = |to: MemberId| list.iter().any(|m| m.id == to);
+                network.extend(raft.outbox.drain(..).filter(|(to, _)| up && knows_address(*to)));
             }
             let Some((to, message)) = network.pop_front() else { return };
             let now = self.now;
-            if to.0 == self.sent_to.0 {
-                self.sent_to.1 += match &message.kind {
+            if to.0 == self.entries_sent.0 {
+                self.entries_sent.1 += match &message.kind {
                     RaftMessageKind::AppendEntries { entries, .. } => entries.len(),
                     RaftMessageKind::InstallSnapshot { .. } => 1_000,
                     _ => 0,
                 };
             }
-            let up = |m: &&mut Machine| m.id == to.0 && m.state == State::Up;
+            let up = |m: &&mut Machine| m.id == to.0 && m.state == MachineState::Up;
             if let Some(machine) = self.machines.iter_mut().find(up) {
                 machine.raft.step(message, now);
             }
         }
-        panic!("the controllers exchange messages without end");
+        panic!("the Raft nodes still exchange messages after 10,000 deliveries");
     }
-    fn reconcile(&mut self) {
+    /// Lets the leader propose the next membership change.
+    fn reconcile_members(&mut self) {
         let now = self.now;
         let Some(leader) = self.leader() else { return };
         let is_member =
             |m: &Machine| self.machines[leader].raft.members().iter().any(|l| l.id.0 == m.id);
-        // One that believes that it is a member asks only once it has heard no leader for a while.
+        // A machine that believes that it is a member asks only after losing contact to the leader.
         let joining: Vec<Member> = self
             .machines
             .iter()
-            .filter(|m| m.state == State::Up && !is_member(m))
+            .filter(|m| m.state == MachineState::Up && !is_member(m))
             .filter(|m| {
                 let was_member = m.raft.members().iter().any(|l| l.id.0 == m.id);
                 now.since(m.returned_at) >= if was_member { REJOIN_AFTER_MS } else { JOIN_AFTER_MS }
@@ -174,6 +179,7 @@
             raft.propose(EntryPayload::Membership(list), now);
         }
     }
+    /// Advances time by one tick.
     pub(crate) fn advance(&mut self) {
         self.now = self.now.plus(TICK_MS);
         let now = self.now;
@@ -181,10 +187,10 @@
             machine.raft.tick(now);
         }
         self.deliver_all();
-        self.reconcile();
+        self.reconcile_members();
         self.deliver_all();
     }
-    /// Proposes a command; tells whether it was committed.
+    /// Proposes a command and returns whether it was committed.
     pub(crate) fn propose_command(&mut self) -> bool {
         let Some(leader) = self.leader() else { return false };
         let (number, now) = (self.acknowledged.len() as u8, self.now);
@@ -197,8 +203,8 @@
         self.acknowledged.push((index, number));
         true
     }
-    /// Whether a controller's log has this command at this index.
-    pub(crate) fn log_holds(&self, at: usize, (index, number): (LogIndex, u8)) -> bool {
+    /// Whether the log of the machine contains this command at this index.
+    pub(crate) fn log_contains(&self, at: usize, (index, number): (LogIndex, u8)) -> bool {
         let body = EntryPayload::Command(serde_bytes::ByteBuf::from(vec![number]));
         self.machines[at].raft.state.log.iter().any(|e| e.index == index && e.payload == body)
     }
