--- a/tests/subscribers.rs
+++ b/tests/subscribers.rs
@@ -1,4 +1,5 @@
-//! Nodes and controllers as processes: what a node keeps of versions, and what a leader keeps of nodes.
+//! Subscriptions of poolers and gateways (nodes) to the leader, with real processes: route table
+//! revisions at the nodes, and connected nodes at the leader.
 #[path = "support/processes.rs"]
 mod processes;
 mod support;
@@ -27,34 +28,39 @@
     });
     RouteTable::of(&Configuration::read(config.to_string().as_bytes()).expect("configuration"))
 }
-/// A node says which version it has, and is taken in.
-fn welcome(at: &TcpListener) -> (TcpStream, Revision) {
-    let (mut stream, _) = at.accept().expect("a node");
+/// Accepts a node's connection as the leader. Returns the connection and the node's route table
+/// revision.
+fn accept_node(listener: &TcpListener) -> (TcpStream, Revision) {
+    let (mut stream, _) = listener.accept().expect("a node");
     stream.set_read_timeout(Some(Duration::from_secs(5))).expect("timeout");
     let Ok(Frame::Pooler(ToController::Hello { revision, .. })) = receive(&mut stream) else {
-        panic!("no hello");
+        panic!("the first frame is not a Hello");
     };
-    tell(&mut stream, ToPooler::Welcome { controllers: Vec::new() });
+    send_to_node(&mut stream, ToPooler::Welcome { controllers: Vec::new() });
     (stream, revision)
 }
-fn tell(to: &mut TcpStream, message: ToPooler) {
-    send(to, &Frame::Controller(message)).expect("sent");
+fn send_to_node(stream: &mut TcpStream, message: ToPooler) {
+    send(stream, &Frame::Controller(message)).expect("sent");
 }
-/// The node asks for the whole, and has handled all that was told before.
-fn wait_for_whole(stream: &mut TcpStream) {
-    let begun = Instant::now();
+/// Waits until the node requests the full route table, which it does after handling all earlier
+/// messages.
+fn wait_for_full_table_request(stream: &mut TcpStream) {
+    let started = Instant::now();
     while !matches!(
         receive(stream).expect("a frame"),
         Frame::Pooler(ToController::RequestFullTable)
     ) {
-        assert!(begun.elapsed() < Duration::from_secs(5), "took a change it has no base for");
+        assert!(
+            started.elapsed() < Duration::from_secs(5),
+            "the node did not request the full table after a delta without its base"
+        );
     }
 }
 
-/// An old leader that froze and thawed, or one that was cut off, may bring what it has: a node stays
-/// with the newest, and says so to the next leader.
+/// A former leader that was frozen or partitioned may send outdated route tables. A node keeps the
+/// newest one and reports its revision to the next leader.
 #[test]
-fn a_version_in_force_at_a_node_never_goes_back() {
+fn the_route_table_revision_of_a_node_never_decreases() {
     for role in ["gateway", "pooler"] {
         let ports: Vec<u16> = (0..4).map(|_| free_port()).collect();
         let at = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
@@ -72,44 +78,46 @@
         let (one, two, three) =
             (route_table(1, &["a"]), route_table(2, &["a", "b"]), route_table(3, &["b"]));
         let (four, five) = (route_table(4, &["c"]), route_table(5, &["b", "c"]));
-        let has = || status(ready)["revision"].as_u64();
-        let whole = |route_table: &RouteTable| ToPooler::RouteTable(Box::new(route_table.clone()));
-        let changed = |from: &RouteTable, to: &RouteTable| {
+        let applied_revision = || status(ready)["revision"].as_u64();
+        let full_table =
+            |route_table: &RouteTable| ToPooler::RouteTable(Box::new(route_table.clone()));
+        let delta = |from: &RouteTable, to: &RouteTable| {
             ToPooler::RouteTableDelta(Box::new(to.delta_from(from)))
         };
 
-        let (mut link, had) = welcome(&leader);
-        assert_eq!(had, Revision(0), "{role}");
-        tell(&mut link, ToPooler::Directory(Vec::new()));
-        tell(&mut link, whole(&three));
-        // Older ones, and a change to a newer one from a version that it does not have.
-        let stale = [whole(&two), changed(&one, &two), changed(&two, &four)];
-        stale.clone().into_iter().for_each(|message| tell(&mut link, message));
-        wait_for_whole(&mut link);
-        assert_eq!(has(), Some(3), "{role}");
-        // The next leader is told what it has, and has less itself.
-        drop(link);
-        let (mut link, had) = welcome(&leader);
-        assert_eq!(had, Revision(3), "{role}");
-        tell(&mut link, ToPooler::Directory(Vec::new()));
-        tell(&mut link, whole(&one));
-        stale.into_iter().for_each(|message| tell(&mut link, message));
-        wait_for_whole(&mut link);
-        assert_eq!(has(), Some(3), "{role}");
-        tell(&mut link, changed(&three, &five));
-        eventually("the newest", || has() == Some(5));
+        let (mut connection, node_revision) = accept_node(&leader);
+        assert_eq!(node_revision, Revision(0), "{role}");
+        send_to_node(&mut connection, ToPooler::Directory(Vec::new()));
+        send_to_node(&mut connection, full_table(&three));
+        // Older tables, and a delta to a newer one from a revision that the node doesn't have.
+        let stale = [full_table(&two), delta(&one, &two), delta(&two, &four)];
+        stale.clone().into_iter().for_each(|message| send_to_node(&mut connection, message));
+        wait_for_full_table_request(&mut connection);
+        assert_eq!(applied_revision(), Some(3), "{role}");
+        // The node reports its revision to the next leader, which has an older one itself.
+        drop(connection);
+        let (mut connection, node_revision) = accept_node(&leader);
+        assert_eq!(node_revision, Revision(3), "{role}");
+        send_to_node(&mut connection, ToPooler::Directory(Vec::new()));
+        send_to_node(&mut connection, full_table(&one));
+        stale.into_iter().for_each(|message| send_to_node(&mut connection, message));
+        wait_for_full_table_request(&mut connection);
+        assert_eq!(applied_revision(), Some(3), "{role}");
+        send_to_node(&mut connection, delta(&three, &five));
+        eventually("the newest revision", || applied_revision() == Some(5));
     }
 }
 
-/// A greeting waits while the leader is not sure that it leads. Whoever left meanwhile is not there.
+/// The leader defers a `Hello` while its leadership is unconfirmed. A node that disconnects
+/// meanwhile must not become a subscriber, as nothing would end its leases.
 #[test]
-fn a_node_that_left_before_the_leader_was_sure_is_not_taken_in() {
+fn a_node_that_disconnects_before_leadership_is_confirmed_is_not_subscribed() {
     let controllers = Controllers::start("early");
     let leader = controllers.leader();
     let leads = |n: u8| controllers.leads(n);
     controllers.others(leader).for_each(|n| controllers.signal(n, "-STOP"));
-    eventually("doubt", || !leads(leader));
-    let greet = |name: &str| {
+    eventually("unconfirmed leadership", || !leads(leader));
+    let send_hello = |name: &str| {
         let mut stream = TcpStream::connect(controllers.peer(leader)).expect("the leader");
         let zone = "here".into();
         let hello = ToController::Hello {
@@ -121,13 +129,16 @@
         send(&mut stream, &Frame::Pooler(hello)).expect("sent");
         stream
     };
-    let stays = greet("stays");
-    drop(greet("goes"));
+    let remaining = send_hello("stays");
+    drop(send_hello("goes"));
     std::thread::sleep(Duration::from_millis(100));
     controllers.others(leader).for_each(|n| controllers.signal(n, "-CONT"));
     let nodes = || controllers.status(leader)["stiles"].as_array().cloned().unwrap_or_default();
-    let there = |name: &str| nodes().iter().any(|n| n["node"] == name && n["connected"] == true);
-    eventually("the node that stayed, or another leader", || there("stays") || !leads(leader));
-    assert!(!there("goes"));
-    drop(stays);
+    let is_connected =
+        |name: &str| nodes().iter().any(|n| n["node"] == name && n["connected"] == true);
+    eventually("subscription of the connected node, or another leader", || {
+        is_connected("stays") || !leads(leader)
+    });
+    assert!(!is_connected("goes"));
+    drop(remaining);
 }
