--- a/src/controller/core.rs
+++ b/src/controller/core.rs
@@ -294,8 +294,8 @@
             Input::PromotionResponse { service, target, attempt, response } => {
                 self.handle_promotion_response(&service, &target, attempt, response, now);
             }
-            Input::JoinResponse { requested_id, from, answer } => {
-                self.handle_join_response(requested_id, from, answer, now);
+            Input::JoinResponse { requested_id, from, response } => {
+                self.handle_join_response(requested_id, from, response, now);
             }
             Input::WriteFinished(result) => self.handle_write_result(result, now),
         }
--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -59,7 +59,7 @@
         /// Peer address of the controller to which the request was sent.
         from: SocketAddr,
         /// Its response, or `None` if it could not be reached.
-        answer: Option<JoinResponse>,
+        response: Option<JoinResponse>,
     },
     /// The write in flight has succeeded or failed.
     WriteFinished(Result<(), StorageError>),
--- a/src/controller/failover_driver.rs
+++ b/src/controller/failover_driver.rs
@@ -279,7 +279,7 @@
             self.send_database_requests();
             info!(
                 target: "failover",
-                "{service}: database {instance} answered request {request:?} with {response:?}"
+                "{service}: request {request:?} to database {instance} ended with {response:?}"
             );
         }
         self.step_failover(service, now, |failover, snapshot| {
--- a/src/controller/pooler_subscriptions.rs
+++ b/src/controller/pooler_subscriptions.rs
@@ -56,7 +56,8 @@
     layout: u8,
     /// The node's route table revision once it has received all queued frames.
     revision: Revision,
-    /// Whether the complete directory has to be sent, as a delta exceeded the queue limit.
+    /// Whether the complete directory has to be sent: on a new connection, and after a delta that
+    /// exceeded the queue limit.
     directory_due: bool,
     /// The renewal to answer once the connection's send queue is empty.
     pub(super) renewal: Option<PendingRenewal>,
--- a/src/controller/transport.rs
+++ b/src/controller/transport.rs
@@ -181,11 +181,11 @@
         start_thread(move || {
             let id = member.id;
             // A failed request counts as unanswered: the controller soon retries.
-            let answer = request_join(address, member, was_member).ok();
+            let response = request_join(address, member, was_member).ok();
             drop(events.send(Event::Input(Input::JoinResponse {
                 requested_id: id,
                 from: address,
-                answer,
+                response,
             })));
         });
     }
--- a/src/simulation/events.rs
+++ b/src/simulation/events.rs
@@ -178,7 +178,7 @@
                 if self.machines[asker].incarnation == incarnation {
                     self.step(
                         asker,
-                        Some(Input::JoinResponse { requested_id: me, from: at, answer }),
+                        Some(Input::JoinResponse { requested_id: me, from: at, response: answer }),
                     );
                 }
             }
--- a/src/simulation/machines.rs
+++ b/src/simulation/machines.rs
@@ -279,7 +279,7 @@
                 Event::ControllerInput(
                     from,
                     incarnation,
-                    Input::JoinResponse { requested_id: me, from: at, answer: None },
+                    Input::JoinResponse { requested_id: me, from: at, response: None },
                 ),
             );
         };
