--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -601,7 +601,7 @@
     fn step(&mut self) {
         self.controller.step(self.now).expect("applied entries");
         while std::mem::take(&mut self.controller.effects.write_started) {
-            self.controller.handle_input(Input::Saved(Ok(())), self.now);
+            self.controller.handle_input(Input::WriteFinished(Ok(())), self.now);
             self.controller.step(self.now).expect("applied entries");
             self.deliver_raft_messages();
         }
@@ -931,7 +931,7 @@
     let (path, body) = ("/instances/a".to_owned(), body.to_string().into_bytes());
     let request = Request { method: "PUT".to_owned(), path, if_match: None, body };
     let (reply, _response) = sync_channel(1);
-    leader.controller.handle_input(Input::Http(request, reply), leader.now);
+    leader.controller.handle_input(Input::AdminRequest(request, reply), leader.now);
     leader.run(50);
     let handover =
         leader.controller.effects.sent_to_poolers.iter().find_map(|(to, message)| match message {
@@ -1249,7 +1249,7 @@
             });
             let (reply, response) = sync_channel(1);
             let heartbeat = http_request("PUT", "/instances/a", &body);
-            leader.controller.handle_input(Input::Http(heartbeat, reply), leader.now);
+            leader.controller.handle_input(Input::AdminRequest(heartbeat, reply), leader.now);
             leader.step();
             assert_eq!(response.try_recv().map(|response| response.status), Ok(200), "{sequence}");
         }
@@ -1285,7 +1285,7 @@
     leader.partitioned = true;
     let (reply, response) = sync_channel(1);
     let request = http_request("DELETE", "/instances/b", &serde_json::Value::Null);
-    leader.controller.handle_input(Input::Http(request, reply), leader.now);
+    leader.controller.handle_input(Input::AdminRequest(request, reply), leader.now);
     leader.step();
     assert!(response.try_recv().is_err(), "the request waits for the quorum");
     let previous = LogPosition::new(Term(0), LogIndex(0));
