--- a/src/gateway/forwarding.rs
+++ b/src/gateway/forwarding.rs
@@ -1,9 +1,10 @@
-//! Forwards one request to endpoints until there is a response for the client: attempts one after
-//! the other, and a hedged request beside an attempt that is late.
+//! Forwards one request to the endpoints of its service until there is a response for the client.
+//! A failed attempt may be retried at another endpoint, and a slow one is hedged: the request is
+//! also sent to a second endpoint, and the first response wins.
 //!
-//! Request handling calls [`Gateway::forward`]. Whether another attempt is allowed is decided by
-//! the pure [`AttemptPolicy`]; here attempts are started, watched and ended. Each attempt is either
-//! handed out with the result or releases its endpoint.
+//! Request handling calls [`Gateway::forward`]. [`AttemptPolicy`] decides whether another attempt
+//! is allowed; this module starts the attempts, waits for their responses and ends them. Each
+//! attempt is either returned with the result or has its endpoint released.
 use crate::base::errors::Refusal;
 use crate::base::ids::InstanceId;
 use crate::base::sync::lock;
@@ -21,24 +22,24 @@
 use std::io;
 use std::ops::ControlFlow;
 
-/// While a hedged request is due but not affordable, the budget is looked at this often, in
+/// How often the retry budget is checked while a hedged request is due but the budget is spent, in
 /// milliseconds.
-const HEDGE_POLL_MS: u64 = 10;
+const HEDGE_POLL_INTERVAL_MS: u64 = 10;
 
-/// The shortest time after which a refused client is asked to retry, in milliseconds.
+/// The shortest `Retry-After` that a refused client is given, in milliseconds.
 const MIN_RETRY_AFTER_MS: u64 = 50;
 
-/// The longest time after which a refused client is asked to retry, in milliseconds.
+/// The longest `Retry-After` that a refused client is given, in milliseconds.
 const MAX_RETRY_AFTER_MS: u64 = 1_000;
 
-/// What the client of a forwarded request gets.
+/// The result of forwarding a request: what is sent to the client.
 pub(super) enum ForwardResult {
-    /// The response of an endpoint, as far as it was read.
+    /// The response of an endpoint, of which the end may not have been read yet.
     Response(Box<Attempt>),
-    /// A response of the gateway's own.
+    /// A response that the gateway generates itself.
     Refused {
         refusal: Refusal,
-        /// When the client may come back, in milliseconds.
+        /// After how many milliseconds the client may retry.
         retry_after_ms: u64,
     },
 }
@@ -55,8 +56,8 @@
 type Flow = ControlFlow<ForwardResult, Step>;
 
 impl Gateway {
-    /// Forwards a request and returns what the client gets. Fails only if the client's own
-    /// connection does, or the attempts can't be watched.
+    /// Forwards a request and returns the result for the client. Fails only if the client's
+    /// connection fails or the connections to the endpoints can't be polled.
     pub(super) fn forward(
         &self,
         request: &mut RequestContext<'_>,
@@ -68,7 +69,7 @@
             gateway: self,
             request,
             policy,
-            tried: Vec::new(),
+            tried_endpoints: Vec::new(),
             attempts: Vec::new(),
             hedge_delay_ms,
             body_streamed: false,
@@ -76,12 +77,14 @@
         forwarding.run(client)
     }
 
-    /// After how many milliseconds without a response a hedged request is due.
+    /// The time without a response after which a hedged request is due, in milliseconds.
     fn hedge_delay_ms(&self, request: &RequestContext<'_>) -> u64 {
         let target_latency_ms = request.route.target_latency_ms;
         let upstreams = lock(&self.upstreams);
         let service = upstreams.services.get(request.service);
-        service.map_or(target_latency_ms / 2, |s| s.latency.hedge_delay_ms(target_latency_ms))
+        service.map_or(target_latency_ms / 2, |service| {
+            service.latency.hedge_delay_ms(target_latency_ms)
+        })
     }
 }
 
@@ -90,12 +93,13 @@
     gateway: &'f Gateway,
     request: &'f mut RequestContext<'r>,
     policy: AttemptPolicy,
-    /// Endpoints that got an attempt; each gets one.
-    tried: Vec<InstanceId>,
+    /// Endpoints to which the request was sent; no other attempt goes to them.
+    tried_endpoints: Vec<InstanceId>,
     /// The attempts in flight.
     attempts: Vec<Attempt>,
     hedge_delay_ms: u64,
-    /// A part of the body went to an endpoint and is not held here.
+    /// Part of the body was sent to an endpoint without being buffered, so the request can't be
+    /// sent again.
     body_streamed: bool,
 }
 
@@ -117,9 +121,9 @@
     fn start_next_attempt(&mut self, client: &mut ClientStream<'_>) -> io::Result<Flow> {
         let is_retry = self.policy.is_retry();
         let Some(endpoint) = self.acquire_next_endpoint(is_retry) else {
-            return Ok(self.no_endpoint());
+            return Ok(self.handle_no_endpoint());
         };
-        self.tried.push(endpoint.id.clone());
+        self.tried_endpoints.push(endpoint.id.clone());
         if is_retry {
             increment(&self.gateway.counters.retries);
         }
@@ -133,23 +137,23 @@
                     self.policy.record_sent();
                 }
                 let next = self.next_step(outcome);
-                Ok(self.follow(next, outcome))
+                Ok(self.apply_next_step(next, outcome))
             }
         }
     }
 
-    /// Only the first attempt waits for an endpoint with room; the budget pays for each other one,
-    /// also where no endpoint is left for it.
+    /// Acquires an endpoint for the next attempt. The first attempt waits for an endpoint with free
+    /// capacity. A retry doesn't wait, and spends retry budget even if no endpoint is left for it.
     fn acquire_next_endpoint(&self, is_retry: bool) -> Option<AcquiredEndpoint> {
         let deadline = self.request.acquire_deadline();
         if is_retry && !lock(&self.gateway.retry_budget).try_spend(Tick::now()) {
             return None;
         }
         let deadline = if is_retry { Tick(0) } else { deadline };
-        self.gateway.acquire_endpoint(self.request, &self.tried, deadline)
+        self.gateway.acquire_endpoint(self.request, &self.tried_endpoints, deadline)
     }
 
-    fn no_endpoint(&self) -> Flow {
+    fn handle_no_endpoint(&self) -> Flow {
         if !self.attempts.is_empty() {
             return Flow::Continue(Step::AwaitResponses);
         }
@@ -157,7 +161,7 @@
         self.refuse(if may_have_executed { Refusal::Lost } else { Refusal::Full })
     }
 
-    /// Sends the rest of a body that is too large to be held, if there is one, and counts the
+    /// Streams the rest of a body that is too large to be buffered, if there is one, and counts the
     /// attempt as in flight.
     fn stream_body(
         &mut self,
@@ -170,9 +174,10 @@
             match stream_remaining_body(self.request, &mut remaining, &mut attempt, client) {
                 Ok(()) => {}
                 Err(ReceiveError::Refused(refusal)) => {
-                    // The end of the body is still unread on the client's connection.
+                    // The rest of the body is still unread on the client's connection, which
+                    // therefore can't be reused.
                     self.request.remaining_body = Some(remaining);
-                    // A refusal that is due to the client counts against the endpoint as well.
+                    // Counts as a fault of the endpoint even if the client caused the refusal.
                     self.gateway.abandon_attempt(attempt, AbandonReason::EndpointLate);
                     let retry_after_ms = 0;
                     return Ok(Flow::Break(ForwardResult::Refused { refusal, retry_after_ms }));
@@ -207,44 +212,47 @@
         }
         let mut wait_ms = self.request.time_left_ms(now);
         if let Some(due) = hedge_due {
-            wait_ms = wait_ms.min(due.since(now).max(HEDGE_POLL_MS));
+            wait_ms = wait_ms.min(due.since(now).max(HEDGE_POLL_INTERVAL_MS));
         }
         let readable = wait_readable(&self.attempts, wait_ms)?;
         for index in (0..self.attempts.len()).rev().filter(|index| readable[*index]) {
             match self.attempts[index].read(self.request.head) {
                 AttemptProgress::Pending => {}
-                AttemptProgress::Ready => return Ok(self.finish(index)),
-                AttemptProgress::Ended(outcome) => return Ok(self.attempt_ended(index, outcome)),
+                AttemptProgress::Ready => return Ok(self.finish_with(index)),
+                AttemptProgress::Ended(outcome) => {
+                    return Ok(self.handle_ended_attempt(index, outcome));
+                }
             }
         }
         Ok(Flow::Continue(Step::AwaitResponses))
     }
 
-    /// When a hedged request is due; `None` if there may be none.
+    /// When a hedged request is due; `None` if none is allowed.
     fn hedge_due(&self) -> Option<Tick> {
         match self.attempts.as_slice() {
-            [only] if self.policy.may_hedge() => Some(only.sent.plus(self.hedge_delay_ms)),
+            [attempt] if self.policy.may_hedge() => Some(attempt.sent.plus(self.hedge_delay_ms)),
             _ => None,
         }
     }
 
-    /// The first attempt with a response wins; the others are abandoned.
-    fn finish(&mut self, winner: usize) -> Flow {
+    /// Returns the response of the first attempt that has one, and abandons the others.
+    fn finish_with(&mut self, winner: usize) -> Flow {
         let winner = self.attempts.swap_remove(winner);
         for attempt in self.attempts.drain(..) {
-            // An endpoint is late if it was slower than another that got the request after it.
-            let late = attempt.sent < winner.sent;
-            let reason = if late { AbandonReason::EndpointLate } else { AbandonReason::NotNeeded };
+            // An endpoint is too slow if one that got the request later responded earlier.
+            let is_late = attempt.sent < winner.sent;
+            let reason =
+                if is_late { AbandonReason::EndpointLate } else { AbandonReason::NotNeeded };
             self.gateway.abandon_attempt(attempt, reason);
         }
         Flow::Break(ForwardResult::Response(Box::new(winner)))
     }
 
-    fn attempt_ended(&mut self, index: usize, outcome: AttemptOutcome) -> Flow {
+    fn handle_ended_attempt(&mut self, index: usize, outcome: AttemptOutcome) -> Flow {
         let attempt = self.attempts.swap_remove(index);
         let idempotent = self.request.idempotency() == Idempotency::Idempotent;
         if idempotent && !self.body_streamed && attempt.met_stale_connection() {
-            return self.resend(attempt);
+            return self.resend_on_new_connection(attempt);
         }
         let next = self.next_step(outcome);
         let forward = next == NextStep::ForwardResponse && self.attempts.is_empty();
@@ -252,12 +260,12 @@
             return Flow::Break(ForwardResult::Response(Box::new(attempt)));
         }
         self.gateway.end_failed_attempt(attempt, outcome);
-        self.follow(next, outcome)
+        self.apply_next_step(next, outcome)
     }
 
-    /// Sends the request to the same endpoint on a new connection: most likely the endpoint had
-    /// closed the old one while it was idle.
-    fn resend(&mut self, attempt: Attempt) -> Flow {
+    /// Sends the request to the same endpoint on a new connection, because the endpoint has most
+    /// likely closed the reused one while it was idle.
+    fn resend_on_new_connection(&mut self, attempt: Attempt) -> Flow {
         self.policy.record_resent();
         match self.gateway.start_attempt(self.request, attempt.into_endpoint()) {
             Ok(attempt) => {
@@ -266,12 +274,12 @@
             }
             Err(outcome) => {
                 let next = self.next_step(outcome);
-                self.follow(next, outcome)
+                self.apply_next_step(next, outcome)
             }
         }
     }
 
-    /// What follows an attempt that has ended and is not in flight any more.
+    /// Decides what follows an attempt that has ended and is no longer in flight.
     fn next_step(&mut self, outcome: AttemptOutcome) -> NextStep {
         let now = Tick::now();
         let conditions = RetryConditions {
@@ -282,13 +290,14 @@
         self.policy.next_step(outcome, conditions)
     }
 
-    /// Carries out what follows an ended attempt whose response is not forwarded.
-    fn follow(&self, next: NextStep, outcome: AttemptOutcome) -> Flow {
+    /// Carries out the next step after an attempt whose response is not forwarded.
+    fn apply_next_step(&self, next: NextStep, outcome: AttemptOutcome) -> Flow {
         match next {
             NextStep::Retry => Flow::Continue(Step::StartAttempt),
             _ if !self.attempts.is_empty() => Flow::Continue(Step::AwaitResponses),
             NextStep::Refuse(refusal) => self.refuse(refusal),
-            // The endpoint's own response is too large to be held; these say the same.
+            // The endpoint's response is too large to be buffered; the client gets the refusal
+            // with the same meaning.
             NextStep::ForwardResponse => self.refuse(match outcome {
                 AttemptOutcome::NotExecuted => Refusal::Full,
                 _ => Refusal::Lost,
@@ -309,14 +318,14 @@
     }
 }
 
-/// Streams the rest of a body from the client to the endpoint as it comes.
+/// Streams the rest of a request body from the client to the endpoint while it arrives.
 fn stream_remaining_body(
     request: &RequestContext<'_>,
     body: &mut BodyDecoder,
     attempt: &mut Attempt,
     client: &mut ClientStream<'_>,
 ) -> Result<(), ReceiveError> {
-    let lost = |_: io::Error| ReceiveError::Refused(Refusal::Lost);
+    let endpoint_lost = |_: io::Error| ReceiveError::Refused(Refusal::Lost);
     let framing = request.head.framing;
     let mut length = request.body.len() as u64;
     let mut data = Vec::new();
@@ -328,11 +337,11 @@
             return Err(ReceiveError::Refused(Refusal::TooLarge));
         }
         if !data.is_empty() {
-            attempt.write_body(&data, framing).map_err(lost)?;
+            attempt.write_body(&data, framing).map_err(endpoint_lost)?;
         }
         if !body.is_complete() {
             client.read_more(request.deadline)?;
         }
     }
-    attempt.write_body_end(framing).map_err(lost)
+    attempt.write_body_end(framing).map_err(endpoint_lost)
 }
