--- a/src/gateway/endpoint_access.rs
+++ b/src/gateway/endpoint_access.rs
@@ -145,7 +145,7 @@
                 outlier.record_fault(now);
             }
         };
-        self.release_endpoint(&attempt.endpoint_id, now.since(attempt.sent), record, None);
+        self.release_endpoint(&attempt.endpoint_id, now.since(attempt.sent_at), record, None);
     }
 
     /// Ends an attempt that has failed.
@@ -159,7 +159,7 @@
             AttemptOutcome::MayHaveExecuted if reused => {}
             AttemptOutcome::NotSent | AttemptOutcome::MayHaveExecuted => outlier.record_fault(now),
         };
-        let took_ms = now.since(attempt.sent);
+        let took_ms = now.since(attempt.sent_at);
         let id = attempt.endpoint_id.clone();
         self.release_endpoint(&id, took_ms, record, attempt.into_reusable_connection());
         if outcome == AttemptOutcome::MayHaveExecuted {
--- a/src/gateway/endpoint_attempt.rs
+++ b/src/gateway/endpoint_attempt.rs
@@ -1,7 +1,7 @@
-//! One attempt: a request on a connection to one endpoint, and the response as far as it came.
+//! One attempt: a request that was sent to one endpoint, and the response as far as it was read.
 //!
-//! Forwarding starts attempts, reads them until one has a response that the client may get, and
-//! relays that one. A response that belongs to another request never counts.
+//! Forwarding starts attempts and reads from them until one has a response that may be relayed to
+//! the client. A response that belongs to another request is never relayed.
 use crate::base::ids::InstanceId;
 use crate::base::time::Tick;
 use crate::gateway::attempts::AttemptOutcome;
@@ -14,75 +14,75 @@
 use std::io::{self, Write};
 use std::net::SocketAddr;
 
-/// How much of a response is held before the client gets any of it, in bytes: until then an
-/// idempotent request can still be sent to another endpoint.
-const MAX_HELD_RESPONSE: usize = 64 << 10;
+/// How much of a response body is buffered before any of it is relayed to the client, in bytes.
+/// Until then an idempotent request can still be retried at another endpoint.
+const MAX_BUFFERED_RESPONSE_BYTES: usize = 64 << 10;
 
-/// How long before a database closes an idle connection it is used no more, in milliseconds, so
-/// that no request meets the close.
+/// An idle connection is no longer used this many milliseconds before the endpoint closes it, so
+/// that no request is sent while the endpoint closes the connection.
 const KEEP_ALIVE_MARGIN_MS: u64 = 1_000;
 
-/// One attempt to have a request executed by one endpoint.
+/// An attempt to have a request executed by one endpoint.
 pub(super) struct Attempt {
     pub(super) endpoint_id: InstanceId,
     address: SocketAddr,
     connection: EndpointConnection,
-    /// The connection had served an earlier request.
+    /// The connection was used for an earlier request.
     reused: bool,
     /// When the request was sent.
-    pub(super) sent: Tick,
-    /// The head of the response, once it is there.
+    pub(super) sent_at: Tick,
+    /// The head of the response, once it was read.
     pub(super) head: Option<ResponseHead>,
-    /// Decodes the body of the response.
+    /// The decoder of the response body.
     pub(super) body: BodyDecoder,
-    /// The body as far as it was decoded and not relayed.
-    pub(super) held: Vec<u8>,
-    /// A response to another request came first on this connection.
+    /// The part of the response body that was decoded and not relayed yet.
+    pub(super) buffered_body: Vec<u8>,
+    /// A response to another request was read from this connection and dropped.
     skipped_response: bool,
-    /// The endpoint has closed the connection, or it failed.
-    connection_ended: bool,
+    /// The endpoint closed the connection, or the connection failed.
+    connection_closed: bool,
 }
 
-/// What reading from an attempt has come to.
+/// How far an attempt is after a read.
 pub(super) enum AttemptProgress {
     /// The response is not complete.
     Pending,
-    /// The response is complete, or larger than what is held; the client may have it.
+    /// The response may be relayed: it is complete, or more of it was read than is buffered.
     Ready,
-    /// The attempt has failed.
+    /// The attempt ended without a successful response.
     Ended(AttemptOutcome),
 }
 
 impl AttemptProgress {
-    /// No usable response: the request may have been executed, as no head says otherwise.
-    const LOST: Self = Self::Ended(AttemptOutcome::MayHaveExecuted);
+    /// No usable response was read, so the endpoint may have executed the request.
+    const NO_USABLE_RESPONSE: Self = Self::Ended(AttemptOutcome::MayHaveExecuted);
 }
 
-/// No usable rest of a body came from the endpoint.
+/// The rest of a response body could not be read, or is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the endpoint's response broke off")]
-pub(super) struct ResponseBroken;
+#[error("the endpoint's response body ended early or is invalid")]
+pub(super) struct IncompleteResponse;
 
 impl Attempt {
-    /// An attempt whose request was sent, wholly or up to a body that is streamed behind it.
+    /// Creates an attempt whose request was sent, except for a body that is streamed afterwards.
     pub(super) fn new(
         endpoint_id: InstanceId,
         address: SocketAddr,
         connection: EndpointConnection,
         reused: bool,
-        sent: Tick,
+        sent_at: Tick,
     ) -> Self {
         Self {
             endpoint_id,
             address,
             connection,
             reused,
-            sent,
+            sent_at,
             head: None,
             body: BodyDecoder::new(BodyFraming::Length(0)),
-            held: Vec::new(),
+            buffered_body: Vec::new(),
             skipped_response: false,
-            connection_ended: false,
+            connection_closed: false,
         }
     }
 
@@ -90,21 +90,21 @@
         self.reused
     }
 
-    /// Whether a reused connection ended before any response: most likely the endpoint had closed
-    /// it while it was idle.
-    pub(super) fn met_stale_connection(&self) -> bool {
+    /// Whether a reused connection was closed before any byte of a response. Most likely the
+    /// endpoint had closed it while it was idle.
+    pub(super) fn used_stale_connection(&self) -> bool {
         self.reused
-            && self.connection_ended
+            && self.connection_closed
             && self.head.is_none()
             && self.connection.buffer.is_empty()
     }
 
-    /// The same endpoint, for the same request on a new connection.
+    /// Ends the attempt and returns its endpoint, for the same request on a new connection.
     pub(super) fn into_endpoint(self) -> AcquiredEndpoint {
         AcquiredEndpoint { id: self.endpoint_id, address: self.address, connection: None }
     }
 
-    /// Sends a part of a streamed body.
+    /// Sends a part of a streamed request body.
     pub(super) fn write_body(&mut self, data: &[u8], framing: BodyFraming) -> io::Result<()> {
         match framing {
             BodyFraming::Chunked => self.connection.stream.write_all(&encode_chunk(data)),
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Sends what ends a streamed body with this framing.
+    /// Ends a streamed request body: a chunked one needs a last chunk.
     pub(super) fn write_body_end(&mut self, framing: BodyFraming) -> io::Result<()> {
         match framing {
             BodyFraming::Chunked => self.connection.stream.write_all(LAST_CHUNK),
@@ -120,36 +120,42 @@
         }
     }
 
-    /// Reads once; the connection has to be readable.
+    /// Reads once from the connection, which must be readable, and parses what was read.
     pub(super) fn read(&mut self, request: &RequestHead) -> AttemptProgress {
         match self.connection.buffer.fill(&mut self.connection.stream) {
             Ok(0) => {
-                self.connection_ended = true;
+                self.connection_closed = true;
                 let complete = self.head.is_some() && self.body.finish_at_close();
-                if complete { self.completed() } else { AttemptProgress::LOST }
+                if complete {
+                    self.complete_response_progress()
+                } else {
+                    AttemptProgress::NO_USABLE_RESPONSE
+                }
             }
-            Ok(_) => self.parse(request).unwrap_or(AttemptProgress::LOST),
+            Ok(_) => self.parse_response(request).unwrap_or(AttemptProgress::NO_USABLE_RESPONSE),
             Err(e) if e.kind() == io::ErrorKind::Interrupted => AttemptProgress::Pending,
             Err(_) => {
-                self.connection_ended = true;
-                AttemptProgress::LOST
+                self.connection_closed = true;
+                AttemptProgress::NO_USABLE_RESPONSE
             }
         }
     }
 
-    /// Parses what was read.
-    fn parse(&mut self, request: &RequestHead) -> Result<AttemptProgress, ParseError> {
+    /// Parses the bytes that were read so far.
+    fn parse_response(&mut self, request: &RequestHead) -> Result<AttemptProgress, ParseError> {
         loop {
             if self.head.is_none() && !self.parse_head(&request.method)? {
                 return Ok(AttemptProgress::Pending);
             }
-            let consumed = self.body.decode(self.connection.buffer.pending(), &mut self.held)?;
+            let consumed =
+                self.body.decode(self.connection.buffer.pending(), &mut self.buffered_body)?;
             self.connection.buffer.consume(consumed);
             let Some(head) = &self.head else { return Err(ParseError) };
             if head.id == request.id {
                 return self.response_progress();
             }
-            // One response too many may come where the next is due; it belongs to no request.
+            // On a reused connection, a surplus response to an earlier request may come first. One
+            // is skipped.
             if self.skipped_response || !self.reused || head.framing == BodyFraming::UntilClose {
                 return Err(ParseError);
             }
@@ -161,7 +167,7 @@
         }
     }
 
-    /// Parses the head of the response; false if it is not there yet.
+    /// Parses the head of the response. Returns false if it is not complete yet.
     fn parse_head(&mut self, method: &str) -> Result<bool, ParseError> {
         loop {
             let pending = self.connection.buffer.pending();
@@ -175,32 +181,34 @@
             }
             self.body = BodyDecoder::new(head.framing);
             self.head = Some(head);
-            self.held.clear();
+            self.buffered_body.clear();
             return Ok(true);
         }
     }
 
-    /// The progress of a response that belongs to the request.
+    /// The progress of an attempt whose response belongs to the request. A success without a
+    /// signature is invalid.
     fn response_progress(&self) -> Result<AttemptProgress, ParseError> {
         let Some(head) = &self.head else { return Err(ParseError) };
         if head.status < 300 && !head.signed {
             return Err(ParseError);
         }
         if self.body.is_complete() {
-            return Ok(self.completed());
+            return Ok(self.complete_response_progress());
         }
-        if self.held.len() < MAX_HELD_RESPONSE {
+        if self.buffered_body.len() < MAX_BUFFERED_RESPONSE_BYTES {
             return Ok(AttemptProgress::Pending);
         }
-        // Whether the client may be promised this is decided with all attempts in view.
+        // Whether the client may be told that the request was not executed depends on the other
+        // attempts too, so forwarding decides it.
         Ok(match head.not_executed {
             true => AttemptProgress::Ended(AttemptOutcome::NotExecuted),
             false => AttemptProgress::Ready,
         })
     }
 
-    /// The progress of a complete response.
-    fn completed(&self) -> AttemptProgress {
+    /// The progress of an attempt whose response is complete.
+    fn complete_response_progress(&self) -> AttemptProgress {
         match &self.head {
             Some(head) if head.not_executed => AttemptProgress::Ended(AttemptOutcome::NotExecuted),
             Some(head) if head.status >= 500 => AttemptProgress::Ended(AttemptOutcome::Failed),
@@ -208,34 +216,40 @@
         }
     }
 
-    /// Reads more of the body behind what is held, and returns it; empty if there was none after
-    /// all. The connection has to be readable.
-    pub(super) fn read_body(&mut self) -> Result<Vec<u8>, ResponseBroken> {
+    /// Reads and returns more of the body, which follows the buffered part; empty if the read gave
+    /// none. The connection must be readable.
+    pub(super) fn read_body(&mut self) -> Result<Vec<u8>, IncompleteResponse> {
         let mut data = Vec::new();
         match self.connection.buffer.fill(&mut self.connection.stream) {
             Ok(0) => {
-                self.connection_ended = true;
-                return if self.body.finish_at_close() { Ok(data) } else { Err(ResponseBroken) };
+                self.connection_closed = true;
+                return if self.body.finish_at_close() {
+                    Ok(data)
+                } else {
+                    Err(IncompleteResponse)
+                };
             }
             Ok(_) => {}
             Err(e) if e.kind() == io::ErrorKind::Interrupted => return Ok(data),
-            Err(_) => return Err(ResponseBroken),
+            Err(_) => return Err(IncompleteResponse),
         }
         let pending = self.connection.buffer.pending();
-        let consumed = self.body.decode(pending, &mut data).map_err(|ParseError| ResponseBroken)?;
+        let consumed =
+            self.body.decode(pending, &mut data).map_err(|ParseError| IncompleteResponse)?;
         self.connection.buffer.consume(consumed);
         Ok(data)
     }
 
-    /// The connection, if another request may use it.
+    /// Ends the attempt and returns its connection if another request may use it.
     pub(super) fn into_reusable_connection(self) -> Option<EndpointConnection> {
         let head = self.head.as_ref()?;
-        // A response too many is recognised by its id; without one, no request may follow.
+        // A surplus response is recognised by its request id. If the endpoint sends no id, it could
+        // be taken for the response to the next request, so the connection is not reused.
         let reusable = head.id.is_some()
             && self.body.is_complete()
             && self.connection.buffer.is_empty()
             && !self.skipped_response
-            && !self.connection_ended
+            && !self.connection_closed
             && !head.close
             && head.framing != BodyFraming::UntilClose;
         let idle_ms = head.keep_alive_s.map_or(IDLE_MS, |seconds| {
@@ -246,22 +260,22 @@
     }
 }
 
-/// The empty chunk and trailer that end a chunked body.
+/// The last chunk and the empty trailer section, which end a chunked body.
 pub(super) const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-/// Writes all parts of a request. Once a byte has left, the endpoint may execute the request.
-pub fn write_request(to: &mut impl Write, parts: &[&[u8]]) -> Result<(), AttemptOutcome> {
-    let mut begun = false;
+/// Writes all parts of a request. Once a byte was written, the endpoint may execute the request.
+pub fn write_request(writer: &mut impl Write, parts: &[&[u8]]) -> Result<(), AttemptOutcome> {
+    let mut any_written = false;
     for part in parts {
-        let mut left = *part;
-        while !left.is_empty() {
-            match to.write(left) {
-                Ok(n) if n > 0 => {
-                    begun = true;
-                    left = &left[n..];
+        let mut remaining = *part;
+        while !remaining.is_empty() {
+            match writer.write(remaining) {
+                Ok(written) if written > 0 => {
+                    any_written = true;
+                    remaining = &remaining[written..];
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                _ if begun => return Err(AttemptOutcome::MayHaveExecuted),
+                _ if any_written => return Err(AttemptOutcome::MayHaveExecuted),
                 _ => return Err(AttemptOutcome::NotSent),
             }
         }
@@ -269,13 +283,17 @@
     Ok(())
 }
 
-/// Waits until one of the attempts has something to read, for `ms` milliseconds at the most.
-/// Returns for each whether it has.
-pub(super) fn wait_readable(attempts: &[Attempt], ms: u64) -> io::Result<Vec<bool>> {
-    let mut fds: Vec<PollFd<'_>> =
-        attempts.iter().map(|a| PollFd::new(&a.connection.stream, PollFlags::IN)).collect();
-    let timeout =
-        Timespec { tv_sec: (ms / 1_000) as i64, tv_nsec: (ms % 1_000 * 1_000_000) as i64 };
+/// Waits until the connection of one of the attempts is readable, for at most `timeout_ms`
+/// milliseconds. Returns for each attempt whether its connection is.
+pub(super) fn wait_readable(attempts: &[Attempt], timeout_ms: u64) -> io::Result<Vec<bool>> {
+    let mut fds: Vec<PollFd<'_>> = attempts
+        .iter()
+        .map(|attempt| PollFd::new(&attempt.connection.stream, PollFlags::IN))
+        .collect();
+    let timeout = Timespec {
+        tv_sec: (timeout_ms / 1_000) as i64,
+        tv_nsec: (timeout_ms % 1_000 * 1_000_000) as i64,
+    };
     match poll(&mut fds, Some(&timeout)) {
         Ok(_) => Ok(fds.iter().map(|fd| !fd.revents().is_empty()).collect()),
         Err(rustix::io::Errno::INTR) => Ok(vec![false; attempts.len()]),
--- a/src/gateway/forwarding.rs
+++ b/src/gateway/forwarding.rs
@@ -230,7 +230,7 @@
     /// When a hedged request is due; `None` if none is allowed.
     fn hedge_due(&self) -> Option<Tick> {
         match self.attempts.as_slice() {
-            [attempt] if self.policy.may_hedge() => Some(attempt.sent.plus(self.hedge_delay_ms)),
+            [attempt] if self.policy.may_hedge() => Some(attempt.sent_at.plus(self.hedge_delay_ms)),
             _ => None,
         }
     }
@@ -240,7 +240,7 @@
         let winner = self.attempts.swap_remove(winner);
         for attempt in self.attempts.drain(..) {
             // An endpoint is too slow if one that got the request later responded earlier.
-            let is_late = attempt.sent < winner.sent;
+            let is_late = attempt.sent_at < winner.sent_at;
             let reason =
                 if is_late { AbandonReason::EndpointLate } else { AbandonReason::NotNeeded };
             self.gateway.abandon_attempt(attempt, reason);
@@ -251,7 +251,7 @@
     fn handle_ended_attempt(&mut self, index: usize, outcome: AttemptOutcome) -> Flow {
         let attempt = self.attempts.swap_remove(index);
         let idempotent = self.request.idempotency() == Idempotency::Idempotent;
-        if idempotent && !self.body_streamed && attempt.met_stale_connection() {
+        if idempotent && !self.body_streamed && attempt.used_stale_connection() {
             return self.resend_on_new_connection(attempt);
         }
         let next = self.next_step(outcome);
--- a/src/gateway/responses.rs
+++ b/src/gateway/responses.rs
@@ -54,7 +54,7 @@
         }
         match response.framing {
             BodyFraming::Length(length) => Self::Length(length),
-            _ if attempt.body.is_complete() => Self::Length(attempt.held.len() as u64),
+            _ if attempt.body.is_complete() => Self::Length(attempt.buffered_body.len() as u64),
             _ if request.accepts_chunked => Self::Chunked,
             _ => Self::UntilClose,
         }
@@ -84,14 +84,14 @@
         client: &ClientStream<'_>,
         after: AfterResponse,
     ) -> io::Result<AfterResponse> {
-        let took_ms = Tick::now().since(attempt.sent);
+        let took_ms = Tick::now().since(attempt.sent_at);
         let Some(head) = attempt.head.clone() else {
             return Err(io::ErrorKind::InvalidData.into());
         };
         let framing = RelayFraming::of(request.head, &head, &attempt);
         let after = after.or_close_if(framing == RelayFraming::UntilClose);
         let mut beginning = self.encode_response_head(&head, framing, after);
-        let held = std::mem::take(&mut attempt.held);
+        let held = std::mem::take(&mut attempt.buffered_body);
         match framing {
             _ if held.is_empty() => {}
             RelayFraming::None => {}
@@ -161,7 +161,7 @@
             }
         };
         let id = attempt.endpoint_id.clone();
-        let in_flight_ms = now.since(attempt.sent);
+        let in_flight_ms = now.since(attempt.sent_at);
         let connection = if is_broken { None } else { attempt.into_reusable_connection() };
         self.release_endpoint(&id, in_flight_ms, record, connection);
     }
