--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -1,11 +1,13 @@
-//! Decides whether another attempt follows a failed one, or which response the client gets.
+//! The retry policy of one request: decides whether another attempt follows a failed one, or which
+//! response the client gets.
 //!
-//! Pure: forwarding reports how each attempt ended and carries out what follows. The promise kept
-//! here: a request that isn't idempotent is never sent again once it may have been executed.
+//! Pure logic without I/O or a clock: forwarding reports how each attempt ended and carries out the
+//! next step. Invariant: a request that isn't idempotent is never sent again once it may have been
+//! executed.
 use crate::base::errors::Refusal;
 
-/// Endpoints in a row that could not be reached before a request is given up.
-const MAX_UNREACHED: u32 = 4;
+/// After this many attempts that could not be sent, the request is refused.
+const MAX_UNSENT_ATTEMPTS: u32 = 4;
 
 /// How an attempt to have one endpoint execute a request ended without a successful response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -20,14 +22,14 @@
     Failed,
 }
 
-/// What follows a failed attempt.
+/// What follows a failed attempt, as the policy decides it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
     /// Send the request to another endpoint.
     Retry,
-    /// Give the client the response of the endpoint.
+    /// Forward the endpoint's response to the client.
     ForwardResponse,
-    /// Give the client a response of the gateway's own.
+    /// Refuse the request with a response that the gateway generates itself.
     Refuse(Refusal),
 }
 
@@ -40,36 +42,37 @@
     NonIdempotent,
 }
 
-/// What decides on a retry besides the attempts themselves.
+/// What a retry depends on besides the attempts so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryConditions {
     /// Other attempts at the same request are still in flight.
     pub others_in_flight: bool,
     /// The deadline of the request has not passed.
     pub time_left: bool,
-    /// The retry budget would pay for one more attempt.
+    /// The retry budget allows one more attempt.
     pub budget_left: bool,
 }
 
-/// The attempts at one request, as far as they decide on further ones.
+/// Decides on the attempts at one request, based on those that were made so far.
 #[derive(Clone, Debug)]
 pub struct AttemptPolicy {
     idempotency: Idempotency,
     max_attempts: u32,
-    /// Attempts of which some byte may have reached an endpoint.
-    sent: u32,
-    unreached: u32,
+    /// The attempts of which a byte may have reached an endpoint.
+    sent_attempts: u32,
+    /// The attempts that could not be sent.
+    unsent_attempts: u32,
     may_have_executed: bool,
 }
 
 impl AttemptPolicy {
-    /// The policy of a request that no endpoint has seen yet. At least one attempt is allowed.
+    /// Creates the policy of a request that was not sent yet. At least one attempt is allowed.
     pub fn new(idempotency: Idempotency, max_attempts: u32) -> Self {
         Self {
             idempotency,
             max_attempts: max_attempts.max(1),
-            sent: 0,
-            unreached: 0,
+            sent_attempts: 0,
+            unsent_attempts: 0,
             may_have_executed: false,
         }
     }
@@ -78,34 +81,33 @@
         self.idempotency == Idempotency::Idempotent
     }
 
-    /// Bytes of the request have left for an endpoint.
+    /// Records that bytes of the request may have reached an endpoint.
     pub fn record_sent(&mut self) {
-        self.sent += 1;
+        self.sent_attempts += 1;
     }
 
-    /// Whether one more attempt would be a retry or a hedged request, which the retry budget pays
-    /// for.
+    /// Whether one more attempt would be a retry or a hedged request, which spends retry budget.
     pub(super) fn is_retry(&self) -> bool {
-        self.sent > 0
+        self.sent_attempts > 0
     }
 
-    /// Whether a hedged request may go to another endpoint while the first attempt is in flight.
+    /// Whether a hedged request may be sent while the first attempt is in flight.
     pub(super) fn may_hedge(&self) -> bool {
-        self.is_idempotent() && self.sent < self.max_attempts
+        self.is_idempotent() && self.sent_attempts < self.max_attempts
     }
 
-    /// Forbids further attempts: a part of the body was forwarded and is not held any more.
+    /// Forbids further attempts, because part of the body was sent without being buffered.
     pub(super) fn forbid_retries(&mut self) {
-        self.max_attempts = self.sent;
+        self.max_attempts = self.sent_attempts;
     }
 
-    /// Whether some endpoint may have executed the request.
+    /// Whether any endpoint may have executed the request.
     pub(super) fn may_have_executed(&self) -> bool {
         self.may_have_executed
     }
 
-    /// The request goes to the same endpoint once more, which may have executed it before its
-    /// connection ended.
+    /// Records that the request is sent to the same endpoint again, which may already have executed
+    /// it before the reused connection was closed.
     pub(super) fn record_resent(&mut self) {
         self.may_have_executed = true;
     }
@@ -113,7 +115,7 @@
     /// Records how an attempt ended, and decides what follows.
     pub fn next_step(&mut self, outcome: AttemptOutcome, conditions: RetryConditions) -> NextStep {
         match outcome {
-            AttemptOutcome::NotSent => self.unreached += 1,
+            AttemptOutcome::NotSent => self.unsent_attempts += 1,
             AttemptOutcome::NotExecuted => {}
             AttemptOutcome::MayHaveExecuted | AttemptOutcome::Failed => {
                 self.may_have_executed = true;
@@ -122,12 +124,12 @@
         if self.may_retry(outcome, conditions) {
             return NextStep::Retry;
         }
-        let may_execute = self.may_have_executed || conditions.others_in_flight;
+        let execution_possible = self.may_have_executed || conditions.others_in_flight;
         match outcome {
-            // That it wasn't executed is true only if no other endpoint has the request.
-            AttemptOutcome::NotExecuted if !may_execute => NextStep::ForwardResponse,
+            // Forwarding "not executed" is correct only if no other endpoint may execute the request.
+            AttemptOutcome::NotExecuted if !execution_possible => NextStep::ForwardResponse,
             AttemptOutcome::Failed => NextStep::ForwardResponse,
-            _ if !may_execute => NextStep::Refuse(Refusal::Full),
+            _ if !execution_possible => NextStep::Refuse(Refusal::Full),
             _ if conditions.time_left => NextStep::Refuse(Refusal::Lost),
             _ => NextStep::Refuse(Refusal::Late),
         }
@@ -135,16 +137,16 @@
 
     fn may_retry(&self, outcome: AttemptOutcome, conditions: RetryConditions) -> bool {
         let attempts_left = match outcome {
-            AttemptOutcome::NotSent => self.unreached < MAX_UNREACHED,
-            AttemptOutcome::NotExecuted => self.sent < self.max_attempts,
+            AttemptOutcome::NotSent => self.unsent_attempts < MAX_UNSENT_ATTEMPTS,
+            AttemptOutcome::NotExecuted => self.sent_attempts < self.max_attempts,
             AttemptOutcome::MayHaveExecuted | AttemptOutcome::Failed => {
-                self.is_idempotent() && self.sent < self.max_attempts
+                self.is_idempotent() && self.sent_attempts < self.max_attempts
             }
         };
-        // As long as nothing was sent, the next attempt is the first and costs no budget.
-        let paid =
+        // While nothing was sent, the next attempt counts as the first and spends no budget.
+        let within_budget =
             conditions.budget_left || (outcome == AttemptOutcome::NotSent && !self.is_retry());
-        let safe = self.is_idempotent() || !self.may_have_executed;
-        attempts_left && conditions.time_left && paid && safe
+        let safe_to_retry = self.is_idempotent() || !self.may_have_executed;
+        attempts_left && conditions.time_left && within_budget && safe_to_retry
     }
 }
