--- a/src/gateway/endpoint_access.rs
+++ b/src/gateway/endpoint_access.rs
@@ -119,9 +119,11 @@
         // A refusal is quick; whatever takes long may be due to this node's own link.
         lock(&self.upstreams).connect_latency.record(Tick::now().since(began));
         match connected {
-            Ok(stream) => {
-                Ok(EndpointConnection { stream, buffer: ReadBuffer::default(), expires: Tick(0) })
-            }
+            Ok(stream) => Ok(EndpointConnection {
+                stream,
+                buffer: ReadBuffer::default(),
+                expires_at: Tick(0),
+            }),
             Err(e) if e.kind() == io::ErrorKind::TimedOut => {
                 self.release_endpoint(id, 0, |o| o.record_connect_timeout(Tick::now()), None);
                 Err(AttemptOutcome::NotSent)
--- a/src/gateway/endpoint_attempt.rs
+++ b/src/gateway/endpoint_attempt.rs
@@ -9,7 +9,7 @@
     BodyDecoder, BodyFraming, ParseError, ParsedHead, RequestHead, ResponseHead, encode_chunk,
     parse_response_head,
 };
-use crate::gateway::upstreams::{AcquiredEndpoint, EndpointConnection, IDLE_MS};
+use crate::gateway::upstreams::{AcquiredEndpoint, EndpointConnection, MAX_IDLE_MS};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 use std::io::{self, Write};
 use std::net::SocketAddr;
@@ -252,11 +252,11 @@
             && !self.connection_closed
             && !head.close
             && head.framing != BodyFraming::UntilClose;
-        let idle_ms = head.keep_alive_s.map_or(IDLE_MS, |seconds| {
-            (seconds * 1_000).saturating_sub(KEEP_ALIVE_MARGIN_MS).min(IDLE_MS)
+        let idle_ms = head.keep_alive_s.map_or(MAX_IDLE_MS, |seconds| {
+            (seconds * 1_000).saturating_sub(KEEP_ALIVE_MARGIN_MS).min(MAX_IDLE_MS)
         });
-        let expires = Tick::now().plus(idle_ms);
-        reusable.then(|| EndpointConnection { expires, ..self.connection })
+        let expires_at = Tick::now().plus(idle_ms);
+        reusable.then(|| EndpointConnection { expires_at, ..self.connection })
     }
 }
 
--- a/src/gateway/status.rs
+++ b/src/gateway/status.rs
@@ -43,8 +43,8 @@
         "capacity": endpoint.capacity,
         "draining": endpoint.draining,
         "under_way": endpoint.in_flight,
-        "idle": endpoint.idle.len(),
-        "left_out": endpoint.outlier.is_ejected(now),
-        "answers_after_ms": endpoint.outlier.latency_ms().round(),
+        "idle": endpoint.idle_connections.len(),
+        "left_out": endpoint.outlier_detector.is_ejected(now),
+        "answers_after_ms": endpoint.outlier_detector.latency_ms().round(),
     })
 }
--- a/src/gateway/upstreams.rs
+++ b/src/gateway/upstreams.rs
@@ -1,8 +1,8 @@
 //! The endpoints of each service, with their idle connections, load and health.
 //!
-//! Owned by the gateway's shared state behind one lock. The leader's messages keep the directory
-//! up to date, and each attempt acquires an endpoint here. Promise: an endpoint that was acquired
-//! counts one request in flight until it is released.
+//! The gateway's shared state owns them behind one lock. Messages from the leader update the
+//! directory, and each attempt acquires an endpoint here. Invariant: an endpoint that was acquired
+//! counts one more request in flight until it is released.
 use crate::base::ids::{InstanceId, ServiceName};
 use crate::base::time::Tick;
 use crate::config::directory::DirectoryEntry;
@@ -17,86 +17,87 @@
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
 
-/// Idle connections to one endpoint that are kept open.
-const MAX_IDLE: usize = 4;
+/// The most idle connections to one endpoint that are kept open.
+const MAX_IDLE_CONNECTIONS: usize = 4;
 
-/// For how long an idle connection may be used where the database does not say, in milliseconds.
-pub(super) const IDLE_MS: u64 = 4_000;
+/// How long a connection may be idle and still be reused, in milliseconds. The `Keep-Alive` header
+/// of an endpoint can only shorten it.
+pub(super) const MAX_IDLE_MS: u64 = 4_000;
 
-/// A request that must not be repeated goes only on a connection that was idle no longer than
-/// this, in milliseconds: a database closes no connection as soon as that.
-const FRESH_MS: u64 = 20;
+/// A request that isn't idempotent reuses only connections that were idle for less than this, in
+/// milliseconds, because endpoints don't close a connection that soon.
+const MAX_FRESH_IDLE_MS: u64 = 20;
 
 /// A connection to an endpoint.
 pub(super) struct EndpointConnection {
     pub(super) stream: TcpStream,
-    /// Bytes of responses that were read and not parsed yet.
+    /// Bytes that were read and not parsed yet.
     pub(super) buffer: ReadBuffer,
-    /// When it was idle for so long that it can't be used any more.
-    pub(super) expires: Tick,
+    /// The end of the time for which the connection may be reused while it is idle.
+    pub(super) expires_at: Tick,
 }
 
-/// Which idle connections a request may use.
+/// Which idle connections a request may reuse.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReusePolicy {
-    /// Any: the request can be sent again if the database has closed the connection.
+    /// Any: the request can be sent again if the endpoint has closed the connection.
     AnyIdle,
-    /// Only those that were idle for a moment.
+    /// Only those that were used just before, which the endpoint has not closed yet.
     FreshOnly,
 }
 
-/// A running database of a service, and what this node knows of it.
+/// An endpoint of a service, and what this node knows about it.
 pub(super) struct Endpoint {
     pub(super) service: ServiceName,
     pub(super) address: SocketAddr,
-    /// Its failure domain.
+    /// The zone, which is the failure domain of the endpoint.
     pub(super) zone: String,
-    /// How many requests it can execute at once.
+    /// How many requests the endpoint can execute at once.
     pub(super) capacity: u32,
-    /// It is shutting down gracefully and gets no new requests.
+    /// Whether the endpoint is shutting down gracefully and gets no new requests.
     pub(super) draining: bool,
-    pub(super) outlier: OutlierDetector,
-    /// This node's requests in flight there.
+    pub(super) outlier_detector: OutlierDetector,
+    /// This node's requests in flight at the endpoint.
     pub(super) in_flight: u32,
-    pub(super) idle: Vec<EndpointConnection>,
+    pub(super) idle_connections: Vec<EndpointConnection>,
 }
 
-/// One service that requests are routed to.
+/// A service that requests are routed to.
 #[derive(Default)]
 pub(super) struct UpstreamService {
     endpoints: Vec<InstanceId>,
-    /// How long responses other than errors take; decides when a hedged request is due.
+    /// The latency of responses other than errors, which decides when a hedged request is due.
     pub(super) latency: LatencyEstimator,
-    /// How much work this node has there, for the leader.
+    /// This node's demand for the service, as reported to the leader.
     pub(super) demand: DemandMeter,
-    /// The part of the zone's capacity that this node uses first.
+    /// The part of the zone's capacity that this node prefers.
     subset: Option<CapacityRange>,
-    /// The capacity of endpoints that lies in the subset.
-    assigned: HashMap<InstanceId, f64>,
+    /// How much capacity of each endpoint lies in the subset.
+    assigned_capacities: HashMap<InstanceId, f64>,
 }
 
-/// Everything that this gateway learned from the leader, and of the endpoints.
+/// The configuration and directory that the leader sent, and the state of the endpoints.
 #[derive(Default)]
 pub(super) struct Upstreams {
     pub(super) route_table: Option<Arc<RouteTable>>,
-    /// Whether a whole directory was received since this process started.
+    /// Whether a full directory was received since this process started.
     pub(super) has_directory: bool,
     pub(super) endpoints: BTreeMap<InstanceId, Endpoint>,
     pub(super) services: HashMap<ServiceName, UpstreamService>,
-    /// How long connecting to endpoints takes.
+    /// How long it takes to connect to endpoints.
     pub(super) connect_latency: LatencyEstimator,
 }
 
-/// An endpoint that was acquired for an attempt; the gateway has to release it.
+/// An endpoint that was acquired for an attempt and must be released at its end.
 pub(super) struct AcquiredEndpoint {
     pub(super) id: InstanceId,
     pub(super) address: SocketAddr,
-    /// An idle connection to it.
+    /// An idle connection to the endpoint, if there is one that may be reused.
     pub(super) connection: Option<EndpointConnection>,
 }
 
 impl Upstreams {
-    /// Takes over the whole directory; endpoints that are not in it are gone.
+    /// Replaces the directory; endpoints that are not in the new one are removed.
     pub(super) fn replace_directory(&mut self, entries: Vec<DirectoryEntry>, zone: &str) {
         let is_listed = |id: &InstanceId| entries.iter().any(|entry| entry.id == *id);
         let removed: Vec<InstanceId> =
@@ -105,7 +106,7 @@
         self.has_directory = true;
     }
 
-    /// Takes over a change of the directory.
+    /// Applies a change of the directory.
     pub(super) fn update_directory(
         &mut self,
         entries: Vec<DirectoryEntry>,
@@ -123,13 +124,14 @@
 
     fn upsert(&mut self, entry: DirectoryEntry) {
         let known = self.endpoints.get_mut(&entry.id);
-        match known.filter(|e| e.address == entry.address && e.service == entry.service) {
+        match known.filter(|known| known.address == entry.address && known.service == entry.service)
+        {
             Some(endpoint) => {
                 endpoint.draining = entry.draining;
                 endpoint.capacity = entry.capacity;
-                endpoint.outlier.reset();
+                endpoint.outlier_detector.reset();
                 if entry.draining {
-                    endpoint.idle.clear();
+                    endpoint.idle_connections.clear();
                 }
             }
             None => {
@@ -142,9 +144,9 @@
                     zone: entry.zone,
                     capacity: entry.capacity,
                     draining: entry.draining,
-                    outlier: OutlierDetector::default(),
+                    outlier_detector: OutlierDetector::default(),
                     in_flight: 0,
-                    idle: Vec::new(),
+                    idle_connections: Vec::new(),
                 };
                 self.endpoints.insert(entry.id, endpoint);
             }
@@ -159,7 +161,7 @@
         }
     }
 
-    /// Takes over the subsets that the leader has assigned to this node.
+    /// Stores the subsets that the leader has assigned to this node.
     pub(super) fn assign_subsets(
         &mut self,
         subsets: impl Iterator<Item = (ServiceName, CapacityRange)>,
@@ -171,20 +173,21 @@
         self.assign_capacities(zone);
     }
 
-    /// Computes anew which capacity is assigned to this node: the directory or a subset changed.
+    /// Recomputes how much capacity of each endpoint is assigned to this node, after a change of the
+    /// directory or of a subset.
     fn assign_capacities(&mut self, zone: &str) {
         for service in self.services.values_mut() {
             let in_zone = (service.endpoints.iter())
                 .filter_map(|id| Some((id, self.endpoints.get(id)?)))
                 .filter(|(_, endpoint)| endpoint.zone == zone && !endpoint.draining)
                 .map(|(id, endpoint)| (id, endpoint.capacity));
-            service.assigned =
+            service.assigned_capacities =
                 service.subset.map(|range| assigned_capacities(in_zone, range)).unwrap_or_default();
         }
     }
 
-    /// Acquires an endpoint of the service that is not among `excluded`; `None` if there is none
-    /// with room.
+    /// Acquires an endpoint of the service that is not in `excluded`. Returns `None` if none has free
+    /// capacity.
     pub(super) fn acquire(
         &mut self,
         service: &ServiceName,
@@ -196,12 +199,15 @@
         let service = self.services.get(service)?;
         let (mut ids, mut candidates) = (Vec::new(), Vec::new());
         for id in &service.endpoints {
-            let Some(endpoint) = self.endpoints.get(id).filter(|e| !e.draining) else { continue };
+            let Some(endpoint) = self.endpoints.get(id).filter(|endpoint| !endpoint.draining)
+            else {
+                continue;
+            };
             if excluded.contains(id) {
                 continue;
             }
             ids.push(id);
-            let assigned_capacity = service.assigned.get(id).copied().unwrap_or(0.0);
+            let assigned_capacity = service.assigned_capacities.get(id).copied().unwrap_or(0.0);
             candidates.push(endpoint.candidate(zone, reuse, assigned_capacity, now));
         }
         let chosen = choose_endpoint(&candidates, |n| rand::random_range(0..n))?;
@@ -212,8 +218,8 @@
         Some(AcquiredEndpoint { address: endpoint.address, id, connection })
     }
 
-    /// Ends an attempt that took `took_ms` milliseconds: records what was seen of the endpoint,
-    /// and keeps its connection for another request if there is one to keep.
+    /// Releases an endpoint after an attempt of `took_ms` milliseconds: `record` records the result
+    /// in the outlier detector, and `connection` is kept for another request.
     pub(super) fn release(
         &mut self,
         id: &InstanceId,
@@ -223,15 +229,15 @@
     ) {
         let Some(endpoint) = self.endpoints.get_mut(id) else { return };
         endpoint.in_flight = endpoint.in_flight.saturating_sub(1);
-        record(&mut endpoint.outlier);
+        record(&mut endpoint.outlier_detector);
         if let Some(service) = self.services.get_mut(&endpoint.service) {
             service.demand.record(took_ms);
         }
         if let Some(connection) = connection
             && !endpoint.draining
-            && endpoint.idle.len() < MAX_IDLE
+            && endpoint.idle_connections.len() < MAX_IDLE_CONNECTIONS
         {
-            endpoint.idle.push(connection);
+            endpoint.idle_connections.push(connection);
         }
     }
 }
@@ -246,11 +252,11 @@
     ) -> Candidate {
         Candidate {
             same_zone: self.zone == zone,
-            ejected: self.outlier.is_ejected(now),
+            ejected: self.outlier_detector.is_ejected(now),
             in_flight: self.in_flight,
             capacity: self.capacity,
-            latency_ms: self.outlier.latency_ms(),
-            has_idle_connection: reuse == ReusePolicy::AnyIdle && !self.idle.is_empty(),
+            latency_ms: self.outlier_detector.latency_ms(),
+            has_idle_connection: reuse == ReusePolicy::AnyIdle && !self.idle_connections.is_empty(),
             assigned_capacity,
         }
     }
@@ -260,13 +266,16 @@
         reuse: ReusePolicy,
         now: Tick,
     ) -> Option<EndpointConnection> {
-        let min_left_ms = match reuse {
+        let min_remaining_ms = match reuse {
             ReusePolicy::AnyIdle => 0,
-            ReusePolicy::FreshOnly => IDLE_MS.saturating_sub(FRESH_MS),
+            ReusePolicy::FreshOnly => MAX_IDLE_MS.saturating_sub(MAX_FRESH_IDLE_MS),
         };
-        self.idle.retain(|connection| connection.expires > now);
-        // The one that was used last is the likeliest to be still open.
-        let usable = self.idle.last().is_some_and(|c| c.expires.since(now) > min_left_ms);
-        if usable { self.idle.pop() } else { None }
+        self.idle_connections.retain(|connection| connection.expires_at > now);
+        // The connection that was used last is the most likely to be still open.
+        let usable = self
+            .idle_connections
+            .last()
+            .is_some_and(|connection| connection.expires_at.since(now) > min_remaining_ms);
+        if usable { self.idle_connections.pop() } else { None }
     }
 }
