--- a/src/gateway/endpoint_access.rs
+++ b/src/gateway/endpoint_access.rs
@@ -1,5 +1,5 @@
-//! How attempts get to an endpoint: acquiring one, connecting, sending the request, and releasing
-//! the endpoint with what was seen of it.
+//! Access to endpoints for attempts: acquires an endpoint, connects to it, sends the request, and
+//! releases the endpoint with the result of the attempt.
 use crate::base::ids::InstanceId;
 use crate::base::sync::lock;
 use crate::base::time::Tick;
@@ -19,28 +19,28 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// An endpoint is reached within this many milliseconds, or counts as unreachable; longer where
-/// connecting takes long because this node's own link is congested.
-const CONNECT_TIMEOUT_MS: u64 = 250;
+/// The shortest time-out for connecting to an endpoint, in milliseconds. The time-out is longer while
+/// all connections take long because this node's own link is congested.
+const MIN_CONNECT_TIMEOUT_MS: u64 = 250;
 
-/// The longest wait for a connection, in milliseconds.
+/// The longest time-out for connecting to an endpoint, in milliseconds.
 const MAX_CONNECT_TIMEOUT_MS: u64 = 1_000;
 
-/// A connection fails if the endpoint's machine acknowledges no data for this long.
+/// A connection fails if sent data stays unacknowledged by the endpoint's host for this long.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// An endpoint has to accept more of a request within this.
+/// A write fails if the endpoint accepts no more of a request for this long.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Up to this size, in bytes, head and body are copied together and sent at once.
-const MAX_JOINED_REQUEST: usize = 64 << 10;
+/// Up to this size, in bytes, the head and the body of a request are sent in one write.
+const MAX_SINGLE_WRITE_BYTES: usize = 64 << 10;
 
-/// The least time between two log lines on unusable responses, in milliseconds.
-const FAULT_LOG_INTERVAL_MS: u64 = 1_000;
+/// The shortest time between two log lines about unusable responses, in milliseconds.
+const UNUSABLE_RESPONSE_LOG_INTERVAL_MS: u64 = 1_000;
 
 impl Gateway {
-    /// Acquires an endpoint that is not among `excluded`, waiting until `deadline` for one with
-    /// room.
+    /// Acquires an endpoint that is not in `excluded`, and waits until `deadline` for one with free
+    /// capacity.
     pub(super) fn acquire_endpoint(
         &self,
         request: &RequestContext<'_>,
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Ends an attempt of `took_ms` milliseconds: records what was seen of the endpoint, and keeps
-    /// its connection for another request if there is one to keep.
+    /// Releases an endpoint after an attempt of `took_ms` milliseconds: `record` records the result
+    /// in the outlier detector, and `connection` is kept for another request.
     pub(super) fn release_endpoint(
         &self,
         id: &InstanceId,
@@ -78,46 +78,49 @@
         self.upstreams_changed.notify_one();
     }
 
-    /// Sends the request to an endpoint. On failure the endpoint was released.
+    /// Sends the request to an endpoint on an idle or a new connection. Releases the endpoint on
+    /// failure.
     pub(super) fn start_attempt(
         &self,
         request: &RequestContext<'_>,
         endpoint: AcquiredEndpoint,
     ) -> Result<Attempt, AttemptOutcome> {
         let AcquiredEndpoint { id, address, connection } = endpoint;
-        // That an idle connection was closed meanwhile says nothing about the endpoint.
+        // An idle connection with unread data was most likely closed. That is no fault of the
+        // endpoint, so a new connection is opened.
         let idle = connection.filter(|idle| !is_readable(&idle.stream));
         if let Some(mut connection) = idle {
-            let sent = Tick::now();
-            match send_request(request, &id, &mut connection, sent) {
-                Ok(()) => return Ok(Attempt::new(id, address, connection, true, sent)),
-                // Closed just now, and nothing of the request has left.
+            let sent_at = Tick::now();
+            match send_request(request, &id, &mut connection, sent_at) {
+                Ok(()) => return Ok(Attempt::new(id, address, connection, true, sent_at)),
+                // The connection was closed before any byte of the request was sent.
                 Err(AttemptOutcome::NotSent) => {}
                 Err(outcome) => return Err(self.fail_attempt(&id, outcome)),
             }
         }
         let mut connection = self.connect(&id, address, request.deadline)?;
-        let sent = Tick::now();
-        match send_request(request, &id, &mut connection, sent) {
-            Ok(()) => Ok(Attempt::new(id, address, connection, false, sent)),
+        let sent_at = Tick::now();
+        match send_request(request, &id, &mut connection, sent_at) {
+            Ok(()) => Ok(Attempt::new(id, address, connection, false, sent_at)),
             Err(outcome) => Err(self.fail_attempt(&id, outcome)),
         }
     }
 
-    /// Opens a connection to an endpoint. On failure the endpoint was released.
+    /// Opens a connection to an endpoint. Releases the endpoint on failure.
     fn connect(
         &self,
         id: &InstanceId,
         address: SocketAddr,
         deadline: Tick,
     ) -> Result<EndpointConnection, AttemptOutcome> {
-        let began = Tick::now();
-        let late_ms = lock(&self.upstreams).connect_latency.late_after_ms(CONNECT_TIMEOUT_MS);
-        let timeout_ms = deadline.since(began).clamp(1, late_ms.min(MAX_CONNECT_TIMEOUT_MS));
+        let started_at = Tick::now();
+        let late_ms = lock(&self.upstreams).connect_latency.late_after_ms(MIN_CONNECT_TIMEOUT_MS);
+        let timeout_ms = deadline.since(started_at).clamp(1, late_ms.min(MAX_CONNECT_TIMEOUT_MS));
         let connected =
             connect_stream(address, Duration::from_millis(timeout_ms), UNACKNOWLEDGED_TIMEOUT);
-        // A refusal is quick; whatever takes long may be due to this node's own link.
-        lock(&self.upstreams).connect_latency.record(Tick::now().since(began));
+        // Failed attempts to connect count too: one that takes long may be due to this node's own
+        // link, as a host that refuses connections does so at once.
+        lock(&self.upstreams).connect_latency.record(Tick::now().since(started_at));
         match connected {
             Ok(stream) => Ok(EndpointConnection {
                 stream,
@@ -125,41 +128,46 @@
                 expires_at: Tick(0),
             }),
             Err(e) if e.kind() == io::ErrorKind::TimedOut => {
-                self.release_endpoint(id, 0, |o| o.record_connect_timeout(Tick::now()), None);
+                self.release_endpoint(
+                    id,
+                    0,
+                    |detector| detector.record_connect_timeout(Tick::now()),
+                    None,
+                );
                 Err(AttemptOutcome::NotSent)
             }
             Err(_) => Err(self.fail_attempt(id, AttemptOutcome::NotSent)),
         }
     }
 
-    /// Releases an endpoint to which a request could not be sent.
+    /// Releases an endpoint after a request could not be sent, or not completely.
     fn fail_attempt(&self, id: &InstanceId, outcome: AttemptOutcome) -> AttemptOutcome {
         let now = Tick::now();
-        self.release_endpoint(id, 0, |o| o.record_fault(now), None);
+        self.release_endpoint(id, 0, |detector| detector.record_fault(now), None);
         outcome
     }
 
-    /// Ends an attempt whose response is not needed any more; its connection is closed.
+    /// Ends an attempt whose response is no longer needed, and closes its connection.
     pub(super) fn abandon_attempt(&self, attempt: Attempt, reason: AbandonReason) {
         let now = Tick::now();
-        let record = |outlier: &mut OutlierDetector| {
-            if reason == AbandonReason::EndpointLate {
-                outlier.record_fault(now);
+        let record = |detector: &mut OutlierDetector| {
+            if reason == AbandonReason::EndpointTooSlow {
+                detector.record_fault(now);
             }
         };
         self.release_endpoint(&attempt.endpoint_id, now.since(attempt.sent_at), record, None);
     }
 
-    /// Ends an attempt that has failed.
+    /// Ends an attempt that ended without a successful response, and records `outcome`.
     pub(super) fn end_failed_attempt(&self, attempt: Attempt, outcome: AttemptOutcome) {
         let now = Tick::now();
         let reused = attempt.is_reused();
-        let record = |outlier: &mut OutlierDetector| match outcome {
-            AttemptOutcome::NotExecuted => outlier.record_overload(now),
-            AttemptOutcome::Failed => outlier.record_failed_response(now),
-            // Also a healthy endpoint may close an idle connection.
+        let record = |detector: &mut OutlierDetector| match outcome {
+            AttemptOutcome::NotExecuted => detector.record_overload(now),
+            AttemptOutcome::Failed => detector.record_failed_response(now),
+            // A healthy endpoint may close an idle connection too.
             AttemptOutcome::MayHaveExecuted if reused => {}
-            AttemptOutcome::NotSent | AttemptOutcome::MayHaveExecuted => outlier.record_fault(now),
+            AttemptOutcome::NotSent | AttemptOutcome::MayHaveExecuted => detector.record_fault(now),
         };
         let took_ms = now.since(attempt.sent_at);
         let id = attempt.endpoint_id.clone();
@@ -170,10 +178,14 @@
     }
 
     fn log_unusable_response(&self, now: Tick) {
-        let last = Tick(self.unusable_response_logged.load(Ordering::Relaxed));
-        if now.since(last) >= FAULT_LOG_INTERVAL_MS {
-            self.unusable_response_logged.store(now.0, Ordering::Relaxed);
-            warn!(target: "gateway", "no usable response came from a database");
+        let last_logged = Tick(self.unusable_response_logged_at.load(Ordering::Relaxed));
+        if now.since(last_logged) >= UNUSABLE_RESPONSE_LOG_INTERVAL_MS {
+            self.unusable_response_logged_at.store(now.0, Ordering::Relaxed);
+            warn!(
+                target: "gateway",
+                "an endpoint sent no usable response and may have executed the request; the next \
+                 such line follows after {UNUSABLE_RESPONSE_LOG_INTERVAL_MS} ms at the earliest"
+            );
         }
     }
 }
@@ -181,13 +193,13 @@
 /// Why an attempt is abandoned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AbandonReason {
-    /// The endpoint was too slow, which counts against it.
-    EndpointLate,
-    /// The response is not needed any more; the endpoint is not at fault.
-    NotNeeded,
+    /// The endpoint was too slow, which outlier detection counts as a fault.
+    EndpointTooSlow,
+    /// The response is no longer needed, through no fault of the endpoint.
+    ResponseNotNeeded,
 }
 
-/// Sends head and held body on a connection.
+/// Sends the head and the buffered body of a request on a connection.
 fn send_request(
     request: &RequestContext<'_>,
     endpoint: &InstanceId,
@@ -197,7 +209,7 @@
     let mut head = request.encode_head(endpoint, now);
     let stream = &mut connection.stream;
     stream.set_write_timeout(Some(WRITE_TIMEOUT)).map_err(|_| AttemptOutcome::NotSent)?;
-    if head.len() + request.body.len() <= MAX_JOINED_REQUEST {
+    if head.len() + request.body.len() <= MAX_SINGLE_WRITE_BYTES {
         head.extend_from_slice(request.body);
         write_request(stream, &[&head])
     } else {
--- a/src/gateway/forwarding.rs
+++ b/src/gateway/forwarding.rs
@@ -178,16 +178,16 @@
                     // therefore can't be reused.
                     self.request.remaining_body = Some(remaining);
                     // Counts as a fault of the endpoint even if the client caused the refusal.
-                    self.gateway.abandon_attempt(attempt, AbandonReason::EndpointLate);
+                    self.gateway.abandon_attempt(attempt, AbandonReason::EndpointTooSlow);
                     let retry_after_ms = 0;
                     return Ok(Flow::Break(ForwardResult::Refused { refusal, retry_after_ms }));
                 }
                 Err(ReceiveError::Closed) => {
-                    self.gateway.abandon_attempt(attempt, AbandonReason::NotNeeded);
+                    self.gateway.abandon_attempt(attempt, AbandonReason::ResponseNotNeeded);
                     return Err(io::ErrorKind::UnexpectedEof.into());
                 }
                 Err(ReceiveError::Connection(e)) => {
-                    self.gateway.abandon_attempt(attempt, AbandonReason::NotNeeded);
+                    self.gateway.abandon_attempt(attempt, AbandonReason::ResponseNotNeeded);
                     return Err(e);
                 }
             }
@@ -200,7 +200,7 @@
         let now = Tick::now();
         if self.request.is_past_deadline(now) {
             for attempt in self.attempts.drain(..) {
-                self.gateway.abandon_attempt(attempt, AbandonReason::EndpointLate);
+                self.gateway.abandon_attempt(attempt, AbandonReason::EndpointTooSlow);
             }
             return Ok(self.refuse(Refusal::Late));
         }
@@ -241,8 +241,11 @@
         for attempt in self.attempts.drain(..) {
             // An endpoint is too slow if one that got the request later responded earlier.
             let is_late = attempt.sent_at < winner.sent_at;
-            let reason =
-                if is_late { AbandonReason::EndpointLate } else { AbandonReason::NotNeeded };
+            let reason = if is_late {
+                AbandonReason::EndpointTooSlow
+            } else {
+                AbandonReason::ResponseNotNeeded
+            };
             self.gateway.abandon_attempt(attempt, reason);
         }
         Flow::Break(ForwardResult::Response(Box::new(winner)))
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -48,7 +48,7 @@
     pub(super) max_clients: usize,
     pub(super) counters: Counters,
     /// The tick of the last log line on an unusable response.
-    pub(super) unusable_response_logged: AtomicU64,
+    pub(super) unusable_response_logged_at: AtomicU64,
 }
 
 /// Counters for `status`, since the process started.
@@ -94,7 +94,7 @@
             // A client in service needs a connection to an endpoint beside its own.
             max_clients: (client_files.max(MIN_CLIENT_FILES) / 2) as usize,
             counters: Counters::default(),
-            unusable_response_logged: AtomicU64::new(0),
+            unusable_response_logged_at: AtomicU64::new(0),
         })
     }
 
