--- a/src/gateway/client_connection.rs
+++ b/src/gateway/client_connection.rs
@@ -1,8 +1,10 @@
-//! Clients' connections: how they are admitted, served by threads, kept idle and closed.
+//! Client connections: how they are accepted, served by threads, kept open while idle, and closed.
 //!
-//! A connection that waits for its client's next request holds no thread: it is handed to the
-//! watcher of idle connections, which hands it back when bytes come. Promise: a connection stays
-//! in the gateway's list exactly as long as its guard lives, however it ends.
+//! An idle connection occupies no thread: it is registered with [`IdleConnections`], which returns
+//! it when it becomes readable. Invariant: a connection is in the gateway's client list exactly as
+//! long as its [`ClientGuard`] exists, however the connection ends.
+//!
+//! [`IdleConnections`]: crate::net::idle_connections::IdleConnections
 use crate::base::errors::Refusal;
 use crate::base::sync::lock;
 use crate::base::time::Tick;
@@ -19,47 +21,49 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::Duration;
 
-/// A client that accepts no bytes for this long is disconnected.
+/// A client that accepts no bytes of a response for this long is disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// For how long bytes of a client are still read behind the last response, in milliseconds.
-const LINGER_MS: u64 = 500;
+/// How long bytes from a client are read and dropped after the last response, in milliseconds.
+const MAX_LINGER_MS: u64 = 500;
 
 /// The longest wait for one read while lingering.
 const LINGER_READ_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// A client's connection, as other threads may see and end it.
+/// A client connection, shared by the thread that serves it and those that may close it.
 pub(super) struct ClientConnection {
     pub(super) stream: TcpStream,
-    /// The tick since when it waits for a request of which nothing was read; 0 while it does not.
+    /// The tick since which the connection is idle: no byte of a next request was read. 0 while it
+    /// is busy.
     idle_since: AtomicU64,
-    /// Whether the watcher of idle connections has seen it before.
+    /// Whether the connection was registered with the idle connections before.
     registered: AtomicBool,
 }
 
 impl ClientConnection {
-    /// Since when it is idle, if it is.
+    /// Since when the connection is idle; `None` while it is busy.
     pub(super) fn idle_since(&self) -> Option<Tick> {
         Some(Tick(self.idle_since.load(Ordering::Relaxed))).filter(|since| since.0 > 0)
     }
 
-    /// It waits for the next request from now on.
+    /// Marks the connection as idle from now on.
     pub(super) fn set_idle(&self) {
         self.idle_since.store(Tick::now().0, Ordering::Relaxed);
     }
 
-    /// A request has begun to arrive.
+    /// Marks the connection as busy: part of a request has arrived.
     pub(super) fn set_busy(&self) {
         self.idle_since.store(0, Ordering::Relaxed);
     }
 
-    /// Ends it as if the client had closed; a response in progress is still sent.
+    /// Shuts down the read side, as if the client had closed the connection. A response in progress
+    /// is still sent.
     pub(super) fn stop_reading(&self) {
         drop(self.stream.shutdown(Shutdown::Read));
     }
 }
 
-/// A client's connection in the gateway's list; taken off the list when dropped.
+/// A client connection in the gateway's client list. It is removed from the list when dropped.
 pub(super) struct ClientGuard {
     id: u64,
     connection: Arc<ClientConnection>,
@@ -72,17 +76,17 @@
     }
 }
 
-/// What happens to a client's connection after it was served.
+/// What happens to a client connection after it was served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AfterServing {
-    /// It stays open, idle until the client's next request.
+    /// It stays open and idle until the client's next request.
     KeepIdle,
-    /// It ends.
+    /// It is closed.
     Close,
 }
 
 impl Gateway {
-    /// Admits a client, if there is room for it; otherwise its connection ends.
+    /// Starts to serve a new client connection. Closes it if there are too many clients already.
     pub(super) fn admit_client(self: &Arc<Self>, stream: TcpStream) {
         if lock(&self.clients).len() >= self.max_clients {
             return;
@@ -102,7 +106,7 @@
         self.serve_on_thread(ClientGuard { id, connection, gateway: Arc::clone(self) });
     }
 
-    /// Has a thread serve a client. Where none can be had, the connection ends.
+    /// Serves a client on a thread. Closes the connection if no thread is available.
     pub(super) fn serve_on_thread(&self, client: ClientGuard) {
         start_thread(move || {
             let connection = Arc::clone(&client.connection);
@@ -116,13 +120,17 @@
                     gateway.idle_clients.park(client.id, &connection.stream, client, registration);
                 }
                 Ok(AfterServing::Close) => {}
-                // Clients end connections all the time; a line for each would hide the rest.
-                Err(e) => debug!(target: "gateway", "client {}: {e}", client.id),
+                // Debug level, because clients often break connections off.
+                Err(e) => debug!(
+                    target: "gateway",
+                    "client connection {} is closed after an error while serving it: {e}",
+                    client.id
+                ),
             }
         });
     }
 
-    /// Closes connections that were idle for longer than the configuration allows.
+    /// Closes the client connections that were idle for longer than the configuration allows.
     pub(super) fn close_expired_clients(&self, now: Tick) {
         let Some(route_table) = self.route_table() else { return };
         let idle_timeout_ms = route_table.limits.idle_timeout_ms;
@@ -134,51 +142,51 @@
     }
 }
 
-/// Why a request could not be read from a client.
+/// Why a request could not be received from a client.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ReceiveError {
-    /// The client gets this refusal, and the connection ends.
-    #[error("refused: {0:?}")]
+    /// The request is refused, and the connection is closed after the refusal.
+    #[error("request refused: {0:?}")]
     Refused(Refusal),
     /// The client has closed the connection.
-    #[error("closed by the client")]
+    #[error("connection closed by the client")]
     Closed,
     /// The connection failed.
     #[error(transparent)]
     Connection(#[from] io::Error),
 }
 
-/// What one read from a client has come to.
+/// The result of one read from a client.
 pub(super) enum ReadResult {
-    /// There may be more bytes in the buffer.
+    /// The read returned; there may be more bytes in the buffer.
     Data,
     /// The client has closed the connection.
     Closed,
-    /// Nothing came in time.
+    /// Nothing was received before the deadline.
     TimedOut,
 }
 
-/// The stream of a client that is being served, with what was read and not parsed yet.
+/// The stream of a client that is being served, with the bytes that were read and not parsed yet.
 pub(super) struct ClientStream<'a> {
     stream: &'a TcpStream,
     pub(super) buffer: ReadBuffer,
-    /// The largest body of a request, in bytes.
+    /// The largest request body that is accepted, in bytes.
     pub(super) max_body_bytes: u64,
 }
 
 impl<'a> ClientStream<'a> {
-    /// A stream of which nothing was read yet.
+    /// Creates a stream from which nothing was read yet.
     pub(super) fn new(stream: &'a TcpStream) -> Self {
         Self { stream, buffer: ReadBuffer::default(), max_body_bytes: 0 }
     }
 
-    /// Reads once, waiting until `deadline` at the most.
+    /// Reads once, and waits until `deadline` at most.
     pub(super) fn read(&mut self, deadline: Tick) -> io::Result<ReadResult> {
-        let left_ms = deadline.since(Tick::now());
-        if left_ms == 0 {
+        let remaining_ms = deadline.since(Tick::now());
+        if remaining_ms == 0 {
             return Ok(ReadResult::TimedOut);
         }
-        self.stream.set_read_timeout(Some(Duration::from_millis(left_ms)))?;
+        self.stream.set_read_timeout(Some(Duration::from_millis(remaining_ms)))?;
         let mut stream = self.stream;
         match self.buffer.fill(&mut stream) {
             Ok(0) => Ok(ReadResult::Closed),
@@ -191,7 +199,7 @@
         }
     }
 
-    /// Reads once more of a request that has begun; a client that is too slow is refused.
+    /// Reads more of a request whose beginning was received. Refuses it if the client is too slow.
     pub(super) fn read_more(&mut self, deadline: Tick) -> Result<(), ReceiveError> {
         match self.read(deadline)? {
             ReadResult::Data => Ok(()),
@@ -200,7 +208,7 @@
         }
     }
 
-    /// Decodes what was read of a request's body, and appends it to `output`.
+    /// Decodes the part of a request body that was read, and appends it to `output`.
     pub(super) fn decode_body(
         &mut self,
         body: &mut BodyDecoder,
@@ -213,17 +221,17 @@
         Ok(())
     }
 
-    /// Writes all of `bytes`, and fails if the client accepts none of it for too long.
+    /// Writes all of `bytes`. Fails if the client accepts none of them within the write time-out.
     pub(super) fn write(&self, bytes: &[u8]) -> io::Result<()> {
         let mut stream = self.stream;
         stream.write_all(bytes)
     }
 
-    /// Ends the connection so that the last response arrives although the client still sends: an
-    /// immediate close would reset the connection and could drop the response on its way.
+    /// Closes the connection so that the last response arrives although the client still sends. An
+    /// immediate close would reset the connection and could discard the response in transit.
     pub(super) fn close_after_response(&mut self) -> io::Result<()> {
         self.stream.shutdown(Shutdown::Write)?;
-        let deadline = Tick::now().plus(LINGER_MS);
+        let deadline = Tick::now().plus(MAX_LINGER_MS);
         let mut stream = self.stream;
         let mut discarded = [0; 8192];
         self.stream.set_read_timeout(Some(LINGER_READ_TIMEOUT))?;
--- a/src/gateway/request_handling.rs
+++ b/src/gateway/request_handling.rs
@@ -1,8 +1,8 @@
-//! Serves a client: receives its requests one after the other, finds the route of each, has it
-//! forwarded, and replies.
+//! Serves the requests of a client connection one after the other: parses each request, looks up its
+//! route, forwards it and sends the response.
 //!
-//! A thread calls [`Gateway::serve_client`] when bytes of a client have come, and leaves when the
-//! client is idle again.
+//! A thread calls [`Gateway::serve_client`] when a client connection is readable. The call returns
+//! when the connection is idle again or is to be closed.
 use crate::base::errors::Refusal;
 use crate::base::ids::ServiceName;
 use crate::base::sync::lock;
@@ -23,26 +23,27 @@
 use std::io;
 use std::sync::atomic::Ordering;
 
-/// The deadline of a request whose client sets none, in milliseconds from its arrival.
+/// The time for a request without a `Deadline-Ms` header, in milliseconds from its arrival.
 pub(super) const DEFAULT_DEADLINE_MS: u64 = 60_000;
 
-/// How much of a request's body is held for sending it again, in bytes. A larger body is streamed
-/// and sent to one endpoint only.
-const MAX_HELD_BODY: usize = 256 << 10;
+/// How much of a request body is buffered so that the request can be retried, in bytes. A larger body
+/// is streamed to one endpoint, without retries.
+const MAX_BUFFERED_BODY_BYTES: usize = 256 << 10;
 
-/// For how long a thread waits for the next request of the client that it has just served, in
-/// milliseconds.
-const NEXT_REQUEST_MS: u64 = 20;
+/// How long a thread waits for the next request of the client that it has just served before the
+/// connection becomes idle, in milliseconds.
+const NEXT_REQUEST_TIMEOUT_MS: u64 = 20;
 
-/// The body of a request as far as it is received before forwarding.
+/// The part of a request body that is received before forwarding.
 struct ReceivedBody {
-    held: Vec<u8>,
-    /// Decodes what is still to come, if the body is too large to be held.
+    /// The bytes to send after the head; chunk-encoded if a chunked body is incomplete.
+    buffered: Vec<u8>,
+    /// The decoder of the rest, if the body is too large to be buffered.
     remaining: Option<BodyDecoder>,
 }
 
 impl Gateway {
-    /// Serves one client until it is idle or its connection ends.
+    /// Serves a client until its connection is idle or is to be closed.
     pub(super) fn serve_client(&self, connection: &ClientConnection) -> io::Result<AfterServing> {
         let mut client = ClientStream::new(&connection.stream);
         loop {
@@ -53,7 +54,7 @@
                 if self.closing_idle.load(Ordering::Relaxed) {
                     return Ok(AfterServing::Close);
                 }
-                match client.read(Tick::now().plus(NEXT_REQUEST_MS))? {
+                match client.read(Tick::now().plus(NEXT_REQUEST_TIMEOUT_MS))? {
                     ReadResult::Data => {}
                     ReadResult::Closed => return Ok(AfterServing::Close),
                     ReadResult::TimedOut => return Ok(AfterServing::KeepIdle),
@@ -76,8 +77,8 @@
         }
     }
 
-    /// Serves one request whose head was received. The route table of this moment decides all of
-    /// it.
+    /// Serves one request whose head was received. The route table that is in force at the start is
+    /// used for the whole request.
     fn serve_request(
         &self,
         head: &RequestHead,
@@ -93,14 +94,14 @@
             return Err(ReceiveError::Refused(Refusal::TooLarge));
         }
         let Some((route, service)) = find_route(&route_table, head) else {
-            // A body that nobody reads ends the connection.
+            // The body is not read, so the connection can't be used for another request.
             let after = after.or_close_if(head.framing != BodyFraming::Length(0));
             self.refuse(client, Refusal::NoRoute, 0, after)?;
             return Ok(after);
         };
         let timeout_ms = head.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS).min(route.timeout_ms);
         let deadline = arrived.plus(timeout_ms);
-        let ReceivedBody { held, remaining } = receive_body(head, client, deadline)?;
+        let ReceivedBody { buffered, remaining } = receive_body(head, client, deadline)?;
         lock(&self.retry_budget).record_request(arrived);
         let mut request = RequestContext {
             head,
@@ -108,13 +109,13 @@
             service,
             arrived,
             deadline,
-            body: &held,
+            body: &buffered,
             remaining_body: remaining,
         };
         match self.forward(&mut request, client)? {
             ForwardResult::Refused { refusal, retry_after_ms } => {
-                let is_unread = request.remaining_body.is_some();
-                let after = after.or_close_if(refusal.answer().closes || is_unread);
+                let has_unread_body = request.remaining_body.is_some();
+                let after = after.or_close_if(refusal.answer().closes || has_unread_body);
                 self.refuse(client, refusal, retry_after_ms, after)?;
                 Ok(after)
             }
@@ -125,7 +126,7 @@
     }
 }
 
-/// Reads until the head of a request is complete.
+/// Reads until the head of a request is complete, and parses it.
 fn receive_head(
     client: &mut ClientStream<'_>,
     limits: &SessionLimits,
@@ -141,8 +142,8 @@
     }
 }
 
-/// The route of a request and the service that it leads to. The same request leads to the same one
-/// of several weighted services at every node.
+/// Returns the route of a request and the service that the route selects. If the route has several
+/// weighted services, every node selects the same one for the same request.
 fn find_route<'t>(
     route_table: &'t RouteTable,
     head: &RequestHead,
@@ -152,7 +153,7 @@
     Some((route, route_table.service(route, hash)?))
 }
 
-/// Reads the body until it is complete or larger than what is held.
+/// Reads the body until it is complete or too large to be buffered.
 fn receive_body(
     head: &RequestHead,
     client: &mut ClientStream<'_>,
@@ -163,10 +164,10 @@
         client.write(b"HTTP/1.1 100 Continue\r\n\r\n")?;
     }
     let mut body = BodyDecoder::new(head.framing);
-    let mut held = Vec::new();
-    while !body.is_complete() && held.len() < MAX_HELD_BODY {
-        client.decode_body(&mut body, &mut held)?;
-        if held.len() as u64 > client.max_body_bytes {
+    let mut buffered = Vec::new();
+    while !body.is_complete() && buffered.len() < MAX_BUFFERED_BODY_BYTES {
+        client.decode_body(&mut body, &mut buffered)?;
+        if buffered.len() as u64 > client.max_body_bytes {
             return Err(ReceiveError::Refused(Refusal::TooLarge));
         }
         if !body.is_complete() {
@@ -175,7 +176,7 @@
     }
     let remaining = (!body.is_complete()).then_some(body);
     if remaining.is_some() && head.framing == BodyFraming::Chunked {
-        held = encode_chunk(&held);
+        buffered = encode_chunk(&buffered);
     }
-    Ok(ReceivedBody { held, remaining })
+    Ok(ReceivedBody { buffered, remaining })
 }
