--- a/src/gateway/endpoint_access.rs
+++ b/src/gateway/endpoint_access.rs
@@ -118,8 +118,8 @@
         let timeout_ms = deadline.since(started_at).clamp(1, late_ms.min(MAX_CONNECT_TIMEOUT_MS));
         let connected =
             connect_stream(address, Duration::from_millis(timeout_ms), UNACKNOWLEDGED_TIMEOUT);
-        // Failed attempts to connect count too: one that takes long may be due to this node's own
-        // link, as a host that refuses connections does so at once.
+        // Recorded for failures too: a refused connection fails at once, and a slow one may be due to
+        // this node's own link.
         lock(&self.upstreams).connect_latency.record(Tick::now().since(started_at));
         match connected {
             Ok(stream) => Ok(EndpointConnection {
@@ -183,8 +183,8 @@
             self.unusable_response_logged_at.store(now.0, Ordering::Relaxed);
             warn!(
                 target: "gateway",
-                "an endpoint sent no usable response and may have executed the request; the next \
-                 such line follows after {UNUSABLE_RESPONSE_LOG_INTERVAL_MS} ms at the earliest"
+                "no usable response from an endpoint, which may have executed the request; logged \
+                 at most once per {UNUSABLE_RESPONSE_LOG_INTERVAL_MS} ms"
             );
         }
     }
--- a/src/gateway/responses.rs
+++ b/src/gateway/responses.rs
@@ -1,4 +1,5 @@
-//! What clients get: the relayed response of an endpoint, or a refusal of the gateway's own.
+//! Responses to clients: the relayed response of an endpoint, or a refusal that the gateway
+//! generates itself.
 use crate::base::errors::Refusal;
 use crate::base::sync::lock;
 use crate::base::time::Tick;
@@ -11,26 +12,29 @@
 use crate::gateway::server::Gateway;
 use std::io;
 
-/// How often the end of a relayed response's time is looked at, in milliseconds.
-const RELAY_POLL_MS: u64 = 1_000;
+/// How often the deadline of a relayed response is checked while no data arrives, in milliseconds.
+const RELAY_POLL_INTERVAL_MS: u64 = 1_000;
 
-/// Clients are told to use an idle connection for this many seconds less than it is kept.
+/// The `Keep-Alive` time-out that clients get is this many seconds shorter than the idle time-out, so
+/// that no client sends a request while its connection is closed.
 const KEEP_ALIVE_MARGIN_S: u64 = 2;
 
-/// What happens to a client's connection after a response.
+/// What happens to a client connection after a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AfterResponse {
     /// It stays open for the next request.
     KeepOpen,
-    /// It ends.
+    /// It is closed.
     Close,
 }
 
 impl AfterResponse {
+    /// `Close` if the condition holds, otherwise `KeepOpen`.
     pub(super) fn close_if(close: bool) -> Self {
         if close { Self::Close } else { Self::KeepOpen }
     }
 
+    /// `Close` if the condition holds, otherwise as before.
     pub(super) fn or_close_if(self, close: bool) -> Self {
         Self::close_if(close || self == Self::Close)
     }
@@ -43,7 +47,7 @@
     None,
     Length(u64),
     Chunked,
-    /// The client's connection ends with the body.
+    /// The body ends when the connection is closed.
     UntilClose,
 }
 
@@ -65,18 +69,18 @@
 #[derive(Debug, thiserror::Error)]
 enum RelayError {
     /// The client's connection failed.
-    #[error("client: {0}")]
+    #[error("writing to the client failed: {0}")]
     Client(io::Error),
-    /// The endpoint's response broke off, or took too long.
-    #[error("the endpoint's response broke off")]
+    /// The endpoint's response ended early, is invalid, or took too long.
+    #[error("the endpoint's response ended early, is invalid or took too long")]
     Endpoint,
-    /// The endpoint's connection can't be watched.
-    #[error("poll: {0}")]
+    /// The endpoint's connection can't be polled.
+    #[error("polling the endpoint's connection failed: {0}")]
     Poll(io::Error),
 }
 
 impl Gateway {
-    /// Relays the response of an attempt to the client as it comes, and releases the endpoint.
+    /// Relays the response of an attempt to the client while it arrives, and releases the endpoint.
     pub(super) fn relay_response(
         &self,
         request: &RequestContext<'_>,
@@ -90,26 +94,27 @@
         };
         let framing = RelayFraming::of(request.head, &head, &attempt);
         let after = after.or_close_if(framing == RelayFraming::UntilClose);
-        let mut beginning = self.encode_response_head(&head, framing, after);
-        let held = std::mem::take(&mut attempt.buffered_body);
+        let mut first_bytes = self.encode_response_head(&head, framing, after);
+        let buffered_body = std::mem::take(&mut attempt.buffered_body);
         match framing {
-            _ if held.is_empty() => {}
+            _ if buffered_body.is_empty() => {}
             RelayFraming::None => {}
-            RelayFraming::Chunked => beginning.extend_from_slice(&encode_chunk(&held)),
-            _ => beginning.extend_from_slice(&held),
+            RelayFraming::Chunked => first_bytes.extend_from_slice(&encode_chunk(&buffered_body)),
+            _ => first_bytes.extend_from_slice(&buffered_body),
         }
-        let relayed = match client.write(&beginning) {
+        let relayed = match client.write(&first_bytes) {
             Ok(()) => relay_body(&mut attempt, client, framing),
             Err(e) => Err(RelayError::Client(e)),
         };
         if let Err(RelayError::Poll(e)) = relayed {
             return Err(e);
         }
-        let is_broken = matches!(relayed, Err(RelayError::Endpoint));
-        self.record_response(request, attempt, &head, took_ms, is_broken);
+        let is_incomplete = matches!(relayed, Err(RelayError::Endpoint));
+        self.record_response(request, attempt, &head, took_ms, is_incomplete);
         match relayed {
             Ok(()) => Ok(after),
-            // The client must see that the response is incomplete, and that is all it can see.
+            // Part of the response was sent already, so closing the connection is the only way to show
+            // the client that it is incomplete.
             Err(RelayError::Endpoint) => Ok(AfterResponse::Close),
             Err(RelayError::Client(e) | RelayError::Poll(e)) => Err(e),
         }
@@ -134,39 +139,39 @@
         out
     }
 
-    /// Records a response that was relayed, or broke off, and releases its endpoint. Its first
-    /// part came after `took_ms` milliseconds.
+    /// Records a response that was relayed completely or in part, and releases its endpoint.
+    /// `took_ms` is the time in milliseconds until the response was ready to be relayed.
     fn record_response(
         &self,
         request: &RequestContext<'_>,
         attempt: Attempt,
         head: &ResponseHead,
         took_ms: u64,
-        is_broken: bool,
+        is_incomplete: bool,
     ) {
         let now = Tick::now();
         let failed = head.status >= 500;
         if !failed && let Some(service) = lock(&self.upstreams).services.get_mut(request.service) {
             service.latency.record(took_ms);
         }
-        let record = |outlier: &mut OutlierDetector| {
-            if is_broken {
-                outlier.record_fault(now);
+        let record = |detector: &mut OutlierDetector| {
+            if is_incomplete {
+                detector.record_fault(now);
             } else if head.not_executed {
-                outlier.record_overload(now);
+                detector.record_overload(now);
             } else if failed {
-                outlier.record_failed_response(now);
+                detector.record_failed_response(now);
             } else {
-                outlier.record_success(took_ms);
+                detector.record_success(took_ms);
             }
         };
         let id = attempt.endpoint_id.clone();
         let in_flight_ms = now.since(attempt.sent_at);
-        let connection = if is_broken { None } else { attempt.into_reusable_connection() };
+        let connection = if is_incomplete { None } else { attempt.into_reusable_connection() };
         self.release_endpoint(&id, in_flight_ms, record, connection);
     }
 
-    /// Gives the client a response of the gateway's own.
+    /// Sends the client a refusal.
     pub(super) fn refuse(
         &self,
         client: &mut ClientStream<'_>,
@@ -189,7 +194,7 @@
         }
     }
 
-    /// Appends what the client has to know of its connection, and the end of the head.
+    /// Appends the headers about the client connection, and the end of the head.
     fn append_head_end(&self, head: &mut Vec<u8>, after: AfterResponse) {
         if after == AfterResponse::Close {
             append_header(head, "Connection", b"close");
@@ -202,8 +207,8 @@
     }
 }
 
-/// Relays the rest of a response's body. Nothing more is read from the endpoint until the client
-/// has accepted what came before.
+/// Relays the rest of a response body. More is read from the endpoint only after the client has
+/// accepted what was read before.
 fn relay_body(
     attempt: &mut Attempt,
     client: &ClientStream<'_>,
@@ -211,7 +216,7 @@
 ) -> Result<(), RelayError> {
     let deadline = Tick::now().plus(DEFAULT_DEADLINE_MS);
     while !attempt.body.is_complete() {
-        let readable = wait_readable(std::slice::from_ref(attempt), RELAY_POLL_MS);
+        let readable = wait_readable(std::slice::from_ref(attempt), RELAY_POLL_INTERVAL_MS);
         if !readable.map_err(RelayError::Poll)?[0] {
             if Tick::now() >= deadline {
                 return Err(RelayError::Endpoint);
--- a/src/gateway/retry_budget.rs
+++ b/src/gateway/retry_budget.rs
@@ -1,71 +1,77 @@
-//! The share of requests that may be sent again, so that retries never multiply an overload.
+//! The retry budget: limits retries to a share of the requests, so that retries don't multiply the
+//! load on endpoints that are overloaded.
 //!
-//! Pure: the gateway's shared state owns one budget; forwarding records requests and takes retries
-//! from it.
+//! Pure logic without I/O or a clock. The gateway's shared state owns one budget; request handling
+//! records requests, and forwarding spends retries.
 use crate::base::time::Tick;
 use std::collections::VecDeque;
 
-/// Requests are counted in spans of this many milliseconds, which leave the window one by one.
-const SPAN_MS: u64 = 500;
+/// The width of the buckets in which requests are counted, in milliseconds. The window slides by one
+/// bucket at a time.
+const BUCKET_MS: u64 = 500;
 
-/// How many retries this node may send, earned by the requests that it received: over the last
-/// window, retries stay below a ratio of requests.
+/// How many retries this node may send: over a sliding window, retries stay within a ratio of the
+/// requests that the node received.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     ratio: f64,
     window_ms: u64,
-    spans: VecDeque<BudgetSpan>,
+    buckets: VecDeque<Bucket>,
 }
 
 #[derive(Clone, Debug)]
-struct BudgetSpan {
-    began: Tick,
+struct Bucket {
+    started_at: Tick,
     requests: u64,
     retries: u64,
 }
 
 impl RetryBudget {
-    /// An empty budget of `ratio` retries for each request of the last `window_ms` milliseconds.
+    /// Creates an empty budget of `ratio` retries for each request of the last `window_ms` milliseconds.
     pub fn new(ratio: f64, window_ms: u64) -> Self {
-        Self { ratio, window_ms, spans: VecDeque::new() }
+        Self { ratio, window_ms, buckets: VecDeque::new() }
     }
 
-    /// Takes over changed settings; what was counted stays.
+    /// Applies changed settings, and keeps the counts.
     pub(super) fn configure(&mut self, ratio: f64, window_ms: u64) {
         self.ratio = ratio;
         self.window_ms = window_ms;
     }
 
-    /// The span of `now`; spans that left the window are dropped.
-    fn current_span(&mut self, now: Tick) -> &mut BudgetSpan {
-        while self.spans.front().is_some_and(|span| now.since(span.began) > self.window_ms) {
-            self.spans.pop_front();
+    /// Returns the bucket of `now`, and drops the buckets that have left the window.
+    fn current_bucket(&mut self, now: Tick) -> &mut Bucket {
+        while self
+            .buckets
+            .front()
+            .is_some_and(|bucket| now.since(bucket.started_at) > self.window_ms)
+        {
+            self.buckets.pop_front();
         }
-        if self.spans.back().is_none_or(|span| now.since(span.began) >= SPAN_MS) {
-            self.spans.push_back(BudgetSpan { began: now, requests: 0, retries: 0 });
+        if self.buckets.back().is_none_or(|bucket| now.since(bucket.started_at) >= BUCKET_MS) {
+            self.buckets.push_back(Bucket { started_at: now, requests: 0, retries: 0 });
         }
-        let last = self.spans.len() - 1;
-        &mut self.spans[last]
+        let last = self.buckets.len() - 1;
+        &mut self.buckets[last]
     }
 
-    /// A client's request was received.
+    /// Records a request from a client.
     pub fn record_request(&mut self, now: Tick) {
-        self.current_span(now).requests += 1;
+        self.current_bucket(now).requests += 1;
     }
 
-    /// Whether one more retry stays within the budget.
+    /// Whether the budget allows one more retry.
     pub fn allows_retry(&mut self, now: Tick) -> bool {
-        self.current_span(now);
-        let requests: u64 = self.spans.iter().map(|span| span.requests).sum();
-        let retries: u64 = self.spans.iter().map(|span| span.retries).sum();
+        self.current_bucket(now);
+        let requests: u64 = self.buckets.iter().map(|bucket| bucket.requests).sum();
+        let retries: u64 = self.buckets.iter().map(|bucket| bucket.retries).sum();
         (retries + 1) as f64 <= self.ratio * requests as f64
     }
 
-    /// Takes one retry from the budget; false if there is none left.
+    /// Spends one retry. Returns false if the budget is spent.
     pub fn try_spend(&mut self, now: Tick) -> bool {
         let allowed = self.allows_retry(now);
         if allowed {
-            self.current_span(now).retries += 1;
+            self.current_bucket(now).retries += 1;
         }
         allowed
     }
