--- a/src/gateway/leader_messages.rs
+++ b/src/gateway/leader_messages.rs
@@ -87,9 +87,9 @@
     }
 
     fn assign_subsets(&self, subset_ranges: Vec<SubsetRange>) {
-        let subsets = subset_ranges.into_iter().map(|SubsetRange { service, start, end }| {
-            (service, CapacityRange { from: start, to: end })
-        });
+        let subsets = subset_ranges
+            .into_iter()
+            .map(|SubsetRange { service, start, end }| (service, CapacityRange { start, end }));
         lock(&self.upstreams).assign_subsets(subsets, &self.zone);
     }
 }
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -145,7 +145,7 @@
         return Drain::InProgress;
     }
     // Idle clients are disconnected; requests that were received are still served.
-    gateway.closing_idle.store(true, Ordering::Relaxed);
+    gateway.closing_idle_clients.store(true, Ordering::Relaxed);
     let clients: Vec<Arc<ClientConnection>> = lock(&gateway.clients).values().cloned().collect();
     for client in clients.iter().filter(|client| client.idle_since().is_some()) {
         client.stop_reading();
--- a/src/gateway/request_handling.rs
+++ b/src/gateway/request_handling.rs
@@ -51,7 +51,7 @@
             client.max_body_bytes = route_table.limits.max_body_bytes;
             if client.buffer.is_empty() {
                 connection.set_idle();
-                if self.closing_idle.load(Ordering::Relaxed) {
+                if self.closing_idle_clients.load(Ordering::Relaxed) {
                     return Ok(AfterServing::Close);
                 }
                 match client.read(Tick::now().plus(NEXT_REQUEST_TIMEOUT_MS))? {
--- a/src/gateway/status.rs
+++ b/src/gateway/status.rs
@@ -1,4 +1,4 @@
-//! What `status` shows of a gateway. The keys are an interface and stay as they are.
+//! The JSON status document of a gateway. Its keys are an external interface and must not change.
 use crate::base::ids::InstanceId;
 use crate::base::sync::lock;
 use crate::base::time::Tick;
@@ -8,13 +8,14 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 impl Gateway {
+    /// The status document, which `/status` serves.
     pub(super) fn status(&self) -> Value {
         let now = Tick::now();
         let upstreams = lock(&self.upstreams);
         let databases: Vec<Value> = (upstreams.endpoints.iter())
             .map(|(id, endpoint)| endpoint_status(id, endpoint, now))
             .collect();
-        let count = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
+        let value = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         json!({
             "node": self.node,
             "role": "gateway",
@@ -25,10 +26,10 @@
             "connections": lock(&self.clients).len(),
             "connections_allowed": self.max_clients,
             "resting": self.idle_clients.len(),
-            "requests": count(&self.counters.requests),
-            "sent_again": count(&self.counters.retries),
-            "refused": count(&self.counters.refused),
-            "lost": count(&self.counters.lost),
+            "requests": value(&self.counters.requests),
+            "sent_again": value(&self.counters.retries),
+            "refused": value(&self.counters.refused),
+            "lost": value(&self.counters.lost),
             "databases": databases,
         })
     }
--- a/src/gateway/subsets.rs
+++ b/src/gateway/subsets.rs
@@ -1,29 +1,33 @@
-//! Which endpoints of a zone a node uses first.
+//! Endpoint subsetting: which endpoints of its zone a gateway node prefers.
 //!
-//! The leader divides the capacity of a service in a zone among its gateway nodes. Where one node
-//! sends most of an endpoint's load, its own count of requests in flight is nearly the truth. All
-//! nodes lay the endpoints out in one order, so that a range of it means the same everywhere.
-//! Pure: the upstreams ask whenever the directory or the subset has changed.
+//! The leader divides the capacity of each service in a zone among the gateway nodes of the zone.
+//! Where one node sends most of an endpoint's requests, that node's own count of requests in flight
+//! is close to the endpoint's actual load. All nodes order the endpoints in the same way, so that a
+//! range of capacity means the same endpoints at every node. Pure logic without I/O: the upstreams
+//! call it whenever the directory or the subset has changed.
 use crate::base::ids::InstanceId;
 use std::collections::HashMap;
 
-/// The whole capacity of a zone, in the units of a subset's ends.
-const WHOLE_ZONE: f64 = 1e6;
+/// The capacity of a whole zone in the unit of [`CapacityRange`], which is millionths.
+const WHOLE_ZONE_MILLIONTHS: f64 = 1e6;
 
-/// A smaller part of an endpoint's capacity is assigned to nobody.
-const MIN_ASSIGNED_PART: f64 = 0.05;
+/// The smallest fraction of an endpoint's capacity that is assigned; a smaller one is assigned to no
+/// node.
+const MIN_ASSIGNED_FRACTION: f64 = 0.05;
 
-/// A node's range of the capacity of a service's endpoints in its zone, in millionths.
+/// The subset of a node: a range of the capacity of a service's endpoints in the node's zone, in
+/// millionths.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CapacityRange {
-    /// Where the range begins.
-    pub from: u32,
-    /// Where the range ends; the next begins there.
-    pub to: u32,
+    /// The start of the range.
+    pub start: u32,
+    /// The end of the range, where the range of the next node starts.
+    pub end: u32,
 }
 
-/// The endpoints in a range, each with the part of its capacity that lies in it. `endpoints` are
-/// all in the zone, with their capacities. A new endpoint changes the order of the others little.
+/// Returns the endpoints in a range, each with the part of its capacity that lies in the range.
+/// `endpoints` are all endpoints of the zone, with their capacities. They are ordered by hash, so that
+/// a new endpoint shifts the others only a little.
 pub fn assigned_capacities<'a>(
     endpoints: impl Iterator<Item = (&'a InstanceId, u32)>,
     range: CapacityRange,
@@ -37,15 +41,15 @@
         .collect();
     ordered.sort_by(|a, b| (a.hash, a.id).cmp(&(b.hash, b.id)));
     let total: f64 = ordered.iter().map(|endpoint| endpoint.capacity).sum();
-    let from = f64::from(range.from) * total / WHOLE_ZONE;
-    let to = f64::from(range.to) * total / WHOLE_ZONE;
-    let mut start = 0.0;
+    let range_start = f64::from(range.start) * total / WHOLE_ZONE_MILLIONTHS;
+    let range_end = f64::from(range.end) * total / WHOLE_ZONE_MILLIONTHS;
+    let mut offset = 0.0;
     let mut assigned = HashMap::new();
     for OrderedEndpoint { id, capacity, .. } in ordered {
-        let part = (start + capacity).min(to) - from.max(start);
-        start += capacity;
-        if part > MIN_ASSIGNED_PART * capacity {
-            assigned.insert(id.clone(), part);
+        let overlap = (offset + capacity).min(range_end) - range_start.max(offset);
+        offset += capacity;
+        if overlap > MIN_ASSIGNED_FRACTION * capacity {
+            assigned.insert(id.clone(), overlap);
         }
     }
     assigned
@@ -57,8 +61,9 @@
     capacity: f64,
 }
 
-/// FNV-1a, the same at every node: it orders endpoints, and sends a request to the same one of a
-/// route's weighted services everywhere. The lowest bits, which vary least, are dropped.
+/// The FNV-1a hash of a text, which is the same at every node. It orders endpoints, and selects the
+/// same one of a route's weighted services for a request at every node. The lowest bits are dropped
+/// because they vary least.
 pub(super) fn stable_hash(text: &str) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
--- a/tests/gateway_parts.rs
+++ b/tests/gateway_parts.rs
@@ -362,7 +362,7 @@
 fn assigned_capacities_are_what_overlaps_a_subset() {
     let ids: Vec<InstanceId> = (0..6).map(|n| InstanceId(format!("i{n}"))).collect();
     let endpoints = || ids.iter().map(|id| (id, 2));
-    let assigned = |from, to| assigned_capacities(endpoints(), CapacityRange { from, to });
+    let assigned = |start, end| assigned_capacities(endpoints(), CapacityRange { start, end });
     let all = assigned(0, 1_000_000);
     assert!(ids.iter().all(|id| all.get(id) == Some(&2.0)));
     // Three subsets that cover everything assign each endpoint exactly once.
