--- a/src/gateway/demand.rs
+++ b/src/gateway/demand.rs
@@ -1,36 +1,38 @@
-//! Measures how much work a node has at the endpoints of a service, for the leader.
+//! Measures a node's demand for a service: the average number of its requests in flight.
 //!
-//! Pure: the upstreams own one meter for each service; renewals carry what it reports. From it the
-//! leader assigns each gateway node a subset of the endpoints.
+//! Pure logic without I/O or a clock. The upstreams own one meter for each service, and renewals
+//! report its value to the leader, which assigns each gateway node a subset of the endpoints by
+//! demand.
 
-/// The weight of what was measured before in the moving average.
+/// The weight of earlier measurements in the moving average.
 const HISTORY_WEIGHT: f64 = 0.8;
 
 /// The weight of the latest measurement in the moving average.
 const LATEST_WEIGHT: f64 = 0.2;
 
-/// The least change of the reported value that is reported, in hundredths of a request, beside a
-/// quarter of the value.
+/// A change of the demand is reported if it exceeds this, in hundredths of a request, plus a quarter
+/// of the reported value.
 const MIN_REPORTED_CHANGE: u32 = 10;
 
 /// The average number of requests in flight at the endpoints of one service.
 #[derive(Clone, Debug, Default)]
 pub struct DemandMeter {
-    /// Milliseconds that finished attempts took since the last report was due.
+    /// The total duration of the attempts that ended since the last measurement, in milliseconds.
     busy_ms: u64,
     mean_in_flight: f64,
-    /// What the leader knows, in hundredths of a request; `None` for a new leader.
+    /// The value that was last reported to the leader, in hundredths of a request; `None` for a new
+    /// leader.
     reported: Option<u32>,
 }
 
 impl DemandMeter {
-    /// An attempt that took `ms` milliseconds has ended.
-    pub fn record(&mut self, ms: u64) {
-        self.busy_ms += ms;
+    /// Records the end of an attempt that took `took_ms` milliseconds.
+    pub fn record(&mut self, took_ms: u64) {
+        self.busy_ms += took_ms;
     }
 
-    /// Closes a measurement of `elapsed_ms` milliseconds. Returns the average number of requests in
-    /// flight, in hundredths, if it differs enough from what the leader knows.
+    /// Ends a measurement of `elapsed_ms` milliseconds. Returns the average number of requests in
+    /// flight, in hundredths, if it differs enough from the value that was last reported.
     pub fn next_report(&mut self, elapsed_ms: u64) -> Option<u32> {
         let in_flight = std::mem::take(&mut self.busy_ms) as f64 / elapsed_ms.max(1) as f64;
         self.mean_in_flight = if self.reported.is_none() {
@@ -48,7 +50,7 @@
         })
     }
 
-    /// The connection has a new leader, which knows nothing of this node's demand.
+    /// Forgets the value that was last reported, so that a new leader gets the next one.
     pub(super) fn forget_report(&mut self) {
         self.reported = None;
     }
--- a/src/gateway/leader_messages.rs
+++ b/src/gateway/leader_messages.rs
@@ -1,5 +1,5 @@
-//! What a gateway and the leader send each other: renewals with the node's demand one way; route
-//! tables, the directory of endpoints and subsets the other.
+//! Messages between a gateway and the controllers' leader. The gateway sends periodic renewals, which
+//! report its demand. The leader sends route tables, the directory of endpoints and subsets.
 use crate::base::ids::{Revision, ServiceName};
 use crate::base::sync::lock;
 use crate::base::time::Tick;
@@ -13,34 +13,37 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 /// The time between two renewals, in milliseconds.
-const RENEW_MS: u64 = 450;
+const RENEWAL_INTERVAL_MS: u64 = 450;
 
-/// The renewals that this node sends to the leader.
+/// The state of the periodic renewals to the leader.
 #[derive(Default)]
 pub(super) struct Renewals {
-    /// The sequence number of the last one.
+    /// The sequence number of the last renewal.
     sequence: AtomicU64,
-    /// The tick when the last one was sent.
-    last_sent: AtomicU64,
-    /// The sequence number of the last one that the leader acknowledged on this connection.
+    /// The tick at which the last renewal was sent.
+    last_sent_at: AtomicU64,
+    /// The sequence number of the last renewal that the leader acknowledged on this connection; 0
+    /// before the first.
     last_acknowledged: AtomicU64,
 }
 
 impl Gateway {
+    /// Sends a renewal if the leader is connected and the last renewal was sent long enough ago.
     pub(super) fn renew_when_due(&self) {
-        let last_sent = Tick(self.renewals.last_sent.load(Ordering::Relaxed));
-        if self.leader.is_connected() && Tick::now().since(last_sent) >= RENEW_MS {
+        let last_sent_at = Tick(self.renewals.last_sent_at.load(Ordering::Relaxed));
+        if self.leader.is_connected() && Tick::now().since(last_sent_at) >= RENEWAL_INTERVAL_MS {
             self.renew();
         }
     }
 
     fn renew(&self) {
         let now = Tick::now();
-        let last_sent = Tick(self.renewals.last_sent.swap(now.0, Ordering::Relaxed));
-        let load = self.demand_report(now.since(last_sent));
+        let last_sent_at = Tick(self.renewals.last_sent_at.swap(now.0, Ordering::Relaxed));
+        let load = self.demand_report(now.since(last_sent_at));
         let seq = self.renewals.sequence.fetch_add(1, Ordering::Relaxed) + 1;
         let last_grant_seq = self.renewals.last_acknowledged.load(Ordering::Relaxed);
-        // A gateway holds no leases and reads no positions; only a pooler fills in the rest.
+        // Only poolers fill in the other fields: a gateway has no quotas and observes no replication
+        // positions.
         let (quotas, demand, observed, bounds_requested) =
             (Vec::new(), Vec::new(), Vec::new(), Vec::new());
         self.leader.send(ToController::RenewLeases {
@@ -54,22 +57,24 @@
         });
     }
 
-    /// The demand of each service whose demand has changed enough, in hundredths of a request in
-    /// flight.
+    /// The demand for each service for which it has changed enough to be reported, in hundredths of
+    /// a request in flight.
     fn demand_report(&self, elapsed_ms: u64) -> Vec<(ServiceName, u32)> {
         let mut upstreams = lock(&self.upstreams);
         let services = upstreams.services.iter_mut();
         services
-            .filter_map(|(name, s)| Some((name.clone(), s.demand.next_report(elapsed_ms)?)))
+            .filter_map(|(name, service)| {
+                Some((name.clone(), service.demand.next_report(elapsed_ms)?))
+            })
             .collect()
     }
 
-    /// Puts a route table in force; a gateway never goes back to an older revision.
+    /// Puts a route table in force, unless a table of the same or a newer revision already is.
     fn apply_route_table(&self, route_table: RouteTable) {
         let mut upstreams = lock(&self.upstreams);
         let known = upstreams.route_table.as_ref().map(|known| known.revision);
         if known.is_none_or(|known| known < route_table.revision) {
-            info!(target: "gateway", "configuration {} is in force", route_table.revision);
+            info!(target: "gateway", "route table of configuration {} is in force", route_table.revision);
             upstreams.route_table = Some(Arc::new(route_table));
         }
     }
@@ -78,7 +83,7 @@
         self.route_table().is_some_and(|known| known.revision >= revision)
     }
 
-    /// Applies a change of the route table, or asks for a whole one if the change doesn't fit.
+    /// Applies a delta, or requests the full route table if the delta has another base revision.
     fn apply_route_table_delta(&self, delta: &RouteTableDelta) {
         match self.route_table().and_then(|known| known.apply(delta)) {
             Some(route_table) => self.apply_route_table(route_table),
@@ -123,7 +128,7 @@
             | ToPooler::Revoke { .. }
             | ToPooler::HandOver { .. } => {}
             ToPooler::RouteTable(route_table) => self.apply_route_table(*route_table),
-            // Nothing changes, so no request that waits for an endpoint has to be woken.
+            // Nothing changes, so the requests that wait for an endpoint need not be woken.
             ToPooler::RouteTableDelta(delta) if self.has_revision(delta.revision) => return,
             ToPooler::RouteTableDelta(delta) => self.apply_route_table_delta(&delta),
             ToPooler::Directory(entries) => {
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -59,7 +59,7 @@
     pub(super) requests: AtomicU64,
     /// Retries and hedged requests.
     pub(super) retries: AtomicU64,
-    /// Requests that were refused because no endpoint had free capacity or could be reached.
+    /// Requests that no endpoint could take, and that none has executed.
     pub(super) refused: AtomicU64,
     /// Requests without a usable response in time, which an endpoint may have executed.
     pub(super) lost: AtomicU64,
