--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,13 +1,13 @@
 //! The gateway: a reverse proxy that forwards clients' HTTP/1.1 requests to the endpoints of a
-//! service, which are databases that are all alike.
+//! service. The endpoints are interchangeable database instances.
 //!
 //! `main` calls [`process::run`]. The controllers' leader sends the route table, the directory of
-//! endpoints and this node's subset of them. Promises: a request that isn't idempotent is executed
-//! at most once as far as the gateway decides it; a response goes only to the request that it
-//! belongs to; retries and hedged requests stay within a budget.
+//! endpoints and this node's subset of them. Invariants: a retry of the gateway never executes a
+//! request twice that isn't idempotent; a response is relayed only to the request that it belongs to;
+//! retries and hedged requests stay within a budget.
 //!
-//! Pure parts, which know no socket, thread or clock: `attempts`, `demand`, `http1`, `latency`,
-//! `load_balancing`, `outlier_detection`, `retry_budget` and `subsets`.
+//! Modules of pure logic, without sockets, threads or clocks: `attempts`, `demand`, `http1`,
+//! `latency`, `load_balancing`, `outlier_detection`, `retry_budget` and `subsets`.
 pub mod attempts;
 mod client_connection;
 pub mod demand;
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -1,5 +1,5 @@
-//! The process of a gateway: it starts the threads, keeps in touch with the leader, and shuts down
-//! gracefully.
+//! The process of a gateway: starts its threads, sends renewals to the leader, applies changed settings
+//! and shuts down gracefully.
 use crate::base::errors::Fatal;
 use crate::base::signals::Signals;
 use crate::base::sync::lock;
@@ -20,99 +20,111 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// The wait between two looks at whether the leader has sent all that is needed to serve.
-const STARTUP_POLL: Duration = Duration::from_millis(50);
+/// The longest wait between two checks at start-up of whether the leader has sent a configuration.
+const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The time between two rounds of maintenance: half of the time between two renewals.
+/// The time between two rounds of maintenance: half of the interval between two renewals.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(225);
 
 /// The time between two rounds of maintenance while draining.
-const DRAINING_INTERVAL: Duration = Duration::from_millis(50);
+const DRAINING_MAINTENANCE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs a gateway until it is signalled to end. `path` is the settings file, which is read again
-/// when it has changed.
+/// Runs a gateway until a termination signal. `path` is the settings file, which is read again when
+/// it has changed.
 ///
 /// # Errors
-/// If a listener or thread that it can't do without is not to be had, or the settings name none.
+/// If a required listener, thread or system call fails, or the settings lack a required listener.
 pub fn run(path: PathBuf, settings: Settings) -> Result<(), Fatal> {
-    let mut watched = SettingsWatcher::new(path);
+    let mut settings_watcher = SettingsWatcher::new(path);
     let frontend = required_listener(settings.listeners.frontend, "frontend", "gateway")?;
     let readiness = required_listener(settings.listeners.readiness, "readiness", "gateway")?;
     let signals = Signals::install().map_err(|e| Fatal::Call(e.to_string()))?;
     let gateway = Arc::new(Gateway::new(&settings)?);
-    let (ready, status) = (Arc::clone(&gateway), Arc::clone(&gateway));
-    http::serve_state(readiness, move || ready.is_ready(), move || status.status())?;
-    let linking = Arc::clone(&gateway);
-    must_start("the leader connection", move || linking.leader.run(&*linking))?;
-    if await_configuration(&gateway, &signals, &mut watched) == Startup::Terminated {
+    let (readiness_gateway, status_gateway) = (Arc::clone(&gateway), Arc::clone(&gateway));
+    http::serve_state(
+        readiness,
+        move || readiness_gateway.is_ready(),
+        move || status_gateway.status(),
+    )?;
+    let leader_gateway = Arc::clone(&gateway);
+    must_start("the leader connection", move || leader_gateway.leader.run(&*leader_gateway))?;
+    if await_configuration(&gateway, &signals, &mut settings_watcher) == Startup::Terminated {
         return Ok(());
     }
     start_serving(&gateway, listen(frontend)?)?;
-    info!(target: "gateway", "{} serves {frontend}", settings.node_name);
-    maintain(&gateway, &signals, watched, settings);
+    info!(target: "gateway", "{} serves clients on {frontend}", settings.node_name);
+    maintain(&gateway, &signals, settings_watcher, settings);
     Ok(())
 }
 
-/// How waiting for a configuration has ended.
+/// How the wait for a configuration ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Startup {
     Configured,
     Terminated,
 }
 
-/// Waits until the leader has sent what is needed to serve. Until then a gateway does not listen:
-/// a client that can't connect goes on to another node at once.
+/// Waits until the leader has sent a route table and the directory, or a termination signal arrives.
+/// The gateway doesn't listen for clients before, so that they fail to connect and try another node
+/// at once.
 fn await_configuration(
     gateway: &Gateway,
     signals: &Signals,
-    watched: &mut SettingsWatcher,
+    settings_watcher: &mut SettingsWatcher,
 ) -> Startup {
     while !gateway.is_configured() {
         if signals.terminated() {
             return Startup::Terminated;
         }
-        if let Some(settings) = watched.poll(signals.take_hup()) {
+        if let Some(settings) = settings_watcher.poll(signals.take_hup()) {
             gateway.leader.set_seeds(settings.seed_peers());
         }
         let upstreams = lock(&gateway.upstreams);
-        drop(gateway.upstreams_changed.wait_timeout(upstreams, STARTUP_POLL));
+        drop(gateway.upstreams_changed.wait_timeout(upstreams, STARTUP_POLL_INTERVAL));
         gateway.renew_when_due();
     }
     Startup::Configured
 }
 
-/// Starts the threads that accept clients and watch idle ones.
+/// Starts the threads that accept clients and wait for idle ones to become readable.
 fn start_serving(gateway: &Arc<Gateway>, listener: TcpListener) -> Result<(), Fatal> {
     gateway.listening.store(true, Ordering::Relaxed);
-    let accepting = Arc::clone(gateway);
-    accept_clients(listener, move |stream| accepting.admit_client(stream))?;
-    let watching = Arc::clone(gateway);
+    let accept_gateway = Arc::clone(gateway);
+    accept_clients(listener, move |stream| accept_gateway.admit_client(stream))?;
+    let idle_gateway = Arc::clone(gateway);
     must_start("idle clients", move || {
-        watching.idle_clients.run(|client| watching.serve_on_thread(client));
+        idle_gateway.idle_clients.run(|client| idle_gateway.serve_on_thread(client));
     })
 }
 
-/// Keeps in touch with the leader, closes expired connections and takes over changed settings;
-/// returns when a graceful shutdown is complete.
+/// Periodically sends renewals to the leader, closes expired client connections and applies changed
+/// settings. Returns when a graceful shutdown is complete.
 fn maintain(
     gateway: &Gateway,
     signals: &Signals,
-    mut watched: SettingsWatcher,
+    mut settings_watcher: SettingsWatcher,
     mut settings: Settings,
 ) {
     let mut draining_since: Option<Tick> = None;
     loop {
         let draining = draining_since.is_some();
-        std::thread::sleep(if draining { DRAINING_INTERVAL } else { MAINTENANCE_INTERVAL });
+        std::thread::sleep(if draining {
+            DRAINING_MAINTENANCE_INTERVAL
+        } else {
+            MAINTENANCE_INTERVAL
+        });
         let now = Tick::now();
         gateway.renew_when_due();
         gateway.close_expired_clients(now);
-        if let Some(changed) = watched.poll(signals.take_hup()) {
+        if let Some(changed) = settings_watcher.poll(signals.take_hup()) {
             apply_settings(gateway, &changed);
             settings = changed;
         }
         if signals.terminated() && draining_since.is_none() {
-            info!(target: "gateway", "draining");
+            info!(
+                target: "gateway",
+                "draining after SIGTERM or SIGINT; client connections are closed within the grace period"
+            );
             draining_since = Some(now);
             gateway.draining.store(true, Ordering::Relaxed);
         }
@@ -131,20 +143,20 @@
     lock(&gateway.retry_budget).configure(bounds.retry_ratio, 1_000 * bounds.retry_window_s);
 }
 
-/// How far a graceful shutdown has come.
+/// The progress of a graceful shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Drain {
     InProgress,
     Complete,
 }
 
-/// Goes on with a graceful shutdown that began `elapsed_ms` milliseconds ago.
+/// Continues a graceful shutdown that began `elapsed_ms` milliseconds ago.
 fn drain(gateway: &Gateway, elapsed_ms: u64, grace_ms: u64) -> Drain {
     let grace = GracePeriod { elapsed_ms, grace_ms };
     if grace.clients_still_come() {
         return Drain::InProgress;
     }
-    // Idle clients are disconnected; requests that were received are still served.
+    // Idle connections are closed; requests that were received are still served.
     gateway.closing_idle_clients.store(true, Ordering::Relaxed);
     let clients: Vec<Arc<ClientConnection>> = lock(&gateway.clients).values().cloned().collect();
     for client in clients.iter().filter(|client| client.idle_since().is_some()) {
@@ -154,6 +166,6 @@
         return Drain::InProgress;
     }
     gateway.leader.send(ToController::Goodbye);
-    info!(target: "gateway", "stopped with {} clients", clients.len());
+    info!(target: "gateway", "shutdown complete, with {} client connections still open", clients.len());
     Drain::Complete
 }
--- a/src/gateway/request_context.rs
+++ b/src/gateway/request_context.rs
@@ -1,4 +1,4 @@
-//! What is fixed for one request of a client, and the head that databases get of it.
+//! The context of one client request while it is forwarded, and the request head that endpoints get.
 use crate::base::ids::{InstanceId, ServiceName};
 use crate::base::time::Tick;
 use crate::config::route_table::RouteEntry;
@@ -6,27 +6,28 @@
 use crate::gateway::http1::{BodyDecoder, BodyFraming, RequestHead, append_header};
 use crate::gateway::upstreams::ReusePolicy;
 
-/// A response that can't arrive this many milliseconds before the deadline is not waited for; a
-/// database is given that much less time than the client has left.
+/// The gateway stops waiting for a response this many milliseconds before the client's deadline. The
+/// endpoint gets a deadline that is earlier by the same time.
 pub(super) const DEADLINE_MARGIN_MS: u64 = 5;
 
-/// Room for the headers that the gateway adds, in bytes.
-const ADDED_HEADERS: usize = 256;
+/// The capacity that is reserved for the request line and the headers that the gateway adds, in bytes.
+const ADDED_HEADERS_BYTES: usize = 256;
 
-/// Everything that is fixed for one request, and its body as far as it is held.
+/// One request while it is forwarded: its head and route, its deadline and its body.
 pub(super) struct RequestContext<'a> {
     pub(super) head: &'a RequestHead,
-    /// The route that the request's host and path chose.
+    /// The route that matches the host and path of the request.
     pub(super) route: &'a RouteEntry,
-    /// The service that the route leads to.
+    /// The service that the route selects.
     pub(super) service: &'a ServiceName,
-    /// When its head was complete.
+    /// When the head of the request was complete.
     pub(super) arrived: Tick,
     /// When the client stops waiting for a response.
     pub(super) deadline: Tick,
-    /// The body, or its beginning as it is sent to an endpoint.
+    /// The buffered body, or the buffered beginning of a body that is streamed, encoded for the
+    /// endpoint.
     pub(super) body: &'a [u8],
-    /// Decodes the rest of a body that is too large to be held; it is streamed.
+    /// The decoder of the rest of a body that is too large to be buffered and is streamed.
     pub(super) remaining_body: Option<BodyDecoder>,
 }
 
@@ -39,7 +40,7 @@
         }
     }
 
-    /// Which idle connections the request may use.
+    /// Which idle connections the request may reuse.
     pub(super) fn reuse_policy(&self) -> ReusePolicy {
         match self.idempotency() {
             Idempotency::Idempotent => ReusePolicy::AnyIdle,
@@ -47,26 +48,26 @@
         }
     }
 
-    /// Until when the request may wait for an endpoint with room: for a quarter of the latency
-    /// target. A refusal later than that would be of little help to the client.
+    /// Until when the request may wait for an endpoint with free capacity: for a quarter of the latency
+    /// target, because a later refusal would leave the client too little time for a retry.
     pub(super) fn acquire_deadline(&self) -> Tick {
         self.arrived.plus(self.route.target_latency_ms / 4).min(self.deadline)
     }
 
-    /// Whether it is too late for a response to arrive in time.
+    /// Whether it is too late for a response to reach the client before its deadline.
     pub(super) fn is_past_deadline(&self, now: Tick) -> bool {
         now.plus(DEADLINE_MARGIN_MS) >= self.deadline
     }
 
-    /// For how many milliseconds a response is still waited for; at least one.
+    /// How long to wait for a response from `now` on, in milliseconds; at least one.
     pub(super) fn time_left_ms(&self, now: Tick) -> u64 {
         self.deadline.since(now).saturating_sub(DEADLINE_MARGIN_MS).max(1)
     }
 
-    /// The head as an endpoint gets it at `now`.
+    /// Encodes the head for an endpoint to which the request is sent at `now`.
     pub(super) fn encode_head(&self, endpoint: &InstanceId, now: Tick) -> Vec<u8> {
         let forwarded = &self.head.forwarded_headers;
-        let mut head = Vec::with_capacity(forwarded.len() + ADDED_HEADERS);
+        let mut head = Vec::with_capacity(forwarded.len() + ADDED_HEADERS_BYTES);
         head.extend_from_slice(
             format!("{} {} HTTP/1.1\r\n", self.head.method, self.head.target).as_bytes(),
         );
@@ -85,8 +86,8 @@
                 append_header(head, "Content-Length", length.to_string().as_bytes());
             }
             _ if is_streamed => append_header(head, "Transfer-Encoding", b"chunked"),
-            // A body that is held is complete, so that its length is known even if it came in
-            // chunks. Methods that usually have a body say so if it is empty.
+            // A buffered body is complete, so its length is known even if it was chunked. For methods
+            // that usually have a body, the length is stated even if the body is empty.
             framing => {
                 let has_body = framing != BodyFraming::Length(0);
                 let usually_has_body =
