--- a/src/gateway/endpoint_attempt.rs
+++ b/src/gateway/endpoint_attempt.rs
@@ -151,7 +151,7 @@
                 self.body.decode(self.connection.buffer.pending(), &mut self.buffered_body)?;
             self.connection.buffer.consume(consumed);
             let Some(head) = &self.head else { return Err(ParseError) };
-            if head.id == request.id {
+            if head.request_id == request.request_id {
                 return self.response_progress();
             }
             // On a reused connection, a surplus response to an earlier request may come first. One
@@ -245,7 +245,7 @@
         let head = self.head.as_ref()?;
         // A surplus response is recognised by its request id. If the endpoint sends no id, it could
         // be taken for the response to the next request, so the connection is not reused.
-        let reusable = head.id.is_some()
+        let reusable = head.request_id.is_some()
             && self.body.is_complete()
             && self.connection.buffer.is_empty()
             && !self.skipped_response
--- a/src/gateway/http1/body.rs
+++ b/src/gateway/http1/body.rs
@@ -1,38 +1,40 @@
-//! Bodies: how long they are, how they are decoded, and how a chunk is encoded.
+//! Message bodies: their framing, a decoder, and the encoding of chunks.
 use super::ParseError;
 
-/// The largest trailer of a chunked body, in bytes. Trailers are read and dropped.
-const MAX_TRAILER: usize = 8 << 10;
+/// The largest trailer section of a chunked body, in bytes. Trailers are read and dropped.
+const MAX_TRAILER_BYTES: usize = 8 << 10;
 
-/// The longest line before a chunk, in bytes: its size and extensions.
-const MAX_CHUNK_HEAD: usize = 256;
+/// The longest line before the data of a chunk, in bytes. It holds the chunk size and extensions.
+const MAX_CHUNK_SIZE_LINE_BYTES: usize = 256;
 
-/// How the end of a body is found.
+/// The framing of a body, which determines its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyFraming {
     /// The body has this many bytes.
     Length(u64),
-    /// The body comes in chunks; an empty one ends it.
+    /// The body is chunked; an empty chunk ends it.
     Chunked,
-    /// The body ends with the connection; only a response may be framed so.
+    /// The body ends when the connection is closed. Only responses may have this framing.
     UntilClose,
 }
 
-/// Decodes a body from the bytes of a connection, however they are cut.
+/// Decodes a body incrementally from the bytes of a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BodyDecoder {
     state: DecoderState,
-    /// Bytes of the trailer so far.
+    /// The length of the trailer lines so far, in bytes.
     trailer_length: usize,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum DecoderState {
-    /// This many bytes of a body with a known length are still to come; at least one.
+    /// The number of bytes of a body with a known length that are still missing; at least one.
     Length(u64),
-    ChunkHead,
-    /// This many bytes of a chunk are still to come; at least one.
-    Chunk(u64),
+    /// The line before the data of a chunk.
+    ChunkSizeLine,
+    /// The number of bytes of a chunk that are still missing; at least one.
+    ChunkData(u64),
+    /// The line end after the data of a chunk.
     ChunkEnd,
     Trailer,
     UntilClose,
@@ -40,23 +42,23 @@
 }
 
 impl BodyDecoder {
-    /// A decoder for a body of which nothing was read yet.
+    /// Creates a decoder for a body of which nothing was read yet.
     pub fn new(framing: BodyFraming) -> Self {
         let state = match framing {
             BodyFraming::Length(0) => DecoderState::Complete,
             BodyFraming::Length(length) => DecoderState::Length(length),
-            BodyFraming::Chunked => DecoderState::ChunkHead,
+            BodyFraming::Chunked => DecoderState::ChunkSizeLine,
             BodyFraming::UntilClose => DecoderState::UntilClose,
         };
         Self { state, trailer_length: 0 }
     }
 
-    /// Whether the whole body was decoded.
+    /// Whether the body was decoded to its end.
     pub fn is_complete(&self) -> bool {
         self.state == DecoderState::Complete
     }
 
-    /// The connection was closed by the far end: whether the body is complete by that.
+    /// Ends the body because the peer closed the connection. Returns whether it is complete.
     pub fn finish_at_close(&mut self) -> bool {
         if self.state == DecoderState::UntilClose {
             self.state = DecoderState::Complete;
@@ -64,12 +66,12 @@
         self.is_complete()
     }
 
-    /// Appends the body's bytes in `input` to `output`, and returns how many bytes of `input` were
-    /// consumed. The rest has to be handed in again, with more bytes behind it.
+    /// Decodes `input`, appends the body to `output`, and returns how many bytes of `input` were
+    /// consumed. The other bytes must be passed in again, followed by more bytes.
     pub fn decode(&mut self, input: &[u8], output: &mut Vec<u8>) -> Result<usize, ParseError> {
         let mut consumed = 0;
         loop {
-            // A step that consumes nothing has reached the end of the body or lacks bytes.
+            // A step consumes nothing at the end of the body, or if it needs more bytes.
             match self.decode_step(&input[consumed..], output)? {
                 0 => return Ok(consumed),
                 count => consumed += count,
@@ -84,20 +86,20 @@
                 output.extend_from_slice(input);
                 Ok(input.len())
             }
-            DecoderState::Length(left) => {
-                let count = copy_up_to(left, input, output);
-                self.state = match left - count as u64 {
+            DecoderState::Length(remaining) => {
+                let count = copy_up_to(remaining, input, output);
+                self.state = match remaining - count as u64 {
                     0 => DecoderState::Complete,
-                    left => DecoderState::Length(left),
+                    remaining => DecoderState::Length(remaining),
                 };
                 Ok(count)
             }
-            DecoderState::ChunkHead => self.decode_chunk_head(input),
-            DecoderState::Chunk(left) => {
-                let count = copy_up_to(left, input, output);
-                self.state = match left - count as u64 {
+            DecoderState::ChunkSizeLine => self.decode_chunk_size_line(input),
+            DecoderState::ChunkData(remaining) => {
+                let count = copy_up_to(remaining, input, output);
+                self.state = match remaining - count as u64 {
                     0 => DecoderState::ChunkEnd,
-                    left => DecoderState::Chunk(left),
+                    remaining => DecoderState::ChunkData(remaining),
                 };
                 Ok(count)
             }
@@ -106,14 +108,14 @@
         }
     }
 
-    fn decode_chunk_head(&mut self, input: &[u8]) -> Result<usize, ParseError> {
+    fn decode_chunk_size_line(&mut self, input: &[u8]) -> Result<usize, ParseError> {
         match httparse::parse_chunk_size(input) {
             Ok(httparse::Status::Complete((count, size))) => {
                 self.state =
-                    if size == 0 { DecoderState::Trailer } else { DecoderState::Chunk(size) };
+                    if size == 0 { DecoderState::Trailer } else { DecoderState::ChunkData(size) };
                 Ok(count)
             }
-            Ok(httparse::Status::Partial) if input.len() <= MAX_CHUNK_HEAD => Ok(0),
+            Ok(httparse::Status::Partial) if input.len() <= MAX_CHUNK_SIZE_LINE_BYTES => Ok(0),
             _ => Err(ParseError),
         }
     }
@@ -121,7 +123,7 @@
     fn decode_chunk_end(&mut self, input: &[u8]) -> Result<usize, ParseError> {
         match input {
             [b'\r', b'\n', ..] => {
-                self.state = DecoderState::ChunkHead;
+                self.state = DecoderState::ChunkSizeLine;
                 Ok(2)
             }
             [] | [b'\r'] => Ok(0),
@@ -131,12 +133,12 @@
 
     fn decode_trailer_line(&mut self, input: &[u8]) -> Result<usize, ParseError> {
         let Some(end) = input.iter().position(|b| *b == b'\n') else {
-            let too_long = self.trailer_length + input.len() > MAX_TRAILER;
+            let too_long = self.trailer_length + input.len() > MAX_TRAILER_BYTES;
             return if too_long { Err(ParseError) } else { Ok(0) };
         };
         let line = input[..end].strip_suffix(b"\r").ok_or(ParseError)?;
         self.trailer_length += end;
-        if self.trailer_length > MAX_TRAILER {
+        if self.trailer_length > MAX_TRAILER_BYTES {
             return Err(ParseError);
         }
         if line.is_empty() {
@@ -146,14 +148,14 @@
     }
 }
 
-/// Copies at most `left` bytes, and returns how many were copied.
-fn copy_up_to(left: u64, input: &[u8], output: &mut Vec<u8>) -> usize {
-    let count = input.len().min(usize::try_from(left).unwrap_or(usize::MAX));
+/// Copies at most `max_count` bytes, and returns how many were copied.
+fn copy_up_to(max_count: u64, input: &[u8], output: &mut Vec<u8>) -> usize {
+    let count = input.len().min(usize::try_from(max_count).unwrap_or(usize::MAX));
     output.extend_from_slice(&input[..count]);
     count
 }
 
-/// One chunk of a chunked body, with its size and line ends.
+/// Encodes one chunk of a chunked body, with its size and line ends.
 pub(in crate::gateway) fn encode_chunk(data: &[u8]) -> Vec<u8> {
     let mut chunk = format!("{:x}\r\n", data.len()).into_bytes();
     chunk.extend_from_slice(data);
--- a/src/gateway/http1/headers.rs
+++ b/src/gateway/http1/headers.rs
@@ -1,12 +1,12 @@
-//! Headers that both directions have in common: those that frame a message, and those that are
-//! not forwarded.
+//! Header handling that requests and responses share: the headers that frame a message, and those
+//! that are not forwarded.
 use super::ParseError;
 
 /// The most headers that a head may have.
 pub(super) const MAX_HEADERS: usize = 100;
 
-/// Headers that concern one connection only (RFC 9110, section 7.6.1), and those that are written
-/// anew for each connection.
+/// Headers that apply to a single connection (RFC 9110, section 7.6.1), and headers that the gateway
+/// generates itself for each connection.
 const HOP_BY_HOP: [&str; 11] = [
     "connection",
     "keep-alive",
@@ -21,21 +21,22 @@
     "expect",
 ];
 
-/// What the headers of a message say about its body and its connection.
+/// What the headers of a message specify about its body and its connection.
 #[derive(Default)]
 pub(super) struct FramingHeaders {
     pub(super) content_length: Option<u64>,
     pub(super) chunked: bool,
-    /// `Connection: close`.
+    /// Whether there is a `Connection: close`.
     pub(super) close: bool,
-    /// `Connection: keep-alive`.
+    /// Whether there is a `Connection: keep-alive`.
     pub(super) keep_alive: bool,
-    /// All options of `Connection`; headers that they name are not forwarded.
+    /// The options of all `Connection` headers; the headers that they name are not forwarded.
     connection_options: Vec<String>,
 }
 
 impl FramingHeaders {
-    /// Only one length, or chunks and no length, may say how long a body is.
+    /// Parses the framing headers. A message may have either a single length or chunked encoding, but
+    /// not both.
     pub(super) fn parse(headers: &[httparse::Header<'_>]) -> Result<Self, ParseError> {
         let mut framing = Self::default();
         for header in headers {
@@ -56,8 +57,8 @@
     fn read_content_length(&mut self, header: &httparse::Header<'_>) -> Result<(), ParseError> {
         let text = header_text(header)?;
         // `parse` alone would accept a sign.
-        let digits = !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit());
-        let length = text.parse().ok().filter(|_| digits).ok_or(ParseError)?;
+        let only_digits = !text.is_empty() && text.bytes().all(|b| b.is_ascii_digit());
+        let length = text.parse().ok().filter(|_| only_digits).ok_or(ParseError)?;
         if self.content_length.is_some_and(|known| known != length) {
             return Err(ParseError);
         }
@@ -82,14 +83,14 @@
         Ok(())
     }
 
-    /// Whether a header goes on to the far end, rather than only to this gateway.
+    /// Whether a header is end-to-end and so is forwarded.
     pub(super) fn is_end_to_end(&self, name: &str) -> bool {
-        !HOP_BY_HOP.iter().any(|n| name.eq_ignore_ascii_case(n))
-            && !self.connection_options.iter().any(|n| n.eq_ignore_ascii_case(name))
+        !HOP_BY_HOP.iter().any(|hop_by_hop| name.eq_ignore_ascii_case(hop_by_hop))
+            && !self.connection_options.iter().any(|option| option.eq_ignore_ascii_case(name))
     }
 }
 
-/// The value of a header as text, without white space around it.
+/// The value of a header as text, without surrounding white space.
 pub(super) fn header_text<'h>(header: &httparse::Header<'h>) -> Result<&'h str, ParseError> {
     std::str::from_utf8(header.value).map(str::trim).map_err(|_| ParseError)
 }
--- a/src/gateway/http1/mod.rs
+++ b/src/gateway/http1/mod.rs
@@ -1,8 +1,8 @@
-//! HTTP/1.1 messages, parsed strictly: a message that two readers could understand differently is
-//! rejected, so that a client and a database never disagree on where a request ends.
+//! A strict HTTP/1.1 parser: a message that two parsers could read differently is rejected, so that
+//! the gateway and an endpoint never disagree on where a request ends (request smuggling).
 //!
-//! Request handling parses clients' heads here, and attempts parse databases' responses. The
-//! parsers work on bytes alone; they know no socket and no clock.
+//! Request handling parses the requests of clients, and attempts parse the responses of endpoints.
+//! The parsers work on bytes, without sockets or clocks.
 mod body;
 mod headers;
 mod request_head;
@@ -14,16 +14,16 @@
 pub use request_head::{RequestHead, parse_request_head};
 pub use response_head::{ResponseHead, parse_response_head};
 
-/// The bytes are not a valid HTTP/1.1 message, or could be understood in two ways.
+/// The bytes are not a valid HTTP/1.1 message, or are ambiguous.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("not a valid HTTP/1.1 message")]
+#[error("invalid or ambiguous HTTP/1.1 message")]
 pub struct ParseError;
 
-/// A complete head, and its length in the bytes it was parsed from.
+/// A complete head, and its length in the bytes from which it was parsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ParsedHead<H> {
-    /// The head itself.
+    /// The parsed head.
     pub head: H,
-    /// How many bytes the head has; the body begins behind them.
+    /// The length of the head in bytes. The body starts after it.
     pub length: usize,
 }
--- a/src/gateway/http1/request_head.rs
+++ b/src/gateway/http1/request_head.rs
@@ -1,28 +1,29 @@
-//! The heads of clients' requests.
+//! Parses the heads of client requests.
 use super::headers::{FramingHeaders, MAX_HEADERS, append_header, header_text};
 use super::{BodyFraming, ParsedHead};
 use crate::base::errors::Refusal;
 
-/// The head of a client's request.
+/// The head of a client request: its request line and headers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RequestHead {
-    /// The method, as it came.
+    /// The method, as received.
     pub method: String,
-    /// Path and query, as they came.
+    /// The path and query, as received.
     pub target: String,
     /// The host of the `Host` header, in lower case and without a port.
     pub host: String,
-    /// `Request-Id`; the response has to repeat it.
-    pub id: Option<String>,
-    /// `Deadline-Ms`: for how long the client waits for a response, in milliseconds.
+    /// The value of `Request-Id`, which the response must repeat.
+    pub request_id: Option<String>,
+    /// The value of `Deadline-Ms`: how long the client waits for a response, in milliseconds.
     pub deadline_ms: Option<u64>,
-    /// How the end of the body is found.
+    /// The framing of the body.
     pub framing: BodyFraming,
-    /// The client closes its connection after this request, or does not support persistent ones.
+    /// Whether the client closes the connection after this request, or does not support persistent
+    /// connections.
     pub close: bool,
-    /// The client speaks HTTP/1.1 and so accepts a chunked body.
+    /// Whether the client uses HTTP/1.1 and so accepts a chunked body.
     pub accepts_chunked: bool,
-    /// The client waits for `100 Continue` before it sends the body.
+    /// Whether the client waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
     /// The headers that are forwarded, as lines that end in CR LF.
     pub forwarded_headers: Vec<u8>,
@@ -34,8 +35,8 @@
         self.target.split('?').next().unwrap_or_default()
     }
 
-    /// Takes over what one header says, and forwards the header if it is end to end. `host` holds
-    /// the value of `Host` until all headers are read.
+    /// Applies one header, and adds it to the forwarded headers if it is end-to-end. `host` holds the
+    /// value of `Host` until all headers are read.
     fn read_header(
         &mut self,
         header: &httparse::Header<'_>,
@@ -43,20 +44,21 @@
         host: &mut Option<String>,
     ) -> Result<(), Refusal> {
         let text = || header_text(header).map_err(|_| Refusal::Unreadable);
-        let single = |is_repeated| if is_repeated { Err(Refusal::Unreadable) } else { Ok(()) };
+        let reject_repeated =
+            |is_repeated| if is_repeated { Err(Refusal::Unreadable) } else { Ok(()) };
         if header.name.eq_ignore_ascii_case("host") {
             let name = text()?;
             if name.is_empty() || name.contains(|c: char| c.is_whitespace() || c == ',') {
                 return Err(Refusal::Unreadable);
             }
-            single(host.replace(name.to_ascii_lowercase()).is_some())?;
+            reject_repeated(host.replace(name.to_ascii_lowercase()).is_some())?;
         } else if header.name.eq_ignore_ascii_case("request-id") {
-            single(self.id.replace(text()?.to_owned()).is_some())?;
+            reject_repeated(self.request_id.replace(text()?.to_owned()).is_some())?;
         } else if header.name.eq_ignore_ascii_case("deadline-ms") {
             let ms = text()?.parse().map_err(|_| Refusal::Unreadable)?;
-            return single(self.deadline_ms.replace(ms).is_some());
+            return reject_repeated(self.deadline_ms.replace(ms).is_some());
         } else if header.name.eq_ignore_ascii_case("target-instance") {
-            // Like the deadline, written anew for each database.
+            // Not forwarded: like the deadline, it is set for each endpoint.
             return Ok(());
         } else if header.name.eq_ignore_ascii_case("expect") {
             if !text()?.eq_ignore_ascii_case("100-continue") {
@@ -71,8 +73,8 @@
     }
 }
 
-/// Parses the head of a request at the start of `bytes`; `None` asks for more bytes. A head longer
-/// than `max_length` bytes is refused.
+/// Parses the head of a request at the start of `bytes`. Returns `None` if more bytes are needed, and
+/// refuses a head that is longer than `max_length` bytes.
 pub fn parse_request_head(
     bytes: &[u8],
     max_length: usize,
@@ -82,7 +84,7 @@
     let status = parsed.parse(bytes);
     let Some(length) = head_length(status, bytes, max_length)? else { return Ok(None) };
     let framing = FramingHeaders::parse(parsed.headers).map_err(|_| Refusal::Unreadable)?;
-    let mut head = request_line(&parsed, &framing, length)?;
+    let mut head = head_from_request_line(&parsed, &framing, length)?;
     let mut host = None;
     for header in parsed.headers.iter() {
         head.read_header(header, &framing, &mut host)?;
@@ -91,7 +93,7 @@
     Ok(Some(ParsedHead { head, length }))
 }
 
-/// The length of a complete head; `None` asks for more bytes.
+/// Returns the length of a complete head, or `None` if more bytes are needed.
 fn head_length(
     status: Result<httparse::Status<usize>, httparse::Error>,
     bytes: &[u8],
@@ -111,20 +113,22 @@
     }
 }
 
-/// A line that ends in LF alone may end elsewhere for another reader.
+/// Whether a line of the head ends in LF without CR, at which another parser may not end the line.
 fn has_bare_lf(head: &[u8]) -> bool {
-    head.iter().enumerate().any(|(at, b)| *b == b'\n' && (at == 0 || head[at - 1] != b'\r'))
+    head.iter()
+        .enumerate()
+        .any(|(index, byte)| *byte == b'\n' && (index == 0 || head[index - 1] != b'\r'))
 }
 
-/// The head as far as the request line and the framing decide it.
-fn request_line(
+/// Creates a head from the request line and the framing headers; the other fields are still empty.
+fn head_from_request_line(
     parsed: &httparse::Request<'_, '_>,
     framing: &FramingHeaders,
     length: usize,
 ) -> Result<RequestHead, Refusal> {
     let method = parsed.method.ok_or(Refusal::Unreadable)?;
     let target = parsed.path.ok_or(Refusal::Unreadable)?;
-    // Routes are chosen by path; the absolute and the asterisk form have none of their own.
+    // Routes match by path, so targets in absolute or asterisk form are refused.
     if !target.starts_with('/') || target.contains('#') {
         return Err(Refusal::Unreadable);
     }
@@ -133,7 +137,7 @@
         method: method.to_owned(),
         target: target.to_owned(),
         host: String::new(),
-        id: None,
+        request_id: None,
         deadline_ms: None,
         framing: match framing.content_length {
             _ if framing.chunked => BodyFraming::Chunked,
@@ -146,7 +150,7 @@
     })
 }
 
-/// The host without its port. An IPv6 address in brackets has colons of its own.
+/// Returns the host without its port. An IPv6 address in brackets contains colons itself.
 fn without_port(host: String) -> String {
     match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|b| b.is_ascii_digit()) => name.to_owned(),
--- a/src/gateway/request_handling.rs
+++ b/src/gateway/request_handling.rs
@@ -149,7 +149,7 @@
     head: &RequestHead,
 ) -> Option<(&'t RouteEntry, &'t ServiceName)> {
     let route = route_table.entry_for_path(&head.host, head.path())?;
-    let hash = stable_hash(head.id.as_deref().unwrap_or(&head.target));
+    let hash = stable_hash(head.request_id.as_deref().unwrap_or(&head.target));
     Some((route, route_table.service(route, hash)?))
 }
 
--- a/tests/support/gateway.rs
+++ b/tests/support/gateway.rs
@@ -150,7 +150,7 @@
                 }
                 bytes.extend_from_slice(&chunk[..got]);
             }
-            let id = request.id.clone().unwrap_or_default();
+            let id = request.request_id.clone().unwrap_or_default();
             let behaviour = lock(&self.next).pop_front().unwrap_or(Behaviour::Serve);
             let line = format!("{} {}", request.method, request.target);
             lock(&self.received).push(ReceivedRequest {
