--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -126,7 +126,8 @@
         }
         let execution_possible = self.may_have_executed || conditions.others_in_flight;
         match outcome {
-            // Forwarding "not executed" is correct only if no other endpoint may execute the request.
+            // Forwarding "not executed" is correct only if no other endpoint may execute the
+            // request.
             AttemptOutcome::NotExecuted if !execution_possible => NextStep::ForwardResponse,
             AttemptOutcome::Failed => NextStep::ForwardResponse,
             _ if !execution_possible => NextStep::Refuse(Refusal::Full),
--- a/src/gateway/demand.rs
+++ b/src/gateway/demand.rs
@@ -10,8 +10,8 @@
 /// The weight of the latest measurement in the moving average.
 const LATEST_WEIGHT: f64 = 0.2;
 
-/// A change of the demand is reported if it exceeds this, in hundredths of a request, plus a quarter
-/// of the reported value.
+/// A change of the demand is reported if it exceeds this, in hundredths of a request, plus a
+/// quarter of the reported value.
 const MIN_REPORTED_CHANGE: u32 = 10;
 
 /// The average number of requests in flight at the endpoints of one service.
--- a/src/gateway/endpoint_access.rs
+++ b/src/gateway/endpoint_access.rs
@@ -19,8 +19,9 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// The shortest time-out for connecting to an endpoint, in milliseconds. The time-out is longer while
-/// all connections take long because this node's own link is congested.
+/// The shortest time-out for connecting to an endpoint, in milliseconds, if the request's deadline
+/// allows it. The time-out is longer while connecting takes long in general, because this node's
+/// own link is congested.
 const MIN_CONNECT_TIMEOUT_MS: u64 = 250;
 
 /// The longest time-out for connecting to an endpoint, in milliseconds.
@@ -118,8 +119,8 @@
         let timeout_ms = deadline.since(started_at).clamp(1, late_ms.min(MAX_CONNECT_TIMEOUT_MS));
         let connected =
             connect_stream(address, Duration::from_millis(timeout_ms), UNACKNOWLEDGED_TIMEOUT);
-        // Recorded for failures too: a refused connection fails at once, and a slow one may be due to
-        // this node's own link.
+        // Recorded for failures too: a refused connection fails at once, and a slow one may be due
+        // to this node's own link.
         lock(&self.upstreams).connect_latency.record(Tick::now().since(started_at));
         match connected {
             Ok(stream) => Ok(EndpointConnection {
--- a/src/gateway/http1/headers.rs
+++ b/src/gateway/http1/headers.rs
@@ -5,8 +5,8 @@
 /// The most headers that a head may have.
 pub(super) const MAX_HEADERS: usize = 100;
 
-/// Headers that apply to a single connection (RFC 9110, section 7.6.1), and headers that the gateway
-/// generates itself for each connection.
+/// Headers that apply to a single connection (RFC 9110, section 7.6.1), and headers that the
+/// gateway generates itself for each connection.
 const HOP_BY_HOP: [&str; 11] = [
     "connection",
     "keep-alive",
@@ -35,8 +35,8 @@
 }
 
 impl FramingHeaders {
-    /// Parses the framing headers. A message may have either a single length or chunked encoding, but
-    /// not both.
+    /// Parses the framing headers. A message may have one content length or be chunked, but not
+    /// both.
     pub(super) fn parse(headers: &[httparse::Header<'_>]) -> Result<Self, ParseError> {
         let mut framing = Self::default();
         for header in headers {
--- a/src/gateway/http1/request_head.rs
+++ b/src/gateway/http1/request_head.rs
@@ -35,8 +35,8 @@
         self.target.split('?').next().unwrap_or_default()
     }
 
-    /// Applies one header, and adds it to the forwarded headers if it is end-to-end. `host` holds the
-    /// value of `Host` until all headers are read.
+    /// Applies one header, and adds it to the forwarded headers if it is end-to-end. `host` holds
+    /// the value of `Host` until all headers are read.
     fn read_header(
         &mut self,
         header: &httparse::Header<'_>,
@@ -73,8 +73,8 @@
     }
 }
 
-/// Parses the head of a request at the start of `bytes`. Returns `None` if more bytes are needed, and
-/// refuses a head that is longer than `max_length` bytes.
+/// Parses the head of a request at the start of `bytes`. Returns `None` if more bytes are needed,
+/// and refuses a head that is longer than `max_length` bytes.
 pub fn parse_request_head(
     bytes: &[u8],
     max_length: usize,
--- a/src/gateway/http1/response_head.rs
+++ b/src/gateway/http1/response_head.rs
@@ -2,8 +2,8 @@
 use super::headers::{FramingHeaders, MAX_HEADERS, append_header, header_text};
 use super::{BodyFraming, ParseError, ParsedHead};
 
-/// The largest head of a response, in bytes. It is far larger than what endpoints send, so that only a
-/// faulty response exceeds it.
+/// The largest head of a response, in bytes. It is far larger than what endpoints send, so that
+/// only a faulty response exceeds it.
 const MAX_RESPONSE_HEAD_BYTES: usize = 64 << 10;
 
 /// The head of an endpoint's response: its status line and headers.
--- a/src/gateway/latency.rs
+++ b/src/gateway/latency.rs
@@ -35,8 +35,8 @@
         self.mean_ms = self.mean_ms * HISTORY_WEIGHT + latency_ms * LATEST_WEIGHT;
     }
 
-    /// The time without a response after which a hedged request is due, in milliseconds, for a route
-    /// with this latency target. It is at least half of the target.
+    /// The time without a response after which a hedged request is due, in milliseconds, for a
+    /// route with this latency target. It is at least half of the target.
     pub(super) fn hedge_delay_ms(&self, target_latency_ms: u64) -> u64 {
         self.late_after_ms(target_latency_ms / 2).max(MIN_HEDGE_DELAY_MS)
     }
--- a/src/gateway/leader_messages.rs
+++ b/src/gateway/leader_messages.rs
@@ -1,5 +1,5 @@
-//! Messages between a gateway and the controllers' leader. The gateway sends periodic renewals, which
-//! report its demand. The leader sends route tables, the directory of endpoints and subsets.
+//! Messages between a gateway and the controllers' leader. The gateway sends periodic renewals,
+//! which report its demand. The leader sends route tables, the directory of endpoints and subsets.
 use crate::base::ids::{Revision, ServiceName};
 use crate::base::sync::lock;
 use crate::base::time::Tick;
@@ -42,8 +42,8 @@
         let load = self.demand_report(now.since(last_sent_at));
         let seq = self.renewals.sequence.fetch_add(1, Ordering::Relaxed) + 1;
         let last_grant_seq = self.renewals.last_acknowledged.load(Ordering::Relaxed);
-        // Only poolers fill in the other fields: a gateway has no quotas and observes no replication
-        // positions.
+        // Only poolers fill in the other fields: a gateway has no quotas and observes no
+        // replication positions.
         let (quotas, demand, observed, bounds_requested) =
             (Vec::new(), Vec::new(), Vec::new(), Vec::new());
         self.leader.send(ToController::RenewLeases {
@@ -74,7 +74,10 @@
         let mut upstreams = lock(&self.upstreams);
         let known = upstreams.route_table.as_ref().map(|known| known.revision);
         if known.is_none_or(|known| known < route_table.revision) {
-            info!(target: "gateway", "route table of configuration {} is in force", route_table.revision);
+            info!(
+                target: "gateway",
+                "route table of configuration {} is in force", route_table.revision
+            );
             upstreams.route_table = Some(Arc::new(route_table));
         }
     }
--- a/src/gateway/load_balancing.rs
+++ b/src/gateway/load_balancing.rs
@@ -79,7 +79,8 @@
 
 /// Returns the index of the endpoint to use, or `None` if the queues of all are full. Chooses the
 /// cheapest endpoint that has free assigned capacity. If there is none, chooses the cheaper of two
-/// random endpoints of the most preferred group. `random_below(n)` returns a random number below `n`.
+/// random endpoints of the most preferred group. `random_below(n)` returns a random number below
+/// `n`.
 pub fn choose_endpoint(
     candidates: &[Candidate],
     random_below: impl Fn(usize) -> usize,
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -2,9 +2,9 @@
 //! service. The endpoints are interchangeable database instances.
 //!
 //! `main` calls [`process::run`]. The controllers' leader sends the route table, the directory of
-//! endpoints and this node's subset of them. Invariants: a request that isn't idempotent is never sent
-//! again once it may have been executed; a response is relayed only to the request that it belongs
-//! to; retries and hedged requests stay within a budget.
+//! endpoints and this node's subset of them. Invariants: a request that isn't idempotent is never
+//! sent again once it may have been executed; a response is relayed only to the request that it
+//! belongs to; retries and hedged requests stay within a budget.
 //!
 //! Modules of pure logic, without sockets, threads or clocks: `attempts`, `demand`, `http1`,
 //! `latency`, `load_balancing`, `outlier_detection`, `retry_budget` and `subsets`.
--- a/src/gateway/outlier_detection.rs
+++ b/src/gateway/outlier_detection.rs
@@ -4,22 +4,22 @@
 //! endpoint is chosen only if no other is available.
 use crate::base::time::Tick;
 
-/// The duration of the first ejection after a fault, in milliseconds. It doubles with each consecutive
-/// ejection.
+/// The duration of the first ejection after a fault, in milliseconds. It doubles with each
+/// consecutive ejection.
 const FAULT_EJECTION_MS: u64 = 2_000;
 
 /// The longest ejection, in milliseconds.
 const MAX_EJECTION_MS: u64 = 16_000;
 
-/// The duration of the first ejection after a connect time-out, in milliseconds. It is short because
-/// the endpoint may only be busy; consecutive time-outs double it.
+/// The duration of the first ejection after a connect time-out, in milliseconds. It is short
+/// because the endpoint may only be busy; consecutive time-outs double it.
 const CONNECT_TIMEOUT_EJECTION_MS: u64 = 300;
 
 /// The duration of an ejection of an endpoint that had no free capacity, in milliseconds.
 const OVERLOAD_EJECTION_MS: u64 = 150;
 
-/// The most times that the duration is doubled, so that the shift can't overflow. The longest ejection
-/// is reached before.
+/// The most times that the duration is doubled, so that the shift can't overflow. The longest
+/// ejection is reached before.
 const MAX_DOUBLINGS: u32 = 8;
 
 /// The count of recent error responses at which an endpoint is ejected. It is above one because a
@@ -56,8 +56,8 @@
         self.failed_responses *= HISTORY_WEIGHT;
     }
 
-    /// Records a fault: the endpoint could not be reached, closed the connection, was too slow or sent
-    /// an invalid response.
+    /// Records a fault: the endpoint could not be reached, closed the connection, was too slow or
+    /// sent an invalid response.
     pub fn record_fault(&mut self, now: Tick) {
         self.eject(FAULT_EJECTION_MS, now);
     }
@@ -81,7 +81,8 @@
         self.ejected_until = self.ejected_until.max(now.plus(OVERLOAD_EJECTION_MS));
     }
 
-    /// Ejects the endpoint for `first_ms` milliseconds, doubled for each consecutive ejection before.
+    /// Ejects the endpoint for `first_ms` milliseconds, doubled for each consecutive ejection
+    /// before.
     fn eject(&mut self, first_ms: u64, now: Tick) {
         let doublings = self.consecutive_ejections.min(MAX_DOUBLINGS);
         let ejection_ms = (first_ms << doublings).min(MAX_EJECTION_MS);
@@ -99,8 +100,8 @@
         self.latency_ms
     }
 
-    /// Ends the ejection after an update of the endpoint in the directory, because the reason for the
-    /// ejection may be gone.
+    /// Ends the ejection after an update of the endpoint in the directory, because the reason for
+    /// the ejection may be gone.
     pub(super) fn reset(&mut self) {
         self.ejected_until = Tick(0);
         self.consecutive_ejections = 0;
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -1,5 +1,5 @@
-//! The process of a gateway: starts its threads, sends renewals to the leader, applies changed settings
-//! and shuts down gracefully.
+//! The process of a gateway: starts its threads, sends renewals to the leader, applies changed
+//! settings and shuts down gracefully.
 use crate::base::errors::Fatal;
 use crate::base::signals::Signals;
 use crate::base::sync::lock;
@@ -64,9 +64,9 @@
     Terminated,
 }
 
-/// Waits until the leader has sent a route table and the directory, or a termination signal arrives.
-/// The gateway doesn't listen for clients before, so that they fail to connect and try another node
-/// at once.
+/// Waits until the leader has sent a route table and the directory, or a termination signal
+/// arrives. The gateway doesn't listen for clients before, so that they fail to connect and try
+/// another node at once.
 fn await_configuration(
     gateway: &Gateway,
     signals: &Signals,
@@ -123,7 +123,8 @@
         if signals.terminated() && draining_since.is_none() {
             info!(
                 target: "gateway",
-                "draining after SIGTERM or SIGINT; client connections are closed within the grace period"
+                "draining after SIGTERM or SIGINT; client connections are closed within the \
+                 grace period"
             );
             draining_since = Some(now);
             gateway.draining.store(true, Ordering::Relaxed);
@@ -166,6 +167,9 @@
         return Drain::InProgress;
     }
     gateway.leader.send(ToController::Goodbye);
-    info!(target: "gateway", "shutdown complete, with {} client connections still open", clients.len());
+    info!(
+        target: "gateway",
+        "shutdown complete, with {} client connections still open", clients.len()
+    );
     Drain::Complete
 }
--- a/src/gateway/request_context.rs
+++ b/src/gateway/request_context.rs
@@ -1,4 +1,5 @@
-//! The context of one client request while it is forwarded, and the request head that endpoints get.
+//! The context of one client request while it is forwarded, and the request head that endpoints
+//! get.
 use crate::base::ids::{InstanceId, ServiceName};
 use crate::base::time::Tick;
 use crate::config::route_table::RouteEntry;
@@ -6,11 +7,12 @@
 use crate::gateway::http1::{BodyDecoder, BodyFraming, RequestHead, append_header};
 use crate::gateway::upstreams::ReusePolicy;
 
-/// The gateway stops waiting for a response this many milliseconds before the client's deadline. The
-/// endpoint gets a deadline that is earlier by the same time.
+/// The gateway stops waiting for a response this many milliseconds before the client's deadline.
+/// The endpoint gets a deadline that is earlier by the same time.
 pub(super) const DEADLINE_MARGIN_MS: u64 = 5;
 
-/// The capacity that is reserved for the request line and the headers that the gateway adds, in bytes.
+/// The capacity that is reserved for the request line and the headers that the gateway adds, in
+/// bytes.
 const ADDED_HEADERS_BYTES: usize = 256;
 
 /// One request while it is forwarded: its head and route, its deadline and its body.
@@ -48,8 +50,8 @@
         }
     }
 
-    /// Until when the request may wait for an endpoint with free capacity: for a quarter of the latency
-    /// target, because a later refusal would leave the client too little time for a retry.
+    /// Until when the request may wait for an endpoint with free capacity: for a quarter of the
+    /// latency target, because a later refusal would be of little use to the client.
     pub(super) fn acquire_deadline(&self) -> Tick {
         self.arrived.plus(self.route.target_latency_ms / 4).min(self.deadline)
     }
@@ -86,8 +88,8 @@
                 append_header(head, "Content-Length", length.to_string().as_bytes());
             }
             _ if is_streamed => append_header(head, "Transfer-Encoding", b"chunked"),
-            // A buffered body is complete, so its length is known even if it was chunked. For methods
-            // that usually have a body, the length is stated even if the body is empty.
+            // A buffered body is complete, so its length is known even if it was chunked. For
+            // methods that usually have a body, the length is stated even if the body is empty.
             framing => {
                 let has_body = framing != BodyFraming::Length(0);
                 let usually_has_body =
--- a/src/gateway/request_handling.rs
+++ b/src/gateway/request_handling.rs
@@ -1,5 +1,5 @@
-//! Serves the requests of a client connection one after the other: parses each request, looks up its
-//! route, forwards it and sends the response.
+//! Serves the requests of a client connection one after the other: parses each request, looks up
+//! its route, forwards it and sends the response.
 //!
 //! A thread calls [`Gateway::serve_client`] when a client connection is readable. The call returns
 //! when the connection is idle again or is to be closed.
@@ -26,8 +26,8 @@
 /// The time for a request without a `Deadline-Ms` header, in milliseconds from its arrival.
 pub(super) const DEFAULT_DEADLINE_MS: u64 = 60_000;
 
-/// How much of a request body is buffered so that the request can be retried, in bytes. A larger body
-/// is streamed to one endpoint, without retries.
+/// How much of a request body is buffered so that the request can be retried, in bytes. A larger
+/// body is streamed to one endpoint, without retries.
 const MAX_BUFFERED_BODY_BYTES: usize = 256 << 10;
 
 /// How long a thread waits for the next request of the client that it has just served before the
--- a/src/gateway/responses.rs
+++ b/src/gateway/responses.rs
@@ -15,8 +15,8 @@
 /// How often the deadline of a relayed response is checked while no data arrives, in milliseconds.
 const RELAY_POLL_INTERVAL_MS: u64 = 1_000;
 
-/// The `Keep-Alive` time-out that clients get is this many seconds shorter than the idle time-out, so
-/// that no client sends a request while its connection is closed.
+/// The `Keep-Alive` time-out that clients get is this many seconds shorter than the idle time-out,
+/// so that no client sends a request while its connection is closed.
 const KEEP_ALIVE_MARGIN_S: u64 = 2;
 
 /// What happens to a client connection after a response.
@@ -113,8 +113,8 @@
         self.record_response(request, attempt, &head, took_ms, is_incomplete);
         match relayed {
             Ok(()) => Ok(after),
-            // Part of the response was sent already, so closing the connection is the only way to show
-            // the client that it is incomplete.
+            // Part of the response was sent already, so closing the connection is the only way to
+            // show the client that it is incomplete.
             Err(RelayError::Endpoint) => Ok(AfterResponse::Close),
             Err(RelayError::Client(e) | RelayError::Poll(e)) => Err(e),
         }
--- a/src/gateway/retry_budget.rs
+++ b/src/gateway/retry_budget.rs
@@ -6,8 +6,8 @@
 use crate::base::time::Tick;
 use std::collections::VecDeque;
 
-/// The width of the buckets in which requests are counted, in milliseconds. The window slides by one
-/// bucket at a time.
+/// The width of the buckets in which requests are counted, in milliseconds. The window slides by
+/// one bucket at a time.
 const BUCKET_MS: u64 = 500;
 
 /// How many retries this node may send: over a sliding window, retries stay within a ratio of the
@@ -27,7 +27,8 @@
 }
 
 impl RetryBudget {
-    /// Creates an empty budget of `ratio` retries for each request of the last `window_ms` milliseconds.
+    /// Creates an empty budget of `ratio` retries for each request of the last `window_ms`
+    /// milliseconds.
     pub fn new(ratio: f64, window_ms: u64) -> Self {
         Self { ratio, window_ms, buckets: VecDeque::new() }
     }
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -1,8 +1,8 @@
 //! The state that all threads of a gateway share.
 //!
-//! The other modules of the gateway implement the methods of [`Gateway`]: [`super::process`] runs it,
-//! `leader_messages` applies updates from the leader, `client_connection` and `request_handling`
-//! serve clients, `forwarding` and `endpoint_access` send requests to endpoints.
+//! The other modules of the gateway implement the methods of [`Gateway`]: [`super::process`] runs
+//! it, `leader_messages` applies updates from the leader, `client_connection` and
+//! `request_handling` serve clients, `forwarding` and `endpoint_access` send requests to endpoints.
 use crate::base::errors::Fatal;
 use crate::base::ids::NodeName;
 use crate::base::sync::lock;
@@ -106,7 +106,8 @@
         lock(&self.upstreams).route_table.clone()
     }
 
-    /// Whether the leader has sent what is needed to serve clients: a route table and the directory.
+    /// Whether the leader has sent what is needed to serve clients: a route table and the
+    /// directory.
     pub(super) fn is_configured(&self) -> bool {
         let upstreams = lock(&self.upstreams);
         upstreams.route_table.is_some() && upstreams.has_directory
--- a/src/gateway/subsets.rs
+++ b/src/gateway/subsets.rs
@@ -11,8 +11,8 @@
 /// The capacity of a whole zone in the unit of [`CapacityRange`], which is millionths.
 const WHOLE_ZONE_MILLIONTHS: f64 = 1e6;
 
-/// The smallest fraction of an endpoint's capacity that is assigned; a smaller one is assigned to no
-/// node.
+/// The smallest fraction of an endpoint's capacity that is assigned; a smaller one is assigned to
+/// no node.
 const MIN_ASSIGNED_FRACTION: f64 = 0.05;
 
 /// The subset of a node: a range of the capacity of a service's endpoints in the node's zone, in
@@ -26,8 +26,8 @@
 }
 
 /// Returns the endpoints in a range, each with the part of its capacity that lies in the range.
-/// `endpoints` are all endpoints of the zone, with their capacities. They are ordered by hash, so that
-/// a new endpoint shifts the others only a little.
+/// `endpoints` are all endpoints of the zone, with their capacities. They are ordered by hash, so
+/// that a new endpoint shifts the others only a little.
 pub fn assigned_capacities<'a>(
     endpoints: impl Iterator<Item = (&'a InstanceId, u32)>,
     range: CapacityRange,
--- a/src/gateway/upstreams.rs
+++ b/src/gateway/upstreams.rs
@@ -173,8 +173,8 @@
         self.assign_capacities(zone);
     }
 
-    /// Recomputes how much capacity of each endpoint is assigned to this node, after a change of the
-    /// directory or of a subset.
+    /// Recomputes how much capacity of each endpoint is assigned to this node, after a change of
+    /// the directory or of a subset.
     fn assign_capacities(&mut self, zone: &str) {
         for service in self.services.values_mut() {
             let in_zone = (service.endpoints.iter())
@@ -186,8 +186,8 @@
         }
     }
 
-    /// Acquires an endpoint of the service that is not in `excluded`. Returns `None` if none has free
-    /// capacity.
+    /// Acquires an endpoint of the service that is not in `excluded`. Returns `None` if none has
+    /// free capacity.
     pub(super) fn acquire(
         &mut self,
         service: &ServiceName,
