--- a/src/gateway/forwarding.rs
+++ b/src/gateway/forwarding.rs
@@ -220,7 +220,7 @@
                 AttemptProgress::Pending => {}
                 AttemptProgress::Ready => return Ok(self.finish_with(index)),
                 AttemptProgress::Ended(outcome) => {
-                    return Ok(self.handle_ended_attempt(index, outcome));
+                    return Ok(self.end_attempt(index, outcome));
                 }
             }
         }
@@ -251,7 +251,7 @@
         Flow::Break(ForwardResult::Response(Box::new(winner)))
     }
 
-    fn handle_ended_attempt(&mut self, index: usize, outcome: AttemptOutcome) -> Flow {
+    fn end_attempt(&mut self, index: usize, outcome: AttemptOutcome) -> Flow {
         let attempt = self.attempts.swap_remove(index);
         let idempotent = self.request.idempotency() == Idempotency::Idempotent;
         if idempotent && !self.body_streamed && attempt.used_stale_connection() {
