--- a/src/gateway/forwarding.rs
+++ b/src/gateway/forwarding.rs
@@ -219,9 +219,7 @@
             match self.attempts[index].read(self.request.head) {
                 AttemptProgress::Pending => {}
                 AttemptProgress::Ready => return Ok(self.finish_with(index)),
-                AttemptProgress::Ended(outcome) => {
-                    return Ok(self.end_attempt(index, outcome));
-                }
+                AttemptProgress::Ended(outcome) => return Ok(self.end_attempt(index, outcome)),
             }
         }
         Ok(Flow::Continue(Step::AwaitResponses))
