--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -1,5 +1,5 @@
-//! A controller and a gateway as processes, against stand-in databases: what a gateway does with bad
-//! requests, bad answers and databases in trouble.
+//! End-to-end tests of a controller and a gateway as processes, with stand-in endpoints: invalid
+//! requests, faults of endpoints, idle clients and a graceful shutdown.
 #[path = "support/gateway.rs"]
 mod stand_in_endpoints;
 mod support;
@@ -22,12 +22,13 @@
         let _ = self.0.wait();
     }
 }
+/// A controller, a gateway and the endpoints of one service.
 struct System {
     folder: PathBuf,
     admin: SocketAddr,
     frontend: SocketAddr,
     readiness: SocketAddr,
-    databases: Arc<StandInEndpoints>,
+    endpoints: Arc<StandInEndpoints>,
     gateway: Process,
     controller: Option<Process>,
 }
@@ -40,19 +41,19 @@
 fn eventually(what: &str, mut check: impl FnMut() -> bool) {
     let start = Instant::now();
     while !check() {
-        assert!(start.elapsed() < Duration::from_secs(20), "never: {what}");
+        assert!(start.elapsed() < Duration::from_secs(20), "not within 20 s: {what}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
-fn run(role: &str, settings: &std::path::Path) -> Process {
+fn start_process(role: &str, settings: &std::path::Path) -> Process {
     let mut command = Command::new(env!("CARGO_BIN_EXE_silvertack"));
     command.args([role, "--settings"]).arg(settings).stderr(Stdio::null());
     Process(command.spawn().expect(role))
 }
 fn configuration(revision: u64, service: &str) -> String {
-    let route = |prefix: &str, kind: &str| {
+    let route = |prefix: &str, route_type: &str| {
         serde_json::json!({
-            "name": prefix, "hostname": "shop.example", "path_prefix": prefix, "route_type": kind,
+            "name": prefix, "hostname": "shop.example", "path_prefix": prefix, "route_type": route_type,
             "timeout_ms": 2000, "target_latency_ms": 600, "priority": 1, "target_service": service,
             "max_attempts": 2,
         })
@@ -65,13 +66,14 @@
     })
     .to_string()
 }
-fn put(admin: SocketAddr, base: &str, body: &str) -> bool {
-    http(admin, "PUT", "/configuration", &[("If-Match", base)], body).is_ok_and(|(s, _)| s == 200)
+fn put_configuration(admin: SocketAddr, base_revision: &str, body: &str) -> bool {
+    http(admin, "PUT", "/configuration", &[("If-Match", base_revision)], body)
+        .is_ok_and(|(status, _)| status == 200)
 }
 
-fn start(databases: usize) -> System {
+fn start_system(endpoint_count: usize) -> System {
     let ports: Vec<u16> = (0..4).map(|_| free_port()).collect();
-    let at = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
+    let local = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
     let folder = std::env::temp_dir().join(format!("silvertack-gateway-{}", ports[0]));
     std::fs::create_dir_all(&folder).expect("folder");
     let settings = format!(
@@ -80,42 +82,45 @@
          [listeners]\nfrontend = \"{front}\"\nreadiness = \"{ready}\"\nadmin = \"{admin}\"\n\
          [timing_bounds]\ngrace_s = 3\nretry_ratio = 1.0\n",
         p = ports[0],
-        admin = at(ports[1]),
-        front = at(ports[2]),
-        ready = at(ports[3]),
+        admin = local(ports[1]),
+        front = local(ports[2]),
+        ready = local(ports[3]),
         data = folder.join("data").display(),
     );
     let file = folder.join("node.toml");
     std::fs::write(&file, settings).expect("settings");
     let system = System {
-        admin: at(ports[1]),
-        frontend: at(ports[2]),
-        readiness: at(ports[3]),
-        databases: StandInEndpoints::start("query", databases).expect("databases"),
-        controller: Some(run("controller", &file)),
-        gateway: run("gateway", &file),
+        admin: local(ports[1]),
+        frontend: local(ports[2]),
+        readiness: local(ports[3]),
+        endpoints: StandInEndpoints::start("query", endpoint_count).expect("endpoints"),
+        controller: Some(start_process("controller", &file)),
+        gateway: start_process("gateway", &file),
         folder,
     };
-    eventually("a configuration", || put(system.admin, "0", &configuration(1, "query")));
-    eventually("databases", || system.databases.send_heartbeats(system.admin, 1));
-    eventually("readiness", || {
-        http(system.readiness, "GET", "/readiness", &[], "").is_ok_and(|(s, _)| s == 200)
+    eventually("the configuration is accepted", || {
+        put_configuration(system.admin, "0", &configuration(1, "query"))
     });
-    eventually("all databases known", || {
+    eventually("the heartbeats are accepted", || system.endpoints.send_heartbeats(system.admin, 1));
+    eventually("the gateway is ready", || {
+        http(system.readiness, "GET", "/readiness", &[], "").is_ok_and(|(status, _)| status == 200)
+    });
+    eventually("the gateway knows all endpoints", || {
         let (_, body) = http(system.readiness, "GET", "/status", &[], "").expect("status");
         let status: serde_json::Value = serde_json::from_str(&body).expect("json");
-        status["databases"].as_array().is_some_and(|d| d.len() == databases)
+        status["databases"].as_array().is_some_and(|listed| listed.len() == endpoint_count)
     });
     system
 }
 
-/// A response: its head, and its body without chunks.
+/// A response that a client received: its head, and its decoded body.
 struct ClientResponse {
     status: u16,
     head: String,
     body: Vec<u8>,
     complete: bool,
 }
+/// A client connection, with the bytes that were read and not parsed yet.
 struct Client(TcpStream, Vec<u8>);
 impl Client {
     fn open(system: &System) -> Self {
@@ -124,20 +129,20 @@
         Self(stream, Vec::new())
     }
     fn send(&mut self, bytes: &[u8]) {
-        // A refusal may come, and the connection end, before all is sent.
+        // The gateway may refuse the request and close the connection before all bytes are sent.
         let _ = self.0.write_all(bytes);
     }
-    fn more(&mut self) -> bool {
+    fn read_more(&mut self) -> bool {
         let mut chunk = [0; 64 << 10];
-        let got = self.0.read(&mut chunk).unwrap_or(0);
-        self.1.extend_from_slice(&chunk[..got]);
-        got > 0
+        let count = self.0.read(&mut chunk).unwrap_or(0);
+        self.1.extend_from_slice(&chunk[..count]);
+        count > 0
     }
-    fn response(&mut self, method: &str) -> Option<ClientResponse> {
+    fn receive(&mut self, method: &str) -> Option<ClientResponse> {
         let ParsedHead { head: response, length } = loop {
             match parse_response_head(&self.1, method) {
-                Ok(Some(found)) => break found,
-                Ok(None) if self.more() => {}
+                Ok(Some(parsed)) => break parsed,
+                Ok(None) if self.read_more() => {}
                 _ => return None,
             }
         };
@@ -145,83 +150,86 @@
         self.1.drain(..length);
         let (mut body, mut data) = (BodyDecoder::new(response.framing), Vec::new());
         let complete = loop {
-            let used = body.decode(&self.1, &mut data).expect("well formed");
-            self.1.drain(..used);
+            let consumed = body.decode(&self.1, &mut data).expect("well formed");
+            self.1.drain(..consumed);
             if body.is_complete() {
                 break true;
             }
-            if !self.more() {
+            if !self.read_more() {
                 break body.finish_at_close();
             }
         };
         Some(ClientResponse { status: response.status, head, body: data, complete })
     }
-    fn closed(&mut self) -> bool {
-        self.1.is_empty() && !self.more()
+    /// Whether the gateway closes the connection without sending more.
+    fn is_closed(&mut self) -> bool {
+        self.1.is_empty() && !self.read_more()
     }
 }
 fn fresh_id() -> String {
     static NEXT: AtomicU64 = AtomicU64::new(1);
     format!("r{}", NEXT.fetch_add(1, Ordering::SeqCst))
 }
-fn request(method: &str, path: &str, id: &str, more: &str, body: &str) -> Vec<u8> {
+fn request(method: &str, path: &str, id: &str, headers: &str, body: &str) -> Vec<u8> {
     format!(
-        "{method} {path} HTTP/1.1\r\nHost: shop.example\r\nRequest-Id: {id}\r\nDeadline-Ms: 1500\r\n{more}\r\n{body}"
+        "{method} {path} HTTP/1.1\r\nHost: shop.example\r\nRequest-Id: {id}\r\nDeadline-Ms: 1500\r\n{headers}\r\n{body}"
     )
     .into_bytes()
 }
-/// One request on a connection of its own.
-fn ask(system: &System, method: &str, path: &str) -> (String, ClientResponse) {
+/// Sends one request on a new connection. Returns its id and the response.
+fn send_request(system: &System, method: &str, path: &str) -> (String, ClientResponse) {
     let id = fresh_id();
     let mut client = Client::open(system);
     client.send(&request(method, path, &id, "", ""));
-    let got = client.response(method).expect("a response");
-    (id, got)
+    let response = client.receive(method).expect("a response");
+    (id, response)
 }
 
 #[test]
-fn requests_arrive_as_they_were_sent_and_answers_as_they_were_given() {
-    let system = start(2);
+fn requests_and_responses_are_forwarded_unchanged() {
+    let system = start_system(2);
     let mut client = Client::open(&system);
-    // Two at once on one connection, the first with a body in chunks.
-    let (one, two) = (fresh_id(), fresh_id());
-    let mut both = request(
+    // Two pipelined requests on one connection, the first with a chunked body.
+    let (first, second) = (fresh_id(), fresh_id());
+    let mut requests = request(
         "POST",
         "/once/a%20b?x=1&y",
-        &one,
+        &first,
         "Transfer-Encoding: chunked\r\nX-Own: v\r\n",
         "3\r\nabc\r\n0\r\n\r\n",
     );
-    both.extend(request("HEAD", "/many/", &two, "Target-Instance: forged\r\n", ""));
-    client.send(&both);
-    let got = client.response("POST").expect("first");
+    requests.extend(request("HEAD", "/many/", &second, "Target-Instance: forged\r\n", ""));
+    client.send(&requests);
+    let got = client.receive("POST").expect("first");
     assert_eq!(
         (got.status, got.body.as_slice(), got.complete),
         (200, b"the rows".as_slice(), true)
     );
-    assert!(got.head.contains(&format!("Request-Id: {one}")) && got.head.contains("s.1"));
-    assert_eq!(client.response("HEAD").expect("second").status, 200);
-    let ran = system.databases.received(&one);
-    assert_eq!(ran.len(), 1);
+    assert!(got.head.contains(&format!("Request-Id: {first}")) && got.head.contains("s.1"));
+    assert_eq!(client.receive("HEAD").expect("second").status, 200);
+    let seen = system.endpoints.received(&first);
+    assert_eq!(seen.len(), 1);
     assert_eq!(
-        (ran[0].line.as_str(), ran[0].body.as_slice()),
+        (seen[0].method_and_target.as_str(), seen[0].body.as_slice()),
         ("POST /once/a%20b?x=1&y", b"abc".as_slice())
     );
-    assert!(ran[0].head.contains("X-Own: v\r\n") && ran[0].head.contains("Host: shop.example\r\n"));
-    let head = &system.databases.received(&two)[0].head;
+    assert!(
+        seen[0].head.contains("X-Own: v\r\n") && seen[0].head.contains("Host: shop.example\r\n")
+    );
+    let head = &system.endpoints.received(&second)[0].head;
     assert!(head.contains("Target-Instance: i-query-") && !head.contains("forged"), "{head}");
-    let left = head.lines().find_map(|l| l.strip_prefix("Deadline-Ms: ")).expect("what is left");
-    assert!((1_000..1_500).contains(&left.parse::<u64>().expect("a number")), "{left}");
-    // A body too large to be held, and one that waits for 100 Continue.
-    for (framing, large) in [("length", 300_000), ("length", 5), ("chunked", 300_000)] {
+    let left_ms = head.lines().find_map(|l| l.strip_prefix("Deadline-Ms: ")).expect("a deadline");
+    assert!((1_000..1_500).contains(&left_ms.parse::<u64>().expect("a number")), "{left_ms}");
+    // Bodies that are sent only after `100 Continue`; the large ones are streamed, not buffered.
+    for (framing, size) in [("length", 300_000), ("length", 5), ("chunked", 300_000)] {
         let id = fresh_id();
-        let data = "z".repeat(large);
+        let data = "z".repeat(size);
         let (header, body) = match framing {
             "chunked" => (
                 "Transfer-Encoding: chunked\r\n".to_owned(),
-                format!("{large:x}\r\n{data}\r\n0\r\n\r\n"),
+                format!("{size:x}\r\n{data}\r\n0\r\n\r\n"),
             ),
-            _ => (format!("Content-Length: {large}\r\n"), data.clone()),
+            _ => (format!("Content-Length: {size}\r\n"), data.clone()),
         };
         client.send(&request(
             "PUT",
@@ -230,33 +238,33 @@
             &format!("{header}Expect: 100-continue\r\n"),
             "",
         ));
-        assert_eq!(client.response("PUT").expect("go on").status, 100);
+        assert_eq!(client.receive("PUT").expect("interim").status, 100);
         client.send(body.as_bytes());
-        assert_eq!(client.response("PUT").expect("done").status, 200, "{framing} {large}");
-        assert_eq!(system.databases.received(&id)[0].body, data.as_bytes(), "{framing} {large}");
+        assert_eq!(client.receive("PUT").expect("final").status, 200, "{framing} {size}");
+        assert_eq!(system.endpoints.received(&id)[0].body, data.as_bytes(), "{framing} {size}");
     }
-    // Downloads are forwarded as they come.
-    for how in [Behaviour::Large(3_000_000), Behaviour::Chunked] {
-        system.databases.set_behaviours(&[how]);
-        let (_, got) = ask(&system, "GET", "/pack/it");
-        let size = if how == Behaviour::Chunked { 8 } else { 3_000_000 };
-        assert_eq!((got.status, got.body.len(), got.complete), (200, size, true), "{how:?}");
+    // Large and chunked responses are relayed completely.
+    for kind in [Behaviour::LargeBody(3_000_000), Behaviour::ChunkedBody] {
+        system.endpoints.set_behaviours(&[kind]);
+        let (_, got) = send_request(&system, "GET", "/pack/it");
+        let size = if kind == Behaviour::ChunkedBody { 8 } else { 3_000_000 };
+        assert_eq!((got.status, got.body.len(), got.complete), (200, size, true), "{kind:?}");
     }
 }
 
 #[test]
-fn bad_requests_are_refused_and_go_nowhere() {
-    let system = start(1);
-    let long = format!("X: {}\r\n", "y".repeat(3_000));
+fn invalid_requests_are_refused_and_not_forwarded() {
+    let system = start_system(1);
+    let long_header = format!("X: {}\r\n", "y".repeat(3_000));
     let cases: [(&str, Vec<u8>, Option<u16>); 9] = [
-        ("no HTTP", b"hello\r\n\r\n".to_vec(), Some(400)),
+        ("not HTTP", b"hello\r\n\r\n".to_vec(), Some(400)),
         (
-            "two lengths",
+            "two content lengths",
             request("POST", "/once/", "b", "Content-Length: 1\r\nContent-Length: 2\r\n", "a"),
             Some(400),
         ),
         (
-            "both",
+            "a content length and chunks",
             request(
                 "POST",
                 "/once/",
@@ -267,14 +275,14 @@
             Some(400),
         ),
         (
-            "bad chunk",
+            "invalid chunk size",
             request("POST", "/once/", "b", "Transfer-Encoding: chunked\r\n", "zz\r\n"),
             Some(400),
         ),
-        ("large head", request("GET", "/many/", "b", &long, ""), Some(431)),
+        ("large head", request("GET", "/many/", "b", &long_header, ""), Some(431)),
         ("large body", request("POST", "/once/", "b", "Content-Length: 400001\r\n", ""), Some(413)),
         (
-            "large chunks",
+            "large chunked body",
             request(
                 "POST",
                 "/once/",
@@ -285,69 +293,84 @@
             Some(413),
         ),
         ("slow head", b"GET /many/ HTTP/1.1\r\nHo".to_vec(), Some(408)),
-        ("nothing", Vec::new(), None),
+        ("no request", Vec::new(), None),
     ];
     for (what, bytes, status) in cases {
         let mut client = Client::open(&system);
         client.send(&bytes);
-        let got = client.response("POST");
-        assert_eq!(got.as_ref().map(|g| g.status), status, "{what}");
-        assert!(got.is_none_or(|g| g.head.contains("Connection: close")), "{what}");
-        assert!(client.closed(), "{what}");
+        let got = client.receive("POST");
+        assert_eq!(got.as_ref().map(|r| r.status), status, "{what}");
+        assert!(got.is_none_or(|r| r.head.contains("Connection: close")), "{what}");
+        assert!(client.is_closed(), "{what}");
     }
     assert!(
-        system.databases.received("b").iter().all(|r| r.body.len() > 200_000),
+        system.endpoints.received("b").iter().all(|request| request.body.len() > 200_000),
         "forwarded only if complete"
     );
     let mut client = Client::open(&system);
     client.send(&request("GET", "/nowhere/", "n", "", ""));
-    assert_eq!(client.response("GET").expect("a response").status, 404);
+    assert_eq!(client.receive("GET").expect("a response").status, 404);
     client.send(&request("GET", "/many/", "n", "", ""));
-    assert_eq!(client.response("GET").expect("on the same connection").status, 200);
+    assert_eq!(client.receive("GET").expect("on the same connection").status, 200);
 }
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario, told in order")]
-fn what_a_database_does_wrong_never_reaches_a_client() {
+fn endpoint_faults_are_retried_only_where_allowed() {
     use Behaviour::*;
-    let system = start(8);
-    // What the databases do in turn; the answers to what can be repeated and to what cannot, and how
-    // often each ran.
+    let system = start_system(8);
+    // (the behaviours of the endpoints in turn, then the expected status and number of executions on
+    // an idempotent route, and the same on a non-idempotent route)
     let cases: [(&[Behaviour], u16, usize, u16, usize); 9] = [
         (&[Serve], 200, 1, 200, 1),
-        (&[Full, Serve], 200, 2, 200, 2),
+        (&[Overloaded, Serve], 200, 2, 200, 2),
         (&[Misdirected, Serve], 200, 2, 200, 2),
-        (&[Full, Full], 503, 2, 503, 2),
-        (&[Fail, Serve], 200, 2, 500, 1),
-        (&[Reset, Serve], 200, 2, 502, 1),
-        (&[Truncate, Serve], 200, 2, 502, 1),
+        (&[Overloaded, Overloaded], 503, 2, 503, 2),
+        (&[ErrorResponse, Serve], 200, 2, 500, 1),
+        (&[CloseWithoutResponse, Serve], 200, 2, 502, 1),
+        (&[TruncateBody, Serve], 200, 2, 502, 1),
         (&[Unsigned, Serve], 200, 2, 502, 1),
-        (&[Nonsense, Serve], 200, 2, 502, 1),
+        (&[MalformedHead, Serve], 200, 2, 502, 1),
     ];
-    for (next, many, many_ran, once, once_ran) in cases {
-        for (path, status, runs) in [("/many/x", many, many_ran), ("/once/x", once, once_ran)] {
-            system.databases.set_behaviours(next);
-            // Earlier failures must not decide where this one goes.
-            eventually("fresh databases", || system.databases.send_heartbeats(system.admin, 2));
-            let (id, got) = ask(&system, "GET", path);
-            system.databases.set_behaviours(&[]);
-            let ran = system.databases.received(&id);
-            assert_eq!((got.status, ran.len()), (status, runs), "{next:?} {path}");
-            // One that was reset on a connection that had rested may come again on another one.
-            let again = next[0] == Reset;
-            let mut places: Vec<_> =
-                ran.iter().map(|r| (r.database, if again { r.connection } else { 0 })).collect();
-            places.dedup();
-            assert_eq!(places.len(), runs, "each to another place: {next:?} {path}");
+    for (behaviours, many, many_executions, once, once_executions) in cases {
+        for (path, status, executions) in
+            [("/many/x", many, many_executions), ("/once/x", once, once_executions)]
+        {
+            system.endpoints.set_behaviours(behaviours);
+            // A heartbeat ends the ejections that earlier faults caused.
+            eventually("the ejections are reset", || {
+                system.endpoints.send_heartbeats(system.admin, 2)
+            });
+            let (id, response) = send_request(&system, "GET", path);
+            system.endpoints.set_behaviours(&[]);
+            let received = system.endpoints.received(&id);
+            assert_eq!(
+                (response.status, received.len()),
+                (status, executions),
+                "{behaviours:?} {path}"
+            );
+            // After a close on a reused connection, the same endpoint may get the request again on a
+            // new connection.
+            let may_resend = behaviours[0] == CloseWithoutResponse;
+            let mut endpoints: Vec<_> = received
+                .iter()
+                .map(|request| (request.endpoint, if may_resend { request.connection } else { 0 }))
+                .collect();
+            endpoints.dedup();
+            assert_eq!(
+                endpoints.len(),
+                executions,
+                "each to another endpoint: {behaviours:?} {path}"
+            );
             if status == 200 {
-                assert_eq!(got.body, b"the rows", "{next:?} {path}");
+                assert_eq!(response.body, b"the rows", "{behaviours:?} {path}");
             }
         }
     }
-    // What is too large to be held is never sent again with only a part of its body.
+    // A request whose body is too large to be buffered is never retried with only part of its body.
     for framing in ["length", "chunked"] {
-        eventually("fresh databases", || system.databases.send_heartbeats(system.admin, 3));
-        system.databases.set_behaviours(&[Reset, Serve]);
+        eventually("the ejections are reset", || system.endpoints.send_heartbeats(system.admin, 3));
+        system.endpoints.set_behaviours(&[CloseWithoutResponse, Serve]);
         let (id, size) = (fresh_id(), 300_000);
         let data = "z".repeat(size);
         let (header, body) = match framing {
@@ -359,120 +382,131 @@
         };
         let mut client = Client::open(&system);
         client.send(&request("PUT", "/many/x", &id, &header, &body));
-        assert_eq!(client.response("PUT").expect("a response").status, 502, "{framing}");
-        system.databases.set_behaviours(&[]);
-        let ran = system.databases.received(&id);
-        assert!(ran.len() == 1 && ran[0].body == data.as_bytes(), "{framing}: {}", ran.len());
+        assert_eq!(client.receive("PUT").expect("a response").status, 502, "{framing}");
+        system.endpoints.set_behaviours(&[]);
+        let received = system.endpoints.received(&id);
+        assert!(
+            received.len() == 1 && received[0].body == data.as_bytes(),
+            "{framing}: {}",
+            received.len()
+        );
     }
-    // A stray response on a reused connection belongs to no request.
-    for next in [&[Extra][..], &[WrongId, Serve]] {
-        system.databases.set_behaviours(next);
+    // A surplus response on a reused connection is not relayed to a later request.
+    for behaviours in [&[DuplicateResponse][..], &[WrongRequestId, Serve]] {
+        system.endpoints.set_behaviours(behaviours);
         for _ in 0..20 {
-            let (id, got) = ask(&system, "GET", "/many/x");
+            let (id, response) = send_request(&system, "GET", "/many/x");
             assert_eq!(
-                (got.status, got.body.as_slice()),
+                (response.status, response.body.as_slice()),
                 (200, b"the rows".as_slice()),
-                "{next:?}"
+                "{behaviours:?}"
             );
-            assert!(got.head.contains(&format!("Request-Id: {id}")), "{next:?}");
+            assert!(response.head.contains(&format!("Request-Id: {id}")), "{behaviours:?}");
         }
     }
-    // One that never responds: the idempotent request is hedged, the other waits to its deadline.
-    system.databases.set_behaviours(&[Hang, Serve]);
+    // An endpoint that never responds: the idempotent request is hedged, the other one times out.
+    system.endpoints.set_behaviours(&[Hang, Serve]);
     let start = Instant::now();
-    assert_eq!(ask(&system, "GET", "/many/x").1.status, 200);
+    assert_eq!(send_request(&system, "GET", "/many/x").1.status, 200);
     assert!(start.elapsed() < Duration::from_millis(1_200));
-    system.databases.set_behaviours(&[Hang]);
-    let (id, got) = ask(&system, "GET", "/once/x");
-    assert_eq!((got.status, system.databases.received(&id).len()), (504, 1));
+    system.endpoints.set_behaviours(&[Hang]);
+    let (id, response) = send_request(&system, "GET", "/once/x");
+    assert_eq!((response.status, system.endpoints.received(&id).len()), (504, 1));
 }
 
 #[test]
-fn a_new_version_a_leaving_database_and_a_lost_leader() {
-    let mut system = start(2);
-    let leaving = system.databases.heartbeat(0, 10, "draining");
-    let path = format!("/instances/{}", system.databases.id(0));
-    assert_eq!(http(system.admin, "PUT", &path, &[], &leaving).expect("beat").0, 200);
+fn requests_are_served_during_draining_a_controller_outage_and_a_new_configuration() {
+    let mut system = start_system(2);
+    let draining = system.endpoints.heartbeat(0, 10, "draining");
+    let path = format!("/instances/{}", system.endpoints.id(0));
+    assert_eq!(http(system.admin, "PUT", &path, &[], &draining).expect("a heartbeat").0, 200);
     std::thread::sleep(Duration::from_millis(300));
     for _ in 0..20 {
-        let (id, got) = ask(&system, "GET", "/many/x");
-        assert_eq!((got.status, system.databases.received(&id)[0].database), (200, 1));
+        let (id, response) = send_request(&system, "GET", "/many/x");
+        assert_eq!((response.status, system.endpoints.received(&id)[0].endpoint), (200, 1));
     }
-    // Without the controller, what is known serves on; also after it came back to its disk.
+    // Without the controller, the gateway serves with what it received before. The controller comes
+    // back with the state on its disk.
     system.controller = None;
     std::thread::sleep(Duration::from_millis(2_500));
-    assert_eq!(ask(&system, "POST", "/once/x").1.status, 200);
-    system.controller = Some(run("controller", &system.folder.join("node.toml")));
-    eventually("a second version", || put(system.admin, "1", &configuration(2, "none")));
-    eventually("the service without databases", || {
-        let (id, got) = ask(&system, "GET", "/many/x");
-        got.status == 503
-            && got.head.contains("Retry-After: ")
-            && system.databases.received(&id).is_empty()
+    assert_eq!(send_request(&system, "POST", "/once/x").1.status, 200);
+    system.controller = Some(start_process("controller", &system.folder.join("node.toml")));
+    eventually("the second configuration is accepted", || {
+        put_configuration(system.admin, "1", &configuration(2, "none"))
+    });
+    eventually("the routes lead to the service without endpoints", || {
+        let (id, response) = send_request(&system, "GET", "/many/x");
+        response.status == 503
+            && response.head.contains("Retry-After: ")
+            && system.endpoints.received(&id).is_empty()
     });
 }
 
 #[test]
-fn clients_that_rest_hold_no_thread_and_are_served_again() {
-    let system = start(2);
+fn idle_clients_occupy_no_thread_and_are_served_again() {
+    let system = start_system(2);
     let mut clients: Vec<Client> = Vec::new();
     for round in 0..2 {
-        for place in 0..150 {
+        for index in 0..150 {
             if round == 0 {
                 clients.push(Client::open(&system));
             }
-            let client = &mut clients[place];
-            // As slowly as threads get free again.
+            let client = &mut clients[index];
+            // Slow enough for the threads of earlier clients to become free.
             std::thread::sleep(Duration::from_millis(2));
             client.send(&request("GET", "/many/x", &fresh_id(), "", ""));
-            assert_eq!(client.response("GET").expect("a response").status, 200, "round {round}");
+            assert_eq!(client.receive("GET").expect("a response").status, 200, "round {round}");
         }
-        eventually("all rest", || {
+        eventually("all clients are idle", || {
             let (_, body) = http(system.readiness, "GET", "/status", &[], "").expect("status");
             serde_json::from_str::<serde_json::Value>(&body).expect("json")["resting"] == 150
         });
         let status = format!("/proc/{}/status", system.gateway.0.id());
         let status = std::fs::read_to_string(status).expect("status");
-        let threads = status.lines().find_map(|l| l.strip_prefix("Threads:")).expect("threads");
+        let threads =
+            status.lines().find_map(|line| line.strip_prefix("Threads:")).expect("threads");
         assert!(threads.trim().parse::<u32>().expect("a number") < 40, "{threads}");
     }
 }
 
 #[test]
-fn a_client_is_served_after_four_fifths_of_the_idle_time_and_let_go_after_all_of_it() {
-    let system = start(1);
-    let mut fresh = Client::open(&system);
+fn an_idle_client_connection_is_closed_at_the_idle_timeout_and_not_before() {
+    let system = start_system(1);
+    let mut unused = Client::open(&system);
     let mut client = Client::open(&system);
-    // The first rest is behind an answer, the second behind one that came after a rest.
+    // Idle for four fifths of the time-out twice: after a response, and after a response to a request
+    // that ended an idle time.
     for pause_ms in [0, 2_400, 2_400] {
         std::thread::sleep(Duration::from_millis(pause_ms));
         client.send(&request("GET", "/many/x", &fresh_id(), "", ""));
-        let got = client.response("GET").unwrap_or_else(|| panic!("let go after {pause_ms} ms"));
-        assert_eq!(got.status, 200);
+        let response =
+            client.receive("GET").unwrap_or_else(|| panic!("closed after {pause_ms} ms"));
+        assert_eq!(response.status, 200);
     }
-    let rests = std::time::Instant::now();
-    assert!(client.closed(), "nothing more comes");
-    // One that never asked was let go by then; else this takes 10 s.
-    assert!(fresh.closed(), "nothing comes");
-    let rested = rests.elapsed().as_millis();
-    assert!((2_900..6_000).contains(&rested), "let go after {rested} ms");
+    let idle_since = std::time::Instant::now();
+    assert!(client.is_closed(), "no further byte is sent");
+    // A client that never sent a request was closed before; otherwise this read takes 10 s.
+    assert!(unused.is_closed(), "no byte is sent");
+    let idle_ms = idle_since.elapsed().as_millis();
+    assert!((2_900..6_000).contains(&idle_ms), "closed after {idle_ms} ms");
 }
 
 #[test]
-fn at_sigterm_what_was_read_is_answered() {
-    let mut system = start(2);
-    let mut kept = Client::open(&system);
-    kept.send(&request("GET", "/many/x", &fresh_id(), "", ""));
-    assert!(kept.response("GET").expect("a response").head.contains("Keep-Alive: timeout=1"));
+fn draining_serves_requests_and_closes_idle_connections() {
+    let mut system = start_system(2);
+    let mut idle_client = Client::open(&system);
+    idle_client.send(&request("GET", "/many/x", &fresh_id(), "", ""));
+    assert!(idle_client.receive("GET").expect("a response").head.contains("Keep-Alive: timeout=1"));
     let pid = rustix::process::Pid::from_child(&system.gateway.0);
     rustix::process::kill_process(pid, rustix::process::Signal::TERM).expect("signal");
-    eventually("not ready", || {
-        !http(system.readiness, "GET", "/readiness", &[], "").is_ok_and(|(s, _)| s == 200)
+    eventually("the gateway is not ready", || {
+        !http(system.readiness, "GET", "/readiness", &[], "").is_ok_and(|(status, _)| status == 200)
     });
-    // New ones come until the platform has noticed; each is told that the connection ends.
-    let (_, got) = ask(&system, "GET", "/many/x");
-    assert!(got.status == 200 && got.head.contains("Connection: close"));
-    let ended = system.gateway.0.wait().expect("its end");
-    assert!(ended.success());
-    assert!(kept.closed(), "a resting connection is closed");
+    // New clients are served until the platform has noticed; each is told that the connection is
+    // closed.
+    let (_, response) = send_request(&system, "GET", "/many/x");
+    assert!(response.status == 200 && response.head.contains("Connection: close"));
+    let exit_status = system.gateway.0.wait().expect("the exit of the gateway");
+    assert!(exit_status.success());
+    assert!(idle_client.is_closed(), "an idle connection is closed");
 }
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -498,30 +498,33 @@
     // route with retries, and the same on a route without)
     let cases: [(&[Behaviour], u16, usize, u16, usize); 16] = [
         (&[Serve], 200, 1, 200, 1),
-        (&[Continue], 200, 1, 200, 1),
+        (&[InterimResponse], 200, 1, 200, 1),
         (&[Late(150)], 200, 1, 200, 1),
         (&[ServeThenReset], 200, 1, 200, 1),
-        (&[Extra], 200, 1, 200, 1),
+        (&[DuplicateResponse], 200, 1, 200, 1),
         (&[DuplicatedLate(20)], 200, 1, 200, 1),
-        (&[Reset, Serve], 200, 2, 502, 1),
+        (&[CloseWithoutResponse, Serve], 200, 2, 502, 1),
         (&[TruncateHead, Serve], 200, 2, 502, 1),
         (&[TruncateAfterHead, Serve], 200, 2, 502, 1),
-        (&[Truncate, Serve], 200, 2, 502, 1),
+        (&[TruncateBody, Serve], 200, 2, 502, 1),
         (&[Hang, Serve], 200, 2, 504, 1),
         // The slower response of a hedged request is dropped.
         (&[Late(700), Serve], 200, 2, 200, 1),
         (&[Serve], 200, 1, 200, 1),
         // The database says that it did not run the request, which is forwarded only if no other
         // attempt may have run it.
-        (&[Full, Full], 503, 2, 503, 2),
-        (&[FullLarge(100_000), FullLarge(100_000)], 503, 2, 503, 2),
-        (&[TruncateAfterHead, Full], 502, 2, 502, 1),
+        (&[Overloaded, Overloaded], 503, 2, 503, 2),
+        (&[OverloadedLargeBody(100_000), OverloadedLargeBody(100_000)], 503, 2, 503, 2),
+        (&[TruncateAfterHead, Overloaded], 502, 2, 502, 1),
     ];
     for (next, many, many_ran, once, once_ran) in cases {
         for (path, status, runs) in [("/many/x", many, many_ran), ("/once/x", once, once_ran)] {
             for method in ["GET", "HEAD"] {
                 if method == "HEAD"
-                    && matches!(next[0], Truncate | TruncateAfterHead | Extra | Hang)
+                    && matches!(
+                        next[0],
+                        TruncateBody | TruncateAfterHead | DuplicateResponse | Hang
+                    )
                 {
                     continue;
                 }
@@ -554,12 +557,12 @@
     let databases = StandInEndpoints::start("query", 1).expect("databases");
     let site = start_gateway(&databases);
     // A reused connection is reset after the request ran, and the second attempt is refused.
-    for second in [FullLarge(100_000), Full] {
+    for second in [OverloadedLargeBody(100_000), Overloaded] {
         let first_id = fresh_id();
         eventually("an idle connection", || {
             request(&site, "GET", "/many/x", Some(&first_id)).0 == 200
         });
-        databases.set_behaviours(&[Reset, second]);
+        databases.set_behaviours(&[CloseWithoutResponse, second]);
         let id = fresh_id();
         let (status, head, _) = request(&site, "GET", "/many/x", Some(&id));
         databases.set_behaviours(&[]);
@@ -569,7 +572,7 @@
     }
     let databases = StandInEndpoints::start("query", 2).expect("databases");
     let site = start_gateway(&databases);
-    databases.set_behaviours(&[Reset, FullLarge(100_000)]);
+    databases.set_behaviours(&[CloseWithoutResponse, OverloadedLargeBody(100_000)]);
     let id = fresh_id();
     let (status, head, _) = request(&site, "GET", "/many/x", Some(&id));
     assert_eq!((status, databases.received(&id).len()), (502, 2), "{head}");
--- a/tests/support/gateway.rs
+++ b/tests/support/gateway.rs
@@ -1,5 +1,5 @@
-//! Stand-in databases of a gateway's service: they respond over HTTP, and misbehave on request.
-#![allow(dead_code, reason = "each test and example uses a part of it")]
+//! Stand-in endpoints of a gateway's service, which respond over HTTP and inject faults on request.
+#![allow(dead_code, reason = "each test and example uses only a part of this module")]
 use silvertack::gateway::http1::{BodyDecoder, ParsedHead, parse_request_head};
 use std::collections::VecDeque;
 use std::io::{Read, Write};
@@ -8,56 +8,60 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// What the next request meets.
+/// How an endpoint responds to the next request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Behaviour {
     Serve,
-    Fail,
-    /// Not run, and said so.
-    Full,
-    /// Another database has the address.
+    ErrorResponse,
+    /// 503 with `Not-Executed`.
+    Overloaded,
+    /// 421 with `Not-Executed`, as if another endpoint had the address.
     Misdirected,
-    /// Run, and the connection closed.
-    Reset,
-    /// Half of the response.
-    Truncate,
-    WrongId,
+    /// The request is executed, and the connection is closed without a response.
+    CloseWithoutResponse,
+    /// A response whose body ends early.
+    TruncateBody,
+    WrongRequestId,
     Unsigned,
-    Nonsense,
-    /// A complete response and another behind it.
-    Extra,
-    Chunked,
-    Large(usize),
+    MalformedHead,
+    /// The complete response twice.
+    DuplicateResponse,
+    ChunkedBody,
+    LargeBody(usize),
     Hang,
-    /// Run, and the connection reset in the head, after the head, or after the whole answer.
+    /// The request is executed, and the connection is reset within the response head, after the
+    /// head, or after the complete response.
     TruncateHead,
     TruncateAfterHead,
     ServeThenReset,
-    /// Answered after so many milliseconds, or twice so many apart.
+    /// The response after this many milliseconds, or twice with this many in between.
     Late(u64),
     DuplicatedLate(u64),
-    /// With an interim response first.
-    Continue,
-    /// Not run, and said so in a body of this size.
-    FullLarge(usize),
+    /// An interim response before the final one.
+    InterimResponse,
+    /// 503 with `Not-Executed` and a body of this many bytes.
+    OverloadedLargeBody(usize),
 }
 
+/// A request that an endpoint received.
 #[derive(Clone, Debug)]
 pub(crate) struct ReceivedRequest {
-    pub(crate) database: usize,
+    /// The index of the endpoint.
+    pub(crate) endpoint: usize,
+    /// The number of the connection.
     pub(crate) connection: usize,
-    pub(crate) id: String,
-    /// Method and target.
-    pub(crate) line: String,
-    /// The headers as they came.
+    pub(crate) request_id: String,
+    pub(crate) method_and_target: String,
+    /// The request head as received.
     pub(crate) head: String,
     pub(crate) body: Vec<u8>,
 }
 
+/// The endpoints of one service, each on a port of its own.
 pub(crate) struct StandInEndpoints {
     pub(crate) service: String,
     pub(crate) addresses: Vec<SocketAddr>,
-    next: Mutex<VecDeque<Behaviour>>,
+    next_behaviours: Mutex<VecDeque<Behaviour>>,
     received: Mutex<Vec<ReceivedRequest>>,
     connections: AtomicUsize,
 }
@@ -73,51 +77,57 @@
         let this = Arc::new(Self {
             service: service.to_owned(),
             addresses: listeners.iter().map(TcpListener::local_addr).collect::<Result<_, _>>()?,
-            next: Mutex::default(),
+            next_behaviours: Mutex::default(),
             received: Mutex::default(),
             connections: AtomicUsize::new(0),
         });
-        for (database, listener) in listeners.into_iter().enumerate() {
+        for (endpoint, listener) in listeners.into_iter().enumerate() {
             let this = Arc::clone(&this);
             std::thread::spawn(move || {
                 for stream in listener.incoming().flatten() {
                     let this = Arc::clone(&this);
-                    std::thread::spawn(move || drop(this.serve(database, stream)));
+                    std::thread::spawn(move || drop(this.serve(endpoint, stream)));
                 }
             });
         }
         Ok(this)
     }
-    pub(crate) fn id(&self, database: usize) -> String {
-        format!("i-{}-{database}", self.service)
+    pub(crate) fn id(&self, endpoint: usize) -> String {
+        format!("i-{}-{endpoint}", self.service)
     }
-    pub(crate) fn set_behaviours(&self, next: &[Behaviour]) {
-        *lock(&self.next) = next.iter().copied().collect();
+    /// Sets the behaviours for the next requests; those after them are served.
+    pub(crate) fn set_behaviours(&self, behaviours: &[Behaviour]) {
+        *lock(&self.next_behaviours) = behaviours.iter().copied().collect();
     }
-    /// What reached a database with this id, in order.
-    pub(crate) fn received(&self, id: &str) -> Vec<ReceivedRequest> {
-        lock(&self.received).iter().filter(|r| r.id == id).cloned().collect()
+    /// The requests with this id that the endpoints received, in order.
+    pub(crate) fn received(&self, request_id: &str) -> Vec<ReceivedRequest> {
+        lock(&self.received)
+            .iter()
+            .filter(|request| request.request_id == request_id)
+            .cloned()
+            .collect()
     }
-    pub(crate) fn heartbeat(&self, database: usize, sequence: u64, state: &str) -> String {
+    /// The body of a heartbeat.
+    pub(crate) fn heartbeat(&self, endpoint: usize, sequence: u64, state: &str) -> String {
         serde_json::json!({
-            "target_service": self.service, "address": self.addresses[database], "zone": "here",
+            "target_service": self.service, "address": self.addresses[endpoint], "zone": "here",
             "revision": "v1", "capacity": 2, "lifecycle_state": state, "warmup_left_ms": 0,
             "sequence": sequence,
         })
         .to_string()
     }
-    /// One heartbeat of each database.
+    /// Sends one heartbeat for each endpoint. Returns whether the controller accepted all of them.
     pub(crate) fn send_heartbeats(&self, admin: SocketAddr, sequence: u64) -> bool {
-        (0..self.addresses.len()).all(|database| {
-            let path = format!("/instances/{}", self.id(database));
-            let body = self.heartbeat(database, sequence, "available");
+        (0..self.addresses.len()).all(|endpoint| {
+            let path = format!("/instances/{}", self.id(endpoint));
+            let body = self.heartbeat(endpoint, sequence, "available");
             crate::support::http(admin, "PUT", &path, &[], &body)
                 .is_ok_and(|(status, _)| status == 200)
         })
     }
 
-    #[expect(clippy::too_many_lines, reason = "one connection, read to its end")]
-    fn serve(&self, database: usize, mut stream: TcpStream) -> std::io::Result<()> {
+    #[expect(clippy::too_many_lines, reason = "serves one connection to its end")]
+    fn serve(&self, endpoint: usize, mut stream: TcpStream) -> std::io::Result<()> {
         let connection = self.connections.fetch_add(1, Ordering::SeqCst);
         stream.set_nodelay(true)?;
         let mut bytes = Vec::new();
@@ -125,15 +135,15 @@
         loop {
             let ParsedHead { head: request, length } = loop {
                 match parse_request_head(&bytes, 64 << 10) {
-                    Ok(Some(found)) => break found,
+                    Ok(Some(parsed)) => break parsed,
                     Ok(None) => {}
                     Err(_) => return Ok(()),
                 }
-                let got = stream.read(&mut chunk)?;
-                if got == 0 {
+                let read_count = stream.read(&mut chunk)?;
+                if read_count == 0 {
                     return Ok(());
                 }
-                bytes.extend_from_slice(&chunk[..got]);
+                bytes.extend_from_slice(&chunk[..read_count]);
             };
             let head = String::from_utf8_lossy(&bytes[..length]).into_owned();
             bytes.drain(..length);
@@ -144,32 +154,32 @@
                 if decoder.is_complete() {
                     break;
                 }
-                let got = stream.read(&mut chunk)?;
-                if got == 0 {
+                let read_count = stream.read(&mut chunk)?;
+                if read_count == 0 {
                     return Ok(());
                 }
-                bytes.extend_from_slice(&chunk[..got]);
+                bytes.extend_from_slice(&chunk[..read_count]);
             }
             let id = request.request_id.clone().unwrap_or_default();
-            let behaviour = lock(&self.next).pop_front().unwrap_or(Behaviour::Serve);
-            let line = format!("{} {}", request.method, request.target);
+            let behaviour = lock(&self.next_behaviours).pop_front().unwrap_or(Behaviour::Serve);
+            let method_and_target = format!("{} {}", request.method, request.target);
             lock(&self.received).push(ReceivedRequest {
-                database,
+                endpoint,
                 connection,
-                id: id.clone(),
-                line,
+                request_id: id.clone(),
+                method_and_target,
                 head,
                 body,
             });
-            let response = |status: &str, id: &str, more: &str, body: &str| {
+            let response = |status: &str, id: &str, headers: &str, body: &str| {
                 let length = body.len();
-                // Without an id of the request there is none to repeat.
+                // A request without an id gets a response without one.
                 let id =
                     if id.is_empty() { String::new() } else { format!("Request-Id: {id}\r\n") };
-                let none = request.method == "HEAD" || status.starts_with("204");
-                let body = if none { "" } else { body };
+                let has_no_body = request.method == "HEAD" || status.starts_with("204");
+                let body = if has_no_body { "" } else { body };
                 format!(
-                    "HTTP/1.1 {status}\r\n{id}X-For: {}\r\nContent-Length: {length}\r\n{more}\r\n{body}",
+                    "HTTP/1.1 {status}\r\n{id}X-For: {}\r\nContent-Length: {length}\r\n{headers}\r\n{body}",
                     request.target
                 )
             };
@@ -177,20 +187,20 @@
             let success = response("200 OK", &id, signature, "the rows");
             let out = match behaviour {
                 Behaviour::Serve => success,
-                Behaviour::Fail => response("500 Oh", &id, signature, "failed"),
-                Behaviour::Full => response("503 Full", &id, "Not-Executed: 1\r\n", ""),
+                Behaviour::ErrorResponse => response("500 Oh", &id, signature, "failed"),
+                Behaviour::Overloaded => response("503 Full", &id, "Not-Executed: 1\r\n", ""),
                 Behaviour::Misdirected => response("421 Other", &id, "Not-Executed: 1\r\n", ""),
-                Behaviour::Reset => return stream.shutdown(Shutdown::Both),
-                Behaviour::Truncate => success[..success.len() - 4].to_owned(),
-                Behaviour::WrongId => response("200 OK", "other", signature, "not yours"),
+                Behaviour::CloseWithoutResponse => return stream.shutdown(Shutdown::Both),
+                Behaviour::TruncateBody => success[..success.len() - 4].to_owned(),
+                Behaviour::WrongRequestId => response("200 OK", "other", signature, "not yours"),
                 Behaviour::Unsigned => response("200 OK", &id, "", "no stamp"),
-                Behaviour::Nonsense => "\u{1}\u{2} nonsense\r\n\r\n".to_owned(),
-                Behaviour::Extra => success.clone() + &success,
-                Behaviour::Chunked => format!(
+                Behaviour::MalformedHead => "\u{1}\u{2} nonsense\r\n\r\n".to_owned(),
+                Behaviour::DuplicateResponse => success.clone() + &success,
+                Behaviour::ChunkedBody => format!(
                     "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\n{signature}Transfer-Encoding: chunked\r\n\r\n\
                      4\r\nthe \r\n4\r\nrows\r\n0\r\n\r\n"
                 ),
-                Behaviour::Large(size) => response("200 OK", &id, signature, &"x".repeat(size)),
+                Behaviour::LargeBody(size) => response("200 OK", &id, signature, &"x".repeat(size)),
                 Behaviour::Late(ms) => {
                     std::thread::sleep(Duration::from_millis(ms));
                     success
@@ -205,8 +215,8 @@
                     success[..success.len() - "the rows".len()].to_owned()
                 }
                 Behaviour::ServeThenReset => success,
-                Behaviour::Continue => "HTTP/1.1 100 Continue\r\n\r\n".to_owned() + &success,
-                Behaviour::FullLarge(size) => {
+                Behaviour::InterimResponse => "HTTP/1.1 100 Continue\r\n\r\n".to_owned() + &success,
+                Behaviour::OverloadedLargeBody(size) => {
                     response("503 Full", &id, "Not-Executed: 1\r\n", &"x".repeat(size))
                 }
                 Behaviour::Hang => {
@@ -215,14 +225,14 @@
                 }
             };
             stream.write_all(out.as_bytes())?;
-            if behaviour == Behaviour::Truncate {
+            if behaviour == Behaviour::TruncateBody {
                 return stream.shutdown(Shutdown::Both);
             }
             if matches!(
                 behaviour,
                 Behaviour::TruncateHead | Behaviour::TruncateAfterHead | Behaviour::ServeThenReset
             ) {
-                // Once it was read; a reset would take it along.
+                // Waits until the gateway has read the response, as a reset would discard it.
                 std::thread::sleep(Duration::from_millis(30));
                 return socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
             }
