--- a/tests/gateway_parts.rs
+++ b/tests/gateway_parts.rs
@@ -1,4 +1,4 @@
-//! The pure parts of the gateway, as tables of cases.
+//! Unit tests of the gateway's modules of pure logic, most of them as tables of cases.
 use silvertack::base::errors::Refusal;
 use silvertack::base::ids::{InstanceId, NodeName, ServiceName};
 use silvertack::base::time::Tick;
@@ -17,6 +17,7 @@
 use silvertack::gateway::subsets::{CapacityRange, assigned_capacities};
 use silvertack::leases::subset_assignments::SubsetAssignments;
 
+/// Encodes lines as the head of a message.
 fn head(lines: &str) -> Vec<u8> {
     format!("{}\r\n\r\n", lines.replace('\n', "\r\n")).into_bytes()
 }
@@ -45,13 +46,17 @@
         (&format!("GET /a HTTP/1.1\nHost: h\nX: {}", "x".repeat(600)), Some(Refusal::HeadTooLarge)),
     ];
     for (lines, refused) in cases {
-        let got = parse_request_head(&head(lines), 500).map(|found| found.is_some());
+        let got = parse_request_head(&head(lines), 500).map(|parsed| parsed.is_some());
         assert_eq!(got, refused.map_or(Ok(true), Err), "{lines}");
     }
-    let bare = b"GET /a HTTP/1.1\nHost: h\r\n\r\n";
-    assert_eq!(parse_request_head(bare, 500), Err(BAD), "a bare LF");
-    assert_eq!(parse_request_head(&bare[..16], 500), Err(BAD), "a bare LF, early");
-    assert_eq!(parse_request_head(b"GET /a HT", 500), Ok(None), "half a head");
+    let bare_lf = b"GET /a HTTP/1.1\nHost: h\r\n\r\n";
+    assert_eq!(parse_request_head(bare_lf, 500), Err(BAD), "a bare LF");
+    assert_eq!(
+        parse_request_head(&bare_lf[..16], 500),
+        Err(BAD),
+        "a bare LF in an incomplete head"
+    );
+    assert_eq!(parse_request_head(b"GET /a HT", 500), Ok(None), "an incomplete head");
 }
 
 #[test]
@@ -67,8 +72,8 @@
     assert_eq!((request.host.as_str(), request.path()), ("h.example", "/a"));
     assert_eq!((request.target.as_str(), request.deadline_ms), ("/a?b=c", Some(40)));
     assert!(request.close && request.expects_continue && request.framing == BodyFraming::Chunked);
-    let passed = "Host: H.Example:80\r\nRequest-Id: 7\r\nAccept: */*\r\n";
-    assert_eq!(String::from_utf8_lossy(&request.forwarded_headers), passed);
+    let forwarded = "Host: H.Example:80\r\nRequest-Id: 7\r\nAccept: */*\r\n";
+    assert_eq!(String::from_utf8_lossy(&request.forwarded_headers), forwarded);
 }
 
 #[test]
@@ -85,7 +90,7 @@
     for (method, lines, framing) in cases {
         let got = parse_response_head(&head(&format!("HTTP/1.1 {lines}")), method);
         assert_eq!(
-            got.map(|found| found.expect("complete").head.framing),
+            got.map(|parsed| parsed.expect("complete").head.framing),
             framing,
             "{method} {lines}"
         );
@@ -117,25 +122,26 @@
                 (BodyDecoder::new(framing), Vec::new(), Vec::new());
             let mut left = bytes;
             while !body.is_complete() {
-                let (piece, more) = left.split_at(step.min(left.len()));
-                left = more;
+                let (piece, rest_of_input) = left.split_at(step.min(left.len()));
+                left = rest_of_input;
                 pending.extend_from_slice(piece);
-                let used = body.decode(&pending, &mut out).expect("well formed");
-                pending.drain(..used);
+                let consumed = body.decode(&pending, &mut out).expect("well formed");
+                pending.drain(..consumed);
             }
             pending.extend_from_slice(left);
             assert_eq!((out.as_slice(), pending.as_slice()), (data, rest), "{framing:?} by {step}");
         }
     }
-    for bad in ["x\r\n", "3\r\nabcd", "3\nabc", "1\r\na\r\n0\r\nT: 1\n\n"] {
-        let got = BodyDecoder::new(BodyFraming::Chunked).decode(bad.as_bytes(), &mut Vec::new());
-        assert_eq!(got, Err(ParseError), "{bad:?}");
+    for invalid in ["x\r\n", "3\r\nabcd", "3\nabc", "1\r\na\r\n0\r\nT: 1\n\n"] {
+        let got =
+            BodyDecoder::new(BodyFraming::Chunked).decode(invalid.as_bytes(), &mut Vec::new());
+        assert_eq!(got, Err(ParseError), "{invalid:?}");
     }
-    let mut open = BodyDecoder::new(BodyFraming::UntilClose);
-    assert!(!open.is_complete() && open.finish_at_close(), "the end of the connection ends it");
+    let mut until_close = BodyDecoder::new(BodyFraming::UntilClose);
+    assert!(!until_close.is_complete() && until_close.finish_at_close(), "the close ends the body");
     assert!(
         !BodyDecoder::new(BodyFraming::Length(3)).finish_at_close(),
-        "a length that was not reached does not"
+        "a body shorter than its length is incomplete"
     );
 }
 
@@ -144,7 +150,8 @@
     use AttemptOutcome::*;
     use Idempotency::*;
     use NextStep::*;
-    // Attempts so far in order, others in flight, time and budget left: what follows the last.
+    // (idempotency, outcomes of the attempts in order, whether other attempts are in flight, whether
+    // time and budget are left, the expected next step after the last attempt)
     type Case<'a> = (Idempotency, &'a [AttemptOutcome], bool, bool, bool, NextStep);
     let cases: [Case<'_>; 17] = [
         (NonIdempotent, &[NotSent], false, true, false, Retry),
@@ -160,7 +167,7 @@
         (Idempotent, &[MayHaveExecuted], false, false, true, Refuse(Refusal::Late)),
         (Idempotent, &[Failed], false, true, true, Retry),
         (Idempotent, &[Failed, Failed], false, true, true, ForwardResponse),
-        // That it was not executed would not be true any more.
+        // "Not executed" is not forwarded after an attempt that may have executed the request.
         (Idempotent, &[MayHaveExecuted, NotExecuted], false, true, true, Refuse(Refusal::Lost)),
         (Idempotent, &[NotExecuted], true, true, false, Refuse(Refusal::Lost)),
         (Idempotent, &[MayHaveExecuted, NotSent], false, true, false, Refuse(Refusal::Lost)),
@@ -184,18 +191,21 @@
 fn retries_stay_within_the_ratio_of_requests() {
     let mut budget = RetryBudget::new(0.2, 10_000);
     let start = Tick(100_000);
-    assert!(!budget.try_spend(start), "no requests, no retries");
+    assert!(!budget.try_spend(start), "no retries without requests");
     (0..10).for_each(|_| budget.record_request(start));
     let retries = (0..10).filter(|_| budget.try_spend(start.plus(100))).count();
     assert_eq!(retries, 2);
     assert!(!budget.allows_retry(start.plus(9_000)), "still within the window");
     (0..5).for_each(|_| budget.record_request(start.plus(10_700)));
-    assert!(budget.allows_retry(start.plus(10_800)), "what lies before the window does not count");
+    assert!(
+        budget.allows_retry(start.plus(10_800)),
+        "requests and retries before the window are not counted"
+    );
 }
 
 #[test]
 fn the_cheaper_of_two_from_the_preferred_group_is_chosen() {
-    let near = Candidate {
+    let same_zone = Candidate {
         same_zone: true,
         ejected: false,
         in_flight: 0,
@@ -204,43 +214,46 @@
         has_idle_connection: true,
         assigned_capacity: 0.0,
     };
-    let far = Candidate { same_zone: false, ..near };
-    let ejected = Candidate { ejected: true, ..near };
-    let busy = Candidate { in_flight: 2, ..near };
-    let full = Candidate { in_flight: 4, ..near };
-    let slow = Candidate { latency_ms: 50.0, ..near };
+    let other_zone = Candidate { same_zone: false, ..same_zone };
+    let ejected = Candidate { ejected: true, ..same_zone };
+    let busy = Candidate { in_flight: 2, ..same_zone };
+    let full = Candidate { in_flight: 4, ..same_zone };
+    let slow = Candidate { latency_ms: 50.0, ..same_zone };
     let cases: [(&str, &[Candidate], Option<usize>); 7] = [
-        ("none", &[], None),
-        ("near before far", &[far, near], Some(1)),
-        ("far before ejected", &[ejected, far], Some(1)),
-        ("ejected before none", &[ejected], Some(0)),
-        ("far before a queue", &[busy, far], Some(1)),
-        ("nothing beyond what may queue", &[full], None),
-        ("the quicker one", &[slow, near], Some(1)),
+        ("no candidates", &[], None),
+        ("the same zone before another zone", &[other_zone, same_zone], Some(1)),
+        ("another zone before an ejected one", &[ejected, other_zone], Some(1)),
+        ("an ejected one if there is no other", &[ejected], Some(0)),
+        ("another zone before a queue", &[busy, other_zone], Some(1)),
+        ("none if the queue is full", &[full], None),
+        ("the one with the lower latency", &[slow, same_zone], Some(1)),
     ];
     for (what, candidates, expected) in cases {
-        // Drawn in turn, so that each pair is seen.
-        let turn = std::cell::Cell::new(0);
-        let draw = |n: usize| {
-            turn.set(turn.get() + 1);
-            turn.get() % n
+        // Counts up in place of random numbers, so that the two draws differ.
+        let counter = std::cell::Cell::new(0);
+        let random_below = |n: usize| {
+            counter.set(counter.get() + 1);
+            counter.get() % n
         };
-        assert_eq!(choose_endpoint(candidates, draw), expected, "{what}");
+        assert_eq!(choose_endpoint(candidates, random_below), expected, "{what}");
     }
 }
 
 #[test]
 fn an_endpoint_that_fails_is_ejected_longer_each_time() {
-    let (mut outlier, now) = (OutlierDetector::default(), Tick(100_000));
-    outlier.record_failed_response(now);
-    assert!(!outlier.is_ejected(now), "one error response may be the request's own fault");
-    outlier.record_failed_response(now);
-    assert!(outlier.is_ejected(now.plus(1_900)) && !outlier.is_ejected(now.plus(2_100)));
-    outlier.record_fault(now.plus(2_100));
-    assert!(outlier.is_ejected(now.plus(6_000)) && !outlier.is_ejected(now.plus(6_200)));
-    outlier.record_success(10);
-    outlier.record_fault(now.plus(7_000));
-    assert!(!outlier.is_ejected(now.plus(9_100)), "a success ends the row of ejections");
+    let (mut detector, now) = (OutlierDetector::default(), Tick(100_000));
+    detector.record_failed_response(now);
+    assert!(!detector.is_ejected(now), "one error response may be the request's own fault");
+    detector.record_failed_response(now);
+    assert!(detector.is_ejected(now.plus(1_900)) && !detector.is_ejected(now.plus(2_100)));
+    detector.record_fault(now.plus(2_100));
+    assert!(detector.is_ejected(now.plus(6_000)) && !detector.is_ejected(now.plus(6_200)));
+    detector.record_success(10);
+    detector.record_fault(now.plus(7_000));
+    assert!(
+        !detector.is_ejected(now.plus(9_100)),
+        "a success resets the count of consecutive ejections"
+    );
 }
 
 fn route_table(routes: serde_json::Value) -> Result<RouteTable, ConfigurationError> {
@@ -248,15 +261,15 @@
     let body = serde_json::json!({ "revision": 1, "route_rules": routes, "services": services });
     Configuration::read(body.to_string().as_bytes()).map(|c| RouteTable::of(&c))
 }
-fn route(host: &str, prefix: &str, more: serde_json::Value) -> serde_json::Value {
+fn route(host: &str, prefix: &str, fields: serde_json::Value) -> serde_json::Value {
     let mut route = serde_json::json!({ "name": format!("{host}{prefix}"), "hostname": host,
         "path_prefix": prefix, "route_type": "idempotent", "timeout_ms": 10 });
-    route.as_object_mut().expect("object").extend(more.as_object().expect("object").clone());
+    route.as_object_mut().expect("object").extend(fields.as_object().expect("object").clone());
     route
 }
 
 #[test]
-fn the_longest_prefix_of_a_host_decides() {
+fn a_route_is_found_by_host_and_longest_path_prefix() {
     let to = |service: &str| serde_json::json!({ "target_service": service });
     let route_table = route_table(serde_json::json!([
         route("h", "/a/", to("a")),
@@ -275,13 +288,13 @@
         ("f", "/a/", None),
     ];
     for (host, path, prefix) in cases {
-        let found = route_table.entry_for_path(host, path).map(|l| l.path_prefix.as_str());
+        let found = route_table.entry_for_path(host, path).map(|entry| entry.path_prefix.as_str());
         assert_eq!(found, prefix, "{host} {path}");
     }
 }
 
 #[test]
-fn weights_divide_requests_and_are_checked() {
+fn weights_divide_requests_and_are_validated() {
     let split = |weights: [u32; 2]| {
         let targets = ["a", "b"].iter().zip(weights);
         let targets: Vec<_> =
@@ -296,15 +309,15 @@
     let unknown =
         serde_json::json!({ "weighted_targets": [{ "target_service": "x", "weight": 1 }] });
     let both = serde_json::json!({ "target_service": "a", "weighted_targets": [{ "target_service": "a", "weight": 1 }] });
-    let bad = [
+    let invalid = [
         ("weighted_targets_sum_to_0", split([0, 0])),
         ("unknown_service", route("h", "/", unknown)),
         ("target_service_or_weighted_targets", route("h", "/", both)),
         ("target_service_or_weighted_targets", route("h", "/", serde_json::json!({}))),
     ];
-    for (why, route) in bad {
-        let error = route_table(serde_json::json!([route])).expect_err(why).to_string();
-        assert!(error.contains(why), "{error}");
+    for (expected, route) in invalid {
+        let error = route_table(serde_json::json!([route])).expect_err(expected).to_string();
+        assert!(error.contains(expected), "{error}");
     }
 }
 
@@ -322,37 +335,41 @@
     subset_assignments.rebalance(|_| true, start.plus(1_000));
     assert!(
         subset_assignments.take_updates(&node(0), false).is_empty(),
-        "not before all have had time to report"
+        "not before all nodes have had time to report"
     );
     let divide = |subset_assignments: &mut SubsetAssignments, ms: u64| {
         subset_assignments.rebalance(|n| *n != node(8), start.plus(ms));
-        let mut upto = 0;
-        let mut parts = Vec::new();
+        let mut previous_end = 0;
+        let mut widths = Vec::new();
         for n in 0..busy.len() {
             let subset_ranges = subset_assignments.take_updates(&node(n), true);
             assert_eq!(
                 (subset_ranges.len(), subset_ranges[0].start),
-                (1, upto),
-                "each begins where the last ends"
+                (1, previous_end),
+                "each range starts where the previous one ends"
             );
-            upto = subset_ranges[0].end;
-            parts.push((subset_ranges[0].end - subset_ranges[0].start) / 1_000);
+            previous_end = subset_ranges[0].end;
+            widths.push((subset_ranges[0].end - subset_ranges[0].start) / 1_000);
         }
-        assert!(upto >= 999_990);
-        parts
+        assert!(previous_end >= 999_990);
+        widths
     };
-    // The one that wants nothing has 0.3 of the mean of 150.
+    // A node without demand gets the share of 0.3 of the mean demand of 150.
     assert_eq!(divide(&mut subset_assignments, 3_000), [465, 155, 69, 310]);
     let elsewhere = &subset_assignments.take_updates(&node(9), true)[0];
-    assert_eq!((elsewhere.start, elsewhere.end), (0, 1_000_000), "a zone by itself");
-    // A small change is not reported again; a large one is.
+    assert_eq!(
+        (elsewhere.start, elsewhere.end),
+        (0, 1_000_000),
+        "another zone is divided separately"
+    );
+    // A small change of the demand does not change the subsets; a large one does.
     subset_assignments.report_load(&node(0), "here", items.clone(), 310);
     subset_assignments.rebalance(|_| true, start.plus(4_100));
     assert!((0..4).all(|n| subset_assignments.take_updates(&node(n), false).is_empty()));
     subset_assignments.report_load(&node(0), "here", items.clone(), 900);
     subset_assignments.rebalance(|_| true, start.plus(5_200));
     assert!((0..4).all(|n| subset_assignments.take_updates(&node(n), false).len() == 1));
-    // One that is gone has no part.
+    // A node that is gone gets no subset.
     subset_assignments.rebalance(|n| *n != node(0), start.plus(6_300));
     assert_eq!(subset_assignments.take_updates(&node(1), true)[0].start, 0);
     assert!(subset_assignments.take_updates(&node(0), true).is_empty());
@@ -366,17 +383,20 @@
     let all = assigned(0, 1_000_000);
     assert!(ids.iter().all(|id| all.get(id) == Some(&2.0)));
     // Three subsets that cover everything assign each endpoint exactly once.
-    let cuts = [0, 250_000, 600_000, 1_000_000];
-    let parts: Vec<_> = cuts.windows(2).map(|c| assigned(c[0], c[1])).collect();
+    let boundaries = [0, 250_000, 600_000, 1_000_000];
+    let parts: Vec<_> = boundaries.windows(2).map(|range| assigned(range[0], range[1])).collect();
     for id in &ids {
-        let sum: f64 = parts.iter().filter_map(|p| p.get(id)).sum();
+        let sum: f64 = parts.iter().filter_map(|part| part.get(id)).sum();
         assert!((sum - 2.0).abs() < 0.11, "{id}: {sum}");
     }
-    assert!(assigned(500_000, 500_001).is_empty(), "a sliver is assigned to nobody");
+    assert!(
+        assigned(500_000, 500_001).is_empty(),
+        "a tiny part of an endpoint is assigned to no node"
+    );
 }
 
 #[test]
-fn demand_is_reported_when_it_changed_much() {
+fn demand_is_reported_only_after_a_large_change() {
     let mut demand = DemandMeter::default();
     demand.record(450);
     assert_eq!(demand.next_report(450), Some(100), "one request in flight all the time");
