--- a/src/gateway/client_connection.rs
+++ b/src/gateway/client_connection.rs
@@ -120,7 +120,7 @@
                     gateway.idle_clients.park(client.id, &connection.stream, client, registration);
                 }
                 Ok(AfterServing::Close) => {}
-                // Debug level, because clients often break connections off.
+                // Debug level, because client connections fail often.
                 Err(e) => debug!(
                     target: "gateway",
                     "client connection {} is closed after an error while serving it: {e}",
