--- a/src/failover/departed.rs
+++ b/src/failover/departed.rs
@@ -8,8 +8,8 @@
 
 use super::actions::{Attempt, DatabaseRequest, DatabaseResponse, FailoverAction};
 use super::timing::{
-    DEPARTED_CHECK_BACKOFF_MS, DEPARTED_CHECK_MAX_BACKOFF_MS, DEPARTED_CHECK_TIMEOUT_MS,
-    DEPARTED_PROBE_INTERVAL_MS, DEPARTED_SILENT_MS, REQUEST_RETRY_MS,
+    DEPARTED_ASSUMED_STOPPED_MS, DEPARTED_CHECK_BACKOFF_MS, DEPARTED_CHECK_MAX_BACKOFF_MS,
+    DEPARTED_CHECK_TIMEOUT_MS, DEPARTED_PROBE_INTERVAL_MS, REQUEST_RETRY_MS,
 };
 use super::{Failover, ServiceSnapshot};
 use crate::base::ids::{InstanceId, Position};
@@ -33,7 +33,7 @@
 
 impl Departure {
     fn has_ended(&self, now: Tick) -> bool {
-        self.ended || now.since(self.noticed_at) >= DEPARTED_SILENT_MS
+        self.ended || now.since(self.noticed_at) >= DEPARTED_ASSUMED_STOPPED_MS
     }
 }
 
--- a/src/failover/handover.rs
+++ b/src/failover/handover.rs
@@ -9,7 +9,7 @@
 
 use super::actions::{DatabaseRequest, DatabaseResponse, FailoverAction};
 use super::state::PrimaryAnswer;
-use super::timing::{PLANNED_CHANGE_TIMEOUT_MS, SLOW_PRIMARY_HANDOVER_TIMEOUT_MS, TARGET_POLL_MS};
+use super::timing::{DRAINING_HANDOVER_TIMEOUT_MS, HANDOVER_POLL_MS, SLOW_HANDOVER_TIMEOUT_MS};
 use super::{Failover, FailoverState, ServiceSnapshot};
 use crate::base::ids::{DbTerm, InstanceId, Position};
 use crate::base::time::Tick;
@@ -57,8 +57,8 @@
 
     fn timeout_ms(&self) -> u64 {
         match self.cause {
-            PlannedCause::Slow => SLOW_PRIMARY_HANDOVER_TIMEOUT_MS,
-            PlannedCause::Draining => PLANNED_CHANGE_TIMEOUT_MS,
+            PlannedCause::Slow => SLOW_HANDOVER_TIMEOUT_MS,
+            PlannedCause::Draining => DRAINING_HANDOVER_TIMEOUT_MS,
         }
     }
 
@@ -143,7 +143,7 @@
         if progress.is_target_ready(snapshot) {
             return self.choose_handover_target(snapshot, now);
         }
-        if now.since(progress.polled_at) >= TARGET_POLL_MS {
+        if now.since(progress.polled_at) >= HANDOVER_POLL_MS {
             return progress.poll(snapshot, now);
         }
         Vec::new()
--- a/src/failover/mod.rs
+++ b/src/failover/mod.rs
@@ -1,23 +1,28 @@
-//! The change of a service's primary, because it was lost or because it is planned.
+//! Replaces the primary database of a service, either after the primary was lost or as a planned
+//! handover.
 //!
-//! This module owns the decision when a database stops being the primary of its service and which
-//! replica follows it. The leading controller keeps one [`Failover`] for each service and hands it
-//! every event with a [`ServiceSnapshot`] and the time; it carries out the [`FailoverAction`]s that
-//! come back. The module is pure: it knows no socket, thread or clock, and so the simulation and
-//! the tests drive it the same way.
+//! This module decides when a database stops being the primary of its service and which replica
+//! is promoted in its place. The leading controller keeps one [`Failover`] for each service. It
+//! passes in every event together with a [`ServiceSnapshot`] and the time, and carries out the
+//! [`FailoverAction`]s that are returned. The module is a pure state machine without sockets,
+//! threads or clocks, so the simulation and the tests drive it exactly as the controller does.
 //!
-//! It promises that whatever was acknowledged to a client is on the replica that is promoted, as
-//! long as `sync_replicas` is at least one; and that all leaders promote the same target, since
-//! the intent is committed to the replicated log first.
+//! Guarantees:
 //!
-//! A change goes through the states of [`FailoverState`]: the primary is suspected (`suspicion`),
-//! its leases are revoked and the replicas paused (`fencing`, `resume`), one is chosen
-//! (`selection`), promoted and recorded (`promotion`). A primary that still serves hands its service
-//! over instead (`handover`). `departed` takes care of replicas that left with a part of the log.
+//! - As long as `sync_replicas` is at least one, the promoted replica has every commit that was
+//!   acknowledged to a client.
+//! - All leaders promote the same target, because the intent to promote it is committed to the
+//!   replicated log first.
 //!
-//! Before a replica is chosen, the poolers must have stopped to pass on commits of the old term that
-//! this replica lacks, and it must have what they passed on until then. What a database or a
-//! controller was found to do a moment ago is never enough for that.
+//! The states are those of [`FailoverState`]. The primary is suspected (`suspicion`), its leases
+//! are revoked and the replicas paused (`fencing`, `resume`), a replica is chosen (`selection`),
+//! promoted and recorded as the primary (`promotion`). A primary that still serves hands its
+//! service over instead (`handover`). `departed` tracks deregistered replicas that may hold the
+//! only copy of a commit.
+//!
+//! Before a replica is chosen, the poolers must have stopped passing on commits of the old term
+//! that this replica lacks, and the replica must have every commit that they passed on before. An
+//! earlier observation of a database or a controller never proves that.
 
 mod actions;
 mod departed;
--- a/src/failover/selection.rs
+++ b/src/failover/selection.rs
@@ -3,7 +3,7 @@
 
 use super::actions::FailoverAction;
 use super::fencing::Fencing;
-use super::timing::PREFER_REPLICAS_MS;
+use super::timing::REPLICA_RESPONSE_WAIT_MS;
 use super::{Failover, FailoverState, ServiceSnapshot};
 use crate::base::ids::{DbTerm, InstanceId, Position};
 use crate::base::time::Tick;
@@ -28,7 +28,7 @@
         return None;
     }
     let furthest = fencing.furthest();
-    let prefer_replicas = now.since(fencing.since) < PREFER_REPLICAS_MS;
+    let prefer_replicas = now.since(fencing.since) < REPLICA_RESPONSE_WAIT_MS;
     // What the poolers said is enough; but with all answers the furthest replica is found.
     let waited = !prefer_replicas
         || fencing.all_living_answered(snapshot)
--- a/src/failover/state.rs
+++ b/src/failover/state.rs
@@ -9,7 +9,7 @@
 use super::resume::PausedReplicas;
 use super::snapshot::ServiceSnapshot;
 use super::suspicion::Suspicion;
-use super::timing::{FIRST_PRIMARY_TIMEOUT_MS, PLANNED_CHANGE_RETRY_MS, STEP_DOWN_RETRY_MS};
+use super::timing::{FIRST_PRIMARY_TIMEOUT_MS, HANDOVER_RETRY_MS, STEP_DOWN_RETRY_MS};
 use crate::base::ids::{DbTerm, InstanceId, Position};
 use crate::base::time::Tick;
 use crate::config::directory::{Lifecycle, Role};
@@ -424,8 +424,7 @@
         if !requests.is_empty() {
             return requests;
         }
-        let backed_off =
-            self.called_off_at.is_none_or(|at| now.since(at) > PLANNED_CHANGE_RETRY_MS);
+        let backed_off = self.called_off_at.is_none_or(|at| now.since(at) > HANDOVER_RETRY_MS);
         if primary.lifecycle_state == Lifecycle::Draining && backed_off {
             return self.plan_change(snapshot, record.term, PlannedCause::Draining, now);
         }
--- a/src/failover/suspicion.rs
+++ b/src/failover/suspicion.rs
@@ -7,10 +7,10 @@
 use super::handover::PlannedCause;
 use super::state::{FailoverState, PrimaryAnswer};
 use super::timing::{
-    BROKEN_CONNECTION_REPORTERS_NEEDED, BROKEN_CONNECTIONS_NEEDED, BROKEN_CONNECTIONS_STORED,
-    BROKEN_CONNECTIONS_WITHIN_MS, CONNECT_WINDOW_MS, MISSING_HEARTBEATS_IGNORED_MS,
-    REPORTS_IGNORED_MS, SILENT_REPORTERS_NEEDED, SLOW_ANSWER_MS, SLOW_REPLACEMENT_INTERVAL_MS,
-    SLOW_TWICE_WITHIN_MS, SUSPICION_TIMEOUT_MS, UNANSWERED_TWICE_WITHIN_MS,
+    BROKEN_CONNECTION_REPORTERS_NEEDED, BROKEN_CONNECTION_WINDOW_MS, BROKEN_CONNECTIONS_NEEDED,
+    CONNECT_WINDOW_MS, MAX_STORED_BROKEN_CONNECTIONS, MISSING_HEARTBEATS_IGNORED_MS,
+    NO_RESPONSE_REPORTERS_NEEDED, REPEATED_SLOW_WINDOW_MS, REPEATED_TIMEOUT_WINDOW_MS,
+    REPORTS_IGNORED_MS, SLOW_REPLACEMENT_INTERVAL_MS, SLOW_RESPONSE_MS, SUSPICION_TIMEOUT_MS,
 };
 use super::{Failover, ServiceSnapshot};
 use crate::base::ids::{DbTerm, InstanceId, NodeName};
@@ -66,14 +66,14 @@
     fn record_broken_connection(&mut self, reporter: &NodeName, now: Tick) {
         let reporter = reporter.clone();
         self.broken_connections.push_back(BrokenConnection { reported_at: now, reporter });
-        if self.broken_connections.len() > BROKEN_CONNECTIONS_STORED {
+        if self.broken_connections.len() > MAX_STORED_BROKEN_CONNECTIONS {
             self.broken_connections.pop_front();
         }
     }
 
     /// Whether enough poolers wait for the primary's answers.
     fn is_silent_to_many(&self) -> bool {
-        self.silent_reporters.len() >= SILENT_REPORTERS_NEEDED
+        self.silent_reporters.len() >= NO_RESPONSE_REPORTERS_NEEDED
     }
 
     /// Whether the primary breaks connections of many poolers again and again, though it answers
@@ -81,7 +81,7 @@
     fn is_unsteady(&self, now: Tick) -> bool {
         let recent = || {
             let recent =
-                |b: &&BrokenConnection| now.since(b.reported_at) < BROKEN_CONNECTIONS_WITHIN_MS;
+                |b: &&BrokenConnection| now.since(b.reported_at) < BROKEN_CONNECTION_WINDOW_MS;
             self.broken_connections.iter().filter(recent)
         };
         let reporters = || recent().map(|b| &b.reporter).collect::<BTreeSet<_>>();
@@ -93,7 +93,7 @@
     /// once more.
     fn may_be_lost_packet(&self, now: Tick) -> bool {
         !self.is_silent_to_many()
-            && self.unanswered_at.is_none_or(|at| now.since(at) > UNANSWERED_TWICE_WITHIN_MS)
+            && self.unanswered_at.is_none_or(|at| now.since(at) > REPEATED_TIMEOUT_WINDOW_MS)
     }
 }
 
@@ -156,7 +156,7 @@
         if PrimaryAnswer::of(response, record) == PrimaryAnswer::Leads {
             // It answered late, or rejected even this request.
             let slow =
-                now.since(since) > SLOW_ANSWER_MS || *response == DatabaseResponse::NoDescription;
+                now.since(since) > SLOW_RESPONSE_MS || *response == DatabaseResponse::NoDescription;
             self.return_to_steady(now);
             return if slow {
                 self.handle_slow_primary(snapshot, record.term, now)
@@ -182,7 +182,7 @@
         term: DbTerm,
         now: Tick,
     ) -> Vec<FailoverAction> {
-        let twice = is_within(self.suspicion.slow_at, SLOW_TWICE_WITHIN_MS, now);
+        let twice = is_within(self.suspicion.slow_at, REPEATED_SLOW_WINDOW_MS, now);
         self.suspicion.slow_at = Some(now);
         if twice { self.replace_slow_primary(snapshot, term, now) } else { Vec::new() }
     }
