--- a/src/controller/failover_driver.rs
+++ b/src/controller/failover_driver.rs
@@ -75,7 +75,7 @@
             alive: BTreeSet::new(),
             sync_replicas: self.services.get(service).map_or(0, |s| s.sync_replicas),
             leases_expired: false,
-            all_confirm: false,
+            all_poolers_confirmed: false,
             passed_on: PassedOn::default(),
             primary_record: self.state_machine.primaries().get(service).cloned(),
         };
@@ -101,7 +101,7 @@
             let failover = leader_state.failovers.get(service);
             let handover = failover.and_then(|f| f.handover.as_ref()).map(|h| h.number);
             snapshot.leases_expired = leases.all_released(service, term, now);
-            snapshot.all_confirm = leases.all_confirm(service, term, handover, now);
+            snapshot.all_poolers_confirmed = leases.all_confirm(service, term, handover, now);
             let newest = leader_state.watermarks.latest(service);
             let rule = match snapshot.sync_replicas {
                 0 => CoverageRule::WatermarkOrTimeout,
--- a/src/failover/fencing.rs
+++ b/src/failover/fencing.rs
@@ -50,7 +50,7 @@
     /// How many of the possible holders have answered. One that did and left since is counted: what
     /// it had is known.
     pub(super) fn answers(&self, snapshot: &ServiceSnapshot) -> usize {
-        snapshot.possible_holders().filter(|id| self.descriptions.contains_key(*id)).count()
+        snapshot.possible_commit_holders().filter(|id| self.descriptions.contains_key(*id)).count()
     }
 
     /// Whether all listed replicas that live have answered.
@@ -62,7 +62,7 @@
     /// How many of the possible holders have answered since every lease had ended.
     pub(super) fn answers_after_leases(&self, snapshot: &ServiceSnapshot) -> usize {
         let answered = &self.answered_after_leases;
-        snapshot.possible_holders().filter(|id| answered.contains(*id)).count()
+        snapshot.possible_commit_holders().filter(|id| answered.contains(*id)).count()
     }
 
     fn record_answer(&mut self, id: &InstanceId, description: &ServerDescription) {
--- a/src/failover/handover.rs
+++ b/src/failover/handover.rs
@@ -130,7 +130,7 @@
             return self.call_off(now);
         }
         if !progress.confirmed {
-            if !snapshot.all_confirm {
+            if !snapshot.all_poolers_confirmed {
                 return Vec::new();
             }
             progress.confirmed = true;
--- a/src/failover/selection.rs
+++ b/src/failover/selection.rs
@@ -65,7 +65,7 @@
 /// one of those. With one answer fewer, a commit might be only on replicas that didn't answer, and
 /// would be lost.
 pub(super) fn answers_cover_commits(answered: usize, snapshot: &ServiceSnapshot) -> bool {
-    let possible = snapshot.possible_holders().count();
+    let possible = snapshot.possible_commit_holders().count();
     let needed = (possible + 1).saturating_sub(snapshot.sync_replicas as usize).max(1);
     snapshot.sync_replicas > 0 && answered >= needed
 }
--- a/src/failover/snapshot.rs
+++ b/src/failover/snapshot.rs
@@ -1,4 +1,4 @@
-//! The input of a failover step: its service as the leader sees it.
+//! The input of a failover step: the state of its service as known to the leader.
 
 use crate::base::ids::{InstanceId, ServiceName, Term};
 use crate::config::directory::Instance;
@@ -6,39 +6,41 @@
 use crate::state_machine::PrimaryRecord;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A service as the leader sees it when a step is taken.
+/// The state of a service as known to the leader when a step is taken.
 #[derive(Clone, Debug)]
 pub struct ServiceSnapshot {
     /// The name of the service.
     pub service: ServiceName,
-    /// The term in which this leader was elected.
+    /// The Raft term in which this leader was elected.
     pub raft_term: Term,
-    /// The committed primary with its term, and the committed intent to replace it; none before
-    /// the service has had a primary.
+    /// The committed primary with its term, and the committed intent to replace it. `None` until
+    /// the first primary is recorded.
     pub primary_record: Option<PrimaryRecord>,
-    /// Every listed database of the service.
+    /// All listed databases of the service.
     pub databases: Vec<(InstanceId, Instance)>,
-    /// Replicas that left and may hold the only copy of a commit, each with the sequence number of
-    /// its last heartbeat; see `StateMachine::departed_replicas`.
+    /// Replicas that deregistered and may hold the only copy of a commit, each with the sequence
+    /// number of its last heartbeat; see `StateMachine::departed_replicas`.
     pub departed: BTreeMap<InstanceId, u64>,
-    /// The listed databases whose heartbeats came in time.
+    /// The listed databases whose heartbeats arrived in time.
     pub alive: BTreeSet<InstanceId>,
-    /// Replicas that must have received a commit before the primary acknowledges it.
+    /// The number of replicas that must have received a commit before the primary acknowledges
+    /// it.
     pub sync_replicas: u32,
-    /// No lease on the present term can be in use any more.
+    /// Whether no lease on the current term can be in use any more.
     pub leases_expired: bool,
-    /// No pooler passes on a commit that the target of the handover under way lacks. True without a
-    /// handover if `leases_expired` is.
-    pub all_confirm: bool,
-    /// How far commits of the present term may have been passed on to clients; those left out that
-    /// the target of the handover under way is known to have.
+    /// Whether no pooler passes on commits that the target of the current handover lacks: each one
+    /// has acknowledged the handover or can't use a lease any more. Without a handover the same as
+    /// `leases_expired`.
+    pub all_poolers_confirmed: bool,
+    /// How far poolers may have passed on commits of the current term to clients. Commits that the
+    /// target of the current handover is known to have are left out.
     pub passed_on: PassedOn,
 }
 
 impl ServiceSnapshot {
-    /// The listed database of that id.
-    pub(super) fn database(&self, wanted: &InstanceId) -> Option<&(InstanceId, Instance)> {
-        self.databases.iter().find(|(id, _)| id == wanted)
+    /// The listed database with this id.
+    pub(super) fn database(&self, wanted_id: &InstanceId) -> Option<&(InstanceId, Instance)> {
+        self.databases.iter().find(|(id, _)| id == wanted_id)
     }
 
     /// The listed databases except the primary.
@@ -52,13 +54,13 @@
         self.replicas().map(|(id, _)| id)
     }
 
-    /// All databases, besides the primary, whose receipt may have let the primary acknowledge a
-    /// commit: the listed replicas and those that left with a part of the log.
-    pub(super) fn possible_holders(&self) -> impl Iterator<Item = &InstanceId> {
+    /// All databases besides the primary whose receipt of a commit may have let the primary
+    /// acknowledge it: the listed and the departed replicas.
+    pub(super) fn possible_commit_holders(&self) -> impl Iterator<Item = &InstanceId> {
         self.replica_ids().chain(self.departed.keys())
     }
 
-    /// Whether this database is the committed primary.
+    /// Whether this database is the recorded primary.
     pub(super) fn is_primary(&self, id: &InstanceId) -> bool {
         self.primary_record.as_ref().is_some_and(|record| record.primary == *id)
     }
--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -51,7 +51,7 @@
         departed: BTreeMap::new(),
         sync_replicas: 1,
         leases_expired: true,
-        all_confirm: false,
+        all_poolers_confirmed: false,
         passed_on: PassedOn::default(),
     }
 }
@@ -680,7 +680,7 @@
         let actions = s.handle_response(&snapshot, s.attempt, &id.into(), PAUSE, &answer, now);
         assert_eq!(actions, [], "{id}");
     }
-    snapshot.all_confirm = true;
+    snapshot.all_poolers_confirmed = true;
     snapshot.passed_on = passed_on(Some(Some(at(9))));
     assert_eq!(s.tick(&snapshot, now), [ask("d", DatabaseRequest::Describe)]);
     assert!(
@@ -722,7 +722,7 @@
     );
     assert_eq!(s.lease_status().handover, s.handover, "until they are revoked");
     // A target that never catches up: everything is let go.
-    snapshot.all_confirm = false;
+    snapshot.all_poolers_confirmed = false;
     snapshot.primary_record =
         snapshot.primary_record.take().map(|lead| PrimaryRecord { intent: None, ..lead });
     let mut s = begin_steady(&snapshot, now);
@@ -787,7 +787,7 @@
 /// needed to know what was passed on before.
 fn all_confirm(s: &mut Failover, snapshot: &mut ServiceSnapshot, primary: bool, now: Tick) {
     assert_eq!(s.tick(snapshot, now), [], "not before all confirm");
-    snapshot.all_confirm = true;
+    snapshot.all_poolers_confirmed = true;
     let asked: &[&str] = if primary { &["b", "a"] } else { &["b"] };
     let asked: Vec<_> = asked.iter().map(|id| ask(id, DatabaseRequest::Describe)).collect();
     assert_eq!(s.tick(snapshot, now), asked);
--- a/tests/failover_replicas.rs
+++ b/tests/failover_replicas.rs
@@ -44,7 +44,7 @@
         departed: BTreeMap::new(),
         sync_replicas: 1,
         leases_expired: true,
-        all_confirm: false,
+        all_poolers_confirmed: false,
         passed_on: PassedOn::default(),
     }
 }
@@ -387,7 +387,7 @@
     // One that comes in the meantime.
     assert_eq!(s.tick(&all, now.plus(220)), [ask("c", PAUSE)]);
     tell(&mut s, &all, "c", PAUSE, 9, now.plus(230));
-    all.all_confirm = true;
+    all.all_poolers_confirmed = true;
     all.passed_on = PassedOn { reported: Some(at(9)), unreported: UnreportedCommits::Nothing };
     assert_eq!(s.tick(&all, now.plus(235)), [ask("b", DatabaseRequest::Describe)]);
     assert_eq!(
@@ -797,7 +797,7 @@
             alive: self.state_machine.instances().keys().filter(there).cloned().collect(),
             sync_replicas: self.sync as u32,
             leases_expired: self.known_lease() == Some(&Lease::Revoked),
-            all_confirm: self.confirms(),
+            all_poolers_confirmed: self.confirms(),
             passed_on: self.passed_on(),
             ..snapshot()
         }
