--- a/src/failover/fencing.rs
+++ b/src/failover/fencing.rs
@@ -3,7 +3,7 @@
 
 use super::actions::{DatabaseRequest, DatabaseResponse, FailoverAction};
 use super::selection::answers_cover_commits;
-use super::state::{FailoverState, PrimaryAnswer};
+use super::state::{FailoverState, PrimaryLeadership};
 use super::timing::{PRIMARY_RECHECK_AFTER_MS, REQUEST_RETRY_MS};
 use super::{Failover, ServiceSnapshot};
 use crate::base::ids::{DbTerm, InstanceId, Position};
@@ -149,7 +149,7 @@
     /// Ends the change and resumes the replicas, while nothing can have been promoted.
     pub(super) fn call_off(&mut self, now: Tick) -> Vec<FailoverAction> {
         self.return_to_steady(now);
-        self.called_off_at = Some(now);
+        self.cancelled_at = Some(now);
         self.resume_replicas(now)
     }
 
@@ -161,10 +161,10 @@
         now: Tick,
     ) -> Vec<FailoverAction> {
         let Some(record) = &snapshot.primary_record else { return Vec::new() };
-        match PrimaryAnswer::of(response, record) {
+        match PrimaryLeadership::of(response, record) {
             // Nothing was promoted yet, and the alarm was false.
-            PrimaryAnswer::Leads => self.call_off(now),
-            PrimaryAnswer::DoesNotLead => Vec::new(),
+            PrimaryLeadership::Leads => self.call_off(now),
+            PrimaryLeadership::DoesNotLead => Vec::new(),
         }
     }
 
--- a/src/failover/handover.rs
+++ b/src/failover/handover.rs
@@ -8,7 +8,7 @@
 //! few commits wait for the target.
 
 use super::actions::{DatabaseRequest, DatabaseResponse, FailoverAction};
-use super::state::PrimaryAnswer;
+use super::state::PrimaryLeadership;
 use super::timing::{DRAINING_HANDOVER_TIMEOUT_MS, HANDOVER_POLL_MS, SLOW_HANDOVER_TIMEOUT_MS};
 use super::{Failover, FailoverState, ServiceSnapshot};
 use crate::base::ids::{DbTerm, InstanceId, Position};
@@ -161,7 +161,7 @@
         else {
             return Vec::new();
         };
-        if PrimaryAnswer::of(response, record) == PrimaryAnswer::DoesNotLead {
+        if PrimaryLeadership::of(response, record) == PrimaryLeadership::DoesNotLead {
             return self.fence(snapshot, now);
         }
         if let DatabaseResponse::Description(description) = response
--- a/src/failover/promotion.rs
+++ b/src/failover/promotion.rs
@@ -215,7 +215,7 @@
                 self.replicas.forget(&record.primary);
                 let actions = self.call_off(now);
                 // The change was completed, so the next one needn't wait.
-                self.called_off_at = None;
+                self.cancelled_at = None;
                 Some(actions)
             }
             FailoverState::Promoting(_)
--- a/src/failover/state.rs
+++ b/src/failover/state.rs
@@ -1,5 +1,5 @@
-//! The state of a failover and its step: events come in, actions go out. Each event is dispatched
-//! by the state to a method that handles just that state.
+//! The states of a failover, and the dispatch of events. Each event returns the actions that the
+//! controller has to carry out, and is dispatched to a method that handles it in the current state.
 
 use super::actions::{Attempt, DatabaseRequest, DatabaseResponse, FailoverAction};
 use super::departed::DepartedReplicas;
@@ -16,52 +16,56 @@
 use crate::net::rpc::pooler_messages::Handover;
 use crate::state_machine::{Command, PrimaryRecord};
 
-/// How far the change of a service's primary is.
+/// The state of a service's failover.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FailoverState {
-    /// Nothing is to be changed.
+    /// No failover is in progress.
     Steady,
-    /// The service has no recorded primary. A database reported that it is one, and is asked for
-    /// its term.
+    /// The service has no recorded primary yet. A database has reported to be the primary, and is
+    /// asked for its term.
     DiscoveringFirstPrimary {
-        /// When it was asked.
+        /// When the database was asked.
         since: Tick,
     },
-    /// The primary is suspected and was asked for its state; its own answer decides.
+    /// The primary is suspected to be lost or slow and was asked for its state. Its response
+    /// decides.
     Suspected {
-        /// When it was last asked.
+        /// When the primary was last asked.
         since: Tick,
-        /// Its machine accepted the connection, so it is reachable, if perhaps slow.
+        /// Whether the primary's machine accepted the connection, which shows that it is reachable
+        /// though perhaps slow.
         connected: bool,
     },
-    /// The primary was lost: its leases are being revoked and the replicas paused.
+    /// The primary is lost: its leases are being revoked and the replicas paused.
     Fencing(Fencing),
-    /// The primary still serves, and is to be replaced: the poolers are told, and the target has to
-    /// catch up.
+    /// The primary still serves and is being replaced: the handover is announced to the poolers,
+    /// and the target has to catch up.
     HandingOver(HandoverProgress),
-    /// The intent to promote this replica was proposed, and isn't seen committed yet.
+    /// The intent to promote the target was proposed to the log and has not been seen committed
+    /// yet.
     RecordingIntent {
-        /// The replica that was chosen.
+        /// The replica that was chosen to be promoted.
         target: InstanceId,
         /// When the intent was last proposed.
         since: Tick,
     },
-    /// The intent is committed, and the platform is called to promote the target.
+    /// The intent is committed, and the platform is being called to promote the target.
     Promoting(Promotion),
-    /// The target leads; it is recorded as the primary once the leases on the old term have ended.
+    /// The target leads a newer term. It is recorded as the primary once no lease on the old term
+    /// can be in use.
     AwaitingLeaseExpiry {
         /// The new primary.
         target: InstanceId,
-        /// The term that it leads.
+        /// The term that the new primary leads.
         term: DbTerm,
-        /// The new primary was proposed to the log.
+        /// Whether the record of the new primary was proposed to the log.
         recorded: bool,
     },
 }
 
 impl FailoverState {
-    /// The text for the status page and the log, as `docs/operations.md` lists it; operators search
-    /// for it.
+    /// The text for the status page and the log. Operators search for these texts, which
+    /// `docs/operations.md` lists.
     pub(crate) fn status_text(&self) -> &'static str {
         match self {
             Self::Steady => "steady",
@@ -75,8 +79,8 @@
         }
     }
 
-    /// The replica that takes over, in the states in which all others have to be paused, also those
-    /// that are listed only now.
+    /// The promotion target, in the states in which all other replicas have to be paused, including
+    /// those that are listed only later.
     fn promotion_target(&self) -> Option<&InstanceId> {
         match self {
             Self::HandingOver(progress) => Some(&progress.target),
@@ -91,16 +95,16 @@
     }
 }
 
-/// What the recorded primary's answer says about it.
+/// Whether the recorded primary still leads, judged by its response to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum PrimaryAnswer {
-    /// It leads the recorded term, as far as the answer shows.
+pub(super) enum PrimaryLeadership {
+    /// The response does not rule out that it leads the recorded term.
     Leads,
-    /// It can't be reached, doesn't answer, or isn't the primary of the recorded term.
+    /// It can't be reached, did not respond, or is not the primary of the recorded term.
     DoesNotLead,
 }
 
-impl PrimaryAnswer {
+impl PrimaryLeadership {
     pub(super) fn of(response: &DatabaseResponse, record: &PrimaryRecord) -> Self {
         let leads = match response {
             DatabaseResponse::Description(description) => {
@@ -115,43 +119,46 @@
     }
 }
 
-/// What the controller reports to poolers about the leases of a service while its primary changes.
+/// What the controller tells poolers about the leases on a service during a failover.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseStatus {
-    /// Leases on the present term are being revoked, and none is granted.
+    /// Whether leases on the current term are being revoked. None is granted then.
     pub revoking: bool,
-    /// With the replicas fenced, every acknowledged commit lies at or before this position.
+    /// The position at or before which every acknowledged commit lies, once the replicas are
+    /// fenced.
     pub sealed: Option<Position>,
-    /// The handover under way: leases are granted with it.
+    /// The current handover; lease grants include it.
     pub handover: Option<Handover>,
 }
 
-/// Brings one service from primary to primary. Every step is safe to take again.
+/// The failover state machine of one service. Every step can safely be repeated.
 #[derive(Clone, Debug)]
 pub struct Failover {
-    /// How far the change is.
+    /// The current state.
     pub state: FailoverState,
-    /// The attempt under way, or the last one.
+    /// The current attempt, or the last one.
     pub attempt: Attempt,
-    /// Leases on the present term are being revoked, and none is granted.
+    /// Whether leases on the current term are being revoked. None is granted then.
     pub revoking: bool,
-    /// With the replicas fenced, every acknowledged commit lies at or before this position.
+    /// The position at or before which every acknowledged commit lies, once the replicas are
+    /// fenced.
     pub sealed: Option<Position>,
-    /// The handover under way. Poolers were told of it and pass on only commits that its target has,
-    /// until they are granted another lease.
+    /// The current handover. It was announced to the poolers, which pass on only commits that its
+    /// target has until they are granted another lease.
     pub handover: Option<Handover>,
     pub(super) replicas: PausedReplicas,
     pub(super) departed: DepartedReplicas,
     pub(super) suspicion: Suspicion,
-    /// When a change was last called off.
-    pub(super) called_off_at: Option<Tick>,
+    /// When a failover was last cancelled.
+    pub(super) cancelled_at: Option<Tick>,
     /// When a former primary was last asked to step down.
-    stepped_down_at: Option<Tick>,
+    step_down_requested_at: Option<Tick>,
 }
 
 impl Failover {
-    /// Begins under a new leader. An intent that it finds is finished first, with the same target;
-    /// replicas that an earlier leader may have paused are resumed.
+    /// Starts the failover of a service under a new leader. A committed intent is carried out
+    /// first, with the same target. Otherwise replicas that an earlier leader may have paused are
+    /// resumed.
     pub fn begin(snapshot: &ServiceSnapshot, now: Tick) -> (Self, Vec<FailoverAction>) {
         let mut failover = Self {
             state: FailoverState::Steady,
@@ -162,8 +169,8 @@
             replicas: PausedReplicas::new(now),
             departed: DepartedReplicas::new(now),
             suspicion: Suspicion::default(),
-            called_off_at: None,
-            stepped_down_at: None,
+            cancelled_at: None,
+            step_down_requested_at: None,
         };
         let actions = match &snapshot.primary_record {
             None => Vec::new(),
@@ -179,18 +186,18 @@
         (failover, actions)
     }
 
-    /// What the controller reports to poolers about the leases of the service.
+    /// What the controller tells poolers about the leases on the service.
     pub fn lease_status(&self) -> LeaseStatus {
         let handover = self.handover.clone();
         LeaseStatus { revoking: self.revoking, sealed: self.sealed, handover }
     }
 
-    /// From here on, answers to earlier requests don't count.
+    /// Starts a new attempt, so that responses to earlier requests are ignored.
     pub(super) fn begin_attempt(&mut self) {
         self.attempt.number += 1;
     }
 
-    /// Ends the change or the suspicion. The primary isn't suspected again for a while.
+    /// Ends the failover or the suspicion. The primary is not suspected again for a while.
     pub(super) fn return_to_steady(&mut self, now: Tick) {
         self.state = FailoverState::Steady;
         self.revoking = false;
@@ -199,7 +206,7 @@
         self.suspicion.record_verified(now);
     }
 
-    /// Takes what came of a request to a database, made in that attempt.
+    /// Handles the outcome of a request that was sent to a database in the given attempt.
     pub fn handle_response(
         &mut self,
         snapshot: &ServiceSnapshot,
@@ -212,7 +219,7 @@
         if attempt.raft_term == self.attempt.raft_term {
             self.replicas.record_response(database, request, response);
         }
-        // It says nothing of the database.
+        // A request that was not sent gives no information about the database.
         if *response == DatabaseResponse::NotSent {
             return Vec::new();
         }
@@ -265,7 +272,7 @@
         }
     }
 
-    /// A replica answered a pause, or described itself.
+    /// Handles the response of a replica to a pause or a request to describe itself.
     fn handle_replica_response(
         &mut self,
         snapshot: &ServiceSnapshot,
@@ -288,18 +295,18 @@
         }
     }
 
-    /// Whether an answer belongs to an earlier attempt and says nothing about this one: a replica
-    /// that was paused or described itself then may have received more commits since.
+    /// Whether a response belongs to an earlier attempt and must be ignored: a replica that was
+    /// paused or described itself then may have received more commits since.
     fn is_outdated(&self, attempt: Attempt, request: DatabaseRequest) -> bool {
         match request {
-            // Whoever leads a newer term does so whenever it was asked.
+            // A target that leads a newer term does so no matter when it was asked.
             DatabaseRequest::Describe if matches!(self.state, FailoverState::Promoting(_)) => false,
             DatabaseRequest::Pause(_) | DatabaseRequest::Describe => attempt != self.attempt,
             DatabaseRequest::Continue | DatabaseRequest::StepDown(_) => false,
         }
     }
 
-    /// The machine of a database accepted the connection for this request.
+    /// Records that the machine of a database accepted the connection for this request.
     fn record_connected(&mut self, request: DatabaseRequest) {
         if let FailoverState::Suspected { connected, .. } = &mut self.state
             && request == DatabaseRequest::Describe
@@ -308,9 +315,9 @@
         }
     }
 
-    /// The answer of the database that reported to be the first primary: it is recorded with the
-    /// term that it says it leads. Any other answer ends the discovery, and the next heartbeat of a
-    /// primary begins it again.
+    /// Handles the response of the database that reported to be the first primary. If it confirms
+    /// that, it is recorded as the primary of the term that it leads. Any other response ends the
+    /// discovery, and the next heartbeat of a primary starts it again.
     fn handle_first_primary(
         &mut self,
         snapshot: &ServiceSnapshot,
@@ -331,7 +338,7 @@
         }
     }
 
-    /// A heartbeat came in; `role` is how the database sees itself.
+    /// Handles a heartbeat of a database that reports this role.
     pub fn handle_heartbeat(
         &mut self,
         snapshot: &ServiceSnapshot,
@@ -348,10 +355,11 @@
                 vec![FailoverAction::SendRequest(database.clone(), DatabaseRequest::Describe)]
             }
             (FailoverState::Steady, Some(record)) if record.primary != *database => {
-                if self.stepped_down_at.is_some_and(|at| now.since(at) <= STEP_DOWN_RETRY_MS) {
+                if self.step_down_requested_at.is_some_and(|at| now.since(at) <= STEP_DOWN_RETRY_MS)
+                {
                     return Vec::new();
                 }
-                self.stepped_down_at = Some(now);
+                self.step_down_requested_at = Some(now);
                 let step_down = DatabaseRequest::StepDown(record.term);
                 vec![FailoverAction::SendRequest(database.clone(), step_down)]
             }
@@ -362,8 +370,8 @@
         }
     }
 
-    /// Goes on with what is due. The controller calls this at intervals, more often while a change is
-    /// under way, and at once when a heartbeat or a change of the primary was committed.
+    /// Carries out the work that is due. The controller calls this periodically, more often during
+    /// a failover, and immediately after a heartbeat or a change of the primary was committed.
     pub fn tick(&mut self, snapshot: &ServiceSnapshot, now: Tick) -> Vec<FailoverAction> {
         let Some(record) = &snapshot.primary_record else {
             self.tick_without_primary(now);
@@ -395,7 +403,8 @@
         }
     }
 
-    /// Gives up a first primary that didn't answer; its next heartbeat begins again.
+    /// Ends the discovery of a first primary that has not answered in time. Its next heartbeat
+    /// starts it again.
     fn tick_without_primary(&mut self, now: Tick) {
         if let FailoverState::DiscoveringFirstPrimary { since } = self.state
             && now.since(since) > FIRST_PRIMARY_TIMEOUT_MS
@@ -404,7 +413,8 @@
         }
     }
 
-    /// Looks whether the primary has to be replaced, and finishes what earlier changes left.
+    /// Checks whether the primary has to be replaced, resumes replicas that an earlier failover
+    /// left paused, and checks the departed replicas.
     fn tick_steady(
         &mut self,
         snapshot: &ServiceSnapshot,
@@ -424,8 +434,8 @@
         if !requests.is_empty() {
             return requests;
         }
-        let backed_off = self.called_off_at.is_none_or(|at| now.since(at) > HANDOVER_RETRY_MS);
-        if primary.lifecycle_state == Lifecycle::Draining && backed_off {
+        let handover_allowed = self.cancelled_at.is_none_or(|at| now.since(at) > HANDOVER_RETRY_MS);
+        if primary.lifecycle_state == Lifecycle::Draining && handover_allowed {
             return self.plan_change(snapshot, record.term, PlannedCause::Draining, now);
         }
         if !snapshot.alive.contains(id) && self.suspicion.heeds_missing_heartbeats(now) {
--- a/src/failover/suspicion.rs
+++ b/src/failover/suspicion.rs
@@ -5,7 +5,7 @@
 
 use super::actions::{DatabaseRequest, DatabaseResponse, FailoverAction};
 use super::handover::PlannedCause;
-use super::state::{FailoverState, PrimaryAnswer};
+use super::state::{FailoverState, PrimaryLeadership};
 use super::timing::{
     BROKEN_CONNECTION_REPORTERS_NEEDED, BROKEN_CONNECTION_WINDOW_MS, BROKEN_CONNECTIONS_NEEDED,
     CONNECT_WINDOW_MS, MAX_STORED_BROKEN_CONNECTIONS, MISSING_HEARTBEATS_IGNORED_MS,
@@ -153,7 +153,7 @@
         let Some(record) = record.filter(|r| r.primary == *database) else {
             return Vec::new();
         };
-        if PrimaryAnswer::of(response, record) == PrimaryAnswer::Leads {
+        if PrimaryLeadership::of(response, record) == PrimaryLeadership::Leads {
             // It answered late, or rejected even this request.
             let slow =
                 now.since(since) > SLOW_RESPONSE_MS || *response == DatabaseResponse::NoDescription;
