--- a/src/failover/promotion.rs
+++ b/src/failover/promotion.rs
@@ -1,5 +1,6 @@
-//! From the intent to the new primary: the intent is committed, the platform is called to promote
-//! the target, and once the target leads and the old leases have ended, it becomes the primary.
+//! Promotion of the chosen target. Once the intent to promote it is committed, the platform is
+//! called. The target is recorded as the primary once it leads a newer term and no lease on the old
+//! term can be in use.
 
 use super::actions::{Attempt, DatabaseRequest, FailoverAction, PromotionResponse};
 use super::state::FailoverState;
@@ -16,33 +17,34 @@
 /// The calls that promote the target of a committed intent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Promotion {
-    /// The replica that is to become the primary.
+    /// The replica that is being promoted.
     pub target: InstanceId,
-    /// When the last call was made; after an acceptance, the end of the time in which the promotion
-    /// takes effect, so that the call isn't repeated before.
+    /// When the last call was made. After the platform accepted a call this is the end of the time
+    /// in which the promotion takes effect, so that the call is not repeated earlier.
     called_at: Tick,
+    /// Whether the last call has not been answered yet.
     in_flight: bool,
-    /// The last time that a call may have had an effect.
+    /// When a call was last found to have possibly had an effect.
     may_have_run_at: Option<Tick>,
     /// When the target was last asked for its state.
     polled_at: Tick,
 }
 
 impl Promotion {
-    /// Whether the platform is to be called again.
+    /// Whether the promotion call has to be repeated.
     fn is_call_due(&mut self, snapshot: &ServiceSnapshot, now: Tick) -> bool {
         if self.in_flight {
-            // The answer may have come while this leader wasn't certain of leading, and is lost.
-            let unheard = now.since(self.called_at) > PROMOTION_CALL_TIMEOUT_MS;
-            if unheard {
+            // The response is dropped if it arrives while this leader is not certain of leading.
+            let timed_out = now.since(self.called_at) > PROMOTION_CALL_TIMEOUT_MS;
+            if timed_out {
                 self.may_have_run_at = Some(now);
             }
-            return unheard;
+            return timed_out;
         }
-        // If an accepted target has left since, it is called for again at once: the refusal shows
-        // that it won't lead.
-        let left = snapshot.database(&self.target).is_none();
-        now >= self.called_at.plus(PROMOTION_RETRY_MS) || (left && self.called_at > now)
+        // If the target deregistered after the platform had accepted the call, the call is repeated
+        // immediately: its refusal shows that the target won't lead.
+        let departed = snapshot.database(&self.target).is_none();
+        now >= self.called_at.plus(PROMOTION_RETRY_MS) || (departed && self.called_at > now)
     }
 
     fn record_call(&mut self, now: Tick) {
@@ -50,7 +52,7 @@
         self.called_at = now;
     }
 
-    /// Whether the target is to be asked if it leads.
+    /// Whether the target has to be asked again whether it leads.
     fn is_poll_due(&self, now: Tick) -> bool {
         self.may_have_run_at.is_some_and(|at| now.since(at) > PROMOTED_TARGET_POLL_MS)
             && now.since(self.polled_at) > PROMOTED_TARGET_POLL_MS
@@ -62,19 +64,19 @@
         FailoverAction::SendRequest(self.target.clone(), DatabaseRequest::Describe)
     }
 
-    /// Whether the target, which isn't running, can be given up. An earlier call may still take
-    /// effect: choosing another target before that could make two primaries of one term, and the
-    /// commits of one of them would be lost.
+    /// Whether the target, which the platform reports as not running, can be abandoned. An earlier
+    /// call may still take effect: choosing another target before that could create two primaries
+    /// of one term, and the commits of one of them would be lost.
     fn can_be_abandoned(&self, snapshot: &ServiceSnapshot, now: Tick) -> bool {
-        // One that has left for good won't lead any more, whatever is under way.
-        let left = snapshot.database(&self.target).is_none();
-        left || self.may_have_run_at.is_none_or(|at| now.since(at) > PROMOTION_EFFECT_MS)
+        // A target that deregistered won't lead any more, even if an earlier call takes effect.
+        let departed = snapshot.database(&self.target).is_none();
+        departed || self.may_have_run_at.is_none_or(|at| now.since(at) > PROMOTION_EFFECT_MS)
     }
 }
 
 impl Failover {
-    /// Finishes an intent that an earlier leader committed, with the same target: that leader's
-    /// promotion may have taken effect.
+    /// Carries out an intent that another leader committed. The target stays the same, because that
+    /// leader's promotion call may have taken effect.
     pub(super) fn take_over_intent(
         &mut self,
         snapshot: &ServiceSnapshot,
@@ -85,13 +87,14 @@
         self.revoking = true;
         let mut actions = vec![FailoverAction::RevokeLeases(term)];
         actions.extend(self.pause_new_replicas(snapshot, &target, now));
-        // It may have been paused before it was chosen, and has to be resumed in the end.
+        // The target may have been paused before it was chosen. Unless it becomes the primary, it
+        // has to be resumed when the failover ends.
         self.replicas.assume_paused(target.clone());
         actions.push(self.promote(target, now));
         actions
     }
 
-    /// Begins to promote the target of the committed intent.
+    /// Starts the promotion of the target of the committed intent.
     pub(super) fn promote(&mut self, target: InstanceId, now: Tick) -> FailoverAction {
         self.begin_attempt();
         let action = FailoverAction::Promote(target.clone());
@@ -105,7 +108,7 @@
         action
     }
 
-    /// Takes the platform's answer to a promotion call.
+    /// Handles the platform's response to a promotion call.
     pub fn handle_promotion_response(
         &mut self,
         snapshot: &ServiceSnapshot,
@@ -137,8 +140,8 @@
         Vec::new()
     }
 
-    /// A database described itself: if it is the target and leads a newer term, the promotion has
-    /// taken effect.
+    /// Handles the description of a database during a promotion. If it is the target and leads a
+    /// newer term, the promotion has taken effect.
     pub(super) fn handle_target_response(
         &mut self,
         snapshot: &ServiceSnapshot,
@@ -147,18 +150,18 @@
         now: Tick,
     ) -> Vec<FailoverAction> {
         let FailoverState::Promoting(promotion) = &self.state else { return Vec::new() };
-        let newer =
+        let is_newer_term =
             snapshot.primary_record.as_ref().is_some_and(|record| record.term < description.term);
-        if promotion.target == *database && description.primary && newer {
+        if promotion.target == *database && description.primary && is_newer_term {
             return self.await_lease_expiry(snapshot, database.clone(), description.term, now);
         }
         Vec::new()
     }
 
-    /// The target leads a newer term than the recorded one. It is recorded once no lease on the old
-    /// term can be in use. Until then a pooler could still use the old primary: reads there would
-    /// miss commits of the new one, and without synchronous replicas writes there would be
-    /// acknowledged and lost.
+    /// Waits until no lease on the old term can be in use, and then records the target, which leads
+    /// a newer term, as the primary. Until then a pooler could still use the old primary: reads
+    /// there would miss commits of the new one, and without synchronous replicas writes there would
+    /// be acknowledged and lost.
     pub(super) fn await_lease_expiry(
         &mut self,
         snapshot: &ServiceSnapshot,
@@ -180,10 +183,10 @@
         actions
     }
 
-    /// Goes on from what is committed for this service: the state may wait for just that, and the
-    /// moment of its commit may have passed while this leader wasn't certain of leading. None if
-    /// the committed record changes nothing.
-    pub(super) fn follow_record(
+    /// Advances to the state that the committed record of the service requires. The current state
+    /// may be waiting for that record, which may have been committed while this leader was not
+    /// certain of leading. `None` if the record requires no change of state.
+    pub(super) fn follow_committed_record(
         &mut self,
         snapshot: &ServiceSnapshot,
         record: &PrimaryRecord,
@@ -196,7 +199,7 @@
                 let target = target.clone();
                 Some(vec![self.promote(target, now)])
             }
-            // An intent of another leader, committed after this one began.
+            // An intent of another leader, which was committed after this leader was elected.
             FailoverState::Steady
             | FailoverState::Suspected { .. }
             | FailoverState::Fencing(_)
@@ -214,7 +217,7 @@
             FailoverState::AwaitingLeaseExpiry { term, .. } if record.term >= *term => {
                 self.replicas.forget(&record.primary);
                 let actions = self.call_off(now);
-                // The change was completed, so the next one needn't wait.
+                // This failover was completed, not cancelled: the next handover needs no backoff.
                 self.cancelled_at = None;
                 Some(actions)
             }
@@ -224,8 +227,7 @@
         }
     }
 
-    /// Proposes the intent again if it wasn't seen committed in time; a repetition of the same
-    /// command changes nothing.
+    /// Proposes the intent again if it was not seen committed in time. The command is idempotent.
     pub(super) fn tick_recording_intent(
         &mut self,
         snapshot: &ServiceSnapshot,
@@ -243,7 +245,7 @@
         vec![FailoverAction::Propose(Command::BeginFailover { service, term, target })]
     }
 
-    /// Repeats the promotion call and asks the target whether it leads.
+    /// Repeats the promotion call, and asks the target whether it leads, when either is due.
     pub(super) fn tick_promoting(
         &mut self,
         snapshot: &ServiceSnapshot,
@@ -262,7 +264,7 @@
         actions
     }
 
-    /// Records the new primary once no lease on the old term can be in use.
+    /// Proposes the record of the new primary once no lease on the old term can be in use.
     pub(super) fn tick_awaiting_lease_expiry(
         &mut self,
         snapshot: &ServiceSnapshot,
--- a/src/failover/state.rs
+++ b/src/failover/state.rs
@@ -377,7 +377,7 @@
             self.tick_without_primary(now);
             return Vec::new();
         };
-        if let Some(actions) = self.follow_record(snapshot, record, now) {
+        if let Some(actions) = self.follow_committed_record(snapshot, record, now) {
             return actions;
         }
         if let Some(target) = self.state.promotion_target().cloned() {
