--- a/src/failover/fencing.rs
+++ b/src/failover/fencing.rs
@@ -1,8 +1,8 @@
-//! Fencing a lost primary: its leases are revoked, and once they are over the replicas are paused, so
-//! that nothing is passed on to clients that the next primary lacks.
+//! Fencing of a lost primary. Its leases are revoked, and once they have expired the replicas are
+//! paused, so that poolers pass on no commit to clients that the next primary lacks.
 
 use super::actions::{DatabaseRequest, DatabaseResponse, FailoverAction};
-use super::selection::answers_cover_commits;
+use super::selection::responses_cover_commits;
 use super::state::{FailoverState, PrimaryLeadership};
 use super::timing::{PRIMARY_RECHECK_AFTER_MS, REQUEST_RETRY_MS};
 use super::{Failover, ServiceSnapshot};
@@ -17,13 +17,15 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fencing {
     pub(super) since: Tick,
+    /// When the replicas were last asked for their positions.
     requested_at: Tick,
-    /// What the replicas answered since the primary was found lost.
+    /// The latest description of each replica since the primary was found lost.
     descriptions: BTreeMap<InstanceId, ServerDescription>,
-    /// The replicas are asked again since every lease has ended.
-    asks_after_leases: bool,
-    /// Those that have answered since then: they had by then all that was passed on because of them.
-    answered_after_leases: BTreeSet<InstanceId>,
+    /// Whether the current requests were sent after every lease had expired.
+    requested_after_lease_expiry: bool,
+    /// The replicas that responded to those requests. Each of them had received by then every
+    /// commit that was acknowledged because of its receipt.
+    responded_after_lease_expiry: BTreeSet<InstanceId>,
 }
 
 impl Fencing {
@@ -32,71 +34,75 @@
             since: now,
             requested_at: now,
             descriptions: BTreeMap::new(),
-            asks_after_leases: leases_expired,
-            answered_after_leases: BTreeSet::new(),
+            requested_after_lease_expiry: leases_expired,
+            responded_after_lease_expiry: BTreeSet::new(),
         }
     }
 
-    /// The highest position of all that answered.
-    pub(super) fn furthest(&self) -> Option<Position> {
-        self.descriptions.values().map(|d| d.received).max()
+    /// The highest position among the replicas that responded.
+    pub(super) fn highest_position(&self) -> Option<Position> {
+        self.descriptions.values().map(|description| description.received).max()
     }
 
-    /// How far a replica was when it answered.
+    /// The position of a replica when it responded.
     pub(super) fn position_of(&self, id: &InstanceId) -> Option<Position> {
         self.descriptions.get(id).map(|description| description.received)
     }
 
-    /// How many of the possible holders have answered. One that did and left since is counted: what
-    /// it had is known.
-    pub(super) fn answers(&self, snapshot: &ServiceSnapshot) -> usize {
+    /// How many of the possible commit holders have responded. A replica that departed after its
+    /// response is counted, because its position is known.
+    pub(super) fn response_count(&self, snapshot: &ServiceSnapshot) -> usize {
         snapshot.possible_commit_holders().filter(|id| self.descriptions.contains_key(*id)).count()
     }
 
-    /// Whether all listed replicas that live have answered.
-    pub(super) fn all_living_answered(&self, snapshot: &ServiceSnapshot) -> bool {
-        let mut living = snapshot.replica_ids().filter(|id| snapshot.alive.contains(*id));
-        living.all(|id| self.descriptions.contains_key(id))
+    /// Whether all listed replicas that are alive have responded.
+    pub(super) fn all_live_replicas_responded(&self, snapshot: &ServiceSnapshot) -> bool {
+        let mut alive = snapshot.replica_ids().filter(|id| snapshot.alive.contains(*id));
+        alive.all(|id| self.descriptions.contains_key(id))
     }
 
-    /// How many of the possible holders have answered since every lease had ended.
-    pub(super) fn answers_after_leases(&self, snapshot: &ServiceSnapshot) -> usize {
-        let answered = &self.answered_after_leases;
-        snapshot.possible_commit_holders().filter(|id| answered.contains(*id)).count()
+    /// How many of the possible commit holders have responded to requests that were sent after
+    /// every lease had expired.
+    pub(super) fn response_count_after_lease_expiry(&self, snapshot: &ServiceSnapshot) -> usize {
+        let responded = &self.responded_after_lease_expiry;
+        snapshot.possible_commit_holders().filter(|id| responded.contains(*id)).count()
     }
 
-    fn record_answer(&mut self, id: &InstanceId, description: &ServerDescription) {
+    fn record_description(&mut self, id: &InstanceId, description: &ServerDescription) {
         self.descriptions.insert(id.clone(), description.clone());
-        if self.asks_after_leases {
-            self.answered_after_leases.insert(id.clone());
+        if self.requested_after_lease_expiry {
+            self.responded_after_lease_expiry.insert(id.clone());
         }
     }
 
-    /// Whether an answer of this replica is waited for.
-    pub(super) fn needs_answer_of(&self, id: &InstanceId) -> bool {
-        match self.asks_after_leases {
-            true => !self.answered_after_leases.contains(id),
+    /// Whether a response of this replica is still missing.
+    pub(super) fn needs_response_from(&self, id: &InstanceId) -> bool {
+        match self.requested_after_lease_expiry {
+            true => !self.responded_after_lease_expiry.contains(id),
             false => !self.descriptions.contains_key(id),
         }
     }
 
-    /// Whether the replicas have to be asked again now that every lease has ended: what the poolers
-    /// reported leaves something open, or is more than the replicas had before.
-    fn must_ask_again(&self, snapshot: &ServiceSnapshot) -> bool {
+    /// Whether the replicas have to be asked again now that every lease has expired. That is so if
+    /// the poolers' reports are incomplete, or if enough replicas responded but none could be
+    /// chosen, as the poolers may have reported a higher position than the replicas had.
+    fn must_repeat_requests(&self, snapshot: &ServiceSnapshot) -> bool {
         snapshot.leases_expired
-            && !self.asks_after_leases
+            && !self.requested_after_lease_expiry
             && (snapshot.passed_on.unreported == UnreportedCommits::Unknown
-                || answers_cover_commits(self.answers(snapshot), snapshot))
+                || responses_cover_commits(self.response_count(snapshot), snapshot))
     }
 }
 
 impl Failover {
-    /// Begins to replace a lost primary: revokes its leases and pauses all replicas.
+    /// Starts to replace a lost primary: revokes its leases, and asks the replicas for their
+    /// positions or pauses them.
     pub(super) fn fence(&mut self, snapshot: &ServiceSnapshot, now: Tick) -> Vec<FailoverAction> {
         let Some(record) = &snapshot.primary_record else {
             return Vec::new();
         };
-        // A suspicion paused nothing, and an answer of the primary to it still counts.
+        // During a suspicion no replica was paused, and a late response of the primary to it is
+        // still accepted.
         if !matches!(self.state, FailoverState::Suspected { .. }) {
             self.begin_attempt();
         }
@@ -105,14 +111,14 @@
         self.suspicion.clear_reporters();
         self.state = FailoverState::Fencing(Fencing::new(snapshot.leases_expired, now));
         let mut actions = vec![FailoverAction::RevokeLeases(record.term)];
-        actions.extend(self.ask_holders(snapshot, record.term, now));
+        actions.extend(self.request_positions(snapshot, record.term, now));
         actions
     }
 
-    /// Asks the possible holders whose answers are waited for how far they are. The listed ones are
-    /// paused for that, but not while a lease is in use: what is acknowledged then has to reach them.
-    /// One that departed may still run, and is only asked.
-    fn ask_holders(
+    /// Asks the possible commit holders whose responses are missing for their positions. Listed
+    /// replicas are paused by the same request, but not while a lease is in use: commits that are
+    /// acknowledged then have to reach them. A departed replica may still run, but is not paused.
+    fn request_positions(
         &mut self,
         snapshot: &ServiceSnapshot,
         term: DbTerm,
@@ -120,11 +126,11 @@
     ) -> Vec<FailoverAction> {
         let FailoverState::Fencing(fencing) = &mut self.state else { return Vec::new() };
         fencing.requested_at = now;
-        let unanswered = |id: &&InstanceId| fencing.needs_answer_of(id);
-        let departed: Vec<_> = snapshot.departed.keys().filter(unanswered).cloned().collect();
-        let listed: Vec<_> = snapshot.replica_ids().filter(unanswered).cloned().collect();
+        let missing = |id: &&InstanceId| fencing.needs_response_from(id);
+        let departed: Vec<_> = snapshot.departed.keys().filter(missing).cloned().collect();
+        let listed: Vec<_> = snapshot.replica_ids().filter(missing).cloned().collect();
         let describe = |id| FailoverAction::SendRequest(id, DatabaseRequest::Describe);
-        let mut actions = match fencing.asks_after_leases {
+        let mut actions = match fencing.requested_after_lease_expiry {
             true => self.replicas.pause(listed, term, now),
             false => listed.into_iter().map(describe).collect(),
         };
@@ -132,8 +138,8 @@
         actions
     }
 
-    /// Pauses replicas that were listed after the others were paused, so that the old primary commits
-    /// little that the target lacks.
+    /// Pauses replicas that were listed after the others had been paused, so that the old primary
+    /// commits little that the target lacks.
     pub(super) fn pause_new_replicas(
         &mut self,
         snapshot: &ServiceSnapshot,
@@ -141,19 +147,20 @@
         now: Tick,
     ) -> Vec<FailoverAction> {
         let Some(record) = &snapshot.primary_record else { return Vec::new() };
-        let new = |id: &&InstanceId| *id != target && !self.replicas.is_paused(id);
-        let new_replicas = snapshot.replica_ids().filter(new).cloned().collect();
+        let is_new = |id: &&InstanceId| *id != target && !self.replicas.is_paused(id);
+        let new_replicas = snapshot.replica_ids().filter(is_new).cloned().collect();
         self.replicas.pause(new_replicas, record.term, now)
     }
 
-    /// Ends the change and resumes the replicas, while nothing can have been promoted.
-    pub(super) fn call_off(&mut self, now: Tick) -> Vec<FailoverAction> {
+    /// Ends the failover and resumes the paused replicas. Must not be called while a promotion may
+    /// still take effect.
+    pub(super) fn cancel(&mut self, now: Tick) -> Vec<FailoverAction> {
         self.return_to_steady(now);
         self.cancelled_at = Some(now);
         self.resume_replicas(now)
     }
 
-    /// The primary's own answer, or none, while the replicas are being paused.
+    /// Handles the response of the primary, or its absence, while the primary is being fenced.
     pub(super) fn handle_fenced_primary(
         &mut self,
         snapshot: &ServiceSnapshot,
@@ -162,13 +169,13 @@
     ) -> Vec<FailoverAction> {
         let Some(record) = &snapshot.primary_record else { return Vec::new() };
         match PrimaryLeadership::of(response, record) {
-            // Nothing was promoted yet, and the alarm was false.
-            PrimaryLeadership::Leads => self.call_off(now),
+            // The primary was not lost, and nothing has been promoted yet.
+            PrimaryLeadership::Leads => self.cancel(now),
             PrimaryLeadership::DoesNotLead => Vec::new(),
         }
     }
 
-    /// A replica answered a pause while a lost primary is fenced.
+    /// Handles the description of a replica while a lost primary is being fenced.
     pub(super) fn handle_fenced_replica(
         &mut self,
         snapshot: &ServiceSnapshot,
@@ -176,16 +183,18 @@
         description: &ServerDescription,
         now: Tick,
     ) -> Vec<FailoverAction> {
-        // A pause has no effect on a primary, so its answer says nothing about a paused replica.
+        // A pause has no effect on a primary, so its position does not count as that of a paused
+        // replica.
         if description.primary {
             return self.handle_unexpected_primary(snapshot, database, description.term, now);
         }
         let FailoverState::Fencing(fencing) = &mut self.state else { return Vec::new() };
-        fencing.record_answer(database, description);
-        self.choose_successor(snapshot, now)
+        fencing.record_description(database, description);
+        self.choose_target(snapshot, now)
     }
 
-    /// A database that was to be paused says that it is a primary of this term.
+    /// Handles a response in which a database that should be a replica reports to be the primary of
+    /// this term.
     pub(super) fn handle_unexpected_primary(
         &mut self,
         snapshot: &ServiceSnapshot,
@@ -194,46 +203,46 @@
         now: Tick,
     ) -> Vec<FailoverAction> {
         let Some(record) = &snapshot.primary_record else { return Vec::new() };
-        let recorded = record.term;
+        let recorded_term = record.term;
         let (service, primary) = (snapshot.service.clone(), database.clone());
-        if term == recorded {
-            // It is the recorded primary itself, back under another id.
+        if term == recorded_term {
+            // It is the recorded primary, which has returned under another id.
             return vec![FailoverAction::Propose(Command::PrimaryReturned {
                 service,
                 term,
                 primary,
             })];
         }
-        if term > recorded {
+        if term > recorded_term {
             // A promotion by an earlier leader has taken effect.
             return self.await_lease_expiry(snapshot, primary, term, now);
         }
-        vec![FailoverAction::SendRequest(primary, DatabaseRequest::StepDown(recorded))]
+        vec![FailoverAction::SendRequest(primary, DatabaseRequest::StepDown(recorded_term))]
     }
 
-    /// The tick while a lost primary is fenced.
+    /// Chooses a replica if enough is known. Otherwise repeats requests that are due.
     pub(super) fn tick_fencing(
         &mut self,
         snapshot: &ServiceSnapshot,
         record: &PrimaryRecord,
         now: Tick,
     ) -> Vec<FailoverAction> {
-        let chosen = self.choose_successor(snapshot, now);
+        let chosen = self.choose_target(snapshot, now);
         if !chosen.is_empty() {
             return chosen;
         }
         let FailoverState::Fencing(fencing) = &mut self.state else { return Vec::new() };
-        if fencing.must_ask_again(snapshot) {
-            fencing.asks_after_leases = true;
-            // Answers that are still under way may be from before the leases ended.
+        if fencing.must_repeat_requests(snapshot) {
+            fencing.requested_after_lease_expiry = true;
+            // Responses that are still in flight may have been sent before the leases expired.
             self.begin_attempt();
-            return self.ask_holders(snapshot, record.term, now);
+            return self.request_positions(snapshot, record.term, now);
         }
         if now.since(fencing.requested_at) <= REQUEST_RETRY_MS {
             return Vec::new();
         }
         let recheck = now.since(fencing.since) > PRIMARY_RECHECK_AFTER_MS;
-        let mut actions = self.ask_holders(snapshot, record.term, now);
+        let mut actions = self.request_positions(snapshot, record.term, now);
         if recheck && snapshot.database(&record.primary).is_some() {
             let primary = record.primary.clone();
             actions.push(FailoverAction::SendRequest(primary, DatabaseRequest::Describe));
--- a/src/failover/handover.rs
+++ b/src/failover/handover.rs
@@ -127,7 +127,7 @@
     ) -> Vec<FailoverAction> {
         let FailoverState::HandingOver(progress) = &mut self.state else { return Vec::new() };
         if now.since(progress.since) > progress.timeout_ms() {
-            return self.call_off(now);
+            return self.cancel(now);
         }
         if !progress.confirmed {
             if !snapshot.all_poolers_confirmed {
--- a/src/failover/promotion.rs
+++ b/src/failover/promotion.rs
@@ -216,7 +216,7 @@
             }
             FailoverState::AwaitingLeaseExpiry { term, .. } if record.term >= *term => {
                 self.replicas.forget(&record.primary);
-                let actions = self.call_off(now);
+                let actions = self.cancel(now);
                 // This failover was completed, not cancelled: the next handover needs no backoff.
                 self.cancelled_at = None;
                 Some(actions)
--- a/src/failover/resume.rs
+++ b/src/failover/resume.rs
@@ -188,7 +188,7 @@
         else {
             return Vec::new();
         };
-        if fencing.needs_answer_of(database)
+        if fencing.needs_response_from(database)
             && !self.replicas.pause_may_arrive(database, now)
             && snapshot.replica_ids().any(|id| id == database)
         {
--- a/src/failover/selection.rs
+++ b/src/failover/selection.rs
@@ -1,5 +1,5 @@
-//! Which replica takes over for a lost primary, and when enough is known to choose it without losing
-//! a commit.
+//! Selection of the replica that is promoted after the primary was lost. It waits until enough is
+//! known to lose no acknowledged commit.
 
 use super::actions::FailoverAction;
 use super::fencing::Fencing;
@@ -10,69 +10,72 @@
 use crate::config::directory::Lifecycle;
 use crate::state_machine::Command;
 
-/// A replica that can take over for a lost primary.
-struct Successor {
+/// The replica that is promoted in place of a lost primary.
+struct SelectedTarget {
     id: InstanceId,
-    /// Every acknowledged commit lies at or before this position.
+    /// The position at or before which every acknowledged commit lies.
     sealed: Option<Position>,
 }
 
-/// The replica that takes over for a lost primary. None before every lease has ended: until then a
-/// pooler could still pass on a commit that no choice had regard to.
-fn successor_of_lost_primary(
+/// Selects the replica that is promoted in place of a lost primary, if enough is known. Never
+/// selects one before every lease has expired: until then a pooler could still pass on a commit
+/// that the selection does not take into account.
+fn select_target(
     fencing: &Fencing,
     snapshot: &ServiceSnapshot,
     now: Tick,
-) -> Option<Successor> {
+) -> Option<SelectedTarget> {
     if !snapshot.leases_expired {
         return None;
     }
-    let furthest = fencing.furthest();
-    let prefer_replicas = now.since(fencing.since) < REPLICA_RESPONSE_WAIT_MS;
-    // What the poolers said is enough; but with all answers the furthest replica is found.
-    let waited = !prefer_replicas
-        || fencing.all_living_answered(snapshot)
-        || answers_cover_commits(fencing.answers(snapshot), snapshot);
-    let covered_by_answers =
-        answers_cover_commits(fencing.answers_after_leases(snapshot), snapshot);
-    // A replica that is behind what was passed on would lose those commits.
-    let has_all = |received: Position| {
-        let by_poolers = waited && snapshot.passed_on.is_covered_by(received);
-        let by_replicas = covered_by_answers
-            && Some(received) == furthest
+    let highest_position = fencing.highest_position();
+    let waiting_for_replicas = now.since(fencing.since) < REPLICA_RESPONSE_WAIT_MS;
+    // The poolers' reports are sufficient. But once all replicas have responded, the one with the
+    // highest position can be chosen.
+    let may_rely_on_poolers = !waiting_for_replicas
+        || fencing.all_live_replicas_responded(snapshot)
+        || responses_cover_commits(fencing.response_count(snapshot), snapshot);
+    let responses_are_sufficient =
+        responses_cover_commits(fencing.response_count_after_lease_expiry(snapshot), snapshot);
+    // With a replica that is behind the commits which were passed on, those commits would be lost.
+    let has_all_commits = |received: Position| {
+        let known_by_poolers = may_rely_on_poolers && snapshot.passed_on.is_covered_by(received);
+        let known_by_replicas = responses_are_sufficient
+            && Some(received) == highest_position
             && !snapshot.passed_on.exceeds(received);
-        by_poolers || by_replicas
+        known_by_poolers || known_by_replicas
     };
     let (id, instance, _) = snapshot
         .replicas()
-        .filter_map(|(id, i)| Some((id, i, fencing.position_of(id)?)))
-        .filter(|(_, _, received)| has_all(*received))
-        .max_by_key(|(_, i, received)| {
-            let available = i.lifecycle_state == Lifecycle::Available;
-            (available, *received, i.revision.len(), i.revision.clone())
+        .filter_map(|(id, instance)| Some((id, instance, fencing.position_of(id)?)))
+        .filter(|(_, _, received)| has_all_commits(*received))
+        .max_by_key(|(_, instance, received)| {
+            let available = instance.lifecycle_state == Lifecycle::Available;
+            (available, *received, instance.revision.len(), instance.revision.clone())
         })?;
-    // One that is about to end is taken only if no other answers in time.
-    if prefer_replicas && instance.lifecycle_state == Lifecycle::Draining {
+    // A draining replica is chosen only if no other one responds in time.
+    if waiting_for_replicas && instance.lifecycle_state == Lifecycle::Draining {
         return None;
     }
-    Some(Successor { id: id.clone(), sealed: furthest })
+    Some(SelectedTarget { id: id.clone(), sealed: highest_position })
 }
 
-/// Whether so many replicas that answered cover every commit that was acknowledged before.
+/// Whether the responses of this many replicas cover every commit that was acknowledged before.
 ///
-/// A commit is acknowledged once `sync_replicas` of the possible holders have received it. If all
-/// but `sync_replicas - 1` of them have described themselves since, each acknowledged commit is on
-/// one of those. With one answer fewer, a commit might be only on replicas that didn't answer, and
-/// would be lost.
-pub(super) fn answers_cover_commits(answered: usize, snapshot: &ServiceSnapshot) -> bool {
-    let possible = snapshot.possible_commit_holders().count();
-    let needed = (possible + 1).saturating_sub(snapshot.sync_replicas as usize).max(1);
-    snapshot.sync_replicas > 0 && answered >= needed
+/// A commit is acknowledged once `sync_replicas` of the possible commit holders have received it.
+/// If all but `sync_replicas - 1` of them have described themselves since, at least one of those
+/// has each acknowledged commit. With one response fewer, a commit might be only on replicas that
+/// did not respond, and would be lost.
+pub(super) fn responses_cover_commits(responses: usize, snapshot: &ServiceSnapshot) -> bool {
+    let holders = snapshot.possible_commit_holders().count();
+    let needed = (holders + 1).saturating_sub(snapshot.sync_replicas as usize).max(1);
+    snapshot.sync_replicas > 0 && responses >= needed
 }
 
 impl Failover {
-    /// Chooses the replica that takes over for a lost primary, if enough is known.
-    pub(super) fn choose_successor(
+    /// Chooses the replica to promote in place of a lost primary, if enough is known, and proposes
+    /// the intent.
+    pub(super) fn choose_target(
         &mut self,
         snapshot: &ServiceSnapshot,
         now: Tick,
@@ -82,15 +85,15 @@
         else {
             return Vec::new();
         };
-        let Some(successor) = successor_of_lost_primary(fencing, snapshot, now) else {
+        let Some(selected) = select_target(fencing, snapshot, now) else {
             return Vec::new();
         };
-        self.sealed = successor.sealed;
-        self.propose_intent(snapshot, record.term, successor.id, now)
+        self.sealed = selected.sealed;
+        self.propose_intent(snapshot, record.term, selected.id, now)
     }
 
-    /// Proposes the intent to promote `target`. Without a committed intent nothing is promoted: a
-    /// later leader must go on with the same target.
+    /// Proposes the intent to promote `target` to the log. No replica is promoted before that is
+    /// committed, because a later leader must continue with the same target.
     pub(super) fn propose_intent(
         &mut self,
         snapshot: &ServiceSnapshot,
