--- a/src/failover/departed.rs
+++ b/src/failover/departed.rs
@@ -1,10 +1,11 @@
-//! The departed replica check: whether a replica that left can be forgotten.
+//! The departed replica check, which decides whether a replica that deregistered can be forgotten.
 //!
-//! A replica that left takes its log along, and commits are acknowledged because of it until it
-//! ends, which may be long after its goodbye. While its log may hold the only copy of such a commit,
-//! no other replica may be promoted without regard to it. So it is asked until it refuses, and can be
-//! forgotten once enough listed replicas have everything that the primary had after that: no commit
-//! that it helped to acknowledge lies beyond that position.
+//! A departed replica continues to count for the acknowledgement of commits until its process
+//! stops, which may be long after it deregistered. While its log may hold the only copy of such a
+//! commit, the selection of a promotion target has to take it into account. Therefore it is probed
+//! until it refuses the connection. After that the primary is asked for its position: no commit
+//! that the departed replica helped to acknowledge lies beyond it. Once enough listed replicas have
+//! reached that position, the departed replica is forgotten.
 
 use super::actions::{Attempt, DatabaseRequest, DatabaseResponse, FailoverAction};
 use super::timing::{
@@ -18,55 +19,59 @@
 use crate::state_machine::{Command, PrimaryRecord};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A replica that left.
+/// The state of one departed replica.
 #[derive(Clone, Copy, Debug)]
 struct Departure {
-    /// The sequence number of its last heartbeat, which tells two departures of one id apart.
+    /// The sequence number of its last heartbeat, which distinguishes two departures of one id.
     sequence: u64,
-    /// When this leader first saw that it had left.
+    /// When this leader first noticed the departure.
     noticed_at: Tick,
-    /// When it was last asked whether it still runs.
+    /// When the replica was last probed.
     probed_at: Tick,
-    /// It refused: it receives nothing any more.
-    ended: bool,
+    /// Whether it refused the connection, which shows that it has stopped and receives no commits.
+    stopped: bool,
 }
 
 impl Departure {
-    fn has_ended(&self, now: Tick) -> bool {
-        self.ended || now.since(self.noticed_at) >= DEPARTED_ASSUMED_STOPPED_MS
+    fn has_stopped(&self, now: Tick) -> bool {
+        self.stopped || now.since(self.noticed_at) >= DEPARTED_ASSUMED_STOPPED_MS
     }
 }
 
-/// One check whether the listed replicas have what the departed ones may have taken along.
+/// One check whether the listed replicas have every commit that the departed ones may have.
 #[derive(Clone, Debug)]
 struct DepartedReplicaCheck {
     attempt: Attempt,
-    /// The replicas that are forgotten if the check succeeds.
+    /// The replicas that are forgotten if the check succeeds, each with its sequence number.
     departed: BTreeMap<InstanceId, u64>,
-    began_at: Tick,
+    started_at: Tick,
+    /// When the replicas were last asked for their positions.
     requested_at: Tick,
-    /// The position of the primary after they had ended, once it has answered.
+    /// The position of the primary after the departed replicas had stopped; `None` until the
+    /// primary responds.
     primary_position: Option<Position>,
-    /// The replicas that have reached that position.
+    /// The listed replicas that have reached that position.
     caught_up: BTreeSet<InstanceId>,
 }
 
 impl DepartedReplicaCheck {
-    /// Asks the living replicas that aren't known to have reached the position.
-    fn ask_replicas(&self, snapshot: &ServiceSnapshot) -> Vec<FailoverAction> {
-        let living = snapshot.replica_ids().filter(|id| snapshot.alive.contains(*id));
-        let behind = living.filter(|id| !self.caught_up.contains(*id));
+    /// Asks the live replicas that are not known to have reached the position.
+    fn request_positions(&self, snapshot: &ServiceSnapshot) -> Vec<FailoverAction> {
+        let alive = snapshot.replica_ids().filter(|id| snapshot.alive.contains(*id));
+        let behind = alive.filter(|id| !self.caught_up.contains(*id));
         let describe =
             |id: &InstanceId| FailoverAction::SendRequest(id.clone(), DatabaseRequest::Describe);
         behind.map(describe).collect()
     }
 }
 
-/// The departed replicas of a service, and the check of them that is under way.
+/// The departed replicas of a service, and the current check of them.
 #[derive(Clone, Debug)]
 pub(super) struct DepartedReplicas {
     departures: BTreeMap<InstanceId, Departure>,
+    /// The current check, if there is one.
     check: Option<DepartedReplicaCheck>,
+    /// When the next check may start.
     next_check_at: Tick,
     backoff_ms: u64,
 }
@@ -81,31 +86,33 @@
         }
     }
 
-    /// Whether the check that is under way belongs to this attempt.
-    pub(super) fn is_checked_in(&self, attempt: Attempt) -> bool {
+    /// Whether the current check belongs to this attempt.
+    pub(super) fn is_check_attempt(&self, attempt: Attempt) -> bool {
         self.check.as_ref().is_some_and(|check| check.attempt == attempt)
     }
 
+    /// Adds departures that are new in the snapshot, and removes those that are not in it any more.
     fn update_departures(&mut self, snapshot: &ServiceSnapshot, now: Tick) {
-        self.departures.retain(|id, left| snapshot.departed.get(id) == Some(&left.sequence));
+        self.departures
+            .retain(|id, departure| snapshot.departed.get(id) == Some(&departure.sequence));
         for (id, &sequence) in &snapshot.departed {
-            let departure = Departure { sequence, noticed_at: now, probed_at: now, ended: false };
+            let departure = Departure { sequence, noticed_at: now, probed_at: now, stopped: false };
             self.departures.entry(id.clone()).or_insert(departure);
         }
     }
 
-    /// Those that receive nothing any more, each with its sequence number.
-    fn ended(&self, now: Tick) -> BTreeMap<InstanceId, u64> {
-        let ended = self.departures.iter().filter(|(_, left)| left.has_ended(now));
-        ended.map(|(id, left)| (id.clone(), left.sequence)).collect()
+    /// The departed replicas that have stopped, each with its sequence number.
+    fn stopped(&self, now: Tick) -> BTreeMap<InstanceId, u64> {
+        let stopped = self.departures.iter().filter(|(_, departure)| departure.has_stopped(now));
+        stopped.map(|(id, departure)| (id.clone(), departure.sequence)).collect()
     }
 
-    /// Asks those that may still run, each at intervals.
+    /// Probes the departed replicas that may still run, each at a fixed interval.
     fn probe(&mut self, now: Tick) -> Vec<FailoverAction> {
         let mut requests = Vec::new();
         for (id, departure) in &mut self.departures {
             let due = now.since(departure.probed_at) >= DEPARTED_PROBE_INTERVAL_MS;
-            if due && !departure.has_ended(now) {
+            if due && !departure.has_stopped(now) {
                 departure.probed_at = now;
                 requests.push(FailoverAction::SendRequest(id.clone(), DatabaseRequest::Describe));
             }
@@ -113,18 +120,19 @@
         requests
     }
 
-    /// A departed replica was asked whether it still runs. One that refuses the connection, or at whose
-    /// address another database listens now, has ended.
+    /// Records the response of a departed replica to a probe. It has stopped if the connection is
+    /// refused or another database now listens at its address.
     pub(super) fn record_probe(&mut self, database: &InstanceId, response: &DatabaseResponse) {
         if let Some(departure) = self.departures.get_mut(database) {
-            departure.ended |= *response == DatabaseResponse::Unavailable;
+            departure.stopped |= *response == DatabaseResponse::Unavailable;
         }
     }
 
-    /// Goes on with the check that is under way: gives it up after its time, else asks again.
+    /// Continues the current check: ends it after its time-out, or repeats the requests to the
+    /// replicas when they are due.
     fn continue_check(&mut self, snapshot: &ServiceSnapshot, now: Tick) -> Vec<FailoverAction> {
         let Some(check) = &mut self.check else { return Vec::new() };
-        if now.since(check.began_at) > DEPARTED_CHECK_TIMEOUT_MS {
+        if now.since(check.started_at) > DEPARTED_CHECK_TIMEOUT_MS {
             self.check = None;
             self.next_check_at = now.plus(self.backoff_ms);
             self.backoff_ms = (2 * self.backoff_ms).min(DEPARTED_CHECK_MAX_BACKOFF_MS);
@@ -132,12 +140,12 @@
         }
         if check.primary_position.is_some() && now.since(check.requested_at) > REQUEST_RETRY_MS {
             check.requested_at = now;
-            return check.ask_replicas(snapshot);
+            return check.request_positions(snapshot);
         }
         Vec::new()
     }
 
-    /// The primary described itself: its position is what the replicas have to reach.
+    /// Records the primary's description. Its position is the one that the replicas have to reach.
     fn record_primary(
         &mut self,
         snapshot: &ServiceSnapshot,
@@ -146,17 +154,17 @@
         now: Tick,
     ) -> Vec<FailoverAction> {
         let Some(check) = &mut self.check else { return Vec::new() };
-        let present = description.primary && description.term == record.term;
-        if check.primary_position.is_some() || !present {
+        let leads = description.primary && description.term == record.term;
+        if check.primary_position.is_some() || !leads {
             return Vec::new();
         }
         check.primary_position = Some(description.received);
         check.requested_at = now;
-        check.ask_replicas(snapshot)
+        check.request_positions(snapshot)
     }
 
-    /// A replica described itself: once enough have reached the position, the departed ones are
-    /// forgotten.
+    /// Records a replica's description. Once enough replicas have reached the primary's position,
+    /// it proposes to forget the departed ones.
     fn record_replica(
         &mut self,
         snapshot: &ServiceSnapshot,
@@ -169,8 +177,8 @@
             check.caught_up.insert(replica.clone());
         }
         let caught_up = snapshot.replica_ids().filter(|id| check.caught_up.contains(*id)).count();
-        // As many as a commit needs, and one at least: then each commit that a departed replica
-        // helped to acknowledge is on as many listed replicas as any other commit.
+        // As many replicas as a commit needs, and at least one: then each commit that a departed
+        // replica helped to acknowledge is on as many listed replicas as any other commit.
         if caught_up < (snapshot.sync_replicas as usize).max(1) {
             return Vec::new();
         }
@@ -182,7 +190,7 @@
 }
 
 impl Failover {
-    /// Begins or continues the check of the departed replicas, if there are any.
+    /// Starts or continues the check of the departed replicas, if there are any.
     pub(super) fn check_departed_replicas(
         &mut self,
         snapshot: &ServiceSnapshot,
@@ -199,7 +207,7 @@
             return self.departed.continue_check(snapshot, now);
         }
         let probes = self.departed.probe(now);
-        let departed = self.departed.ended(now);
+        let departed = self.departed.stopped(now);
         if !probes.is_empty() || departed.is_empty() || now < self.departed.next_check_at {
             return probes;
         }
@@ -207,7 +215,7 @@
         self.departed.check = Some(DepartedReplicaCheck {
             attempt: self.attempt,
             departed,
-            began_at: now,
+            started_at: now,
             requested_at: now,
             primary_position: None,
             caught_up: BTreeSet::new(),
@@ -215,7 +223,7 @@
         vec![FailoverAction::SendRequest(primary.clone(), DatabaseRequest::Describe)]
     }
 
-    /// A database described itself in answer to the check that is under way.
+    /// Handles the description of a database that was asked by the current check.
     pub(super) fn handle_departed_check_response(
         &mut self,
         snapshot: &ServiceSnapshot,
--- a/src/failover/handover.rs
+++ b/src/failover/handover.rs
@@ -1,11 +1,12 @@
-//! A planned change: a primary that still serves hands its service over to a replica.
+//! A handover: a planned failover in which a primary that still serves is replaced by a replica.
 //!
-//! The promotion rests on the poolers and on the log of the target alone. First every pooler is told
-//! of the handover; from its acknowledgement on it passes on a commit only once the target has it.
-//! When all do so, or can't use a lease any more, no client is told of a commit that the target
-//! lacks, except of those from before: the target has to reach them before it is chosen. So it
-//! does not matter which databases receive meanwhile. The other replicas are paused only so that
-//! few commits wait for the target.
+//! Its safety depends only on the poolers and on the log of the target. The handover is announced
+//! to every pooler. From its acknowledgement on, a pooler passes on a commit to a client only once
+//! the target has that commit. When every pooler has acknowledged, or can't use a lease any more,
+//! the target lacks at most commits that were passed on before, and has to reach those before the
+//! intent to promote it is proposed. Therefore it does not matter which other databases receive
+//! commits meanwhile. The other replicas are paused only so that few commits have to wait for the
+//! target.
 
 use super::actions::{DatabaseRequest, DatabaseResponse, FailoverAction};
 use super::state::PrimaryLeadership;
@@ -19,87 +20,92 @@
 use crate::net::statement_protocol::ServerDescription;
 use std::cmp::Reverse;
 
-/// Why a change of primary is planned.
+/// Why a primary that still serves is replaced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PlannedCause {
+pub enum HandoverCause {
     /// The primary is draining.
     Draining,
-    /// The primary is slow or breaks connections. The change is called off at the first obstacle,
-    /// as the primary still serves.
+    /// The primary is slow or breaks connections. The handover has a short time-out, because the
+    /// primary still serves.
     Slow,
 }
 
-/// The progress of a planned change until its target is chosen.
+/// The progress of a handover until the intent to promote its target is proposed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HandoverProgress {
-    /// The replica that is to become the primary. It isn't paused.
+    /// The replica that is to become the primary. It is not paused.
     pub target: InstanceId,
-    cause: PlannedCause,
+    cause: HandoverCause,
     since: Tick,
+    /// When the target was last asked for its position.
     polled_at: Tick,
-    /// Every pooler passes on only commits that the target has.
+    /// Whether every pooler passes on only commits that the target has.
     confirmed: bool,
-    /// The primary's position after that: it covers every commit passed on before.
+    /// The primary's position after that. It covers every commit that was passed on before.
     primary_position: Option<Position>,
-    /// How far the target was when it last said so.
+    /// The position of the target when it last described itself.
     target_position: Option<Position>,
 }
 
 impl HandoverProgress {
-    /// Whether the target has every commit that was passed on, and will have those that will be.
+    /// Whether the target has every commit that was passed on, and every pooler now waits for the
+    /// target before it passes on another.
     fn is_target_ready(&self, snapshot: &ServiceSnapshot) -> bool {
         let Some(received) = self.target_position else { return false };
-        let has_primarys = self.primary_position.is_some_and(|position| received >= position);
-        let has_all = snapshot.passed_on.is_covered_by(received)
-            || (has_primarys && !snapshot.passed_on.exceeds(received));
-        self.confirmed && has_all
+        let reached_primary = self.primary_position.is_some_and(|position| received >= position);
+        let has_all_commits = snapshot.passed_on.is_covered_by(received)
+            || (reached_primary && !snapshot.passed_on.exceeds(received));
+        self.confirmed && has_all_commits
     }
 
     fn timeout_ms(&self) -> u64 {
         match self.cause {
-            PlannedCause::Slow => SLOW_HANDOVER_TIMEOUT_MS,
-            PlannedCause::Draining => DRAINING_HANDOVER_TIMEOUT_MS,
+            HandoverCause::Slow => SLOW_HANDOVER_TIMEOUT_MS,
+            HandoverCause::Draining => DRAINING_HANDOVER_TIMEOUT_MS,
         }
     }
 
-    /// Asks the target how far it is; and the primary, if some pooler did not report.
+    /// Asks the target for its position. Asks the primary too if its position is not known yet and
+    /// some pooler did not report how far it passed on commits.
     fn poll(&mut self, snapshot: &ServiceSnapshot, now: Tick) -> Vec<FailoverAction> {
         self.polled_at = now;
-        let mut asked = vec![self.target.clone()];
+        let mut databases = vec![self.target.clone()];
         if snapshot.passed_on.unreported == UnreportedCommits::Unknown
             && self.primary_position.is_none()
         {
-            asked.extend(snapshot.primary_record.as_ref().map(|record| record.primary.clone()));
+            databases.extend(snapshot.primary_record.as_ref().map(|record| record.primary.clone()));
         }
         let describe = |id| FailoverAction::SendRequest(id, DatabaseRequest::Describe);
-        asked.into_iter().map(describe).collect()
+        databases.into_iter().map(describe).collect()
     }
 }
 
-/// The replica that a planned change goes to. It has the newest revision, so that the next
-/// replacement of old databases needn't move the primary again.
-fn planned_target(snapshot: &ServiceSnapshot) -> Option<InstanceId> {
-    let usable = |(id, instance): &&(InstanceId, Instance)| {
+/// Selects the replica that becomes the primary by a handover. It has the newest revision, so that
+/// the next replacement of old databases does not have to move the primary again.
+fn select_handover_target(snapshot: &ServiceSnapshot) -> Option<InstanceId> {
+    let is_eligible = |(id, instance): &&(InstanceId, Instance)| {
         instance.lifecycle_state == Lifecycle::Available && snapshot.alive.contains(id)
     };
     snapshot
         .replicas()
-        .filter(usable)
-        .max_by_key(|(id, i)| (i.revision.len(), i.revision.clone(), Reverse(id.clone())))
+        .filter(is_eligible)
+        .max_by_key(|(id, instance)| {
+            (instance.revision.len(), instance.revision.clone(), Reverse(id.clone()))
+        })
         .map(|(id, _)| id.clone())
 }
 
 impl Failover {
-    /// Begins a planned change: tells the poolers, and pauses all replicas but the target. The
+    /// Starts a handover: announces it to the poolers, and pauses all replicas but the target. The
     /// primary serves until the target is promoted.
-    pub(super) fn plan_change(
+    pub(super) fn begin_handover(
         &mut self,
         snapshot: &ServiceSnapshot,
         term: DbTerm,
-        cause: PlannedCause,
+        cause: HandoverCause,
         now: Tick,
     ) -> Vec<FailoverAction> {
-        let Some(target) = planned_target(snapshot) else { return Vec::new() };
+        let Some(target) = select_handover_target(snapshot) else { return Vec::new() };
         let others: Vec<_> = snapshot.replica_ids().filter(|id| **id != target).cloned().collect();
         self.begin_attempt();
         let number = self.attempt.fencing_token();
@@ -119,7 +125,8 @@
         actions
     }
 
-    /// The tick of a planned change.
+    /// Cancels the handover after its time-out. Otherwise waits for the poolers, and then for the
+    /// target, and proposes the intent once the target is ready.
     pub(super) fn tick_handover(
         &mut self,
         snapshot: &ServiceSnapshot,
@@ -135,8 +142,8 @@
             }
             progress.confirmed = true;
             let actions = progress.poll(snapshot, now);
-            // Only answers to requests from now on count: the positions are to be later than the
-            // acknowledgements.
+            // Only responses to requests from now on are accepted, because the positions have to be
+            // later than the poolers' acknowledgements.
             self.begin_attempt();
             return actions;
         }
@@ -149,7 +156,7 @@
         Vec::new()
     }
 
-    /// The primary's own answer, or none, while it hands its service over.
+    /// Handles the response of the primary, or its absence, during a handover.
     pub(super) fn handle_handover_primary(
         &mut self,
         snapshot: &ServiceSnapshot,
@@ -172,7 +179,7 @@
         self.choose_ready_target(snapshot, now)
     }
 
-    /// A replica described itself while its service is handed over.
+    /// Handles the description of a replica during a handover.
     pub(super) fn handle_handover_replica(
         &mut self,
         snapshot: &ServiceSnapshot,
--- a/src/failover/mod.rs
+++ b/src/failover/mod.rs
@@ -38,7 +38,7 @@
 
 pub use actions::{Attempt, DatabaseRequest, DatabaseResponse, FailoverAction, PromotionResponse};
 pub use fencing::Fencing;
-pub use handover::{HandoverProgress, PlannedCause};
+pub use handover::{HandoverCause, HandoverProgress};
 pub use promotion::Promotion;
 pub use snapshot::ServiceSnapshot;
 pub use state::{Failover, FailoverState, LeaseStatus};
--- a/src/failover/state.rs
+++ b/src/failover/state.rs
@@ -4,7 +4,7 @@
 use super::actions::{Attempt, DatabaseRequest, DatabaseResponse, FailoverAction};
 use super::departed::DepartedReplicas;
 use super::fencing::Fencing;
-use super::handover::{HandoverProgress, PlannedCause};
+use super::handover::{HandoverCause, HandoverProgress};
 use super::promotion::Promotion;
 use super::resume::PausedReplicas;
 use super::snapshot::ServiceSnapshot;
@@ -230,7 +230,7 @@
             self.departed.record_probe(database, response);
             return Vec::new();
         }
-        if request == DatabaseRequest::Describe && self.departed.is_checked_in(attempt) {
+        if request == DatabaseRequest::Describe && self.departed.is_check_attempt(attempt) {
             return match response {
                 DatabaseResponse::Description(description) => {
                     self.handle_departed_check_response(snapshot, database, description, now)
@@ -436,7 +436,7 @@
         }
         let handover_allowed = self.cancelled_at.is_none_or(|at| now.since(at) > HANDOVER_RETRY_MS);
         if primary.lifecycle_state == Lifecycle::Draining && handover_allowed {
-            return self.plan_change(snapshot, record.term, PlannedCause::Draining, now);
+            return self.begin_handover(snapshot, record.term, HandoverCause::Draining, now);
         }
         if !snapshot.alive.contains(id) && self.suspicion.heeds_missing_heartbeats(now) {
             return self.suspect_primary(id, now);
--- a/src/failover/suspicion.rs
+++ b/src/failover/suspicion.rs
@@ -4,7 +4,7 @@
 //! itself, and its answer decides: it is lost, slow, unsteady or well.
 
 use super::actions::{DatabaseRequest, DatabaseResponse, FailoverAction};
-use super::handover::PlannedCause;
+use super::handover::HandoverCause;
 use super::state::{FailoverState, PrimaryLeadership};
 use super::timing::{
     BROKEN_CONNECTION_REPORTERS_NEEDED, BROKEN_CONNECTION_WINDOW_MS, BROKEN_CONNECTIONS_NEEDED,
@@ -199,7 +199,7 @@
             return Vec::new();
         }
         self.suspicion.slow_replacement_at = Some(now);
-        self.plan_change(snapshot, term, PlannedCause::Slow, now)
+        self.begin_handover(snapshot, term, HandoverCause::Slow, now)
     }
 
     /// The tick while the primary is suspected.
