--- a/src/failover/fencing.rs
+++ b/src/failover/fencing.rs
@@ -108,7 +108,7 @@
         }
         self.revoking = true;
         self.handover = None;
-        self.suspicion.clear_reporters();
+        self.suspicion.clear_no_response_reports();
         self.state = FailoverState::Fencing(Fencing::new(snapshot.leases_expired, now));
         let mut actions = vec![FailoverAction::RevokeLeases(record.term)];
         actions.extend(self.request_positions(snapshot, record.term, now));
--- a/src/failover/resume.rs
+++ b/src/failover/resume.rs
@@ -1,9 +1,9 @@
-//! Which replicas are paused, and which were asked to resume but haven't confirmed it.
+//! Tracks which replicas are paused, and which were asked to resume but have not confirmed it.
 //!
-//! Each request travels on a connection of its own, so two may overtake each other. So a replica
-//! isn't paused while a request to resume may still be under way to it, and isn't taken for
-//! resumed while a pause may be: otherwise a late `CONTINUE` would undo a pause that a promotion
-//! relies on, or a late `PAUSE` would leave a replica paused for good.
+//! Each request is sent on its own connection, so one request can overtake another. Therefore a
+//! replica is not paused while a request to resume may still be in flight to it, and does not count
+//! as resumed while a pause may be in flight. Otherwise a late `CONTINUE` would undo a pause that a
+//! promotion relies on, or a late `PAUSE` would leave a replica paused permanently.
 
 use super::actions::{Attempt, DatabaseRequest, DatabaseResponse, FailoverAction};
 use super::timing::{REQUEST_EXPIRED_MS, RESUME_RETRY_MS};
@@ -19,14 +19,14 @@
     last_sent_at: Tick,
 }
 
-/// The unanswered requests of one kind.
+/// The unanswered requests of one kind, by database.
 #[derive(Clone, Debug, Default)]
 struct OutstandingRequests(BTreeMap<InstanceId, Outstanding>);
 
 impl OutstandingRequests {
     fn record_sent(&mut self, id: &InstanceId, now: Tick) {
-        let none = Outstanding { count: 0, last_sent_at: now };
-        let outstanding = self.0.entry(id.clone()).or_insert(none);
+        let empty = Outstanding { count: 0, last_sent_at: now };
+        let outstanding = self.0.entry(id.clone()).or_insert(empty);
         outstanding.count += 1;
         outstanding.last_sent_at = now;
     }
@@ -40,19 +40,22 @@
         }
     }
 
-    /// Whether a request may still be carried out by this database.
+    /// Whether this database may still carry out one of the requests.
     fn may_arrive(&self, id: &InstanceId, now: Tick) -> bool {
-        self.0.get(id).is_some_and(|o| now.since(o.last_sent_at) < REQUEST_EXPIRED_MS)
+        self.0
+            .get(id)
+            .is_some_and(|outstanding| now.since(outstanding.last_sent_at) < REQUEST_EXPIRED_MS)
     }
 }
 
-/// The replicas of a service that are paused or have to be resumed.
+/// The replicas of a service that are paused or have not confirmed that they resumed.
 #[derive(Clone, Debug)]
 pub(super) struct PausedReplicas {
-    /// Asked to pause, and not asked to resume since.
+    /// The replicas that were asked to pause and not asked to resume since.
     paused: BTreeSet<InstanceId>,
-    /// Asked to resume, first in that attempt, without a confirmation so far. They are asked again
-    /// while they live: a replica that stays paused counts for no commit.
+    /// The replicas that were asked to resume and have not confirmed it, each with the attempt in
+    /// which it was first asked. They are asked again while they are alive, because a replica that
+    /// stays paused receives no commits.
     awaiting_resume: BTreeMap<InstanceId, Attempt>,
     pause_requests: OutstandingRequests,
     resume_requests: OutstandingRequests,
@@ -70,12 +73,13 @@
         }
     }
 
-    /// Takes a replica for paused without a request: an earlier leader may have paused it.
+    /// Marks a replica as paused without sending a request, because an earlier leader may have
+    /// paused it.
     pub(super) fn assume_paused(&mut self, id: InstanceId) {
         self.paused.insert(id);
     }
 
-    /// Forgets a replica that became the primary: no pause holds it any more.
+    /// Removes a replica that became the primary, on which a pause has no effect.
     pub(super) fn forget(&mut self, id: &InstanceId) {
         self.paused.remove(id);
     }
@@ -84,13 +88,14 @@
         self.paused.contains(id)
     }
 
-    /// Whether a pause may still be under way to this database.
+    /// Whether a pause may still be in flight to this database.
     pub(super) fn pause_may_arrive(&self, id: &InstanceId, now: Tick) -> bool {
         self.pause_requests.may_arrive(id, now)
     }
 
-    /// Pauses these replicas for primaries up to `term`. One that may still have to carry out a
-    /// request to resume is left out; it is paused once that request was answered or has expired.
+    /// Asks these replicas to receive nothing from primaries of terms up to `term`. A replica to
+    /// which a request to resume may be in flight is left out; the caller pauses it once that
+    /// request was answered or has expired.
     pub(super) fn pause(
         &mut self,
         mut replicas: Vec<InstanceId>,
@@ -105,7 +110,7 @@
         replicas.into_iter().map(|id| FailoverAction::SendRequest(id, pause)).collect()
     }
 
-    /// Resumes all paused replicas.
+    /// Asks all paused replicas to resume.
     pub(super) fn resume_all(&mut self, attempt: Attempt, now: Tick) -> Vec<FailoverAction> {
         let paused = std::mem::take(&mut self.paused);
         self.awaiting_resume.extend(paused.iter().map(|id| (id.clone(), attempt)));
@@ -119,8 +124,8 @@
         replicas.into_iter().map(resume).collect()
     }
 
-    /// Asks the living replicas again that haven't confirmed their resumption; none if no replica
-    /// has to, or if it isn't time yet.
+    /// Repeats the request to resume to the live replicas that have not confirmed it. `None` if
+    /// there are no unconfirmed replicas or the retry is not due.
     pub(super) fn retry_resume(
         &mut self,
         snapshot: &ServiceSnapshot,
@@ -132,13 +137,13 @@
         }
         self.resume_requested_at = now;
         self.awaiting_resume.retain(|id, _| snapshot.replica_ids().any(|replica| replica == id));
-        let living = self.awaiting_resume.keys().filter(|id| snapshot.alive.contains(*id));
-        let living = living.cloned().collect();
-        Some(self.request_resume(living, now))
+        let alive = self.awaiting_resume.keys().filter(|id| snapshot.alive.contains(*id));
+        let alive = alive.cloned().collect();
+        Some(self.request_resume(alive, now))
     }
 
-    /// Counts a request as answered. One that timed out isn't: it may still be carried out, until
-    /// it expires.
+    /// Records that a request was answered. A request that timed out stays outstanding until it
+    /// expires, because it may still be carried out.
     pub(super) fn record_response(
         &mut self,
         database: &InstanceId,
@@ -155,23 +160,24 @@
         }
     }
 
-    /// A replica described itself in answer to a request to resume. It is resumed unless the
-    /// request is older than the need for it, or a pause may still arrive after it.
+    /// Records that a replica confirmed a request to resume. The confirmation is ignored if the
+    /// request belongs to an earlier resumption, or if a pause may still arrive after it.
     fn confirm_resume(&mut self, database: &InstanceId, attempt: Attempt, now: Tick) {
-        let recent = self.awaiting_resume.get(database).is_some_and(|first| attempt >= *first);
-        if recent && !self.pause_may_arrive(database, now) {
+        let is_current = self.awaiting_resume.get(database).is_some_and(|first| attempt >= *first);
+        if is_current && !self.pause_may_arrive(database, now) {
             self.awaiting_resume.remove(database);
         }
     }
 }
 
 impl Failover {
-    /// Resumes every replica that is paused.
+    /// Asks every paused replica to resume.
     pub(super) fn resume_replicas(&mut self, now: Tick) -> Vec<FailoverAction> {
         self.replicas.resume_all(self.attempt, now)
     }
 
-    /// A replica answered a request to resume. If it has to be paused, that had to wait for this.
+    /// Handles the response of a replica to a request to resume. During fencing, a pause of this
+    /// replica may have been postponed until then.
     pub(super) fn handle_resume_response(
         &mut self,
         snapshot: &ServiceSnapshot,
--- a/src/failover/state.rs
+++ b/src/failover/state.rs
@@ -438,7 +438,7 @@
         if primary.lifecycle_state == Lifecycle::Draining && handover_allowed {
             return self.begin_handover(snapshot, record.term, HandoverCause::Draining, now);
         }
-        if !snapshot.alive.contains(id) && self.suspicion.heeds_missing_heartbeats(now) {
+        if !snapshot.alive.contains(id) && self.suspicion.considers_missing_heartbeats(now) {
             return self.suspect_primary(id, now);
         }
         Vec::new()
--- a/src/failover/suspicion.rs
+++ b/src/failover/suspicion.rs
@@ -1,7 +1,8 @@
-//! Suspicion: reports of poolers, and missing heartbeats, that the primary is broken or silent.
+//! Suspicion of the primary, raised by reports of poolers or by missing heartbeats.
 //!
-//! A report alone replaces nothing, as the pooler's own link may be broken. The primary is asked
-//! itself, and its answer decides: it is lost, slow, unsteady or well.
+//! A single report does not replace the primary, because the pooler's own link may be broken. The
+//! leader asks the primary to describe itself, and decides by the response whether the primary is
+//! lost, slow, unstable or healthy.
 
 use super::actions::{DatabaseRequest, DatabaseResponse, FailoverAction};
 use super::handover::HandoverCause;
@@ -19,47 +20,48 @@
 use crate::state_machine::PrimaryRecord;
 use std::collections::{BTreeSet, VecDeque};
 
-/// A pooler's report of connections to the primary that broke.
+/// A pooler's report that its connections to the primary broke.
 #[derive(Clone, Debug)]
 struct BrokenConnection {
     reported_at: Tick,
     reporter: NodeName,
 }
 
-/// What is known against the primary, and since when it is known to be well.
+/// The reports against the primary, and when it was last found healthy, slow or unresponsive.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Suspicion {
-    /// Poolers whose requests the primary left unanswered since it was last known to be well.
-    silent_reporters: BTreeSet<NodeName>,
-    /// When the primary last described itself, or a change last ended.
+    /// The poolers that reported an unanswered request since the primary was last found healthy.
+    no_response_reporters: BTreeSet<NodeName>,
+    /// When the primary last responded to a suspicion, or a failover last ended.
     verified_at: Option<Tick>,
-    /// When a replacement of a slow or unsteady primary was last tried.
+    /// When a replacement of a slow or unstable primary was last attempted.
     slow_replacement_at: Option<Tick>,
     /// When the primary was last found slow.
     slow_at: Option<Tick>,
-    /// When the primary last left the leader's own request unanswered.
-    unanswered_at: Option<Tick>,
+    /// When a request of the leader itself to the primary last timed out.
+    timed_out_at: Option<Tick>,
     broken_connections: VecDeque<BrokenConnection>,
 }
 
-/// Whether a time is known and less than so many milliseconds ago.
+/// Whether a time is known and less than `limit_ms` ago.
 fn is_within(at: Option<Tick>, limit_ms: u64, now: Tick) -> bool {
     at.is_some_and(|at| now.since(at) < limit_ms)
 }
 
 impl Suspicion {
-    pub(super) fn clear_reporters(&mut self) {
-        self.silent_reporters.clear();
+    pub(super) fn clear_no_response_reports(&mut self) {
+        self.no_response_reporters.clear();
     }
 
-    /// The primary described itself, or a change has ended.
+    /// Records that the primary responded to a suspicion or that a failover has ended.
     pub(super) fn record_verified(&mut self, now: Tick) {
-        self.clear_reporters();
+        self.clear_no_response_reports();
         self.verified_at = Some(now);
     }
 
-    /// Whether a primary without heartbeats is to be suspected; not right after it answered.
-    pub(super) fn heeds_missing_heartbeats(&self, now: Tick) -> bool {
+    /// Whether missing heartbeats are a reason to suspect the primary. They are not for some time
+    /// after it responded.
+    pub(super) fn considers_missing_heartbeats(&self, now: Tick) -> bool {
         self.verified_at.is_none_or(|at| now.since(at) > MISSING_HEARTBEATS_IGNORED_MS)
     }
 
@@ -71,34 +73,36 @@
         }
     }
 
-    /// Whether enough poolers wait for the primary's answers.
-    fn is_silent_to_many(&self) -> bool {
-        self.silent_reporters.len() >= NO_RESPONSE_REPORTERS_NEEDED
+    /// Whether enough poolers have reported that the primary does not respond.
+    fn is_reported_unresponsive(&self) -> bool {
+        self.no_response_reporters.len() >= NO_RESPONSE_REPORTERS_NEEDED
     }
 
-    /// Whether the primary breaks connections of many poolers again and again, though it answers
-    /// the leader: each break may cost a client its answer, and a replica may do better.
-    fn is_unsteady(&self, now: Tick) -> bool {
+    /// Whether the primary repeatedly breaks connections of several poolers although it responds to
+    /// the leader. Each broken connection may cost a client its response, and a replica may be more
+    /// stable.
+    fn is_unstable(&self, now: Tick) -> bool {
         let recent = || {
-            let recent =
-                |b: &&BrokenConnection| now.since(b.reported_at) < BROKEN_CONNECTION_WINDOW_MS;
-            self.broken_connections.iter().filter(recent)
+            let in_window = |report: &&BrokenConnection| {
+                now.since(report.reported_at) < BROKEN_CONNECTION_WINDOW_MS
+            };
+            self.broken_connections.iter().filter(in_window)
         };
-        let reporters = || recent().map(|b| &b.reporter).collect::<BTreeSet<_>>();
+        let reporters = || recent().map(|report| &report.reporter).collect::<BTreeSet<_>>();
         recent().count() >= BROKEN_CONNECTIONS_NEEDED
             && reporters().len() >= BROKEN_CONNECTION_REPORTERS_NEEDED
     }
 
-    /// Whether one unanswered request may have been a lost packet, so that the primary is asked
-    /// once more.
+    /// Whether a time-out may be due to a single lost packet, so that the primary is asked once
+    /// more.
     fn may_be_lost_packet(&self, now: Tick) -> bool {
-        !self.is_silent_to_many()
-            && self.unanswered_at.is_none_or(|at| now.since(at) > REPEATED_TIMEOUT_WINDOW_MS)
+        !self.is_reported_unresponsive()
+            && self.timed_out_at.is_none_or(|at| now.since(at) > REPEATED_TIMEOUT_WINDOW_MS)
     }
 }
 
 impl Failover {
-    /// Takes a pooler's report that it has trouble with a database.
+    /// Handles a pooler's report of a problem with a database.
     pub fn report_suspicion(
         &mut self,
         snapshot: &ServiceSnapshot,
@@ -117,7 +121,7 @@
             return Vec::new();
         }
         if reason == SuspicionReason::NoResponse {
-            self.suspicion.silent_reporters.insert(reporter.clone());
+            self.suspicion.no_response_reporters.insert(reporter.clone());
         }
         match &self.state {
             FailoverState::Suspected { .. } => self.tick(snapshot, now),
@@ -129,7 +133,7 @@
         }
     }
 
-    /// Asks the primary itself.
+    /// Suspects the primary and asks it to describe itself.
     pub(super) fn suspect_primary(
         &mut self,
         primary: &InstanceId,
@@ -140,7 +144,7 @@
         vec![FailoverAction::SendRequest(primary.clone(), DatabaseRequest::Describe)]
     }
 
-    /// The suspected primary's own answer, or none.
+    /// Handles the response of a suspected primary, or its absence.
     pub(super) fn handle_suspected_primary(
         &mut self,
         snapshot: &ServiceSnapshot,
@@ -154,20 +158,20 @@
             return Vec::new();
         };
         if PrimaryLeadership::of(response, record) == PrimaryLeadership::Leads {
-            // It answered late, or rejected even this request.
+            // It responded late, or rejected the request.
             let slow =
                 now.since(since) > SLOW_RESPONSE_MS || *response == DatabaseResponse::NoDescription;
             self.return_to_steady(now);
             return if slow {
                 self.handle_slow_primary(snapshot, record.term, now)
-            } else if self.suspicion.is_unsteady(now) {
+            } else if self.suspicion.is_unstable(now) {
                 self.replace_slow_primary(snapshot, record.term, now)
             } else {
                 Vec::new()
             };
         }
         if *response == DatabaseResponse::TimedOut && self.suspicion.may_be_lost_packet(now) {
-            self.suspicion.unanswered_at = Some(now);
+            self.suspicion.timed_out_at = Some(now);
             self.state = FailoverState::Suspected { since: now, connected: false };
             let (primary, describe) = (record.primary.clone(), DatabaseRequest::Describe);
             return vec![FailoverAction::SendRequest(primary, describe)];
@@ -175,7 +179,7 @@
         self.fence(snapshot, now)
     }
 
-    /// The primary was found slow. If that is the second time in a row, it is replaced.
+    /// Handles that the primary was found slow. It is replaced if it was found slow shortly before.
     fn handle_slow_primary(
         &mut self,
         snapshot: &ServiceSnapshot,
@@ -187,7 +191,7 @@
         if twice { self.replace_slow_primary(snapshot, term, now) } else { Vec::new() }
     }
 
-    /// Plans a change away from a slow or unsteady primary, unless that was tried lately.
+    /// Starts a handover from a slow or unstable primary, unless one was attempted recently.
     fn replace_slow_primary(
         &mut self,
         snapshot: &ServiceSnapshot,
@@ -202,7 +206,8 @@
         self.begin_handover(snapshot, term, HandoverCause::Slow, now)
     }
 
-    /// The tick while the primary is suspected.
+    /// Decides without a response of the primary if enough poolers reported that it does not
+    /// respond. Otherwise ends the suspicion after its time-out.
     pub(super) fn tick_suspected(
         &mut self,
         snapshot: &ServiceSnapshot,
@@ -212,18 +217,18 @@
         let FailoverState::Suspected { since, connected } = self.state else {
             return Vec::new();
         };
-        let waited = now.since(since);
-        if self.suspicion.is_silent_to_many() && waited >= CONNECT_WINDOW_MS {
-            // Several poolers wait for answers. If its machine doesn't even accept a connection,
-            // the primary is lost; if it does, the primary is slow, and a replica may do better
-            // while it still serves.
+        let elapsed_ms = now.since(since);
+        if self.suspicion.is_reported_unresponsive() && elapsed_ms >= CONNECT_WINDOW_MS {
+            // Several poolers get no responses. If the primary's machine does not accept a
+            // connection either, the primary is lost. Otherwise it is slow, and is replaced by a
+            // handover while it still serves.
             if !connected {
                 return self.fence(snapshot, now);
             }
             self.suspicion.slow_at = Some(now);
             return self.replace_slow_primary(snapshot, record.term, now);
         }
-        if waited > SUSPICION_TIMEOUT_MS {
+        if elapsed_ms > SUSPICION_TIMEOUT_MS {
             self.state = FailoverState::Steady;
         }
         Vec::new()
