--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -1,5 +1,4 @@
-//! The change of a service's primary: each case is a sequence of events with the actions that must
-//! follow.
+//! The failover state machine. Each case is a sequence of events with the actions that must follow.
 use silvertack::base::ids::{DbTerm, NodeName, Position, Term};
 use silvertack::base::time::Tick;
 use silvertack::config::directory::{Instance, Lifecycle, Role};
@@ -27,15 +26,15 @@
         database_role: role,
     }
 }
-/// What poolers reported: nothing yet, or the furthest commit of all.
+/// What poolers reported: nothing yet, or the last commit that any of them passed on.
 fn passed_on(reported: Option<Option<Position>>) -> PassedOn {
     reported.map_or_else(PassedOn::default, |reported| PassedOn {
         reported,
         unreported: UnreportedCommits::Nothing,
     })
 }
-/// A service with primary `a` in term 1 and replicas `b` and `c`. No lease is in use; how far poolers
-/// passed on commits is not known.
+/// A service with primary `a` in term 1 and replicas `b` and `c`. No lease is in use, and it is not
+/// known how far poolers passed on commits.
 fn snapshot() -> ServiceSnapshot {
     let replica = database(Lifecycle::Available, Role::Replica, "v1");
     ServiceSnapshot {
@@ -55,11 +54,11 @@
         passed_on: PassedOn::default(),
     }
 }
-fn row(primary: bool, term: u64, received: Position) -> DatabaseResponse {
+fn description(primary: bool, term: u64, received: Position) -> DatabaseResponse {
     DatabaseResponse::Description(ServerDescription { primary, term: DbTerm(term), received })
 }
-fn ask(id: &str, ask: DatabaseRequest) -> FailoverAction {
-    FailoverAction::SendRequest(id.into(), ask)
+fn send(id: &str, request: DatabaseRequest) -> FailoverAction {
+    FailoverAction::SendRequest(id.into(), request)
 }
 fn propose_intent(target: &str) -> FailoverAction {
     FailoverAction::Propose(Command::BeginFailover {
@@ -77,420 +76,496 @@
 }
 const PAUSE: DatabaseRequest = DatabaseRequest::Pause(DbTerm(2));
 
-/// A new leader took over, and the replicas confirmed that they have resumed.
+/// Returns a failover in the steady state: a leader was elected, and the replicas confirmed that
+/// they have resumed.
 fn begin_steady(snapshot: &ServiceSnapshot, now: Tick) -> Failover {
-    let (mut s, first) = Failover::begin(snapshot, now);
+    let (mut failover, first) = Failover::begin(snapshot, now);
     let replicas = snapshot.databases[1..]
         .iter()
         .map(|(id, _)| FailoverAction::SendRequest(id.clone(), DatabaseRequest::Continue));
-    assert_eq!(first, replicas.collect::<Vec<_>>(), "earlier pauses are let go");
-    confirm_resumption(&mut s, snapshot, now);
-    s
+    assert_eq!(
+        first,
+        replicas.collect::<Vec<_>>(),
+        "replicas that an earlier leader may have paused are resumed"
+    );
+    confirm_resumption(&mut failover, snapshot, now);
+    failover
 }
-fn confirm_resumption(s: &mut Failover, snapshot: &ServiceSnapshot, now: Tick) {
+fn confirm_resumption(failover: &mut Failover, snapshot: &ServiceSnapshot, now: Tick) {
     for (id, _) in &snapshot.databases[1..] {
-        s.handle_response(
+        failover.handle_response(
             snapshot,
-            s.attempt,
+            failover.attempt,
             id,
             DatabaseRequest::Continue,
-            &row(false, 1, at(7)),
+            &description(false, 1, at(7)),
             now,
         );
     }
 }
-/// A primary that is doubted and does not answer: both replicas are being paused.
-fn fencing(snapshot: &ServiceSnapshot, now: Tick) -> Failover {
-    let (s, actions) = lose_primary(snapshot, now);
+/// Returns a failover that fences the primary, which refused the connection: both replicas are
+/// being paused.
+fn begin_fencing(snapshot: &ServiceSnapshot, now: Tick) -> Failover {
+    let (failover, actions) = lose_primary(snapshot, now);
     assert_eq!(
         actions,
-        [FailoverAction::RevokeLeases(DbTerm(1)), ask("b", PAUSE), ask("c", PAUSE)]
+        [FailoverAction::RevokeLeases(DbTerm(1)), send("b", PAUSE), send("c", PAUSE)]
     );
-    s
+    failover
 }
-/// The primary is doubted and refuses. Gives what is done then.
+/// Reports the primary, which then refuses the connection. Returns the failover and its last
+/// actions.
 fn lose_primary(snapshot: &ServiceSnapshot, now: Tick) -> (Failover, Vec<FailoverAction>) {
-    let mut s = begin_steady(snapshot, now);
-    let actions = s.report_suspicion(
+    let mut failover = begin_steady(snapshot, now);
+    let actions = failover.report_suspicion(
         snapshot,
         &"n1".into(),
         &"a".into(),
         SuspicionReason::ConnectionsBroken,
         now,
     );
-    assert_eq!(actions, [ask("a", DatabaseRequest::Describe)], "it is asked itself first");
-    let actions = s.handle_response(
+    assert_eq!(
+        actions,
+        [send("a", DatabaseRequest::Describe)],
+        "the primary is asked before it is fenced"
+    );
+    let actions = failover.handle_response(
         snapshot,
-        s.attempt,
+        failover.attempt,
         &"a".into(),
         DatabaseRequest::Describe,
         &DatabaseResponse::Unavailable,
         now,
     );
-    (s, actions)
+    (failover, actions)
 }
-/// A failover whose promotion call may be under way.
-fn promoting(snapshot: &mut ServiceSnapshot, now: Tick) -> Failover {
-    let mut s = fencing(snapshot, now);
+/// Returns a failover that has called the platform to promote `c`.
+fn begin_promotion(snapshot: &mut ServiceSnapshot, now: Tick) -> Failover {
+    let mut failover = begin_fencing(snapshot, now);
     assert!(
-        s.handle_response(snapshot, s.attempt, &"b".into(), PAUSE, &row(false, 1, at(7)), now)
+        failover
+            .handle_response(
+                snapshot,
+                failover.attempt,
+                &"b".into(),
+                PAUSE,
+                &description(false, 1, at(7)),
+                now
+            )
             .is_empty()
     );
     assert_eq!(
-        s.handle_response(snapshot, s.attempt, &"c".into(), PAUSE, &row(false, 1, at(9)), now),
+        failover.handle_response(
+            snapshot,
+            failover.attempt,
+            &"c".into(),
+            PAUSE,
+            &description(false, 1, at(9)),
+            now
+        ),
         [propose_intent("c")]
     );
-    assert!(s.tick(snapshot, now).is_empty(), "not before it is committed");
+    assert!(failover.tick(snapshot, now).is_empty(), "no promotion before the intent is committed");
     commit_intent(snapshot, "c");
-    assert_eq!(s.tick(snapshot, now), [FailoverAction::Promote("c".into())]);
-    s
+    assert_eq!(failover.tick(snapshot, now), [FailoverAction::Promote("c".into())]);
+    failover
 }
-/// The intent is committed.
+/// Commits the intent to promote `target`.
 fn commit_intent(snapshot: &mut ServiceSnapshot, target: &str) {
     snapshot.primary_record = snapshot
         .primary_record
         .take()
-        .map(|lead| PrimaryRecord { intent: Some(target.into()), ..lead });
+        .map(|record| PrimaryRecord { intent: Some(target.into()), ..record });
 }
 
 #[test]
-fn a_lost_primary_is_followed_by_the_furthest_replica() {
+fn the_replica_with_the_highest_position_replaces_a_lost_primary() {
     let (mut snapshot, now) = (snapshot(), Tick(50_000));
-    let mut s = promoting(&mut snapshot, now);
-    assert_eq!(s.sealed, Some(at(9)), "reads may go on up to there");
+    let mut failover = begin_promotion(&mut snapshot, now);
+    assert_eq!(failover.sealed, Some(at(9)), "reads are allowed up to the sealed position");
     assert!(
-        s.handle_promotion_response(
-            &snapshot,
-            s.attempt,
-            &"c".into(),
-            PromotionResponse::Accepted,
-            now
-        )
-        .is_empty()
+        failover
+            .handle_promotion_response(
+                &snapshot,
+                failover.attempt,
+                &"c".into(),
+                PromotionResponse::Accepted,
+                now
+            )
+            .is_empty()
     );
     assert_eq!(
-        s.handle_heartbeat(&snapshot, &"c".into(), Role::Primary, now.plus(300)),
-        [ask("c", DatabaseRequest::Describe)]
+        failover.handle_heartbeat(&snapshot, &"c".into(), Role::Primary, now.plus(300)),
+        [send("c", DatabaseRequest::Describe)]
     );
-    // The primary is recorded only once no lease is in use, whatever held when it was chosen.
+    // The new primary is recorded only once no lease is in use, even if none was in use when the
+    // target was chosen.
     snapshot.leases_expired = false;
-    let actions = s.handle_response(
+    let actions = failover.handle_response(
         &snapshot,
-        s.attempt,
+        failover.attempt,
         &"c".into(),
         DatabaseRequest::Describe,
-        &row(true, 2, at(9)),
+        &description(true, 2, at(9)),
         now.plus(310),
     );
-    assert_eq!(actions, [ask("a", DatabaseRequest::StepDown(DbTerm(2)))]);
-    assert!(s.tick(&snapshot, now.plus(400)).is_empty(), "old leases may still be used");
+    assert_eq!(actions, [send("a", DatabaseRequest::StepDown(DbTerm(2)))]);
+    assert!(
+        failover.tick(&snapshot, now.plus(400)).is_empty(),
+        "a lease on the old term may still be in use"
+    );
     snapshot.leases_expired = true;
-    assert_eq!(s.tick(&snapshot, now.plus(500)), [propose_primary("c", 2)]);
-    assert!(s.tick(&snapshot, now.plus(510)).is_empty(), "once is enough");
+    assert_eq!(failover.tick(&snapshot, now.plus(500)), [propose_primary("c", 2)]);
+    assert!(failover.tick(&snapshot, now.plus(510)).is_empty(), "the record was proposed already");
     snapshot.primary_record =
         Some(PrimaryRecord { term: DbTerm(2), primary: "c".into(), intent: None });
-    assert_eq!(s.tick(&snapshot, now.plus(520)), [ask("b", DatabaseRequest::Continue)]);
-    assert!(s.state == FailoverState::Steady && !s.revoking && s.sealed.is_none());
+    assert_eq!(failover.tick(&snapshot, now.plus(520)), [send("b", DatabaseRequest::Continue)]);
+    assert!(
+        failover.state == FailoverState::Steady && !failover.revoking && failover.sealed.is_none()
+    );
 }
 
 #[test]
-fn a_false_alarm_changes_nothing() {
+fn a_primary_that_still_leads_ends_the_suspicion_or_the_fencing() {
     let (mut snapshot, now) = (snapshot(), Tick(50_000));
-    for response in [row(true, 1, at(9)), DatabaseResponse::NoDescription] {
-        let (mut s, _) = Failover::begin(&snapshot, now);
-        s.report_suspicion(&snapshot, &"n1".into(), &"a".into(), SuspicionReason::NoResponse, now);
+    for response in [description(true, 1, at(9)), DatabaseResponse::NoDescription] {
+        let (mut failover, _) = Failover::begin(&snapshot, now);
+        failover.report_suspicion(
+            &snapshot,
+            &"n1".into(),
+            &"a".into(),
+            SuspicionReason::NoResponse,
+            now,
+        );
         assert!(
-            s.handle_response(
-                &snapshot,
-                s.attempt,
-                &"a".into(),
-                DatabaseRequest::Describe,
-                &response,
-                now
-            )
-            .is_empty()
+            failover
+                .handle_response(
+                    &snapshot,
+                    failover.attempt,
+                    &"a".into(),
+                    DatabaseRequest::Describe,
+                    &response,
+                    now
+                )
+                .is_empty()
         );
-        assert_eq!(s.state, FailoverState::Steady);
+        assert_eq!(failover.state, FailoverState::Steady);
     }
-    // Also after the pause, as long as nothing was posted.
-    let mut s = fencing(&snapshot, now);
-    let actions = s.handle_response(
+    // The same holds during fencing, as long as no promotion call was made.
+    let mut failover = begin_fencing(&snapshot, now);
+    let actions = failover.handle_response(
         &snapshot,
-        s.attempt,
+        failover.attempt,
         &"a".into(),
         DatabaseRequest::Describe,
-        &row(true, 1, at(9)),
+        &description(true, 1, at(9)),
         now,
     );
-    assert_eq!(actions, [ask("b", DatabaseRequest::Continue), ask("c", DatabaseRequest::Continue)]);
-    assert!(!s.revoking);
-    // Once posted it is too late for that.
-    let mut s = promoting(&mut snapshot, now);
+    assert_eq!(
+        actions,
+        [send("b", DatabaseRequest::Continue), send("c", DatabaseRequest::Continue)]
+    );
+    assert!(!failover.revoking);
+    // After the promotion call the failover can't be cancelled any more.
+    let mut failover = begin_promotion(&mut snapshot, now);
     assert!(
-        s.handle_response(
-            &snapshot,
-            s.attempt,
-            &"a".into(),
-            DatabaseRequest::Describe,
-            &row(true, 1, at(9)),
-            now
-        )
-        .is_empty()
+        failover
+            .handle_response(
+                &snapshot,
+                failover.attempt,
+                &"a".into(),
+                DatabaseRequest::Describe,
+                &description(true, 1, at(9)),
+                now
+            )
+            .is_empty()
     );
-    assert!(matches!(s.state, FailoverState::Promoting(_)));
+    assert!(matches!(failover.state, FailoverState::Promoting(_)));
 }
 
 #[test]
 fn a_replica_that_has_not_confirmed_its_resumption_is_asked_again() {
     let (snapshot, now) = (snapshot(), Tick(50_000));
-    let mut s = fencing(&snapshot, now);
+    let mut failover = begin_fencing(&snapshot, now);
     for id in ["b", "c"] {
-        s.handle_response(
+        failover.handle_response(
             &snapshot,
-            s.attempt,
+            failover.attempt,
             &id.into(),
             PAUSE,
             &DatabaseResponse::NoDescription,
             now,
         );
     }
-    s.handle_response(
+    failover.handle_response(
         &snapshot,
-        s.attempt,
+        failover.attempt,
         &"a".into(),
         DatabaseRequest::Describe,
-        &row(true, 1, at(9)),
+        &description(true, 1, at(9)),
         now,
     );
-    s.handle_response(
+    failover.handle_response(
         &snapshot,
-        s.attempt,
+        failover.attempt,
         &"b".into(),
         DatabaseRequest::Continue,
-        &row(false, 1, at(9)),
+        &description(false, 1, at(9)),
         now,
     );
-    s.handle_response(
+    failover.handle_response(
         &snapshot,
-        s.attempt,
+        failover.attempt,
         &"c".into(),
         DatabaseRequest::Continue,
         &DatabaseResponse::TimedOut,
         now,
     );
-    assert!(s.tick(&snapshot, now.plus(500)).is_empty());
-    assert_eq!(s.tick(&snapshot, now.plus(1_100)), [ask("c", DatabaseRequest::Continue)]);
-    s.handle_response(
+    assert!(failover.tick(&snapshot, now.plus(500)).is_empty());
+    assert_eq!(failover.tick(&snapshot, now.plus(1_100)), [send("c", DatabaseRequest::Continue)]);
+    failover.handle_response(
         &snapshot,
-        s.attempt,
+        failover.attempt,
         &"c".into(),
         DatabaseRequest::Continue,
-        &row(false, 1, at(9)),
+        &description(false, 1, at(9)),
         now.plus(1_110),
     );
-    assert!(s.tick(&snapshot, now.plus(2_500)).is_empty());
+    assert!(failover.tick(&snapshot, now.plus(2_500)).is_empty());
 }
 
 #[test]
-fn three_reports_of_silence_are_enough_unless_the_machine_accepts_connections() {
+fn three_no_response_reports_fence_a_primary_unless_its_machine_accepts_connections() {
     let (snapshot, now) = (snapshot(), Tick(50_000));
-    for reached in [false, true] {
-        let mut s = begin_steady(&snapshot, now);
-        for (who, after, actions) in [("n1", 0, 1), ("n1", 5, 0), ("n2", 10, 0), ("n3", 15, 0)] {
-            let done = s.report_suspicion(
+    for connected in [false, true] {
+        let mut failover = begin_steady(&snapshot, now);
+        for (reporter, after, actions) in [("n1", 0, 1), ("n1", 5, 0), ("n2", 10, 0), ("n3", 15, 0)]
+        {
+            let done = failover.report_suspicion(
                 &snapshot,
-                &who.into(),
+                &reporter.into(),
                 &"a".into(),
                 SuspicionReason::NoResponse,
                 now.plus(after),
             );
-            assert_eq!(done.len(), actions, "{who}");
+            assert_eq!(done.len(), actions, "{reporter}");
         }
-        if reached {
-            s.handle_response(
+        if connected {
+            failover.handle_response(
                 &snapshot,
-                s.attempt,
+                failover.attempt,
                 &"a".into(),
                 DatabaseRequest::Describe,
                 &DatabaseResponse::Connected,
                 now.plus(16),
             );
         }
-        let actions = s.tick(&snapshot, now.plus(40));
-        if reached {
-            // Slow is not dark: the change is planned, and the primary serves meanwhile.
-            assert_eq!(actions, [hand_over(&s, "b"), ask("c", PAUSE)]);
-            assert!(!s.revoking);
-            let actions = s.tick(&snapshot, now.plus(700));
+        let actions = failover.tick(&snapshot, now.plus(40));
+        if connected {
+            // A primary that is slow but reachable hands over, and serves meanwhile.
+            assert_eq!(actions, [announce_handover(&failover, "b"), send("c", PAUSE)]);
+            assert!(!failover.revoking);
+            let actions = failover.tick(&snapshot, now.plus(700));
             assert_eq!(
                 actions,
-                [ask("c", DatabaseRequest::Continue)],
-                "given up at the first obstacle"
+                [send("c", DatabaseRequest::Continue)],
+                "the handover is cancelled after its short time-out"
             );
         } else {
             assert_eq!(
                 actions,
-                [FailoverAction::RevokeLeases(DbTerm(1)), ask("b", PAUSE), ask("c", PAUSE)]
+                [FailoverAction::RevokeLeases(DbTerm(1)), send("b", PAUSE), send("c", PAUSE)]
             );
         }
     }
 }
 
-/// A leader that was not sure to lead gave the request up: the database was asked nothing.
+/// A leader that was not certain of leading dropped the request, so the database never received it.
 #[test]
-fn a_request_that_was_not_sent_says_nothing_of_the_database() {
+fn a_request_that_was_not_sent_changes_no_state() {
     let (snapshot, now) = (snapshot(), Tick(50_000));
     let not_sent = DatabaseResponse::NotSent;
     let mut suspected = begin_steady(&snapshot, now);
-    let doubt = SuspicionReason::ConnectionsBroken;
-    suspected.report_suspicion(&snapshot, &"n1".into(), &"a".into(), doubt, now);
-    let fenced = fencing(&snapshot, now);
-    // (the stage, who was asked what)
+    let reason = SuspicionReason::ConnectionsBroken;
+    suspected.report_suspicion(&snapshot, &"n1".into(), &"a".into(), reason, now);
+    let fenced = begin_fencing(&snapshot, now);
+    // (the failover, the database, the request)
     for (stage, id, request) in [
         (&suspected, "a", DatabaseRequest::Describe),
         (&fenced, "a", DatabaseRequest::Describe),
         (&fenced, "c", PAUSE),
     ] {
-        let mut s = stage.clone();
-        let actions = s.handle_response(&snapshot, s.attempt, &id.into(), request, &not_sent, now);
-        assert_eq!((actions, &s.state), (vec![], &stage.state), "{id} {request:?}");
+        let mut failover = stage.clone();
+        let actions = failover.handle_response(
+            &snapshot,
+            failover.attempt,
+            &id.into(),
+            request,
+            &not_sent,
+            now,
+        );
+        assert_eq!((actions, &failover.state), (vec![], &stage.state), "{id} {request:?}");
     }
-    // A pause that was never sent can't hold a replica that is to go on.
-    let mut s = fenced.clone();
-    s.handle_response(&snapshot, s.attempt, &"c".into(), PAUSE, &not_sent, now);
-    let leads = row(true, 1, at(9));
-    s.handle_response(&snapshot, s.attempt, &"a".into(), DatabaseRequest::Describe, &leads, now);
-    s.handle_response(&snapshot, s.attempt, &"b".into(), PAUSE, &row(false, 1, at(7)), now);
-    confirm_resumption(&mut s, &snapshot, now);
-    assert_eq!(s.tick(&snapshot, now.plus(1_100)), [], "both are known to go on");
+    // A pause that was never sent does not delay the confirmation that a replica has resumed.
+    let mut failover = fenced.clone();
+    failover.handle_response(&snapshot, failover.attempt, &"c".into(), PAUSE, &not_sent, now);
+    let leads = description(true, 1, at(9));
+    failover.handle_response(
+        &snapshot,
+        failover.attempt,
+        &"a".into(),
+        DatabaseRequest::Describe,
+        &leads,
+        now,
+    );
+    failover.handle_response(
+        &snapshot,
+        failover.attempt,
+        &"b".into(),
+        PAUSE,
+        &description(false, 1, at(7)),
+        now,
+    );
+    confirm_resumption(&mut failover, &snapshot, now);
+    assert_eq!(
+        failover.tick(&snapshot, now.plus(1_100)),
+        [],
+        "both replicas have confirmed that they resumed"
+    );
 }
 
 #[test]
 fn a_primary_found_slow_twice_is_replaced_once() {
     let (snapshot, now) = (snapshot(), Tick(50_000));
-    let (mut s, _) = Failover::begin(&snapshot, now);
-    let nine = at(9);
-    let mut look = |at: u64, took: u64| {
-        s.report_suspicion(
+    let (mut failover, _) = Failover::begin(&snapshot, now);
+    let position = at(9);
+    let mut suspect_and_respond = |at: u64, took: u64| {
+        failover.report_suspicion(
             &snapshot,
             &"n1".into(),
             &"a".into(),
             SuspicionReason::NoResponse,
             now.plus(at),
         );
-        let answer = row(true, 1, nine);
-        s.handle_response(
-            &snapshot,
-            s.attempt,
-            &"a".into(),
-            DatabaseRequest::Describe,
-            &answer,
-            now.plus(at + took),
-        )
-        .len()
+        let answer = description(true, 1, position);
+        failover
+            .handle_response(
+                &snapshot,
+                failover.attempt,
+                &"a".into(),
+                DatabaseRequest::Describe,
+                &answer,
+                now.plus(at + took),
+            )
+            .len()
     };
-    // at, the answer took, deeds: quick, slow once, quick, slow once, slow again, when the poolers are
-    // told and the other replica is paused
-    let table = [(0, 20, 0), (500, 400, 0), (1_500, 20, 0), (4_000, 400, 0), (5_000, 400, 2)];
-    for (at, took, actions) in table {
-        assert_eq!(look(at, took), actions, "at {at}");
+    // (time of the report in ms, response time in ms, number of actions). The last response is the
+    // second slow one in a row: the handover is announced, and the other replica is paused.
+    let cases = [(0, 20, 0), (500, 400, 0), (1_500, 20, 0), (4_000, 400, 0), (5_000, 400, 2)];
+    for (at, took, actions) in cases {
+        assert_eq!(suspect_and_respond(at, took), actions, "at {at}");
     }
 }
 
 #[test]
 fn a_primary_that_breaks_many_connections_is_replaced() {
     let (snapshot, now) = (snapshot(), Tick(50_000));
-    // reports of so many poolers, each so many times, this far apart: whether it is left
-    for (poolers, times, apart, left) in [(3, 2, 100, true), (2, 4, 100, false), (4, 2, 500, false)]
+    // (number of poolers, reports of each, ms between reports, whether the primary is replaced)
+    for (poolers, times, apart, replaced) in
+        [(3, 2, 100, true), (2, 4, 100, false), (4, 2, 500, false)]
     {
-        let (mut s, _) = Failover::begin(&snapshot, now);
+        let (mut failover, _) = Failover::begin(&snapshot, now);
         let mut at_ms = 0;
         for i in 0..poolers * times {
-            let who = NodeName(format!("n{}", i % poolers));
+            let reporter = NodeName(format!("n{}", i % poolers));
             at_ms += apart;
-            s.report_suspicion(
+            failover.report_suspicion(
                 &snapshot,
-                &who,
+                &reporter,
                 &"a".into(),
                 SuspicionReason::ConnectionsBroken,
                 now.plus(at_ms),
             );
         }
-        let fine = row(true, 1, at(9));
-        s.handle_response(
+        let healthy = description(true, 1, at(9));
+        failover.handle_response(
             &snapshot,
-            s.attempt,
+            failover.attempt,
             &"a".into(),
             DatabaseRequest::Describe,
-            &fine,
+            &healthy,
             now.plus(at_ms + 5),
         );
-        let doubted = s.report_suspicion(
+        let suspected = failover.report_suspicion(
             &snapshot,
             &"n0".into(),
             &"a".into(),
             SuspicionReason::ConnectionsBroken,
             now.plus(at_ms + 400),
         );
-        let actions = s.handle_response(
+        let actions = failover.handle_response(
             &snapshot,
-            s.attempt,
+            failover.attempt,
             &"a".into(),
             DatabaseRequest::Describe,
-            &fine,
+            &healthy,
             now.plus(at_ms + 410),
         );
-        let planned = matches!(&s.state, FailoverState::HandingOver(_));
-        assert_eq!(planned, left, "{poolers} {times} {apart}: {doubted:?} {actions:?}");
-        assert!(!s.revoking);
+        let planned = matches!(&failover.state, FailoverState::HandingOver(_));
+        assert_eq!(planned, replaced, "{poolers} {times} {apart}: {suspected:?} {actions:?}");
+        assert!(!failover.revoking);
     }
 }
 
 #[test]
-fn one_unanswered_request_is_no_loss_and_a_refused_connection_is() {
+fn a_primary_is_fenced_after_two_timeouts_or_one_refused_connection() {
     let (snapshot, now) = (snapshot(), Tick(50_000));
     for (response, actions) in [
-        (DatabaseResponse::TimedOut, vec![ask("a", DatabaseRequest::Describe)]),
+        (DatabaseResponse::TimedOut, vec![send("a", DatabaseRequest::Describe)]),
         (DatabaseResponse::Unavailable, Vec::new()),
     ] {
-        let (mut s, _) = Failover::begin(&snapshot, now);
-        s.report_suspicion(
+        let (mut failover, _) = Failover::begin(&snapshot, now);
+        failover.report_suspicion(
             &snapshot,
             &"n1".into(),
             &"a".into(),
             SuspicionReason::ConnectionsBroken,
             now,
         );
-        let done = s.handle_response(
+        let done = failover.handle_response(
             &snapshot,
-            s.attempt,
+            failover.attempt,
             &"a".into(),
             DatabaseRequest::Describe,
             &response,
             now.plus(300),
         );
         if actions.is_empty() {
-            assert!(matches!(s.state, FailoverState::Fencing(_)));
+            assert!(matches!(failover.state, FailoverState::Fencing(_)));
         } else {
             assert_eq!(done, actions);
-            s.handle_response(
+            failover.handle_response(
                 &snapshot,
-                s.attempt,
+                failover.attempt,
                 &"a".into(),
                 DatabaseRequest::Describe,
                 &response,
                 now.plus(600),
             );
-            assert!(matches!(s.state, FailoverState::Fencing(_)), "twice is enough");
+            assert!(
+                matches!(failover.state, FailoverState::Fencing(_)),
+                "a second time-out is no lost packet"
+            );
         }
     }
 }
 
 #[test]
-fn with_too_few_answers_nobody_is_promoted_unless_the_leases_are_released() {
+fn with_too_few_responses_a_replica_is_promoted_only_if_poolers_reported_their_commits() {
     let now = Tick(50_000);
-    // given back by the poolers, synchronous replicas, whether `b` alone may take over at 7
-    let table = [
+    // (reported by the poolers, synchronous replicas, whether `b` may be promoted at position 7
+    // without a response of `c`)
+    let cases = [
         (None, 1, false),
         (Some(Some(at(8))), 1, false),
         (Some(Some(at(7))), 1, true),
@@ -499,67 +574,82 @@
         (None, 0, false),
         (Some(Some(at(7))), 0, true),
     ];
-    for (reported, sync_replicas, may) in table {
+    for (reported, sync_replicas, may_promote) in cases {
         let snapshot = ServiceSnapshot { sync_replicas, ..snapshot() };
-        let mut s = fencing(&snapshot, now);
-        let mut actions =
-            s.handle_response(&snapshot, s.attempt, &"b".into(), PAUSE, &row(false, 1, at(7)), now);
+        let mut failover = begin_fencing(&snapshot, now);
+        let mut actions = failover.handle_response(
+            &snapshot,
+            failover.attempt,
+            &"b".into(),
+            PAUSE,
+            &description(false, 1, at(7)),
+            now,
+        );
         let snapshot = ServiceSnapshot { passed_on: passed_on(reported), ..snapshot };
         if actions.is_empty() {
-            assert!(s.tick(&snapshot, now.plus(20)).is_empty(), "the other may still answer");
-            actions = s.tick(&snapshot, now.plus(320));
+            assert!(failover.tick(&snapshot, now.plus(20)).is_empty(), "`c` may still respond");
+            actions = failover.tick(&snapshot, now.plus(320));
         }
-        let expected = if may { vec![propose_intent("b")] } else { Vec::new() };
+        let expected = if may_promote { vec![propose_intent("b")] } else { Vec::new() };
         assert_eq!(actions, expected, "{reported:?}, sync {sync_replicas}");
-        if !may {
-            let again = s.tick(&snapshot, now.plus(500));
-            assert!(again.contains(&ask("c", PAUSE)), "the missing one is asked again");
+        if !may_promote {
+            let again = failover.tick(&snapshot, now.plus(500));
+            assert!(again.contains(&send("c", PAUSE)), "`c` is asked again");
         }
     }
 }
 
 #[test]
-fn one_that_is_about_to_end_takes_over_only_if_nobody_else_can() {
+fn a_draining_replica_is_promoted_only_if_no_other_can_be() {
     let now = Tick(50_000);
-    // what the available one has, what was passed on, who takes over
+    // (position of the available replica, position that was passed on, target)
     for (other, reported, target) in [(9, 9, "c"), (8, 8, "c"), (8, 9, "b"), (7, 8, "b")] {
         let mut snapshot = snapshot();
         snapshot.databases[1].1.lifecycle_state = Lifecycle::Draining;
         snapshot.passed_on = passed_on(Some(Some(at(reported))));
-        let mut s = fencing(&snapshot, now);
+        let mut failover = begin_fencing(&snapshot, now);
         assert!(
-            s.handle_response(&snapshot, s.attempt, &"b".into(), PAUSE, &row(false, 1, at(9)), now)
+            failover
+                .handle_response(
+                    &snapshot,
+                    failover.attempt,
+                    &"b".into(),
+                    PAUSE,
+                    &description(false, 1, at(9)),
+                    now
+                )
                 .is_empty()
         );
-        let mut actions = s.handle_response(
+        let mut actions = failover.handle_response(
             &snapshot,
-            s.attempt,
+            failover.attempt,
             &"c".into(),
             PAUSE,
-            &row(false, 1, at(other)),
+            &description(false, 1, at(other)),
             now,
         );
         if actions.is_empty() {
-            actions = s.tick(&snapshot, now.plus(320));
+            actions = failover.tick(&snapshot, now.plus(320));
         }
         assert_eq!(actions, [propose_intent(target)], "{other} {reported}");
     }
-    // A target that left is settled by the refusal, and the call is made again at once.
+    // If the target deregisters, the call is repeated immediately, and its refusal abandons the
+    // intent.
     let mut snapshot = snapshot();
-    let mut s = promoting(&mut snapshot, now);
-    s.handle_promotion_response(
+    let mut failover = begin_promotion(&mut snapshot, now);
+    failover.handle_promotion_response(
         &snapshot,
-        s.attempt,
+        failover.attempt,
         &"c".into(),
         PromotionResponse::Accepted,
         now,
     );
-    assert!(s.tick(&snapshot, now.plus(100)).is_empty());
+    assert!(failover.tick(&snapshot, now.plus(100)).is_empty());
     snapshot.databases.pop();
-    assert_eq!(s.tick(&snapshot, now.plus(110)), [FailoverAction::Promote("c".into())]);
-    let actions = s.handle_promotion_response(
+    assert_eq!(failover.tick(&snapshot, now.plus(110)), [FailoverAction::Promote("c".into())]);
+    let actions = failover.handle_promotion_response(
         &snapshot,
-        s.attempt,
+        failover.attempt,
         &"c".into(),
         PromotionResponse::NotRunning,
         now.plus(120),
@@ -571,34 +661,29 @@
 }
 
 #[test]
-fn a_second_promote_never_starts_while_a_first_may_take_effect() {
+fn no_target_is_abandoned_while_a_promotion_call_may_take_effect() {
     let (mut snapshot, now) = (snapshot(), Tick(50_000));
     let abandon = FailoverAction::Propose(Command::AbandonFailover {
         service: "s".into(),
         target: "c".into(),
     });
-    // what came of the calls, and whether the refusal after them settles it
-    let table: [(&[PromotionResponse], u64, bool); 5] = [
+    // (responses to earlier calls, ms until the call is refused, whether the intent is abandoned
+    // then)
+    let cases: [(&[PromotionResponse], u64, bool); 5] = [
         (&[], 10, true),
         (&[PromotionResponse::NotAttempted], 10, true),
         (&[PromotionResponse::Accepted], 10, false),
         (&[PromotionResponse::Unknown], 10, false),
         (&[PromotionResponse::Unknown], 10_000, true),
     ];
-    for (before, later, settled) in table {
+    for (before, later, abandoned) in cases {
         snapshot.primary_record =
-            snapshot.primary_record.take().map(|lead| PrimaryRecord { intent: None, ..lead });
-        let mut s = promoting(&mut snapshot, now);
-        for promotion_response in before {
+            snapshot.primary_record.take().map(|record| PrimaryRecord { intent: None, ..record });
+        let mut s = begin_promotion(&mut snapshot, now);
+        for response in before {
             assert!(
-                s.handle_promotion_response(
-                    &snapshot,
-                    s.attempt,
-                    &"c".into(),
-                    *promotion_response,
-                    now
-                )
-                .is_empty()
+                s.handle_promotion_response(&snapshot, s.attempt, &"c".into(), *response, now)
+                    .is_empty()
             );
         }
         let actions = s.handle_promotion_response(
@@ -610,52 +695,54 @@
         );
         assert_eq!(
             actions.as_slice(),
-            if settled { std::slice::from_ref(&abandon) } else { &[] },
+            if abandoned { std::slice::from_ref(&abandon) } else { &[] },
             "{before:?}"
         );
     }
-    // An unclear call is made again, with the same target.
+    // A call with an unknown outcome is repeated with the same target.
     snapshot.primary_record =
-        snapshot.primary_record.take().map(|lead| PrimaryRecord { intent: None, ..lead });
-    let mut s = promoting(&mut snapshot, now);
+        snapshot.primary_record.take().map(|record| PrimaryRecord { intent: None, ..record });
+    let mut s = begin_promotion(&mut snapshot, now);
     s.handle_promotion_response(&snapshot, s.attempt, &"c".into(), PromotionResponse::Unknown, now);
     let actions = s.tick(&snapshot, now.plus(400));
     assert!(actions.contains(&FailoverAction::Promote("c".into())), "{actions:?}");
-    // Given up in the log, whenever that is noticed: fenced anew, and nothing is called meanwhile.
+    // Once the intent was abandoned in the log, the primary is fenced again and no call is
+    // repeated.
     snapshot.primary_record =
-        snapshot.primary_record.take().map(|lead| PrimaryRecord { intent: None, ..lead });
+        snapshot.primary_record.take().map(|record| PrimaryRecord { intent: None, ..record });
     let actions = s.tick(&snapshot, now.plus(3_000));
     assert_eq!(
         actions,
-        [FailoverAction::RevokeLeases(DbTerm(1)), ask("b", PAUSE), ask("c", PAUSE)]
+        [FailoverAction::RevokeLeases(DbTerm(1)), send("b", PAUSE), send("c", PAUSE)]
     );
 }
 
 #[test]
-fn a_new_leader_finishes_the_intent_it_finds() {
+fn a_new_leader_carries_out_a_committed_intent() {
     let now = Tick(50_000);
     let mut snapshot = snapshot();
     snapshot.primary_record =
         Some(PrimaryRecord { term: DbTerm(1), primary: "a".into(), intent: Some("b".into()) });
-    let (mut s, actions) = Failover::begin(&snapshot, now);
+    let (mut failover, actions) = Failover::begin(&snapshot, now);
     assert_eq!(
         actions,
         [
             FailoverAction::RevokeLeases(DbTerm(1)),
-            ask("c", PAUSE),
+            send("c", PAUSE),
             FailoverAction::Promote("b".into())
         ]
     );
-    assert!(s.revoking, "nobody uses the old term meanwhile");
+    assert!(failover.revoking, "no lease on the old term is granted meanwhile");
     assert!(
-        s.report_suspicion(
-            &snapshot,
-            &"n1".into(),
-            &"a".into(),
-            SuspicionReason::ConnectionsBroken,
-            now
-        )
-        .is_empty()
+        failover
+            .report_suspicion(
+                &snapshot,
+                &"n1".into(),
+                &"a".into(),
+                SuspicionReason::ConnectionsBroken,
+                now
+            )
+            .is_empty()
     );
 }
 
@@ -667,90 +754,96 @@
     snapshot.databases[0].1.lifecycle_state = Lifecycle::Draining;
     snapshot.databases.push(("d".into(), database(Lifecycle::Available, Role::Replica, "v2")));
     snapshot.alive.insert("d".into());
-    let mut s = begin_steady(&snapshot, now);
-    let actions = s.tick(&snapshot, now);
+    let mut failover = begin_steady(&snapshot, now);
+    let actions = failover.tick(&snapshot, now);
     assert_eq!(
         actions,
-        [hand_over(&s, "d"), ask("b", PAUSE), ask("c", PAUSE)],
-        "the newest revision is left to receive"
+        [announce_handover(&failover, "d"), send("b", PAUSE), send("c", PAUSE)],
+        "the replica with the newest revision is not paused"
     );
-    assert!(!s.revoking, "leases go on: every further commit is on the target");
+    assert!(!failover.revoking, "leases are still granted: every further commit is on the target");
     for (id, number) in [("b", 7), ("c", 9)] {
-        let answer = row(false, 1, at(number));
-        let actions = s.handle_response(&snapshot, s.attempt, &id.into(), PAUSE, &answer, now);
+        let answer = description(false, 1, at(number));
+        let actions =
+            failover.handle_response(&snapshot, failover.attempt, &id.into(), PAUSE, &answer, now);
         assert_eq!(actions, [], "{id}");
     }
     snapshot.all_poolers_confirmed = true;
     snapshot.passed_on = passed_on(Some(Some(at(9))));
-    assert_eq!(s.tick(&snapshot, now), [ask("d", DatabaseRequest::Describe)]);
+    assert_eq!(failover.tick(&snapshot, now), [send("d", DatabaseRequest::Describe)]);
     assert!(
-        s.handle_response(
-            &snapshot,
-            s.attempt,
-            &"d".into(),
-            DatabaseRequest::Describe,
-            &row(false, 1, at(8)),
-            now
-        )
-        .is_empty(),
-        "not there yet"
+        failover
+            .handle_response(
+                &snapshot,
+                failover.attempt,
+                &"d".into(),
+                DatabaseRequest::Describe,
+                &description(false, 1, at(8)),
+                now
+            )
+            .is_empty(),
+        "the target has not caught up"
     );
-    assert_eq!(s.tick(&snapshot, now.plus(120)), [ask("d", DatabaseRequest::Describe)]);
-    let actions = s.handle_response(
+    assert_eq!(failover.tick(&snapshot, now.plus(120)), [send("d", DatabaseRequest::Describe)]);
+    let actions = failover.handle_response(
         &snapshot,
-        s.attempt,
+        failover.attempt,
         &"d".into(),
         DatabaseRequest::Describe,
-        &row(false, 1, at(11)),
+        &description(false, 1, at(11)),
         now.plus(130),
     );
     assert_eq!(actions, [propose_intent("d")]);
     commit_intent(&mut snapshot, "d");
-    s.tick(&snapshot, now.plus(140));
+    failover.tick(&snapshot, now.plus(140));
     snapshot.leases_expired = false;
-    let actions = s.handle_response(
+    let actions = failover.handle_response(
         &snapshot,
-        s.attempt,
+        failover.attempt,
         &"d".into(),
         DatabaseRequest::Describe,
-        &row(true, 2, at(11)),
+        &description(true, 2, at(11)),
         now.plus(500),
     );
     assert_eq!(
         actions,
-        [FailoverAction::RevokeLeases(DbTerm(1)), ask("a", DatabaseRequest::StepDown(DbTerm(2)))]
+        [FailoverAction::RevokeLeases(DbTerm(1)), send("a", DatabaseRequest::StepDown(DbTerm(2)))]
+    );
+    assert_eq!(
+        failover.lease_status().handover,
+        failover.handover,
+        "the handover stays in force until the leases are revoked"
     );
-    assert_eq!(s.lease_status().handover, s.handover, "until they are revoked");
-    // A target that never catches up: everything is let go.
+    // If the target never catches up, the paused replicas are resumed.
     snapshot.all_poolers_confirmed = false;
     snapshot.primary_record =
-        snapshot.primary_record.take().map(|lead| PrimaryRecord { intent: None, ..lead });
-    let mut s = begin_steady(&snapshot, now);
-    s.tick(&snapshot, now);
+        snapshot.primary_record.take().map(|record| PrimaryRecord { intent: None, ..record });
+    let mut failover = begin_steady(&snapshot, now);
+    failover.tick(&snapshot, now);
     assert_eq!(
-        s.tick(&snapshot, now.plus(3_100)),
-        [ask("b", DatabaseRequest::Continue), ask("c", DatabaseRequest::Continue)]
+        failover.tick(&snapshot, now.plus(3_100)),
+        [send("b", DatabaseRequest::Continue), send("c", DatabaseRequest::Continue)]
     );
 }
 
 #[test]
-fn the_first_primary_is_believed_once_it_says_its_term() {
+fn the_first_primary_is_recorded_with_the_term_that_it_reports() {
     let now = Tick(50_000);
     let snapshot = ServiceSnapshot { primary_record: None, ..snapshot() };
-    let (mut s, actions) = Failover::begin(&snapshot, now);
+    let (mut failover, actions) = Failover::begin(&snapshot, now);
     assert!(actions.is_empty());
-    assert!(s.handle_heartbeat(&snapshot, &"b".into(), Role::Replica, now).is_empty());
+    assert!(failover.handle_heartbeat(&snapshot, &"b".into(), Role::Replica, now).is_empty());
     assert_eq!(
-        s.handle_heartbeat(&snapshot, &"a".into(), Role::Primary, now),
-        [ask("a", DatabaseRequest::Describe)]
+        failover.handle_heartbeat(&snapshot, &"a".into(), Role::Primary, now),
+        [send("a", DatabaseRequest::Describe)]
     );
     assert_eq!(
-        s.handle_response(
+        failover.handle_response(
             &snapshot,
-            s.attempt,
+            failover.attempt,
             &"a".into(),
             DatabaseRequest::Describe,
-            &row(true, 4, at(2)),
+            &description(true, 4, at(2)),
             now
         ),
         [propose_primary("a", 4)]
@@ -758,47 +851,53 @@
 }
 
 #[test]
-fn an_old_primary_that_returns_is_told_to_step_down() {
+fn a_former_primary_that_returns_is_asked_to_step_down() {
     let (snapshot, now) = (snapshot(), Tick(50_000));
-    let (mut s, _) = Failover::begin(&snapshot, now);
+    let (mut failover, _) = Failover::begin(&snapshot, now);
     assert_eq!(
-        s.handle_heartbeat(&snapshot, &"b".into(), Role::Primary, now),
-        [ask("b", DatabaseRequest::StepDown(DbTerm(1)))]
+        failover.handle_heartbeat(&snapshot, &"b".into(), Role::Primary, now),
+        [send("b", DatabaseRequest::StepDown(DbTerm(1)))]
     );
     assert!(
-        s.handle_heartbeat(&snapshot, &"b".into(), Role::Primary, now.plus(10)).is_empty(),
-        "not at every beat"
+        failover.handle_heartbeat(&snapshot, &"b".into(), Role::Primary, now.plus(10)).is_empty(),
+        "not at every heartbeat"
     );
 }
 
-/// The planned change: `a` is about to end, `b` is to take over, `c` is paused.
-fn planned(snapshot: &mut ServiceSnapshot, now: Tick) -> Failover {
+/// Returns a failover in a handover from the draining primary `a` to `b`, with `c` paused.
+fn begin_handover(snapshot: &mut ServiceSnapshot, now: Tick) -> Failover {
     snapshot.databases[0].1.lifecycle_state = Lifecycle::Draining;
-    let mut s = begin_steady(snapshot, now);
-    assert_eq!(s.tick(snapshot, now), [hand_over(&s, "b"), ask("c", PAUSE)]);
-    s
+    let mut failover = begin_steady(snapshot, now);
+    assert_eq!(failover.tick(snapshot, now), [announce_handover(&failover, "b"), send("c", PAUSE)]);
+    failover
 }
-/// The poolers are told that the service goes to `target`.
-fn hand_over(s: &Failover, target: &str) -> FailoverAction {
-    let (number, target) = (s.attempt.fencing_token(), target.into());
+/// The announcement of the handover to `target`.
+fn announce_handover(failover: &Failover, target: &str) -> FailoverAction {
+    let (number, target) = (failover.attempt.fencing_token(), target.into());
     FailoverAction::HandOver(Handover { number, term: DbTerm(1), target })
 }
-/// All poolers confirm their commits at `b`, which is asked how far it is; and the primary, if that is
-/// needed to know what was passed on before.
-fn all_confirm(s: &mut Failover, snapshot: &mut ServiceSnapshot, primary: bool, now: Tick) {
-    assert_eq!(s.tick(snapshot, now), [], "not before all confirm");
+/// Has all poolers acknowledge the handover. Then `b` is asked for its position, and the primary
+/// too if that is needed to know which commits were passed on before.
+fn confirm_handover(
+    failover: &mut Failover,
+    snapshot: &mut ServiceSnapshot,
+    primary: bool,
+    now: Tick,
+) {
+    assert_eq!(failover.tick(snapshot, now), [], "not before all poolers have acknowledged");
     snapshot.all_poolers_confirmed = true;
     let asked: &[&str] = if primary { &["b", "a"] } else { &["b"] };
-    let asked: Vec<_> = asked.iter().map(|id| ask(id, DatabaseRequest::Describe)).collect();
-    assert_eq!(s.tick(snapshot, now), asked);
+    let asked: Vec<_> = asked.iter().map(|id| send(id, DatabaseRequest::Describe)).collect();
+    assert_eq!(failover.tick(snapshot, now), asked);
 }
 
 #[test]
-fn a_planned_change_goes_on_only_if_the_target_has_every_commit() {
+fn a_handover_proceeds_only_if_the_target_has_every_commit() {
     let now = Tick(50_000);
-    // (synchronous replicas, what poolers passed on if all said it, how far the primary is if it was
-    // asked since, what the target has, whether it takes over). Whether `c` is paused says nothing.
-    let table = [
+    // (synchronous replicas, what poolers passed on if all reported it, position of the primary if
+    // it responded since, position of the target, whether the target is promoted). Whether `c` is
+    // paused makes no difference.
+    let cases = [
         (1, None, None, 9, false),
         (1, None, Some(9), 9, true),
         (1, None, Some(9), 8, false),
@@ -812,146 +911,195 @@
         (0, Some(Some(at(9))), None, 8, false),
         (0, Some(None), None, 7, true),
     ];
-    for (sync_replicas, reported, primary, target, goes_on) in table {
+    for (sync_replicas, reported, primary, target, proceeds) in cases {
         for paused in [None, Some(7), Some(9)] {
             let mut snapshot = ServiceSnapshot { sync_replicas, ..snapshot() };
             snapshot.passed_on = passed_on(reported);
-            let mut s = planned(&mut snapshot, now);
+            let mut failover = begin_handover(&mut snapshot, now);
             if let Some(number) = paused {
-                let answer = row(false, 1, at(number));
-                let actions =
-                    s.handle_response(&snapshot, s.attempt, &"c".into(), PAUSE, &answer, now);
+                let answer = description(false, 1, at(number));
+                let actions = failover.handle_response(
+                    &snapshot,
+                    failover.attempt,
+                    &"c".into(),
+                    PAUSE,
+                    &answer,
+                    now,
+                );
                 assert_eq!(actions, []);
             }
-            all_confirm(&mut s, &mut snapshot, reported.is_none(), now);
+            confirm_handover(&mut failover, &mut snapshot, reported.is_none(), now);
             let describe = DatabaseRequest::Describe;
             let mut actions = Vec::new();
             if let Some(number) = primary {
-                let answer = row(true, 1, at(number));
-                actions =
-                    s.handle_response(&snapshot, s.attempt, &"a".into(), describe, &answer, now);
+                let answer = description(true, 1, at(number));
+                actions = failover.handle_response(
+                    &snapshot,
+                    failover.attempt,
+                    &"a".into(),
+                    describe,
+                    &answer,
+                    now,
+                );
             }
-            assert_eq!(actions, [], "the target has not answered");
-            let answer = row(false, 1, at(target));
-            let actions =
-                s.handle_response(&snapshot, s.attempt, &"b".into(), describe, &answer, now);
-            let expected = if goes_on { vec![propose_intent("b")] } else { Vec::new() };
+            assert_eq!(actions, [], "the target has not responded");
+            let answer = description(false, 1, at(target));
+            let actions = failover.handle_response(
+                &snapshot,
+                failover.attempt,
+                &"b".into(),
+                describe,
+                &answer,
+                now,
+            );
+            let expected = if proceeds { vec![propose_intent("b")] } else { Vec::new() };
             assert_eq!(actions, expected, "{sync_replicas} {reported:?} {primary:?} {target}");
         }
     }
 }
 
-/// Guards against a promotion that rests on an answer from before the poolers confirmed: commits that
-/// were passed on since would be missing at the target.
+/// Guards against a promotion that relies on a position from before the poolers acknowledged the
+/// handover: the target would lack commits that were passed on since.
 #[test]
-fn positions_from_before_all_poolers_confirm_choose_nobody() {
+fn positions_from_before_all_poolers_acknowledged_are_ignored() {
     let (mut snapshot, now) = (snapshot(), Tick(50_000));
     let describe = DatabaseRequest::Describe;
-    let mut s = planned(&mut snapshot, now);
-    let before = s.attempt;
-    // The primary was asked for another reason; it and the target answer before and after.
-    let doubt = SuspicionReason::ConnectionsBroken;
-    let asked = s.report_suspicion(&snapshot, &"n1".into(), &"a".into(), doubt, now);
-    assert_eq!(asked, [ask("a", describe)]);
+    let mut failover = begin_handover(&mut snapshot, now);
+    let before = failover.attempt;
+    // The primary is asked because of a report. It and the target respond before the poolers have
+    // acknowledged the handover, and the primary once more after that.
+    let reason = SuspicionReason::ConnectionsBroken;
+    let asked = failover.report_suspicion(&snapshot, &"n1".into(), &"a".into(), reason, now);
+    assert_eq!(asked, [send("a", describe)]);
     for (id, leads) in [("a", true), ("b", false)] {
-        let answer = row(leads, 1, at(7));
-        assert_eq!(s.handle_response(&snapshot, before, &id.into(), describe, &answer, now), []);
+        let answer = description(leads, 1, at(7));
+        assert_eq!(
+            failover.handle_response(&snapshot, before, &id.into(), describe, &answer, now),
+            []
+        );
     }
-    all_confirm(&mut s, &mut snapshot, true, now);
-    let late = row(true, 1, at(7));
-    assert_eq!(s.handle_response(&snapshot, before, &"a".into(), describe, &late, now), []);
-    assert_eq!(s.tick(&snapshot, now.plus(10)), []);
-    // Until it has answered it is asked again.
-    assert_eq!(s.tick(&snapshot, now.plus(110)), [ask("b", describe), ask("a", describe)]);
+    confirm_handover(&mut failover, &mut snapshot, true, now);
+    let late = description(true, 1, at(7));
+    assert_eq!(failover.handle_response(&snapshot, before, &"a".into(), describe, &late, now), []);
+    assert_eq!(failover.tick(&snapshot, now.plus(10)), []);
+    // The primary is asked again until it has responded.
+    assert_eq!(failover.tick(&snapshot, now.plus(110)), [send("b", describe), send("a", describe)]);
     for (id, leads, number, chosen) in
         [("a", true, 9, false), ("b", false, 8, false), ("b", false, 9, true)]
     {
-        let answer = row(leads, 1, at(number));
-        let actions =
-            s.handle_response(&snapshot, s.attempt, &id.into(), describe, &answer, now.plus(120));
+        let answer = description(leads, 1, at(number));
+        let actions = failover.handle_response(
+            &snapshot,
+            failover.attempt,
+            &id.into(),
+            describe,
+            &answer,
+            now.plus(120),
+        );
         assert_eq!(!actions.is_empty(), chosen, "{id} {number}");
     }
 }
 
-/// Guards against a promotion while a pooler may still pass on a commit that no replica was asked for:
-/// with a lease in use, no answer of a replica is the last word.
+/// Guards against a promotion while a lease is in use: a pooler could pass on a commit that
+/// replicas received only after they had reported their positions.
 #[test]
-fn a_lost_primary_is_followed_only_once_every_lease_is_over() {
+fn a_lost_primary_is_replaced_only_after_every_lease_expired() {
     let now = Tick(50_000);
-    // (what poolers passed on if all said it, whether the replicas are asked again, who has what
-    // then, who takes over)
-    let table = [
+    // (what poolers passed on if all reported it, whether the replicas are asked again, the
+    // positions of `b` and `c` then, the target)
+    let cases = [
         (Some(Some(at(9))), false, [7, 9], Some("c")),
         (Some(Some(at(7))), false, [7, 9], Some("c")),
-        // They say more than any replica had when it was asked: one may have received it since.
+        // The poolers passed on more than any replica had when it was asked: one may have received
+        // it since.
         (Some(Some(at(10))), true, [7, 9], None),
         (Some(Some(at(10))), true, [10, 9], Some("b")),
         (None, true, [7, 9], Some("c")),
         (None, true, [11, 9], Some("b")),
     ];
-    for (reported, again, has, target) in table {
+    for (reported, again, positions, target) in cases {
         let mut snapshot = ServiceSnapshot { leases_expired: false, ..snapshot() };
-        let (mut s, asked) = lose_primary(&snapshot, now);
-        // What is acknowledged under a lease has to reach them, so they are not paused.
+        let (mut failover, asked) = lose_primary(&snapshot, now);
+        // Commits that are acknowledged under a lease have to reach the replicas, so they are not
+        // paused.
         let describe = DatabaseRequest::Describe;
         let revoke = FailoverAction::RevokeLeases(DbTerm(1));
-        assert_eq!(asked, [revoke, ask("b", describe), ask("c", describe)]);
-        let first = s.attempt;
-        let answer = |s: &mut Failover, snapshot: &ServiceSnapshot, attempt, id: &str, n| {
+        assert_eq!(asked, [revoke, send("b", describe), send("c", describe)]);
+        let first = failover.attempt;
+        let answer = |failover: &mut Failover, snapshot: &ServiceSnapshot, attempt, id: &str, n| {
             let request = if attempt == first { describe } else { PAUSE };
-            s.handle_response(snapshot, attempt, &id.into(), request, &row(false, 1, at(n)), now)
+            failover.handle_response(
+                snapshot,
+                attempt,
+                &id.into(),
+                request,
+                &description(false, 1, at(n)),
+                now,
+            )
         };
         for (id, number) in [("b", 7), ("c", 9)] {
-            assert_eq!(answer(&mut s, &snapshot, first, id, number), [], "a lease is in use");
+            assert_eq!(
+                answer(&mut failover, &snapshot, first, id, number),
+                [],
+                "a lease is in use"
+            );
         }
-        assert_eq!(s.tick(&snapshot, now.plus(350)), [], "a lease is in use");
+        assert_eq!(failover.tick(&snapshot, now.plus(350)), [], "a lease is in use");
         snapshot.leases_expired = true;
         snapshot.passed_on = passed_on(reported);
-        let mut actions = s.tick(&snapshot, now.plus(360));
+        let mut actions = failover.tick(&snapshot, now.plus(360));
         if again {
-            assert_eq!(actions, [ask("b", PAUSE), ask("c", PAUSE)], "{reported:?}");
-            assert_eq!(answer(&mut s, &snapshot, first, "b", 9), [], "of before");
-            assert_eq!(answer(&mut s, &snapshot, first, "c", 9), [], "of before");
-            let now = s.attempt;
-            actions = answer(&mut s, &snapshot, now, "b", has[0]);
-            // Where the poolers can't tell, `c` is to answer too.
+            assert_eq!(actions, [send("b", PAUSE), send("c", PAUSE)], "{reported:?}");
+            assert_eq!(
+                answer(&mut failover, &snapshot, first, "b", 9),
+                [],
+                "a response to the first attempt"
+            );
+            assert_eq!(
+                answer(&mut failover, &snapshot, first, "c", 9),
+                [],
+                "a response to the first attempt"
+            );
+            let now = failover.attempt;
+            actions = answer(&mut failover, &snapshot, now, "b", positions[0]);
+            // Without complete reports of the poolers a response of `c` is needed too.
             assert!(actions.is_empty() || reported.is_some(), "{actions:?}");
             if actions.is_empty() {
-                actions = answer(&mut s, &snapshot, now, "c", has[1]);
+                actions = answer(&mut failover, &snapshot, now, "c", positions[1]);
             }
         }
         let expected: Vec<_> = target.map(propose_intent).into_iter().collect();
-        assert_eq!(actions, expected, "{reported:?} {has:?}");
+        assert_eq!(actions, expected, "{reported:?} {positions:?}");
     }
 }
 
 #[test]
-fn who_a_planned_change_goes_to() {
+fn the_target_of_a_handover_is_available_and_alive() {
     let now = Tick(50_000);
-    let (there, ends) = (Lifecycle::Available, Lifecycle::Draining);
-    // (state and heartbeat of `b`, of `c`, who takes over)
-    let table = [
-        ((there, true), (there, true), Some("b")),
-        ((ends, true), (there, true), Some("c")),
-        ((there, false), (there, true), Some("c")),
-        ((ends, true), (there, false), None),
-        ((there, false), (ends, true), None),
+    let (available, draining) = (Lifecycle::Available, Lifecycle::Draining);
+    // (state and liveness of `b`, of `c`, the target)
+    let cases = [
+        ((available, true), (available, true), Some("b")),
+        ((draining, true), (available, true), Some("c")),
+        ((available, false), (available, true), Some("c")),
+        ((draining, true), (available, false), None),
+        ((available, false), (draining, true), None),
     ];
-    for (b, c, target) in table {
+    for (b, c, target) in cases {
         let mut snapshot = snapshot();
         snapshot.databases[0].1.lifecycle_state = Lifecycle::Draining;
-        for (n, (state, heartbeats)) in [(1, b), (2, c)] {
+        for (n, (state, alive)) in [(1, b), (2, c)] {
             let (id, instance) = &mut snapshot.databases[n];
             instance.lifecycle_state = state;
-            if !heartbeats {
+            if !alive {
                 snapshot.alive.remove(id);
             }
         }
-        let mut s = begin_steady(&snapshot, now);
-        let actions = s.tick(&snapshot, now);
+        let mut failover = begin_steady(&snapshot, now);
+        let actions = failover.tick(&snapshot, now);
         let planned = target.map(|target| {
             let other = if target == "b" { "c" } else { "b" };
-            [hand_over(&s, target), ask(other, PAUSE)]
+            [announce_handover(&failover, target), send(other, PAUSE)]
         });
         let expected: Vec<_> = planned.into_iter().flatten().collect();
         assert_eq!(actions, expected, "{b:?} {c:?}");
@@ -959,148 +1107,156 @@
 }
 
 #[test]
-fn a_planned_change_that_is_called_off_resumes_all_and_backs_off() {
+fn a_cancelled_handover_resumes_all_replicas_and_backs_off() {
     let (mut snapshot, now) = (snapshot(), Tick(50_000));
-    let mut s = planned(&mut snapshot, now);
-    // With a pooler that does not confirm the primary serves on.
+    let mut failover = begin_handover(&mut snapshot, now);
+    // While a pooler has not acknowledged the handover, the primary continues to serve.
     for after in [550, 650, 3_000] {
-        assert_eq!(s.tick(&snapshot, now.plus(after)), [], "after {after}");
-        assert!(!s.revoking && s.handover.is_some(), "after {after}");
+        assert_eq!(failover.tick(&snapshot, now.plus(after)), [], "after {after}");
+        assert!(!failover.revoking && failover.handover.is_some(), "after {after}");
     }
     let now = now.plus(3_010);
-    assert_eq!(s.tick(&snapshot, now), [ask("c", DatabaseRequest::Continue)]);
-    assert!(s.state == FailoverState::Steady && !s.revoking && s.handover.is_none());
-    confirm_resumption(&mut s, &snapshot, now);
-    s.handle_response(
+    assert_eq!(failover.tick(&snapshot, now), [send("c", DatabaseRequest::Continue)]);
+    assert!(
+        failover.state == FailoverState::Steady
+            && !failover.revoking
+            && failover.handover.is_none()
+    );
+    confirm_resumption(&mut failover, &snapshot, now);
+    failover.handle_response(
         &snapshot,
-        s.attempt,
+        failover.attempt,
         &"c".into(),
         PAUSE,
         &DatabaseResponse::Unavailable,
         now,
     );
     for (after, again) in [(10, false), (1_000, false), (1_010, true)] {
-        let actions = s.tick(&snapshot, now.plus(after));
-        let expected = if again { vec![hand_over(&s, "b"), ask("c", PAUSE)] } else { Vec::new() };
+        let actions = failover.tick(&snapshot, now.plus(after));
+        let expected = if again {
+            vec![announce_handover(&failover, "b"), send("c", PAUSE)]
+        } else {
+            Vec::new()
+        };
         assert_eq!(actions, expected, "after {after}");
     }
 }
 
 #[test]
-fn a_primary_that_is_lost_during_a_planned_change_is_fenced() {
+fn a_primary_that_is_lost_during_a_handover_is_fenced() {
     let now = Tick(50_000);
-    // (what the primary says, whether it is given up)
+    // (response of the primary, whether it is fenced)
     for (response, lost) in [
         (DatabaseResponse::Unavailable, true),
-        (row(false, 1, at(9)), true),
-        (row(true, 1, at(9)), false),
+        (description(false, 1, at(9)), true),
+        (description(true, 1, at(9)), false),
         (DatabaseResponse::NoDescription, false),
     ] {
         let mut snapshot = snapshot();
-        let mut s = planned(&mut snapshot, now);
-        let asked = s.report_suspicion(
+        let mut failover = begin_handover(&mut snapshot, now);
+        let asked = failover.report_suspicion(
             &snapshot,
             &"n1".into(),
             &"a".into(),
             SuspicionReason::ConnectionsBroken,
             now,
         );
-        assert_eq!(asked, [ask("a", DatabaseRequest::Describe)]);
-        let actions = s.handle_response(
+        assert_eq!(asked, [send("a", DatabaseRequest::Describe)]);
+        let actions = failover.handle_response(
             &snapshot,
-            s.attempt,
+            failover.attempt,
             &"a".into(),
             DatabaseRequest::Describe,
             &response,
             now,
         );
-        let fenced = [FailoverAction::RevokeLeases(DbTerm(1)), ask("b", PAUSE), ask("c", PAUSE)];
+        let fenced = [FailoverAction::RevokeLeases(DbTerm(1)), send("b", PAUSE), send("c", PAUSE)];
         assert_eq!(actions, if lost { &fenced[..] } else { &[] }, "{response:?}");
-        assert_eq!(s.revoking, lost, "{response:?}");
+        assert_eq!(failover.revoking, lost, "{response:?}");
     }
 }
 
 #[test]
-fn only_the_primary_of_the_present_term_answers_a_suspicion() {
+fn only_the_primary_of_the_current_term_clears_a_suspicion() {
     let (snapshot, now) = (snapshot(), Tick(50_000));
-    // (whether it says that it leads, in which term, whether that ends the doubt)
-    for (leads, term, fine) in
+    // (whether it reports to be the primary, its term, whether that clears the suspicion)
+    for (leads, term, healthy) in
         [(true, 1, true), (false, 1, false), (true, 2, false), (true, 0, false), (false, 2, false)]
     {
-        let mut s = begin_steady(&snapshot, now);
-        s.report_suspicion(
+        let mut failover = begin_steady(&snapshot, now);
+        failover.report_suspicion(
             &snapshot,
             &"n1".into(),
             &"a".into(),
             SuspicionReason::ConnectionsBroken,
             now,
         );
-        let response = row(leads, term, at(9));
-        s.handle_response(
+        let response = description(leads, term, at(9));
+        failover.handle_response(
             &snapshot,
-            s.attempt,
+            failover.attempt,
             &"a".into(),
             DatabaseRequest::Describe,
             &response,
             now,
         );
-        assert_eq!(s.state == FailoverState::Steady, fine, "{leads} {term}");
-        assert_eq!(s.revoking, !fine, "{leads} {term}");
+        assert_eq!(failover.state == FailoverState::Steady, healthy, "{leads} {term}");
+        assert_eq!(failover.revoking, !healthy, "{leads} {term}");
     }
 }
 
 #[test]
-fn when_a_primary_is_suspected() {
+fn conditions_under_which_a_primary_is_suspected_or_replaced() {
     let now = Tick(50_000);
-    let doubt = [ask("a", DatabaseRequest::Describe)];
-    // (of whom a pooler reports, ms after the primary proved itself, whether it is doubted)
-    for (of, after, doubted) in
+    let describe = [send("a", DatabaseRequest::Describe)];
+    // (the reported database, ms after the primary described itself, whether it is suspected)
+    for (reported, after, suspected) in
         [("a", 299, false), ("a", 300, true), ("b", 300, false), ("x", 300, false)]
     {
         let snapshot = snapshot();
-        let mut s = begin_steady(&snapshot, now);
-        s.report_suspicion(
+        let mut failover = begin_steady(&snapshot, now);
+        failover.report_suspicion(
             &snapshot,
             &"n1".into(),
             &"a".into(),
             SuspicionReason::ConnectionsBroken,
             now,
         );
-        s.handle_response(
+        failover.handle_response(
             &snapshot,
-            s.attempt,
+            failover.attempt,
             &"a".into(),
             DatabaseRequest::Describe,
-            &row(true, 1, at(9)),
+            &description(true, 1, at(9)),
             now,
         );
-        let actions = s.report_suspicion(
+        let actions = failover.report_suspicion(
             &snapshot,
             &"n1".into(),
-            &of.into(),
+            &reported.into(),
             SuspicionReason::ConnectionsBroken,
             now.plus(after),
         );
-        assert_eq!(actions, if doubted { &doubt[..] } else { &[] }, "{of} {after}");
+        assert_eq!(actions, if suspected { &describe[..] } else { &[] }, "{reported} {after}");
     }
-    // (whether it is listed, its heartbeats come, it is about to end, a replica has departed;
-    // what is done)
-    let fence = [FailoverAction::RevokeLeases(DbTerm(1)), ask("b", PAUSE), ask("c", PAUSE)];
+    // (whether the primary is listed, alive and draining, whether a replica has departed, the
+    // expected actions)
+    let fence = [FailoverAction::RevokeLeases(DbTerm(1)), send("b", PAUSE), send("c", PAUSE)];
     let handover = Handover { number: (1 << 20) + 1, term: DbTerm(1), target: "b".into() };
-    let planned = [FailoverAction::HandOver(handover), ask("c", PAUSE)];
-    let table: [(bool, bool, bool, bool, &[FailoverAction]); 7] = [
+    let planned = [FailoverAction::HandOver(handover), send("c", PAUSE)];
+    let cases: [(bool, bool, bool, bool, &[FailoverAction]); 7] = [
         (true, true, false, false, &[]),
-        (true, false, false, false, &doubt),
-        (true, false, false, true, &doubt),
+        (true, false, false, false, &describe),
+        (true, false, false, true, &describe),
         (true, false, true, true, &planned),
         (true, true, true, true, &planned),
         (true, true, true, false, &planned),
         (false, false, false, false, &fence),
     ];
-    for (listed, heartbeats, ends, departed, actions) in table {
+    for (listed, alive, drains, departed, actions) in cases {
         let mut snapshot = snapshot();
-        let mut s = begin_steady(&snapshot, now);
-        if ends {
+        let mut failover = begin_steady(&snapshot, now);
+        if drains {
             snapshot.databases[0].1.lifecycle_state = Lifecycle::Draining;
         }
         if departed {
@@ -1109,29 +1265,29 @@
         if !listed {
             snapshot.databases.remove(0);
         }
-        if !heartbeats {
+        if !alive {
             snapshot.alive.remove(&"a".into());
         }
-        assert_eq!(s.tick(&snapshot, now), actions, "{listed} {heartbeats} {ends} {departed}");
+        assert_eq!(failover.tick(&snapshot, now), actions, "{listed} {alive} {drains} {departed}");
     }
 }
 
 #[test]
 fn a_slow_primary_is_replaced_at_most_once_in_five_seconds() {
     let (snapshot, now) = (snapshot(), Tick(50_000));
-    let mut s = begin_steady(&snapshot, now);
-    let mut left = |after: u64| {
+    let mut failover = begin_steady(&snapshot, now);
+    let mut replaced = |after: u64| {
         let now = now.plus(after);
-        s.report_suspicion(
+        failover.report_suspicion(
             &snapshot,
             &"n1".into(),
             &"a".into(),
             SuspicionReason::ConnectionsBroken,
             now,
         );
-        let actions = s.handle_response(
+        let actions = failover.handle_response(
             &snapshot,
-            s.attempt,
+            failover.attempt,
             &"a".into(),
             DatabaseRequest::Describe,
             &DatabaseResponse::NoDescription,
@@ -1139,31 +1295,36 @@
         );
         if !actions.is_empty() {
             let late = now.plus(10 + 700);
-            s.handle_response(
+            failover.handle_response(
                 &snapshot,
-                s.attempt,
+                failover.attempt,
                 &"c".into(),
                 PAUSE,
                 &DatabaseResponse::Unavailable,
                 now.plus(20),
             );
-            assert_eq!(s.tick(&snapshot, late), [ask("c", DatabaseRequest::Continue)], "given up");
-            confirm_resumption(&mut s, &snapshot, late);
+            assert_eq!(
+                failover.tick(&snapshot, late),
+                [send("c", DatabaseRequest::Continue)],
+                "the handover is cancelled"
+            );
+            confirm_resumption(&mut failover, &snapshot, late);
         }
         !actions.is_empty()
     };
-    let table =
+    let cases =
         [(0, false), (1_000, true), (2_500, false), (4_300, false), (5_900, false), (6_300, true)];
-    for (after, expected) in table {
-        assert_eq!(left(after), expected, "after {after}");
+    for (after, expected) in cases {
+        assert_eq!(replaced(after), expected, "after {after}");
     }
 }
 
 #[test]
-fn a_promote_is_done_once_the_target_leads_a_newer_term() {
+fn a_promotion_is_complete_once_the_target_leads_a_newer_term() {
     let now = Tick(50_000);
-    // (who answers, whether it says that it leads, in which term, whether that was the promote)
-    for (who, leads, term, done) in [
+    // (the database, whether it reports to be the primary, its term, whether the promotion is
+    // complete)
+    for (database, leads, term, done) in [
         ("c", true, 2, true),
         ("c", true, 3, true),
         ("c", true, 1, false),
@@ -1171,102 +1332,130 @@
         ("b", true, 2, false),
     ] {
         let mut snapshot = snapshot();
-        let mut s = promoting(&mut snapshot, now);
+        let mut failover = begin_promotion(&mut snapshot, now);
         snapshot.leases_expired = false;
-        let response = row(leads, term, at(9));
-        let actions = s.handle_response(
+        let response = description(leads, term, at(9));
+        let actions = failover.handle_response(
             &snapshot,
-            s.attempt,
-            &who.into(),
+            failover.attempt,
+            &database.into(),
             DatabaseRequest::Describe,
             &response,
             now,
         );
-        let down = [ask("a", DatabaseRequest::StepDown(DbTerm(term)))];
-        assert_eq!(actions, if done { &down[..] } else { &[] }, "{who} {leads} {term}");
+        let step_down = [send("a", DatabaseRequest::StepDown(DbTerm(term)))];
+        assert_eq!(actions, if done { &step_down[..] } else { &[] }, "{database} {leads} {term}");
         assert_eq!(
-            matches!(s.state, FailoverState::AwaitingLeaseExpiry { .. }),
+            matches!(failover.state, FailoverState::AwaitingLeaseExpiry { .. }),
             done,
-            "{who} {leads} {term}"
+            "{database} {leads} {term}"
         );
     }
-    // In a planned change leases are granted until the target leads, and none from then on.
+    // During a handover leases are granted until the target leads, and none from then on.
     let mut snapshot = snapshot();
-    let mut s = planned(&mut snapshot, now);
+    let mut failover = begin_handover(&mut snapshot, now);
     snapshot.passed_on = passed_on(Some(Some(at(7))));
-    all_confirm(&mut s, &mut snapshot, false, now);
-    s.handle_response(
+    confirm_handover(&mut failover, &mut snapshot, false, now);
+    failover.handle_response(
         &snapshot,
-        s.attempt,
+        failover.attempt,
         &"b".into(),
         DatabaseRequest::Describe,
-        &row(false, 1, at(7)),
+        &description(false, 1, at(7)),
         now,
     );
     commit_intent(&mut snapshot, "b");
-    assert_eq!(s.tick(&snapshot, now), [FailoverAction::Promote("b".into())]);
-    assert!(!s.revoking);
-    s.handle_response(
+    assert_eq!(failover.tick(&snapshot, now), [FailoverAction::Promote("b".into())]);
+    assert!(!failover.revoking);
+    failover.handle_response(
         &snapshot,
-        s.attempt,
+        failover.attempt,
         &"b".into(),
         DatabaseRequest::Describe,
-        &row(true, 2, at(7)),
+        &description(true, 2, at(7)),
         now,
     );
-    assert!(s.revoking, "no lease on the old term is granted any more");
+    assert!(failover.revoking, "no lease on the old term is granted any more");
 }
 
 #[test]
-fn one_call_at_a_time_is_under_way() {
+fn only_one_promotion_call_is_in_flight() {
     let (mut snapshot, now) = (snapshot(), Tick(50_000));
-    let mut s = promoting(&mut snapshot, now);
-    let first = s.attempt;
+    let mut failover = begin_promotion(&mut snapshot, now);
+    let first = failover.attempt;
     for (after, again) in [(400, false), (2_000, false), (3_000, false), (3_010, true)] {
-        let posts =
-            s.tick(&snapshot, now.plus(after)).contains(&FailoverAction::Promote("c".into()));
-        assert_eq!(posts, again, "after {after}");
-        assert_eq!(s.attempt > first, again, "after {after}");
+        let repeated = failover
+            .tick(&snapshot, now.plus(after))
+            .contains(&FailoverAction::Promote("c".into()));
+        assert_eq!(repeated, again, "after {after}");
+        assert_eq!(failover.attempt > first, again, "after {after}");
     }
     // The intent that was proposed but not seen committed is proposed again.
     let snapshot = self::snapshot();
-    let mut s = fencing(&snapshot, now);
-    s.handle_response(&snapshot, s.attempt, &"b".into(), PAUSE, &row(false, 1, at(7)), now);
-    s.handle_response(&snapshot, s.attempt, &"c".into(), PAUSE, &row(false, 1, at(9)), now);
-    let table = [(1_000, false), (1_010, true), (2_000, false), (2_020, true)];
-    for (after, again) in table {
+    let mut failover = begin_fencing(&snapshot, now);
+    failover.handle_response(
+        &snapshot,
+        failover.attempt,
+        &"b".into(),
+        PAUSE,
+        &description(false, 1, at(7)),
+        now,
+    );
+    failover.handle_response(
+        &snapshot,
+        failover.attempt,
+        &"c".into(),
+        PAUSE,
+        &description(false, 1, at(9)),
+        now,
+    );
+    let cases = [(1_000, false), (1_010, true), (2_000, false), (2_020, true)];
+    for (after, again) in cases {
         let expected = if again { vec![propose_intent("c")] } else { Vec::new() };
-        assert_eq!(s.tick(&snapshot, now.plus(after)), expected, "after {after}");
+        assert_eq!(failover.tick(&snapshot, now.plus(after)), expected, "after {after}");
     }
 }
 
 #[test]
-fn what_is_sealed_is_the_furthest_that_any_paused_replica_has() {
+fn the_sealed_position_is_the_highest_of_all_paused_replicas() {
     let (mut snapshot, now) = (snapshot(), Tick(50_000));
     snapshot.databases[1].1.lifecycle_state = Lifecycle::Draining;
     snapshot.passed_on = passed_on(Some(Some(at(8))));
-    let mut s = fencing(&snapshot, now);
-    s.handle_response(&snapshot, s.attempt, &"b".into(), PAUSE, &row(false, 1, at(9)), now);
-    let actions =
-        s.handle_response(&snapshot, s.attempt, &"c".into(), PAUSE, &row(false, 1, at(8)), now);
-    assert_eq!((actions, s.sealed), (vec![propose_intent("c")], Some(at(9))));
+    let mut failover = begin_fencing(&snapshot, now);
+    failover.handle_response(
+        &snapshot,
+        failover.attempt,
+        &"b".into(),
+        PAUSE,
+        &description(false, 1, at(9)),
+        now,
+    );
+    let actions = failover.handle_response(
+        &snapshot,
+        failover.attempt,
+        &"c".into(),
+        PAUSE,
+        &description(false, 1, at(8)),
+        now,
+    );
+    assert_eq!((actions, failover.sealed), (vec![propose_intent("c")], Some(at(9))));
 }
 
 #[test]
 fn a_replica_is_never_recorded_as_the_first_primary() {
     let now = Tick(50_000);
     let snapshot = ServiceSnapshot { primary_record: None, ..snapshot() };
-    for (response, founds) in [
-        (row(true, 4, at(2)), true),
-        (row(false, 4, at(2)), false),
+    for (response, recorded) in [
+        (description(true, 4, at(2)), true),
+        (description(false, 4, at(2)), false),
         (DatabaseResponse::NoDescription, false),
         (DatabaseResponse::Unavailable, false),
     ] {
-        let (mut s, _) = Failover::begin(&snapshot, now);
-        s.handle_heartbeat(&snapshot, &"a".into(), Role::Primary, now);
-        let actions = s.handle_response(
+        let (mut failover, _) = Failover::begin(&snapshot, now);
+        failover.handle_heartbeat(&snapshot, &"a".into(), Role::Primary, now);
+        let actions = failover.handle_response(
             &snapshot,
-            s.attempt,
+            failover.attempt,
             &"a".into(),
             DatabaseRequest::Describe,
             &response,
@@ -1274,30 +1463,30 @@
         );
         assert_eq!(
             actions,
-            if founds { vec![propose_primary("a", 4)] } else { Vec::new() },
+            if recorded { vec![propose_primary("a", 4)] } else { Vec::new() },
             "{response:?}"
         );
     }
 }
 
 #[test]
-fn the_present_primary_is_asked_neither_to_step_down_nor_to_resume() {
+fn the_current_primary_is_asked_neither_to_step_down_nor_to_resume() {
     let (mut snapshot, now) = (snapshot(), Tick(50_000));
-    let (mut s, _) = Failover::begin(&snapshot, now);
-    assert_eq!(s.handle_heartbeat(&snapshot, &"a".into(), Role::Primary, now), []);
-    // `c` did not say that it goes on, and leads since.
-    s.handle_response(
+    let (mut failover, _) = Failover::begin(&snapshot, now);
+    assert_eq!(failover.handle_heartbeat(&snapshot, &"a".into(), Role::Primary, now), []);
+    // `c` became the primary before it confirmed that it had resumed.
+    failover.handle_response(
         &snapshot,
-        s.attempt,
+        failover.attempt,
         &"b".into(),
         DatabaseRequest::Continue,
-        &row(false, 1, at(7)),
+        &description(false, 1, at(7)),
         now,
     );
     snapshot.primary_record =
         Some(PrimaryRecord { term: DbTerm(2), primary: "c".into(), intent: None });
-    assert_eq!(s.tick(&snapshot, now.plus(1_100)), []);
-    assert_eq!(s.handle_heartbeat(&snapshot, &"c".into(), Role::Primary, now), []);
-    let down = [ask("a", DatabaseRequest::StepDown(DbTerm(2)))];
-    assert_eq!(s.handle_heartbeat(&snapshot, &"a".into(), Role::Primary, now), down);
+    assert_eq!(failover.tick(&snapshot, now.plus(1_100)), []);
+    assert_eq!(failover.handle_heartbeat(&snapshot, &"c".into(), Role::Primary, now), []);
+    let step_down = [send("a", DatabaseRequest::StepDown(DbTerm(2)))];
+    assert_eq!(failover.handle_heartbeat(&snapshot, &"a".into(), Role::Primary, now), step_down);
 }
