--- a/src/failover/mod.rs
+++ b/src/failover/mod.rs
@@ -20,6 +20,7 @@
 //! service over instead (`handover`). `departed` tracks deregistered replicas that may hold the
 //! only copy of a commit.
 //!
+//! A pooler *passes on* a commit when it forwards the primary's acknowledgement to the client.
 //! Before a replica is chosen, the poolers must have stopped passing on commits of the old term
 //! that this replica lacks, and the replica must have every commit that they passed on before. An
 //! earlier observation of a database or a controller never proves that.
--- a/src/failover/suspicion.rs
+++ b/src/failover/suspicion.rs
@@ -186,9 +186,9 @@
         term: DbTerm,
         now: Tick,
     ) -> Vec<FailoverAction> {
-        let twice = is_within(self.suspicion.slow_at, REPEATED_SLOW_WINDOW_MS, now);
+        let is_repeated = is_within(self.suspicion.slow_at, REPEATED_SLOW_WINDOW_MS, now);
         self.suspicion.slow_at = Some(now);
-        if twice { self.replace_slow_primary(snapshot, term, now) } else { Vec::new() }
+        if is_repeated { self.replace_slow_primary(snapshot, term, now) } else { Vec::new() }
     }
 
     /// Starts a handover from a slow or unstable primary, unless one was attempted recently.
