--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -390,12 +390,12 @@
     suspected.report_suspicion(&snapshot, &"n1".into(), &"a".into(), reason, now);
     let fenced = begin_fencing(&snapshot, now);
     // (the failover, the database, the request)
-    for (stage, id, request) in [
+    for (initial, id, request) in [
         (&suspected, "a", DatabaseRequest::Describe),
         (&fenced, "a", DatabaseRequest::Describe),
         (&fenced, "c", PAUSE),
     ] {
-        let mut failover = stage.clone();
+        let mut failover = initial.clone();
         let actions = failover.handle_response(
             &snapshot,
             failover.attempt,
@@ -404,7 +404,7 @@
             &not_sent,
             now,
         );
-        assert_eq!((actions, &failover.state), (vec![], &stage.state), "{id} {request:?}");
+        assert_eq!((actions, &failover.state), (vec![], &initial.state), "{id} {request:?}");
     }
     // A pause that was never sent does not delay the confirmation that a replica has resumed.
     let mut failover = fenced.clone();
@@ -439,7 +439,7 @@
     let (snapshot, now) = (snapshot(), Tick(50_000));
     let (mut failover, _) = Failover::begin(&snapshot, now);
     let position = at(9);
-    let mut suspect_and_respond = |at: u64, took: u64| {
+    let mut suspect_and_respond = |at: u64, response_ms: u64| {
         failover.report_suspicion(
             &snapshot,
             &"n1".into(),
@@ -455,15 +455,15 @@
                 &"a".into(),
                 DatabaseRequest::Describe,
                 &answer,
-                now.plus(at + took),
+                now.plus(at + response_ms),
             )
             .len()
     };
     // (time of the report in ms, response time in ms, number of actions). The last response is the
     // second slow one in a row: the handover is announced, and the other replica is paused.
     let cases = [(0, 20, 0), (500, 400, 0), (1_500, 20, 0), (4_000, 400, 0), (5_000, 400, 2)];
-    for (at, took, actions) in cases {
-        assert_eq!(suspect_and_respond(at, took), actions, "at {at}");
+    for (at, response_ms, actions) in cases {
+        assert_eq!(suspect_and_respond(at, response_ms), actions, "at {at}");
     }
 }
 
@@ -471,14 +471,14 @@
 fn a_primary_that_breaks_many_connections_is_replaced() {
     let (snapshot, now) = (snapshot(), Tick(50_000));
     // (number of poolers, reports of each, ms between reports, whether the primary is replaced)
-    for (poolers, times, apart, replaced) in
+    for (poolers, times, interval_ms, replaced) in
         [(3, 2, 100, true), (2, 4, 100, false), (4, 2, 500, false)]
     {
         let (mut failover, _) = Failover::begin(&snapshot, now);
         let mut at_ms = 0;
         for i in 0..poolers * times {
             let reporter = NodeName(format!("n{}", i % poolers));
-            at_ms += apart;
+            at_ms += interval_ms;
             failover.report_suspicion(
                 &snapshot,
                 &reporter,
@@ -512,7 +512,7 @@
             now.plus(at_ms + 410),
         );
         let planned = matches!(&failover.state, FailoverState::HandingOver(_));
-        assert_eq!(planned, replaced, "{poolers} {times} {apart}: {suspected:?} {actions:?}");
+        assert_eq!(planned, replaced, "{poolers} {times} {interval_ms}: {suspected:?} {actions:?}");
         assert!(!failover.revoking);
     }
 }
