--- a/src/controller/failover_driver.rs
+++ b/src/controller/failover_driver.rs
@@ -76,7 +76,7 @@
             alive: BTreeSet::new(),
             sync_replicas: self.services.get(service).map_or(0, |s| s.sync_replicas),
             leases_expired: false,
-            all_confirm: false,
+            all_poolers_confirmed: false,
             passed_on: AcknowledgedCommits::default(),
             primary_record: self.state_machine.primaries().get(service).cloned(),
         };
@@ -102,7 +102,8 @@
             let failover = leader_state.failovers.get(service);
             let handover = failover.and_then(|f| f.handover.as_ref()).map(|h| h.number);
             snapshot.leases_expired = leases.all_released(service, term, now);
-            snapshot.all_confirm = leases.all_confirm_handover(service, term, handover, now);
+            snapshot.all_poolers_confirmed =
+                leases.all_confirm_handover(service, term, handover, now);
             let latest = leader_state.watermarks.latest(service);
             let rule = match snapshot.sync_replicas {
                 0 => CoverageRule::WatermarkOrTimeout,
