--- a/src/controller/outgoing_calls.rs
+++ b/src/controller/outgoing_calls.rs
@@ -101,7 +101,7 @@
     stream.write_all(format!("QUERY - {}\r\n", statement(request)).as_bytes())?;
     loop {
         if let Some(reply) = next_reply(&buffer)? {
-            let description = reply.described(buffer.pending());
+            let description = reply.description(buffer.pending());
             return Ok(
                 description.map_or(DatabaseResponse::NoDescription, DatabaseResponse::Description)
             );
@@ -128,7 +128,7 @@
 
 fn read_greeting(stream: &mut TcpStream, buffer: &mut ReadBuffer) -> io::Result<Greeting> {
     loop {
-        if let Some(kind) = statement_protocol::refused_connect(buffer.pending()) {
+        if let Some(kind) = statement_protocol::parse_connect_error(buffer.pending()) {
             return Ok(Greeting::Refused(kind));
         }
         if let Some(reply) = next_reply(buffer)? {
@@ -141,7 +141,7 @@
 
 /// The reply at the start of the buffer, if it is complete.
 fn next_reply(buffer: &ReadBuffer) -> io::Result<Option<Reply>> {
-    statement_protocol::reply(buffer.pending())
+    statement_protocol::parse_reply(buffer.pending())
         .map_err(|MalformedReply| io::ErrorKind::InvalidData.into())
 }
 
--- a/src/net/statement_protocol.rs
+++ b/src/net/statement_protocol.rs
@@ -1,36 +1,36 @@
-//! The line protocol between clients, poolers and databases.
+//! Parser of the line-based statement protocol between clients, poolers and databases.
 //!
-//! A client sends lines ([`parse`]), a database answers with lines that end in a `READY`
-//! ([`reply`]). The pooler reads both; the controllers use the same protocol to ask databases about
-//! themselves. This module knows the form of lines only, and [`ReadBuffer`] is where they are
-//! collected; what a statement means for a session is decided in `pooler`.
+//! A client sends lines ([`parse_line`]); a database replies with lines of which the last begins
+//! with `READY` ([`parse_reply`]). The pooler parses both; the controllers use the same protocol to
+//! query the state of databases. This module covers the syntax only, with [`ReadBuffer`] as the
+//! buffer for received bytes; what a statement means for a session is decided in `pooler`.
 use crate::base::errors::ErrorKind;
 use crate::base::ids::{DbTerm, Position};
 use crate::net::sockets::read_uninterrupted;
 use std::io::{self, Read};
 use std::ops::Range;
 
-/// The longest message, in bytes, with its line end.
-pub const MAX_MESSAGE: usize = 1 << 20;
+/// The maximum length of a message, including its line end.
+pub const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
-/// Bytes that one read takes at most.
+/// The size of the chunk passed to each read call.
 const READ_BYTES: usize = 4096;
 
-/// What begins each line with a row.
+/// The prefix of a line that carries a row.
 const ROW_PREFIX: &[u8] = b"ROW ";
 
-/// What a prepared statement does.
+/// The operation of a prepared statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Verb {
-    /// It reads.
+    /// Reads data.
     Fetch,
-    /// It writes.
+    /// Writes data.
     Store,
 }
 
 impl Verb {
-    /// The verb on the wire.
-    pub fn word(self) -> &'static str {
+    /// The keyword of the protocol.
+    pub fn keyword(self) -> &'static str {
         match self {
             Verb::Fetch => "FETCH",
             Verb::Store => "STORE",
@@ -38,44 +38,44 @@
     }
 }
 
-/// A client's statement, as far as the pooler has to understand it.
+/// A client's statement, parsed as far as the pooler needs it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Statement<'a> {
     /// Opens a transaction.
     Begin {
-        /// It was announced to read only (`BEGIN FETCH`).
+        /// Whether the transaction is read-only (`BEGIN FETCH`).
         read_only: bool,
     },
     /// Commits the transaction.
     Commit,
     /// Rolls the transaction back.
     Abort,
-    /// Reads.
+    /// Reads data.
     Fetch,
-    /// Writes.
+    /// Writes data.
     Store,
     /// Sets a session parameter.
     Configure {
-        /// The parameter.
+        /// The name of the parameter.
         name: &'a str,
-        /// Its value.
+        /// The value of the parameter.
         value: &'a str,
     },
-    /// Names a statement for later execution.
+    /// Stores a statement under a name for later execution.
     Prepare {
-        /// The name.
+        /// The name of the prepared statement.
         name: &'a str,
-        /// What the statement does.
+        /// The operation of the statement.
         verb: Verb,
-        /// The statement's text behind its verb.
-        shape: &'a str,
+        /// The text of the statement after its verb.
+        text: &'a str,
     },
     /// Executes a prepared statement.
     Execute {
         /// The name it was prepared under.
         name: &'a str,
-        /// The parameters, as they came.
-        rest: &'a str,
+        /// The parameters as received, not parsed.
+        parameters: &'a str,
     },
     /// Drops a prepared statement.
     Deallocate {
@@ -89,14 +89,14 @@
 pub enum Line<'a> {
     /// Opens a session.
     Connect {
-        /// The service that the client wants to use.
+        /// The name of the requested database, which the routes map to a service.
         database: &'a str,
     },
     /// Carries a statement.
     Query {
-        /// The client's id for the statement, which a retry repeats.
+        /// The client's id for the statement; a retry has the same id.
         id: &'a str,
-        /// The statement as it came.
+        /// The statement as received.
         text: &'a str,
         /// The statement, parsed.
         statement: Statement<'a>,
@@ -105,13 +105,13 @@
     Close,
 }
 
-/// Parses one line of a client, without its line end.
+/// Parses one line from a client, without its line end.
 ///
 /// # Errors
-/// [`ErrorKind::Malformed`] if it is no line of the protocol.
-pub fn parse(line: &[u8]) -> Result<Line<'_>, ErrorKind> {
+/// [`ErrorKind::Malformed`] if the line does not follow the protocol.
+pub fn parse_line(line: &[u8]) -> Result<Line<'_>, ErrorKind> {
     let line = std::str::from_utf8(line).map_err(|_| ErrorKind::Malformed)?;
-    // A stray CR could end a statement early for another reader of the line.
+    // Another parser of the line could take a CR or NUL within it for its end.
     if line.contains(['\r', '\n', '\0']) {
         return Err(ErrorKind::Malformed);
     }
@@ -156,8 +156,8 @@
         }
         ("PREPARE", Some(rest)) => parse_prepare(rest),
         ("EXECUTE", Some(rest)) => {
-            let (name, rest) = split_arguments(rest)?;
-            Ok(Statement::Execute { name, rest })
+            let (name, parameters) = split_arguments(rest)?;
+            Ok(Statement::Execute { name, parameters })
         }
         ("DEALLOCATE", Some(name)) if is_argument(name) && !name.contains(' ') => {
             Ok(Statement::Deallocate { name })
@@ -168,20 +168,20 @@
 
 fn parse_prepare(text: &str) -> Result<Statement<'_>, ErrorKind> {
     let (name, rest) = split_arguments(text)?;
-    let (verb, shape) = split_arguments(rest)?;
+    let (verb, text) = split_arguments(rest)?;
     let verb = match verb {
         "FETCH" => Verb::Fetch,
         "STORE" => Verb::Store,
         _ => return Err(ErrorKind::Malformed),
     };
-    Ok(Statement::Prepare { name, verb, shape })
+    Ok(Statement::Prepare { name, verb, text })
 }
 
 fn is_argument(text: &str) -> bool {
     !text.is_empty() && !text.starts_with(' ')
 }
 
-/// Splits the first argument off; both it and the rest must be there.
+/// Splits off the first argument; neither it nor the rest may be empty.
 fn split_arguments(text: &str) -> Result<(&str, &str), ErrorKind> {
     match text.split_once(' ') {
         Some((first, rest)) if !first.is_empty() && is_argument(rest) => Ok((first, rest)),
@@ -189,92 +189,92 @@
     }
 }
 
-/// The state of the transaction, which every `READY` reports.
+/// The state of a session's transaction, which every `READY` line reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
-    /// There is none.
+pub enum TransactionState {
+    /// No transaction is open.
     Idle,
-    /// One is open.
+    /// A transaction is open.
     Open,
-    /// One has failed and has to be rolled back.
+    /// A transaction has failed and must be rolled back.
     Failed,
 }
 
-impl State {
-    /// The state on the wire.
-    pub fn letter(self) -> char {
+impl TransactionState {
+    /// The code of the state in the protocol.
+    pub fn code(self) -> char {
         match self {
-            State::Idle => 'I',
-            State::Open => 'T',
-            State::Failed => 'E',
+            TransactionState::Idle => 'I',
+            TransactionState::Open => 'T',
+            TransactionState::Failed => 'E',
         }
     }
 
-    fn from_word(word: &str) -> Option<Self> {
-        match word {
-            "I" => Some(State::Idle),
-            "T" => Some(State::Open),
-            "E" => Some(State::Failed),
+    fn from_code(code: &str) -> Option<Self> {
+        match code {
+            "I" => Some(TransactionState::Idle),
+            "T" => Some(TransactionState::Open),
+            "E" => Some(TransactionState::Failed),
             _ => None,
         }
     }
 }
 
-/// How a database's answer ended, rows aside.
+/// Whether a database executed a statement successfully.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// With success.
+    /// The statement succeeded.
     Complete,
-    /// With an error of this kind.
+    /// The statement failed with an error of this kind.
     Error(ErrorKind),
 }
 
-/// A complete answer of a database, checked for its form.
+/// A complete and well-formed reply of a database.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
-    /// How it ended.
+    /// Whether the statement succeeded.
     pub outcome: Outcome,
-    /// It bears a database's stamp, as each success of a client's statement does.
+    /// Whether the reply has a stamp of the database, as every success of a client's statement has.
     pub stamped: bool,
-    /// The state of the transaction behind it.
-    pub state: State,
-    /// The database's position, if it tells one.
+    /// The state of the transaction after the statement.
+    pub state: TransactionState,
+    /// The database's log position, if the reply has one.
     pub position: Option<Position>,
-    /// Where the answer ends in the bytes it was read from.
+    /// The offset of the end of the reply in the parsed bytes.
     pub end: usize,
-    /// Where the fields of the first row stand in these bytes.
+    /// The range of the fields of the first row in the parsed bytes.
     pub row: Option<Range<usize>>,
 }
 
 impl Reply {
-    /// The row with which a database describes itself, if the answer is one in success. `bytes` are
-    /// those that the answer was read from.
-    pub fn described(&self, bytes: &[u8]) -> Option<ServerDescription> {
+    /// The database's description of itself; `None` if the reply is an error or has no such row.
+    /// `bytes` are those that the reply was parsed from.
+    pub fn description(&self, bytes: &[u8]) -> Option<ServerDescription> {
         if self.outcome != Outcome::Complete {
             return None;
         }
         let row = bytes.get(self.row.clone()?)?;
-        described(std::str::from_utf8(row).ok()?)
+        parse_description(std::str::from_utf8(row).ok()?)
     }
 }
 
-/// The bytes are no answer of the protocol.
+/// The received bytes are not a valid reply of the statement protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("not an answer of the protocol")]
+#[error("malformed reply of a database")]
 pub struct MalformedReply;
 
-/// Looks for one complete answer at the start of `bytes`; `None` asks for more bytes.
+/// Parses one complete reply at the start of `bytes`; `None` if more bytes are needed.
 ///
 /// # Errors
-/// [`MalformedReply`] if the bytes can't become an answer.
-pub fn reply(bytes: &[u8]) -> Result<Option<Reply>, MalformedReply> {
+/// [`MalformedReply`] if the bytes are not the beginning of a valid reply.
+pub fn parse_reply(bytes: &[u8]) -> Result<Option<Reply>, MalformedReply> {
     let mut at = 0;
     let mut row = None;
     let mut outcome = None;
     let mut stamped = false;
     loop {
         let Some(length) = bytes[at..].iter().position(|b| *b == b'\n') else {
-            if bytes.len() - at > MAX_MESSAGE {
+            if bytes.len() - at > MAX_MESSAGE_BYTES {
                 return Err(MalformedReply);
             }
             return Ok(None);
@@ -304,7 +304,7 @@
             }
             (Some("READY"), _) => {
                 let Ready { state, position } = parse_ready(words)?;
-                // The answer to CONNECT is a READY alone.
+                // The reply to CONNECT consists of a READY line only.
                 let outcome = outcome.unwrap_or(Outcome::Complete);
                 return Ok(Some(Reply { outcome, stamped, state, position, end: at, row }));
             }
@@ -313,14 +313,14 @@
     }
 }
 
-/// What a `READY` says.
+/// The content of a `READY` line.
 struct Ready {
-    state: State,
+    state: TransactionState,
     position: Option<Position>,
 }
 
 fn parse_ready<'a>(mut words: impl Iterator<Item = &'a str>) -> Result<Ready, MalformedReply> {
-    let state = words.next().and_then(State::from_word).ok_or(MalformedReply)?;
+    let state = words.next().and_then(TransactionState::from_code).ok_or(MalformedReply)?;
     let position = match words.next() {
         Some("-") => None,
         Some(text) => Some(text.parse().map_err(|()| MalformedReply)?),
@@ -332,26 +332,26 @@
     }
 }
 
-/// The error that answers a CONNECT, which comes without a `READY` behind it.
-pub fn refused_connect(bytes: &[u8]) -> Option<ErrorKind> {
+/// Parses the error reply to a CONNECT, which no `READY` line follows.
+pub fn parse_connect_error(bytes: &[u8]) -> Option<ErrorKind> {
     let line = bytes.split(|b| *b == b'\n').next()?;
     let line = std::str::from_utf8(line.strip_suffix(b"\r")?).ok()?;
     ErrorKind::from_word(line.strip_prefix("ERROR ")?.split(' ').next()?)
 }
 
-/// The row with which a database answers DESCRIBE, PAUSE, CONTINUE and STEPDOWN.
+/// The row with which a database replies to DESCRIBE, PAUSE, CONTINUE and STEPDOWN.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerDescription {
-    /// It is a primary; otherwise a replica.
+    /// Whether the database is a primary; otherwise it is a replica.
     pub primary: bool,
-    /// The newest term it knows.
+    /// The highest term that the database knows.
     pub term: DbTerm,
-    /// The position up to which it has received the log.
+    /// The log position up to which the database has received entries.
     pub received: Position,
 }
 
 /// Parses the row with which a database describes itself.
-pub fn described(row: &str) -> Option<ServerDescription> {
+pub fn parse_description(row: &str) -> Option<ServerDescription> {
     let mut words = row.split(' ');
     let primary = match words.next()? {
         "primary" => true,
@@ -363,16 +363,16 @@
     Some(ServerDescription { primary, term, received })
 }
 
-/// Why no line could be read.
+/// Why [`ReadBuffer::read_line`] returned no line.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadLineError {
     /// The peer closed the connection.
-    #[error("closed")]
+    #[error("connection closed by the peer")]
     Closed,
-    /// The line is longer than [`MAX_MESSAGE`].
-    #[error("a line over {MAX_MESSAGE} bytes")]
+    /// The line is longer than [`MAX_MESSAGE_BYTES`].
+    #[error("line longer than {MAX_MESSAGE_BYTES} bytes")]
     TooLarge,
-    /// Nothing came within the time-out of the socket. An incomplete line is kept.
+    /// Nothing was received within the time-out of the socket. An incomplete line stays buffered.
     #[error("nothing received within the time-out")]
     TimedOut,
     /// The connection failed.
@@ -380,27 +380,27 @@
     Io(#[source] io::Error),
 }
 
-/// Bytes that were received and are not consumed yet.
+/// A buffer of bytes that were received but not consumed yet.
 #[derive(Default)]
 pub struct ReadBuffer {
     bytes: Vec<u8>,
-    /// Where the bytes that are not consumed begin.
+    /// The offset of the first byte that is not consumed.
     start: usize,
 }
 
 impl ReadBuffer {
-    /// Waits for a complete line, consumes it and gives it without its CR LF. A line that ends in a
-    /// bare LF is given with it, so that it can't be parsed.
+    /// Waits for a complete line, consumes it and returns it without its CR LF. A line that ends in
+    /// a bare LF is returned with the LF, so that parsing it fails.
     ///
     /// # Errors
-    /// A [`ReadLineError`] if there is no complete line.
-    pub fn line<'a>(&'a mut self, from: &mut impl Read) -> Result<&'a [u8], ReadLineError> {
+    /// A [`ReadLineError`] if no complete line was received.
+    pub fn read_line<'a>(&'a mut self, from: &mut impl Read) -> Result<&'a [u8], ReadLineError> {
         let mut searched = self.start;
         loop {
             if let Some(found) = self.bytes[searched..].iter().position(|b| *b == b'\n') {
                 let end = searched + found;
                 let start = std::mem::replace(&mut self.start, end + 1);
-                if end + 1 - start > MAX_MESSAGE {
+                if end + 1 - start > MAX_MESSAGE_BYTES {
                     return Err(ReadLineError::TooLarge);
                 }
                 let ends_in_cr = end > start && self.bytes[end - 1] == b'\r';
@@ -408,7 +408,7 @@
                 return Ok(&self.bytes[start..end]);
             }
             searched = self.bytes.len();
-            if searched - self.start > MAX_MESSAGE {
+            if searched - self.start > MAX_MESSAGE_BYTES {
                 return Err(ReadLineError::TooLarge);
             }
             let dropped = self.start;
@@ -427,10 +427,11 @@
         }
     }
 
-    /// Reads once, after making room; gives how many bytes came, 0 at the end of the stream.
+    /// Removes consumed bytes and reads once; returns the number of bytes read, 0 at the end of the
+    /// stream.
     ///
     /// # Errors
-    /// Those of the reader.
+    /// The errors of the reader.
     pub fn fill(&mut self, from: &mut impl Read) -> io::Result<usize> {
         self.bytes.drain(..self.start);
         self.start = 0;
@@ -440,7 +441,7 @@
         Ok(count)
     }
 
-    /// The bytes that are not consumed.
+    /// The bytes that are not consumed yet.
     pub fn pending(&self) -> &[u8] {
         &self.bytes[self.start..]
     }
@@ -450,7 +451,7 @@
         self.start += count;
     }
 
-    /// Whether all bytes are consumed.
+    /// Whether all received bytes are consumed.
     pub fn is_empty(&self) -> bool {
         self.pending().is_empty()
     }
--- a/src/pooler/client_session.rs
+++ b/src/pooler/client_session.rs
@@ -8,7 +8,7 @@
 use crate::base::time::Tick;
 use crate::config::route_table::{RouteEntry, RouteTable};
 use crate::net::statement_protocol::{
-    self, Line, ReadBuffer, ReadLineError, Reply, State, Statement,
+    self, Line, ReadBuffer, ReadLineError, Reply, Statement, TransactionState,
 };
 use crate::pooler::reroute::{SessionReroute, StatementDecision, StatementPlan};
 use crate::pooler::server::{CheckedOutConnection, Pooler};
@@ -114,8 +114,8 @@
     /// Handles the client's CONNECT. Returns `None` if the session has begun and may be served.
     fn receive_connect(&mut self) -> io::Result<Option<NextStep>> {
         let mut stream = &self.handle.stream;
-        let database = match self.buffer.line(&mut stream) {
-            Ok(line) => match statement_protocol::parse(line) {
+        let database = match self.buffer.read_line(&mut stream) {
+            Ok(line) => match statement_protocol::parse_line(line) {
                 Ok(Line::Connect { database }) => database.to_owned(),
                 Ok(Line::Close) => return Ok(Some(NextStep::End)),
                 _ => return self.reject(ErrorKind::Malformed, "CONNECT comes first"),
@@ -180,7 +180,7 @@
             if self.is_idle(buffer) && self.pooler.closes_idle_sessions() {
                 return Ok(NextStep::End);
             }
-            let in_transaction = self.reroute.state() != State::Idle;
+            let in_transaction = self.reroute.state() != TransactionState::Idle;
             handle.in_transaction.store(in_transaction, Ordering::Relaxed);
             handle.waiting_since.store(Tick::now().0, Ordering::Relaxed);
             // Clients of long-lived sessions are likely to pause after a statement; others are
@@ -189,7 +189,7 @@
             if served && long_lived && self.is_idle(buffer) {
                 return Ok(NextStep::Park);
             }
-            let line = match buffer.line(&mut stream) {
+            let line = match buffer.read_line(&mut stream) {
                 Ok(line) => line,
                 Err(ReadLineError::TooLarge) => {
                     stream.write_all(b"ERROR TOOLARGE over 1 MiB\r\n")?;
@@ -220,21 +220,21 @@
 
     /// Whether no transaction is open and no input of the client is waiting to be served.
     fn is_idle(&self, buffer: &ReadBuffer) -> bool {
-        self.reroute.state() == State::Idle && buffer.is_empty()
+        self.reroute.state() == TransactionState::Idle && buffer.is_empty()
     }
 
     fn handle_line(&mut self, line: &[u8]) -> LineOutcome {
         let arrived_at = Tick::now();
-        match statement_protocol::parse(line) {
+        match statement_protocol::parse_line(line) {
             Ok(Line::Close) => LineOutcome::Closed,
             Ok(Line::Query { id, text, statement }) => {
-                if self.reroute.state() == State::Idle && !self.refresh_route() {
+                if self.reroute.state() == TransactionState::Idle && !self.refresh_route() {
                     return LineOutcome::DatabaseGone;
                 }
                 LineOutcome::Reply(self.handle_statement(id, text, statement, arrived_at))
             }
             Ok(Line::Connect { .. }) | Err(_) => {
-                if self.reroute.state() == State::Open {
+                if self.reroute.state() == TransactionState::Open {
                     self.reroute.fail();
                     self.release();
                 }
@@ -295,7 +295,7 @@
     }
 
     fn send_own_reply(&self, mut stream: &TcpStream, outcome: Arguments<'_>) -> io::Result<()> {
-        let state = self.reroute.state().letter();
+        let state = self.reroute.state().code();
         let position = self.last_position.map_or("-".to_owned(), |p| p.to_string());
         stream.write_all(format!("{outcome}\r\nREADY {state} {position}\r\n").as_bytes())
     }
--- a/src/pooler/exchange.rs
+++ b/src/pooler/exchange.rs
@@ -6,7 +6,7 @@
 use crate::base::time::Tick;
 use crate::config::configuration::RouteType;
 use crate::net::rpc::pooler_messages::SuspicionReason;
-use crate::net::statement_protocol::{Outcome, Reply, State, Statement};
+use crate::net::statement_protocol::{Outcome, Reply, Statement, TransactionState};
 use crate::pooler::client_session::ClientStatement;
 use crate::pooler::handover::Commit;
 use crate::pooler::pool::ConnectionPool;
@@ -26,9 +26,9 @@
     pub(super) fn line(&self, wait_for: Option<Position>, hasher: &RandomState) -> String {
         let (id, wait_for) = (self.id, wait_for_prefix(wait_for));
         match (&self.plan.prepared, &self.statement) {
-            (Some(prepared), Statement::Execute { rest, .. }) => {
+            (Some(prepared), Statement::Execute { parameters, .. }) => {
                 let name = prepared_statement_id(hasher, prepared);
-                format!("QUERY {id} {wait_for}EXECUTE p{name:x} {rest}\r\n")
+                format!("QUERY {id} {wait_for}EXECUTE p{name:x} {parameters}\r\n")
             }
             _ => format!("QUERY {id} {wait_for}{}\r\n", self.text),
         }
@@ -76,7 +76,7 @@
         if reply.outcome != Outcome::Complete {
             return Ok(Some(reply));
         }
-        if reply.state != State::Open {
+        if reply.state != TransactionState::Open {
             // The reply does not belong to this BEGIN.
             return Err(unsent(Loss::Broken));
         }
--- a/src/pooler/handover.rs
+++ b/src/pooler/handover.rs
@@ -232,7 +232,7 @@
 ) -> Result<Option<ServerDescription>, Loss> {
     connection.send(b"QUERY - DESCRIBE\r\n", 1).map_err(|error| error.loss)?;
     let reply = connection.receive(|| (Tick::now() >= deadline).then_some(Loss::Abandoned))?;
-    let description = reply.described(connection.reply_bytes(&reply));
+    let description = reply.description(connection.reply_bytes(&reply));
     connection.consume(&reply);
     Ok(description)
 }
--- a/src/pooler/reroute.rs
+++ b/src/pooler/reroute.rs
@@ -7,7 +7,7 @@
 //! the next connection, and what the client gets when a connection is lost.
 use crate::base::errors::ErrorKind;
 use crate::base::time::Tick;
-use crate::net::statement_protocol::{State, Statement, Verb};
+use crate::net::statement_protocol::{Statement, TransactionState, Verb};
 use std::collections::BTreeMap;
 
 /// A prepared statement, without the client's name for it.
@@ -112,11 +112,11 @@
 
 impl SessionReroute {
     /// The transaction state that is sent to the client with each reply.
-    pub fn state(&self) -> State {
+    pub fn state(&self) -> TransactionState {
         match self.transaction {
-            Transaction::Idle => State::Idle,
-            Transaction::Open { .. } => State::Open,
-            Transaction::Failed => State::Failed,
+            Transaction::Idle => TransactionState::Idle,
+            Transaction::Open { .. } => TransactionState::Open,
+            Transaction::Failed => TransactionState::Failed,
         }
     }
 
@@ -209,8 +209,8 @@
                 self.version += 1;
                 StatementDecision::Completed
             }
-            Statement::Prepare { name, verb, shape } => {
-                let prepared = PreparedStatement { verb, text: shape.to_owned() };
+            Statement::Prepare { name, verb, text } => {
+                let prepared = PreparedStatement { verb, text: text.to_owned() };
                 self.prepared.insert(name.to_owned(), prepared);
                 self.version += 1;
                 StatementDecision::Completed
@@ -310,12 +310,14 @@
 
     /// Updates the transaction for a database's reply, with this transaction state, that is
     /// forwarded to the client.
-    pub fn handle_reply(&mut self, state: State) {
+    pub fn handle_reply(&mut self, state: TransactionState) {
         self.transaction = match (&self.transaction, state) {
-            (&Transaction::Open { read_only, started_at, wrote, .. }, State::Open) => {
+            (&Transaction::Open { read_only, started_at, wrote, .. }, TransactionState::Open) => {
                 Transaction::Open { read_only, started_at, answered: true, wrote }
             }
-            (Transaction::Open { .. } | Transaction::Failed, State::Failed) => Transaction::Failed,
+            (Transaction::Open { .. } | Transaction::Failed, TransactionState::Failed) => {
+                Transaction::Failed
+            }
             _ => Transaction::Idle,
         };
     }
--- a/src/pooler/server_connection.rs
+++ b/src/pooler/server_connection.rs
@@ -8,7 +8,7 @@
 use crate::base::time::Tick;
 use crate::net::idle_connections::is_readable;
 use crate::net::sockets::connect_stream;
-use crate::net::statement_protocol::{self, Outcome, ReadBuffer, Reply, State};
+use crate::net::statement_protocol::{self, Outcome, ReadBuffer, Reply, TransactionState};
 use crate::pooler::reroute::{PreparedStatement, SessionReroute};
 use log::warn;
 use std::collections::{BTreeMap, HashSet};
@@ -171,13 +171,13 @@
     /// Waits for the reply to CONNECT.
     fn receive_connect_reply(&mut self, deadline: Tick) -> Result<(), ConnectError> {
         loop {
-            if let Some(kind) = statement_protocol::refused_connect(self.buffer.pending()) {
+            if let Some(kind) = statement_protocol::parse_connect_error(self.buffer.pending()) {
                 return Err(ConnectError::Rejected(kind));
             }
-            match statement_protocol::reply(self.buffer.pending()) {
+            match statement_protocol::parse_reply(self.buffer.pending()) {
                 Ok(Some(reply)) => {
                     self.buffer.consume(reply.end);
-                    if reply.state != State::Idle || !self.is_settled() {
+                    if reply.state != TransactionState::Idle || !self.is_settled() {
                         return Err(io::Error::from(io::ErrorKind::InvalidData).into());
                     }
                     return Ok(());
@@ -250,7 +250,7 @@
     /// Parses the reply at the start of the buffer, if it is complete.
     fn parse_reply(&self) -> Result<Option<Reply>, Loss> {
         let pending = self.buffer.pending();
-        match statement_protocol::reply(pending) {
+        match statement_protocol::parse_reply(pending) {
             // With data after the last pending reply, either may belong to another statement.
             Ok(Some(reply)) if self.pending_replies <= 1 && reply.end < pending.len() => {
                 warn!(
@@ -289,7 +289,7 @@
         let deadline = Tick::now().plus(ROLLBACK_TIMEOUT_MS);
         self.send(b"QUERY - ABORT\r\n", 1).map_err(|e| e.loss)?;
         let reply = self.receive(|| (Tick::now() >= deadline).then_some(Loss::Abandoned))?;
-        if reply.state != State::Idle {
+        if reply.state != TransactionState::Idle {
             return Err(Loss::Broken);
         }
         self.consume(&reply);
@@ -366,7 +366,7 @@
         }
         for (id, statement) in wanted {
             if self.prepared.insert(id) {
-                let (verb, text) = (statement.verb.word(), &statement.text);
+                let (verb, text) = (statement.verb.keyword(), &statement.text);
                 batch.push(format_args!("PREPARE p{id:x} {verb} {text}"));
             }
         }
@@ -383,7 +383,7 @@
         self.send(batch.lines.as_bytes(), batch.count).map_err(|e| e.loss)?;
         for _ in 0..batch.count {
             let reply = self.receive(&mut check)?;
-            let in_transaction = reply.state == State::Open;
+            let in_transaction = reply.state == TransactionState::Open;
             if reply.outcome != Outcome::Complete || in_transaction != self.in_transaction {
                 // The state that the database now holds for the connection is not known.
                 return Err(Loss::Broken);
--- a/src/pooler/statement_execution.rs
+++ b/src/pooler/statement_execution.rs
@@ -6,7 +6,7 @@
 use crate::config::configuration::RouteType;
 use crate::config::route_table::RouteEntry;
 use crate::net::rpc::pooler_messages::SuspicionReason;
-use crate::net::statement_protocol::{Outcome, Reply, State};
+use crate::net::statement_protocol::{Outcome, Reply, TransactionState};
 use crate::pooler::admission::AcquireError;
 use crate::pooler::client_session::{ClientReply, ClientSession, ClientStatement};
 use crate::pooler::exchange::Exchange;
@@ -294,7 +294,7 @@
     /// Handles a success reply of a database.
     fn handle_success(&mut self, plan: &StatementPlan, reply: Reply) -> ClientReply {
         let ends_transaction = plan.autocommit || plan.kind == StatementKind::Commit;
-        let state = if ends_transaction { State::Idle } else { State::Open };
+        let state = if ends_transaction { TransactionState::Idle } else { TransactionState::Open };
         if reply.state != state {
             // The database and this session disagree on the transaction: the reply can't be used.
             warn!(
@@ -314,7 +314,7 @@
             self.own_position = self.own_position.max(reply.position);
         }
         if let Some(CheckedOutConnection { connection, .. }) = &mut self.checked_out {
-            connection.in_transaction = state == State::Open;
+            connection.in_transaction = state == TransactionState::Open;
             if !connection.in_transaction {
                 connection.synced_in_transaction = false;
             }
@@ -339,7 +339,7 @@
             plan.first_in_transaction
         };
         let checked_out = self.checked_out.as_mut()?;
-        checked_out.connection.in_transaction = reply.state != State::Idle;
+        checked_out.connection.in_transaction = reply.state != TransactionState::Idle;
         if retry {
             checked_out.connection.consume(&reply);
             let id = checked_out.pool.id.clone();
@@ -399,8 +399,13 @@
         kind: ErrorKind,
         reply: Reply,
     ) -> ClientReply {
-        let expected = if plan.autocommit { State::Idle } else { State::Failed };
-        let state = if reply.state == State::Open { State::Failed } else { reply.state };
+        let expected =
+            if plan.autocommit { TransactionState::Idle } else { TransactionState::Failed };
+        let state = if reply.state == TransactionState::Open {
+            TransactionState::Failed
+        } else {
+            reply.state
+        };
         self.reroute.handle_reply(state);
         if reply.state == expected {
             return ClientReply::Forward(reply);
--- a/tests/reroute.rs
+++ b/tests/reroute.rs
@@ -3,7 +3,7 @@
 use silvertack::base::errors::{ERROR_ANSWERS, ErrorKind};
 use silvertack::base::ids::{DbTerm, Position};
 use silvertack::base::time::Tick;
-use silvertack::net::statement_protocol::{self, Line, State};
+use silvertack::net::statement_protocol::{self, Line, TransactionState};
 use silvertack::pooler::admission::Admission;
 use silvertack::pooler::latency::LatencyEstimator;
 use silvertack::pooler::leases::ConnectionQuota;
@@ -17,7 +17,7 @@
 
 fn handle_text(session: &mut SessionReroute, text: &str) -> StatementDecision {
     let line = format!("QUERY q1 {text}");
-    match statement_protocol::parse(line.as_bytes()) {
+    match statement_protocol::parse_line(line.as_bytes()) {
         Ok(Line::Query { statement, .. }) => session.handle_statement(&statement, NOW),
         other => panic!("{text}: {other:?}"),
     }
@@ -29,7 +29,11 @@
     for text in texts {
         if let StatementDecision::Run(plan) = handle_text(&mut session, text) {
             let idle = plan.autocommit || plan.kind == StatementKind::Commit;
-            session.handle_reply(if idle { State::Idle } else { State::Open });
+            session.handle_reply(if idle {
+                TransactionState::Idle
+            } else {
+                TransactionState::Open
+            });
         }
     }
     session
@@ -48,34 +52,34 @@
     use LossOutcome::{Report, Retry};
     // (earlier statements, the statement on the lost connection, whether it was sent, the outcome,
     // the transaction state afterwards)
-    let table: &[(&[&str], &str, bool, LossOutcome, State)] = &[
+    let table: &[(&[&str], &str, bool, LossOutcome, TransactionState)] = &[
         // Retried transparently: nothing can have been committed.
-        (&[], "FETCH a", true, Retry, State::Idle),
-        (&[], "STORE a 1", false, Retry, State::Idle),
-        (&["BEGIN"], "FETCH a", true, Retry, State::Open),
-        (&["BEGIN"], "STORE a 1", true, Retry, State::Open),
-        (&["BEGIN"], "COMMIT", true, Retry, State::Open),
-        (&["BEGIN FETCH"], "FETCH a", true, Retry, State::Open),
-        (&["PREPARE p FETCH x"], "EXECUTE p a", true, Retry, State::Idle),
+        (&[], "FETCH a", true, Retry, TransactionState::Idle),
+        (&[], "STORE a 1", false, Retry, TransactionState::Idle),
+        (&["BEGIN"], "FETCH a", true, Retry, TransactionState::Open),
+        (&["BEGIN"], "STORE a 1", true, Retry, TransactionState::Open),
+        (&["BEGIN"], "COMMIT", true, Retry, TransactionState::Open),
+        (&["BEGIN FETCH"], "FETCH a", true, Retry, TransactionState::Open),
+        (&["PREPARE p FETCH x"], "EXECUTE p a", true, Retry, TransactionState::Idle),
         // Not retried, because the statement may be committed: the outcome is unknown.
-        (&[], "STORE a 1", true, Report(Unknown), State::Idle),
-        (&["PREPARE p STORE x"], "EXECUTE p a 1", true, Report(Unknown), State::Idle),
-        (&["BEGIN", "STORE a 1"], "COMMIT", true, Report(Unknown), State::Idle),
+        (&[], "STORE a 1", true, Report(Unknown), TransactionState::Idle),
+        (&["PREPARE p STORE x"], "EXECUTE p a 1", true, Report(Unknown), TransactionState::Idle),
+        (&["BEGIN", "STORE a 1"], "COMMIT", true, Report(Unknown), TransactionState::Idle),
         (
             &["PREPARE p STORE x", "BEGIN", "EXECUTE p a 1"],
             "COMMIT",
             true,
             Report(Unknown),
-            State::Idle,
+            TransactionState::Idle,
         ),
         // In the middle of a transaction: reported as rolled back, never retried transparently.
-        (&["BEGIN", "FETCH a"], "FETCH b", true, Report(RolledBack), State::Idle),
-        (&["BEGIN", "FETCH a"], "FETCH b", false, Report(RolledBack), State::Idle),
-        (&["BEGIN", "FETCH a"], "STORE b 1", true, Report(RolledBack), State::Idle),
-        (&["BEGIN", "STORE a 1"], "COMMIT", false, Report(RolledBack), State::Idle),
+        (&["BEGIN", "FETCH a"], "FETCH b", true, Report(RolledBack), TransactionState::Idle),
+        (&["BEGIN", "FETCH a"], "FETCH b", false, Report(RolledBack), TransactionState::Idle),
+        (&["BEGIN", "FETCH a"], "STORE b 1", true, Report(RolledBack), TransactionState::Idle),
+        (&["BEGIN", "STORE a 1"], "COMMIT", false, Report(RolledBack), TransactionState::Idle),
         // The transaction only read, but no other connection can return the stamp of its commit.
-        (&["BEGIN", "FETCH a"], "COMMIT", true, Report(RolledBack), State::Idle),
-        (&["BEGIN FETCH", "FETCH a"], "COMMIT", true, Report(RolledBack), State::Idle),
+        (&["BEGIN", "FETCH a"], "COMMIT", true, Report(RolledBack), TransactionState::Idle),
+        (&["BEGIN FETCH", "FETCH a"], "COMMIT", true, Report(RolledBack), TransactionState::Idle),
     ];
     for (before, text, sent, outcome, state) in table {
         let mut session = session_after(before);
@@ -90,7 +94,7 @@
     let mut session = session_after(&["BEGIN"]);
     let first = expect_plan(&mut session, "STORE a 1");
     assert_eq!(session.handle_loss(&first, true), LossOutcome::Retry);
-    session.handle_reply(State::Open);
+    session.handle_reply(TransactionState::Open);
     let commit = expect_plan(&mut session, "COMMIT");
     assert_eq!(session.handle_loss(&commit, true), LossOutcome::Report(ErrorKind::Unknown));
 }
@@ -111,7 +115,7 @@
     assert!(session.version() > version, "settings inside a transaction are replayed too");
     // After a connection loss the session keeps its settings and prepared statements.
     let first = expect_plan(&mut session, "FETCH a");
-    session.handle_reply(State::Open);
+    session.handle_reply(TransactionState::Open);
     let second = expect_plan(&mut session, "FETCH b");
     assert_eq!(session.handle_loss(&second, true), LossOutcome::Report(ErrorKind::RolledBack));
     assert!(first.first_in_transaction && !second.first_in_transaction);
@@ -126,25 +130,45 @@
 #[test]
 fn statements_that_need_no_database_are_decided_by_the_pooler() {
     use ErrorKind::{Malformed, NotFound, RolledBack};
-    let table: &[(&[&str], &str, StatementDecision, State)] = &[
-        (&[], "BEGIN", StatementDecision::Completed, State::Open),
-        (&[], "COMMIT", StatementDecision::Rejected(Malformed), State::Idle),
-        (&[], "ABORT", StatementDecision::RolledBack, State::Idle),
-        (&["BEGIN", "FETCH a"], "ABORT", StatementDecision::RolledBack, State::Idle),
-        (&["BEGIN"], "BEGIN", StatementDecision::Rejected(Malformed), State::Failed),
-        (&["BEGIN", "BEGIN"], "FETCH a", StatementDecision::Rejected(Malformed), State::Failed),
-        (&["BEGIN", "BEGIN"], "COMMIT", StatementDecision::Rejected(RolledBack), State::Idle),
-        (&["BEGIN", "BEGIN"], "ABORT", StatementDecision::RolledBack, State::Idle),
-        (&[], "EXECUTE p a", StatementDecision::Rejected(NotFound), State::Idle),
-        (&["BEGIN"], "EXECUTE p a", StatementDecision::Rejected(NotFound), State::Failed),
+    let table: &[(&[&str], &str, StatementDecision, TransactionState)] = &[
+        (&[], "BEGIN", StatementDecision::Completed, TransactionState::Open),
+        (&[], "COMMIT", StatementDecision::Rejected(Malformed), TransactionState::Idle),
+        (&[], "ABORT", StatementDecision::RolledBack, TransactionState::Idle),
+        (&["BEGIN", "FETCH a"], "ABORT", StatementDecision::RolledBack, TransactionState::Idle),
+        (&["BEGIN"], "BEGIN", StatementDecision::Rejected(Malformed), TransactionState::Failed),
+        (
+            &["BEGIN", "BEGIN"],
+            "FETCH a",
+            StatementDecision::Rejected(Malformed),
+            TransactionState::Failed,
+        ),
+        (
+            &["BEGIN", "BEGIN"],
+            "COMMIT",
+            StatementDecision::Rejected(RolledBack),
+            TransactionState::Idle,
+        ),
+        (&["BEGIN", "BEGIN"], "ABORT", StatementDecision::RolledBack, TransactionState::Idle),
+        (&[], "EXECUTE p a", StatementDecision::Rejected(NotFound), TransactionState::Idle),
+        (
+            &["BEGIN"],
+            "EXECUTE p a",
+            StatementDecision::Rejected(NotFound),
+            TransactionState::Failed,
+        ),
         (
             &["PREPARE p FETCH x", "DEALLOCATE p"],
             "EXECUTE p a",
             StatementDecision::Rejected(NotFound),
-            State::Idle,
+            TransactionState::Idle,
+        ),
+        (&[], "DEALLOCATE p", StatementDecision::Rejected(NotFound), TransactionState::Idle),
+        (
+            &["PREPARE p FETCH x"],
+            "DEALLOCATE p",
+            StatementDecision::Completed,
+            TransactionState::Idle,
         ),
-        (&[], "DEALLOCATE p", StatementDecision::Rejected(NotFound), State::Idle),
-        (&["PREPARE p FETCH x"], "DEALLOCATE p", StatementDecision::Completed, State::Idle),
     ];
     for (before, text, decision, state) in table {
         let mut session = session_after(before);
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -708,7 +708,7 @@
 
 #[test]
 fn a_description_is_valid_only_if_its_reply_is_a_success() {
-    use silvertack::net::statement_protocol::reply;
+    use silvertack::net::statement_protocol::parse_reply;
     let row = "ROW replica 3 3.1209 0 12 2 17\r\n";
     let cases = [
         (format!("{row}COMPLETE -\r\nREADY I -\r\n"), true),
@@ -719,7 +719,7 @@
         ("ROW primary 3\r\nCOMPLETE -\r\nREADY I -\r\n".to_owned(), false),
     ];
     for (answer, counts) in cases {
-        let got = reply(answer.as_bytes()).expect("well formed").expect("whole");
-        assert_eq!(got.described(answer.as_bytes()).is_some(), counts, "{answer:?}");
+        let got = parse_reply(answer.as_bytes()).expect("well formed").expect("whole");
+        assert_eq!(got.description(answer.as_bytes()).is_some(), counts, "{answer:?}");
     }
 }
