--- a/src/base/errors.rs
+++ b/src/base/errors.rs
@@ -1,50 +1,51 @@
-//! The errors of the statement protocol, the refusals of the gateway, and why a process ends.
+//! Error types: the errors of the statement protocol, the error responses of the gateway, and the
+//! errors that end a process.
 //!
-//! The first two are closed lists, each with a table of the answers that its members lead to. Tests
-//! check the tables; the protocol's users rely on every row.
+//! The first two are part of the protocols that clients use. Each is an enum with a table of the
+//! responses that its variants lead to; clients rely on every row, and tests check the tables.
 use std::fmt;
 use std::io;
 
-/// Every error that a client of the pooler can be given.
+/// The kinds of errors that the pooler and the databases report to clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ErrorKind {
     /// The message can't be parsed.
     Malformed,
     /// The message is longer than the protocol allows.
     TooLarge,
-    /// What the statement names, such as a prepared statement, does not exist.
+    /// An object that the statement refers to, such as a prepared statement, does not exist.
     NotFound,
     /// The database or service named at the start of the session does not exist.
     NoDatabase,
-    /// Over a limit; to be sent again later.
+    /// A limit is exceeded; the client should retry later.
     Throttled,
     /// The transaction was rolled back.
     RolledBack,
-    /// The replica has not received the position that the read asked for.
+    /// The replica has not reached the log position that the read requires.
     Lagging,
-    /// A write reached a replica.
+    /// A write was sent to a replica.
     ReadOnly,
-    /// Another node has the address.
+    /// The address belongs to another node than the one that was requested.
     WrongNode,
-    /// The database allows no further connection.
+    /// The database has reached its connection limit.
     ConnLimit,
-    /// The statement ran and failed.
+    /// The statement was executed and failed.
     Failed,
-    /// The time for an answer is over; the statement may have run.
+    /// The statement timed out; it may have been executed.
     TimedOut,
-    /// Whether the statement ran is not known.
+    /// It is not known whether the statement was executed.
     Unknown,
 }
 
-/// How an error kind is answered.
+/// The reply that reports an error kind, and what it guarantees.
 pub struct ErrorAnswer {
-    /// The kind that the row is for.
+    /// The error kind of this row.
     pub kind: ErrorKind,
-    /// The code on the wire.
+    /// The error code in the protocol.
     pub code: &'static str,
-    /// Whether it guarantees that the attempt has had no effect and will have none.
+    /// Whether the error guarantees that the statement has not taken effect and never will.
     pub no_effect: bool,
-    /// Whether the connection is closed behind it.
+    /// Whether the connection is closed after the reply.
     pub closes: bool,
 }
 
@@ -57,8 +58,8 @@
     ErrorAnswer { kind, code, no_effect, closes }
 }
 
-/// The answer to each error kind, in the order of the enum. Columns: code on the wire, whether the
-/// attempt is guaranteed to have no effect, whether the connection is closed.
+/// The reply to each error kind, in the order of the enum. Columns: error code, whether the
+/// statement is guaranteed to have no effect, whether the connection is closed.
 pub const ERROR_ANSWERS: [ErrorAnswer; 13] = [
     error_answer(ErrorKind::Malformed, "MALFORMED", false, false),
     error_answer(ErrorKind::TooLarge, "TOOLARGE", false, true),
@@ -80,8 +81,8 @@
     pub fn answer(self) -> &'static ErrorAnswer {
         &ERROR_ANSWERS[self as usize]
     }
-    /// The kind with this code on the wire.
-    pub fn from_word(code: &str) -> Option<Self> {
+    /// The kind with this error code.
+    pub fn from_code(code: &str) -> Option<Self> {
         ERROR_ANSWERS.iter().find(|row| row.code == code).map(|row| row.kind)
     }
 }
@@ -92,38 +93,38 @@
     }
 }
 
-/// Every answer that a gateway makes itself instead of forwarding a database's.
+/// The error responses that a gateway generates itself instead of forwarding a database's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Refusal {
-    /// The request can't be parsed, or could be parsed in two ways.
-    Unreadable,
+    /// The request is malformed or ambiguous.
+    Malformed,
     /// No route matches the request.
     NoRoute,
-    /// The client took too long to send the request.
-    Slow,
+    /// The client did not send the request within the time-out.
+    RequestTimeout,
     /// The request's body is too large.
     TooLarge,
     /// The request's head is too large.
     HeadTooLarge,
-    /// No database can take the request now; nothing has run.
-    Full,
-    /// A database may have run the request, but no usable answer came.
-    Lost,
-    /// A database may have run the request; the time for an answer is over.
-    Late,
+    /// No database can accept the request now; it has not been executed.
+    Unavailable,
+    /// A database may have executed the request, but returned no valid response.
+    BadGateway,
+    /// A database may have executed the request, but did not respond within the time-out.
+    GatewayTimeout,
 }
 
-/// How a gateway's refusal is answered.
+/// The response that reports a refusal, and what it guarantees.
 pub struct RefusalAnswer {
-    /// The refusal that the row is for.
+    /// The refusal of this row.
     pub refusal: Refusal,
-    /// The HTTP status.
+    /// The HTTP status code.
     pub status: u16,
     /// The reason phrase of the status line.
     pub reason: &'static str,
-    /// Whether it guarantees that nothing of the request has run and nothing will.
+    /// Whether the response guarantees that the request has not been executed and never will be.
     pub no_effect: bool,
-    /// Whether the client's connection is closed behind it.
+    /// Whether the client's connection is closed after the response.
     pub closes: bool,
 }
 
@@ -137,17 +138,17 @@
     RefusalAnswer { refusal, status, reason, no_effect, closes }
 }
 
-/// The answer to each refusal, in the order of the enum. Columns: status, reason phrase, whether it
-/// guarantees that nothing runs, whether the connection is closed.
+/// The response to each refusal, in the order of the enum. Columns: status code, reason phrase,
+/// whether the request is guaranteed not to be executed, whether the connection is closed.
 pub const REFUSAL_ANSWERS: [RefusalAnswer; 8] = [
-    refusal_answer(Refusal::Unreadable, 400, "Bad Request", false, true),
+    refusal_answer(Refusal::Malformed, 400, "Bad Request", false, true),
     refusal_answer(Refusal::NoRoute, 404, "Not Found", false, false),
-    refusal_answer(Refusal::Slow, 408, "Request Timeout", true, true),
+    refusal_answer(Refusal::RequestTimeout, 408, "Request Timeout", true, true),
     refusal_answer(Refusal::TooLarge, 413, "Content Too Large", false, true),
     refusal_answer(Refusal::HeadTooLarge, 431, "Request Header Fields Too Large", false, true),
-    refusal_answer(Refusal::Full, 503, "Service Unavailable", true, false),
-    refusal_answer(Refusal::Lost, 502, "Bad Gateway", false, false),
-    refusal_answer(Refusal::Late, 504, "Gateway Timeout", false, false),
+    refusal_answer(Refusal::Unavailable, 503, "Service Unavailable", true, false),
+    refusal_answer(Refusal::BadGateway, 502, "Bad Gateway", false, false),
+    refusal_answer(Refusal::GatewayTimeout, 504, "Gateway Timeout", false, false),
 ];
 
 impl Refusal {
@@ -157,38 +158,38 @@
     }
 }
 
-/// Why a process can't start or go on. Each kind has its exit code, on which operators rely.
+/// An error that ends a process. Each variant has an exit code, on which operators rely.
 #[derive(Debug, thiserror::Error)]
 pub enum Fatal {
-    /// The settings file can't be read or used.
+    /// The settings file can't be read or is not valid.
     #[error("settings: {0}")]
     Settings(String),
-    /// A configuration can't be read or used.
+    /// A configuration can't be read or is not valid.
     #[error("configuration: {0}")]
     Configuration(String),
-    /// What is stored on disk can't be read or used; it is left as it is.
+    /// The state stored on disk can't be read or is not valid; it is left unchanged.
     #[error("state on disk: {0}")]
     State(String),
-    /// The disk fails or is full; it may work again later.
+    /// The disk has failed or is full. A later start may succeed.
     #[error("the disk: {0}")]
     Disk(String),
     /// A listening socket can't be opened at this address.
     #[error("cannot listen on {0}: {1}")]
     Listen(String, #[source] io::Error),
-    /// The operating system refuses a resource that a process needs at its start.
+    /// The operating system refused a resource that the process needs at its start.
     #[error("{0}")]
     System(#[source] io::Error),
-    /// Another call at the start of a process failed.
+    /// Another step of the start of a process failed.
     #[error("{0}")]
-    Call(String),
-    /// There is no thread for this loop.
-    #[error("no thread for {0}")]
+    Startup(String),
+    /// The operating system could not start the thread for this task.
+    #[error("can't start the thread for {0}")]
     Thread(&'static str),
 }
 
 impl Fatal {
     /// The exit code of a process that ends with this error: 2 for settings and 3 for stored state,
-    /// both of which need an operator; 1 for what may pass by itself.
+    /// both of which need an operator; 1 for errors that a later start may not meet again.
     pub fn exit_code(&self) -> u8 {
         match self {
             Self::Settings(_) => 2,
@@ -197,7 +198,7 @@
             | Self::Disk(_)
             | Self::Listen(..)
             | Self::System(_)
-            | Self::Call(_)
+            | Self::Startup(_)
             | Self::Thread(_) => 1,
         }
     }
--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -127,9 +127,9 @@
             // That it wasn't executed is true only if no other endpoint has the request.
             AttemptOutcome::NotExecuted if !may_execute => NextStep::ForwardResponse,
             AttemptOutcome::Failed => NextStep::ForwardResponse,
-            _ if !may_execute => NextStep::Refuse(Refusal::Full),
-            _ if conditions.time_left => NextStep::Refuse(Refusal::Lost),
-            _ => NextStep::Refuse(Refusal::Late),
+            _ if !may_execute => NextStep::Refuse(Refusal::Unavailable),
+            _ if conditions.time_left => NextStep::Refuse(Refusal::BadGateway),
+            _ => NextStep::Refuse(Refusal::GatewayTimeout),
         }
     }
 
--- a/src/gateway/client_connection.rs
+++ b/src/gateway/client_connection.rs
@@ -196,7 +196,7 @@
         match self.read(deadline)? {
             ReadResult::Data => Ok(()),
             ReadResult::Closed => Err(ReceiveError::Closed),
-            ReadResult::TimedOut => Err(ReceiveError::Refused(Refusal::Slow)),
+            ReadResult::TimedOut => Err(ReceiveError::Refused(Refusal::RequestTimeout)),
         }
     }
 
@@ -208,7 +208,7 @@
     ) -> Result<(), ReceiveError> {
         let consumed = body
             .decode(self.buffer.pending(), output)
-            .map_err(|ParseError| ReceiveError::Refused(Refusal::Unreadable))?;
+            .map_err(|ParseError| ReceiveError::Refused(Refusal::Malformed))?;
         self.buffer.consume(consumed);
         Ok(())
     }
--- a/src/gateway/forwarding.rs
+++ b/src/gateway/forwarding.rs
@@ -154,7 +154,7 @@
             return Flow::Continue(Step::AwaitResponses);
         }
         let may_have_executed = self.policy.may_have_executed();
-        self.refuse(if may_have_executed { Refusal::Lost } else { Refusal::Full })
+        self.refuse(if may_have_executed { Refusal::BadGateway } else { Refusal::Unavailable })
     }
 
     /// Sends the rest of a body that is too large to be held, if there is one, and counts the
@@ -197,7 +197,7 @@
             for attempt in self.attempts.drain(..) {
                 self.gateway.abandon_attempt(attempt, AbandonReason::EndpointLate);
             }
-            return Ok(self.refuse(Refusal::Late));
+            return Ok(self.refuse(Refusal::GatewayTimeout));
         }
         let hedge_due = self.hedge_due();
         if hedge_due.is_some_and(|due| now >= due)
@@ -290,8 +290,8 @@
             NextStep::Refuse(refusal) => self.refuse(refusal),
             // The endpoint's own response is too large to be held; these say the same.
             NextStep::ForwardResponse => self.refuse(match outcome {
-                AttemptOutcome::NotExecuted => Refusal::Full,
-                _ => Refusal::Lost,
+                AttemptOutcome::NotExecuted => Refusal::Unavailable,
+                _ => Refusal::BadGateway,
             }),
         }
     }
@@ -299,8 +299,8 @@
     fn refuse(&self, refusal: Refusal) -> Flow {
         let counters = &self.gateway.counters;
         match refusal {
-            Refusal::Full => increment(&counters.refused),
-            Refusal::Lost | Refusal::Late => increment(&counters.lost),
+            Refusal::Unavailable => increment(&counters.refused),
+            Refusal::BadGateway | Refusal::GatewayTimeout => increment(&counters.lost),
             _ => {}
         }
         let quarter_ms = self.request.route.target_latency_ms / 4;
@@ -316,7 +316,7 @@
     attempt: &mut Attempt,
     client: &mut ClientStream<'_>,
 ) -> Result<(), ReceiveError> {
-    let lost = |_: io::Error| ReceiveError::Refused(Refusal::Lost);
+    let lost = |_: io::Error| ReceiveError::Refused(Refusal::BadGateway);
     let framing = request.head.framing;
     let mut length = request.body.len() as u64;
     let mut data = Vec::new();
--- a/src/gateway/http1/request_head.rs
+++ b/src/gateway/http1/request_head.rs
@@ -42,25 +42,25 @@
         framing: &FramingHeaders,
         host: &mut Option<String>,
     ) -> Result<(), Refusal> {
-        let text = || header_text(header).map_err(|_| Refusal::Unreadable);
-        let single = |is_repeated| if is_repeated { Err(Refusal::Unreadable) } else { Ok(()) };
+        let text = || header_text(header).map_err(|_| Refusal::Malformed);
+        let single = |is_repeated| if is_repeated { Err(Refusal::Malformed) } else { Ok(()) };
         if header.name.eq_ignore_ascii_case("host") {
             let name = text()?;
             if name.is_empty() || name.contains(|c: char| c.is_whitespace() || c == ',') {
-                return Err(Refusal::Unreadable);
+                return Err(Refusal::Malformed);
             }
             single(host.replace(name.to_ascii_lowercase()).is_some())?;
         } else if header.name.eq_ignore_ascii_case("request-id") {
             single(self.id.replace(text()?.to_owned()).is_some())?;
         } else if header.name.eq_ignore_ascii_case("deadline-ms") {
-            let ms = text()?.parse().map_err(|_| Refusal::Unreadable)?;
+            let ms = text()?.parse().map_err(|_| Refusal::Malformed)?;
             return single(self.deadline_ms.replace(ms).is_some());
         } else if header.name.eq_ignore_ascii_case("target-instance") {
             // Like the deadline, written anew for each database.
             return Ok(());
         } else if header.name.eq_ignore_ascii_case("expect") {
             if !text()?.eq_ignore_ascii_case("100-continue") {
-                return Err(Refusal::Unreadable);
+                return Err(Refusal::Malformed);
             }
             self.expects_continue = self.accepts_chunked;
         }
@@ -81,13 +81,13 @@
     let mut parsed = httparse::Request::new(&mut headers);
     let status = parsed.parse(bytes);
     let Some(length) = head_length(status, bytes, max_length)? else { return Ok(None) };
-    let framing = FramingHeaders::parse(parsed.headers).map_err(|_| Refusal::Unreadable)?;
+    let framing = FramingHeaders::parse(parsed.headers).map_err(|_| Refusal::Malformed)?;
     let mut head = request_line(&parsed, &framing, length)?;
     let mut host = None;
     for header in parsed.headers.iter() {
         head.read_header(header, &framing, &mut host)?;
     }
-    head.host = without_port(host.ok_or(Refusal::Unreadable)?);
+    head.host = without_port(host.ok_or(Refusal::Malformed)?);
     Ok(Some(ParsedHead { head, length }))
 }
 
@@ -100,14 +100,14 @@
     match status {
         Ok(httparse::Status::Complete(length)) if length > max_length => Err(Refusal::HeadTooLarge),
         Ok(httparse::Status::Complete(length)) if has_bare_lf(&bytes[..length]) => {
-            Err(Refusal::Unreadable)
+            Err(Refusal::Malformed)
         }
         Ok(httparse::Status::Complete(length)) => Ok(Some(length)),
         Ok(httparse::Status::Partial) if bytes.len() > max_length => Err(Refusal::HeadTooLarge),
-        Ok(httparse::Status::Partial) if has_bare_lf(bytes) => Err(Refusal::Unreadable),
+        Ok(httparse::Status::Partial) if has_bare_lf(bytes) => Err(Refusal::Malformed),
         Ok(httparse::Status::Partial) => Ok(None),
         Err(httparse::Error::TooManyHeaders) => Err(Refusal::HeadTooLarge),
-        Err(_) => Err(Refusal::Unreadable),
+        Err(_) => Err(Refusal::Malformed),
     }
 }
 
@@ -122,11 +122,11 @@
     framing: &FramingHeaders,
     length: usize,
 ) -> Result<RequestHead, Refusal> {
-    let method = parsed.method.ok_or(Refusal::Unreadable)?;
-    let target = parsed.path.ok_or(Refusal::Unreadable)?;
+    let method = parsed.method.ok_or(Refusal::Malformed)?;
+    let target = parsed.path.ok_or(Refusal::Malformed)?;
     // Routes are chosen by path; the absolute and the asterisk form have none of their own.
     if !target.starts_with('/') || target.contains('#') {
-        return Err(Refusal::Unreadable);
+        return Err(Refusal::Malformed);
     }
     let is_http_1_1 = parsed.version == Some(1);
     Ok(RequestHead {
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -38,7 +38,7 @@
     let mut watched = SettingsWatcher::new(path);
     let frontend = required_listener(settings.listeners.frontend, "frontend", "gateway")?;
     let readiness = required_listener(settings.listeners.readiness, "readiness", "gateway")?;
-    let signals = Signals::install().map_err(|e| Fatal::Call(e.to_string()))?;
+    let signals = Signals::install().map_err(|e| Fatal::Startup(e.to_string()))?;
     let gateway = Arc::new(Gateway::new(&settings)?);
     let (ready, status) = (Arc::clone(&gateway), Arc::clone(&gateway));
     http::serve_state(readiness, move || ready.is_ready(), move || status.status())?;
--- a/src/gateway/responses.rs
+++ b/src/gateway/responses.rs
@@ -177,7 +177,7 @@
         let answer = refusal.answer();
         let mut out = format!("HTTP/1.1 {} {}\r\n", answer.status, answer.reason).into_bytes();
         append_header(&mut out, "Content-Length", b"0");
-        if refusal == Refusal::Full {
+        if refusal == Refusal::Unavailable {
             let seconds = format!("{:.3}", retry_after_ms as f64 / 1_000.0);
             append_header(&mut out, "Retry-After", seconds.as_bytes());
         }
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -89,7 +89,7 @@
             closing_idle: AtomicBool::new(false),
             clients: Mutex::default(),
             idle_clients: IdleConnections::new("gateway")
-                .map_err(|e| Fatal::Call(e.to_string()))?,
+                .map_err(|e| Fatal::Startup(e.to_string()))?,
             next_client_id: AtomicU64::new(1),
             // A client in service needs a connection to an endpoint beside its own.
             max_clients: (client_files.max(MIN_CLIENT_FILES) / 2) as usize,
--- a/src/net/statement_protocol.rs
+++ b/src/net/statement_protocol.rs
@@ -299,7 +299,7 @@
                 outcome = Some(Outcome::Complete);
             }
             (Some("ERROR"), None) => {
-                let kind = words.next().and_then(ErrorKind::from_word).ok_or(MalformedReply)?;
+                let kind = words.next().and_then(ErrorKind::from_code).ok_or(MalformedReply)?;
                 outcome = Some(Outcome::Error(kind));
             }
             (Some("READY"), _) => {
@@ -336,7 +336,7 @@
 pub fn parse_connect_error(bytes: &[u8]) -> Option<ErrorKind> {
     let line = bytes.split(|b| *b == b'\n').next()?;
     let line = std::str::from_utf8(line.strip_suffix(b"\r")?).ok()?;
-    ErrorKind::from_word(line.strip_prefix("ERROR ")?.split(' ').next()?)
+    ErrorKind::from_code(line.strip_prefix("ERROR ")?.split(' ').next()?)
 }
 
 /// The row with which a database replies to DESCRIBE, PAUSE, CONTINUE and STEPDOWN.
--- a/src/pooler/process.rs
+++ b/src/pooler/process.rs
@@ -40,7 +40,7 @@
     let settings_watcher = SettingsWatcher::new(path);
     let frontend_address = required_listener(settings.listeners.frontend, "frontend", "pooler")?;
     let readiness_address = required_listener(settings.listeners.readiness, "readiness", "pooler")?;
-    let signals = Signals::install().map_err(|e| Fatal::Call(e.to_string()))?;
+    let signals = Signals::install().map_err(|e| Fatal::Startup(e.to_string()))?;
     let pooler = Arc::new(Pooler::new(&settings)?);
     let mut process = Process { pooler, signals, settings_watcher, settings };
     process.serve_status(readiness_address)?;
--- a/src/pooler/server.rs
+++ b/src/pooler/server.rs
@@ -106,7 +106,7 @@
             next_session_id: AtomicU64::new(1),
             sessions: Mutex::default(),
             workers: SessionWorkers::default(),
-            parked: IdleConnections::new("session").map_err(|e| Fatal::Call(e.to_string()))?,
+            parked: IdleConnections::new("session").map_err(|e| Fatal::Startup(e.to_string()))?,
             hasher: RandomState::new(),
         })
     }
--- a/tests/gateway_parts.rs
+++ b/tests/gateway_parts.rs
@@ -23,7 +23,7 @@
 
 #[test]
 fn an_ambiguous_request_head_is_refused() {
-    const BAD: Refusal = Refusal::Unreadable;
+    const BAD: Refusal = Refusal::Malformed;
     let cases: [(&str, Option<Refusal>); 18] = [
         ("GET /a/b HTTP/1.1\nHost: h", None),
         ("GET /a HTTP/1.1\nHost: h\nContent-Length: 4\nContent-Length: 4", None),
@@ -149,22 +149,36 @@
     let cases: [Case<'_>; 17] = [
         (NonIdempotent, &[NotSent], false, true, false, Retry),
         (NonIdempotent, &[NotExecuted], false, true, true, Retry),
-        (NonIdempotent, &[MayHaveExecuted], false, true, true, Refuse(Refusal::Lost)),
+        (NonIdempotent, &[MayHaveExecuted], false, true, true, Refuse(Refusal::BadGateway)),
         (NonIdempotent, &[Failed], false, true, true, ForwardResponse),
-        (NonIdempotent, &[NotExecuted, MayHaveExecuted], false, true, true, Refuse(Refusal::Lost)),
+        (
+            NonIdempotent,
+            &[NotExecuted, MayHaveExecuted],
+            false,
+            true,
+            true,
+            Refuse(Refusal::BadGateway),
+        ),
         (NonIdempotent, &[NotExecuted, NotExecuted], false, true, true, ForwardResponse),
         (NonIdempotent, &[NotExecuted], false, true, false, ForwardResponse),
-        (NonIdempotent, &[NotSent; 4], false, true, true, Refuse(Refusal::Full)),
+        (NonIdempotent, &[NotSent; 4], false, true, true, Refuse(Refusal::Unavailable)),
         (Idempotent, &[MayHaveExecuted], false, true, true, Retry),
-        (Idempotent, &[MayHaveExecuted], false, true, false, Refuse(Refusal::Lost)),
-        (Idempotent, &[MayHaveExecuted], false, false, true, Refuse(Refusal::Late)),
+        (Idempotent, &[MayHaveExecuted], false, true, false, Refuse(Refusal::BadGateway)),
+        (Idempotent, &[MayHaveExecuted], false, false, true, Refuse(Refusal::GatewayTimeout)),
         (Idempotent, &[Failed], false, true, true, Retry),
         (Idempotent, &[Failed, Failed], false, true, true, ForwardResponse),
         // That it was not executed would not be true any more.
-        (Idempotent, &[MayHaveExecuted, NotExecuted], false, true, true, Refuse(Refusal::Lost)),
-        (Idempotent, &[NotExecuted], true, true, false, Refuse(Refusal::Lost)),
-        (Idempotent, &[MayHaveExecuted, NotSent], false, true, false, Refuse(Refusal::Lost)),
-        (Idempotent, &[NotSent], false, false, true, Refuse(Refusal::Full)),
+        (
+            Idempotent,
+            &[MayHaveExecuted, NotExecuted],
+            false,
+            true,
+            true,
+            Refuse(Refusal::BadGateway),
+        ),
+        (Idempotent, &[NotExecuted], true, true, false, Refuse(Refusal::BadGateway)),
+        (Idempotent, &[MayHaveExecuted, NotSent], false, true, false, Refuse(Refusal::BadGateway)),
+        (Idempotent, &[NotSent], false, false, true, Refuse(Refusal::Unavailable)),
     ];
     for (idempotency, outcomes, others_in_flight, time_left, budget_left, expected) in cases {
         let mut policy = AttemptPolicy::new(idempotency, 2);
--- a/tests/reroute.rs
+++ b/tests/reroute.rs
@@ -181,7 +181,7 @@
 fn errors_with_an_uncertain_outcome_never_promise_that_nothing_happened() {
     for row in &ERROR_ANSWERS {
         assert_eq!(row.kind.answer().code, row.code, "the table is in the order of the kinds");
-        assert_eq!(ErrorKind::from_word(row.code), Some(row.kind));
+        assert_eq!(ErrorKind::from_code(row.code), Some(row.kind));
     }
     for kind in [ErrorKind::Unknown, ErrorKind::TimedOut, ErrorKind::Failed] {
         assert!(!kind.answer().no_effect, "{kind}");
