--- a/src/controller/admin_api.rs
+++ b/src/controller/admin_api.rs
@@ -35,7 +35,7 @@
     pub fn decide(self, state_machine: &StateMachine) -> CallDecision {
         let outcome = match &self {
             Self::ReadConfiguration if state_machine.configuration_body().is_empty() => {
-                return CallDecision::Answer(Response::refusal(404, "no configuration yet"));
+                return CallDecision::Answer(Response::error(404, "no configuration yet"));
             }
             Self::ReadConfiguration => {
                 return CallDecision::Answer(Response::json(
@@ -74,13 +74,13 @@
 pub(crate) fn outcome_response(outcome: &CommandOutcome) -> Response {
     match outcome {
         CommandOutcome::Applied | CommandOutcome::NoChange => Response::ok(),
-        CommandOutcome::StaleBase => Response::refusal(412, "another version is in place"),
+        CommandOutcome::StaleBase => Response::error(412, "another version is in place"),
         CommandOutcome::RevisionNotAbove => {
-            Response::refusal(400, "revision is not above the current one")
+            Response::error(400, "revision is not above the current one")
         }
         // A 4xx would deny a configuration that may have been applied.
         CommandOutcome::HistoryExpired => {
-            Response::refusal(503, "too old to know whether it was taken")
+            Response::error(503, "too old to know whether it was taken")
         }
     }
 }
@@ -90,7 +90,7 @@
 /// # Errors
 /// The refusal to send: the header or the configuration can't be used.
 pub(crate) fn read_configuration(request: &Request) -> Result<Command, Response> {
-    let refuse = |why: &str| Err(Response::refusal(400, why));
+    let refuse = |why: &str| Err(Response::error(400, why));
     let base = match request.if_match.as_deref().map(str::parse) {
         Some(Ok(base)) => Revision(base),
         Some(Err(_)) => return refuse("If-Match is no number"),
--- a/src/controller/admin_handler.rs
+++ b/src/controller/admin_handler.rs
@@ -28,7 +28,7 @@
     /// read.
     fn parse(request: &Request, path: &str) -> Result<Self, Response> {
         let method = request.method.as_str();
-        let wrong_method = || Err(Response::refusal(405, "not with this method"));
+        let wrong_method = || Err(Response::error(405, "not with this method"));
         if path == "/configuration" {
             return match method {
                 "GET" => Ok(Self::ReadConfiguration),
@@ -43,7 +43,7 @@
             };
         }
         let Some(id) = instance_id(path) else {
-            return Err(Response::refusal(404, "no such path"));
+            return Err(Response::error(404, "no such path"));
         };
         match method {
             "PUT" => read_heartbeat(request, id).map(Self::Submit),
@@ -71,8 +71,8 @@
                 sequence: heartbeat.sequence,
             })
         }
-        Ok(_) => Err(Response::refusal(400, "target_service is no word")),
-        Err(e) => Err(Response::refusal(400, &format!("cannot be read: {e}"))),
+        Ok(_) => Err(Response::error(400, "target_service is no word")),
+        Err(e) => Err(Response::error(400, &format!("cannot be read: {e}"))),
     }
 }
 
@@ -119,17 +119,17 @@
         if !self.raft.is_leader() {
             return Err(match self.leader_address() {
                 Some(leader) => Response::redirect(format!("http://{}{path}", leader.admin)),
-                None => Response::refusal(503, "no leader"),
+                None => Response::error(503, "no leader"),
             });
         }
         // Without a quorum nothing can be confirmed, and a new leader may not have applied yet what
         // the one before acknowledged.
         if !self.raft.holds_leader_lease(now) {
-            return Err(Response::refusal(503, "no quorum"));
+            return Err(Response::error(503, "no quorum"));
         }
         self.apply_committed_entries(now);
         if self.unreadable.is_some() {
-            return Err(Response::refusal(503, "stopping"));
+            return Err(Response::error(503, "stopping"));
         }
         if matches!(operation, Operation::Submit(_)) && !self.state_machine.is_initialized() {
             self.check_founding(now)?;
@@ -143,7 +143,7 @@
         let (voters, needed) = (self.raft.voters().len(), 2 * tolerated + 1);
         if !self.raft.may_bootstrap(tolerated, now) {
             let why = format!("being founded: {voters} of {needed} controllers vote");
-            return Err(Response::refusal(503, &why));
+            return Err(Response::error(503, &why));
         }
         if voters < needed {
             warn!(target: "raft", "begins with {voters} voters of {needed}: not as many \
@@ -180,7 +180,7 @@
     ) {
         match self.propose(command, now) {
             Some(index) => self.proposed.insert(self.raft.state.term, index, reply),
-            None => drop(reply.try_send(Response::refusal(503, "no leader"))),
+            None => drop(reply.try_send(Response::error(503, "no leader"))),
         }
     }
 }
--- a/src/controller/leader_state.rs
+++ b/src/controller/leader_state.rs
@@ -108,7 +108,7 @@
         self.directory_updates.clear();
         for reply in self.proposed.drain() {
             // Whether the command will be committed is unknown here; a retry of the caller shows.
-            drop(reply.try_send(Response::refusal(503, "no longer the leader")));
+            drop(reply.try_send(Response::error(503, "no longer the leader")));
         }
         for (conn, _) in std::mem::take(&mut self.poolers) {
             self.send_not_leader(conn);
--- a/src/controller/linearizable_reads.rs
+++ b/src/controller/linearizable_reads.rs
@@ -29,7 +29,7 @@
 impl<R> DecidedCall<R> {
     /// A call that is refused as its answer can't be known.
     fn unavailable(caller: R, reason: &str) -> Self {
-        Self { caller, decision: CallDecision::Answer(Response::refusal(503, reason)) }
+        Self { caller, decision: CallDecision::Answer(Response::error(503, reason)) }
     }
 }
 
--- a/src/controller/outgoing_calls.rs
+++ b/src/controller/outgoing_calls.rs
@@ -180,7 +180,7 @@
         headers: &headers,
         body: body.as_bytes(),
     };
-    match http::call_while(platform, &request, PLATFORM_LIMIT, leads) {
+    match http::call_if(platform, &request, PLATFORM_LIMIT, leads) {
         Ok(Response { status: 200..=299, .. }) => PromotionResponse::Accepted,
         Ok(Response { status: 409, .. }) => PromotionResponse::NotRunning,
         Ok(Response { status: 429, .. }) => PromotionResponse::NotAttempted,
--- a/src/controller/transport.rs
+++ b/src/controller/transport.rs
@@ -37,11 +37,9 @@
 pub(crate) fn ask_core(events: &Sender<Event>, request: Request) -> Response {
     let (reply, answer) = sync_channel(1);
     if events.send(Event::Input(Input::Http(request, reply))).is_err() {
-        return Response::refusal(503, "stopping");
+        return Response::error(503, "stopping");
     }
-    answer
-        .recv_timeout(ANSWER_LIMIT)
-        .unwrap_or_else(|_| Response::refusal(503, "no quorum in time"))
+    answer.recv_timeout(ANSWER_LIMIT).unwrap_or_else(|_| Response::error(503, "no quorum in time"))
 }
 
 /// What reaches the controller's thread.
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -41,7 +41,7 @@
     let signals = Signals::install().map_err(|e| Fatal::Startup(e.to_string()))?;
     let gateway = Arc::new(Gateway::new(&settings)?);
     let (ready, status) = (Arc::clone(&gateway), Arc::clone(&gateway));
-    http::serve_state(readiness, move || ready.is_ready(), move || status.status())?;
+    http::serve_readiness(readiness, move || ready.is_ready(), move || status.status())?;
     let linking = Arc::clone(&gateway);
     must_start("the leader connection", move || linking.leader.run(&*linking))?;
     if await_configuration(&gateway, &signals, &mut watched) == Startup::Terminated {
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -1,9 +1,10 @@
 //! A small HTTP/1.1 server and client for the admin and readiness addresses.
 //!
-//! The controllers serve the admin address with [`serve`], nodes their readiness with
-//! [`serve_state`]; [`call`] makes the calls of the command line, of the controllers to the platform,
-//! and of tests. Bodies are JSON and have a `Content-Length`: no transfer encoding is understood.
-//! Clients' requests for services don't come here; the gateway has its own HTTP.
+//! Controllers serve the admin address with [`serve`], and nodes serve the readiness address with
+//! [`serve_readiness`]. [`call`] is the client: the command line, the controllers (for calls to the
+//! platform) and tests use it. Bodies are JSON and have a `Content-Length`; transfer encodings are
+//! not supported. Requests that clients send to services are handled by the gateway's own HTTP
+//! parser.
 use crate::base::errors::Fatal;
 use crate::base::worker_pool::start_thread;
 use crate::net::sockets::{configure_stream, connect_stream, listen, read_uninterrupted};
@@ -13,44 +14,44 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-/// The largest head, in bytes.
-const MAX_HEAD: usize = 16 << 10;
+/// The maximum size of the head of a request or response.
+const MAX_HEAD_BYTES: usize = 16 << 10;
 
-/// The most headers of a request or response.
+/// The maximum number of headers of a request or response.
 const MAX_HEADERS: usize = 48;
 
-/// The largest body of a request, in bytes. It may be larger than any configuration that is accepted,
-/// so that the answer can say so.
-pub const MAX_BODY: usize = 1 << 20;
+/// The maximum size of the body of a request. Larger than any configuration that is accepted, so
+/// that the response to a configuration above its limit can give the reason.
+pub const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// How long a connection may be idle between requests or within one.
+/// How long a connection may receive no data, between requests or within one.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// How long an answer may wait for its client.
+/// How long writing a response may block, and how long sent data may be unacknowledged.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The pause after a connection could not be accepted, for lack of descriptors as a rule.
+/// The pause after a failed accept, which is usually due to a lack of file descriptors.
 const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(50);
 
-/// Calls to a readiness address at once.
-const MAX_READINESS_CALLERS: usize = 64;
+/// The maximum number of concurrent connections to a readiness address.
+const MAX_READINESS_CONNECTIONS: usize = 64;
 
-/// Bytes that one read takes at most.
+/// The size of the chunk passed to each read call.
 const READ_BYTES: usize = 4096;
 
-/// Reads after a refusal, of [`READ_BYTES`] each, so that data in flight does not reset the
-/// connection before the refusal has arrived.
-const MAX_DISCARDING_READS: usize = 512;
+/// The maximum number of reads, of [`READ_BYTES`] each, after a request was rejected. Closing a
+/// connection with unread data resets it, and the response might not reach the client.
+const MAX_DISCARD_READS: usize = 512;
 
-/// How long each of these reads waits.
+/// The time-out of each read that discards data.
 const DISCARD_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// A request.
+/// An HTTP request as received by [`serve`].
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Request {
-    /// The method, as it came.
+    /// The method as received.
     pub method: String,
-    /// The path with its query.
+    /// The path, including the query.
     pub path: String,
     /// The `If-Match` header without its quotes.
     pub if_match: Option<String>,
@@ -58,12 +59,12 @@
     pub body: Vec<u8>,
 }
 
-/// A response.
+/// An HTTP response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Response {
     /// The status code.
     pub status: u16,
-    /// The `Location` header.
+    /// The value of the `Location` header.
     pub location: Option<String>,
     /// The body.
     pub body: Vec<u8>,
@@ -75,17 +76,17 @@
         Self { status, location: None, body }
     }
 
-    /// Success without content: 200 with an empty object.
+    /// A success response without content: status 200 with an empty JSON object.
     pub fn ok() -> Self {
         Self::json(200, b"{}".to_vec())
     }
 
-    /// A refusal with its reason, in the form of all errors of the admin address.
-    pub fn refusal(status: u16, message: &str) -> Self {
+    /// An error response with a message, in the format of all errors of the admin address.
+    pub fn error(status: u16, message: &str) -> Self {
         Self::json(status, serde_json::json!({ "message": message }).to_string().into_bytes())
     }
 
-    /// Sends the caller to another address with the same request.
+    /// A redirect that makes the client repeat the same request at another address.
     pub fn redirect(location: String) -> Self {
         Self { status: 307, location: Some(location), body: b"{}".to_vec() }
     }
@@ -108,11 +109,11 @@
     }
 }
 
-/// Serves connections, each on a thread of its own and no more than `max_connections` at once; those
-/// above are closed. Returns as soon as the accepting thread, named `name`, has started.
+/// Serves connections, each on its own thread. At most `max_connections` are served at once;
+/// further ones are closed. Returns as soon as the accepting thread, named `name`, has started.
 ///
 /// # Errors
-/// If that thread can't be started.
+/// If the accepting thread can't be started.
 pub fn serve<F>(
     listener: TcpListener,
     name: &'static str,
@@ -136,7 +137,7 @@
             }
             let (handle, open_here) = (Arc::clone(&handle), Arc::clone(&open));
             let started = start_thread(move || {
-                // Callers end connections whenever they like; there is nothing to report.
+                // Clients may close a connection at any time, so its errors are not reported.
                 let _ = serve_connection(stream, &*handle);
                 open_here.fetch_sub(1, Ordering::Relaxed);
             });
@@ -148,23 +149,23 @@
     Ok(())
 }
 
-/// Serves the readiness address of a node: whether it is to be sent clients, and its status.
+/// Serves the readiness address of a node: whether it accepts new clients, and its status.
 ///
 /// # Errors
 /// [`Fatal::Listen`] if the address can't be served.
-pub fn serve_state<R, S>(at: SocketAddr, ready: R, status: S) -> Result<(), Fatal>
+pub fn serve_readiness<R, S>(at: SocketAddr, ready: R, status: S) -> Result<(), Fatal>
 where
     R: Fn() -> bool + Send + Sync + 'static,
     S: Fn() -> serde_json::Value + Send + Sync + 'static,
 {
     let answer = move |request: Request| match (request.method.as_str(), request.path.as_str()) {
         ("GET", "/readiness") if ready() => Response::ok(),
-        ("GET", "/readiness") => Response::refusal(503, "not ready"),
+        ("GET", "/readiness") => Response::error(503, "not ready"),
         ("GET", "/status") => Response::json(200, status().to_string().into_bytes()),
-        (_, "/readiness" | "/status") => Response::refusal(405, "not with this method"),
-        _ => Response::refusal(404, "no such path"),
+        (_, "/readiness" | "/status") => Response::error(405, "not with this method"),
+        _ => Response::error(404, "no such path"),
     };
-    serve(listen(at)?, "readiness", MAX_READINESS_CALLERS, answer)
+    serve(listen(at)?, "readiness", MAX_READINESS_CONNECTIONS, answer)
         .map_err(|e| Fatal::Listen(at.to_string(), e))
 }
 
@@ -176,8 +177,8 @@
     loop {
         match read_request(&mut stream, &mut bytes)? {
             ReadOutcome::Closed => return Ok(()),
-            ReadOutcome::Refused(refusal) => {
-                write_response(&mut stream, &refusal, true)?;
+            ReadOutcome::Rejected(rejection) => {
+                write_response(&mut stream, &rejection, true)?;
                 return discard_input(&mut stream);
             }
             ReadOutcome::Request { request, close } => {
@@ -190,11 +191,11 @@
     }
 }
 
-/// Takes in some of what is still in flight, see [`MAX_DISCARDING_READS`].
+/// Discards a limited amount of data in flight; see [`MAX_DISCARD_READS`].
 fn discard_input(stream: &mut TcpStream) -> io::Result<()> {
     let mut discarded = [0; READ_BYTES];
     stream.set_read_timeout(Some(DISCARD_TIMEOUT))?;
-    for _ in 0..MAX_DISCARDING_READS {
+    for _ in 0..MAX_DISCARD_READS {
         if stream.read(&mut discarded).unwrap_or(0) == 0 {
             break;
         }
@@ -202,42 +203,42 @@
     Ok(())
 }
 
-/// What came instead of, or as, the next request of a connection.
+/// The result of reading the next request of a connection.
 enum ReadOutcome {
     Request {
         request: Request,
-        /// The connection ends with the response.
+        /// Whether the connection is closed after the response.
         close: bool,
     },
     /// The peer closed the connection.
     Closed,
-    /// No request that can be handled; this is the answer to it.
-    Refused(Response),
+    /// The request can't be handled; contains the error response.
+    Rejected(Response),
 }
 
 /// The head of a request.
 struct Head {
     request: Request,
     close: bool,
-    /// The bytes of the body that follows.
+    /// The size of the body that follows, in bytes.
     content_length: usize,
 }
 
-/// Why a head gives no request.
+/// Why the head of a request was not accepted.
 enum HeadError {
-    /// It can't be handled; this is the answer to it.
-    Refused(Response),
+    /// The request can't be handled; contains the error response.
+    Rejected(Response),
     /// The connection failed.
     Io(io::Error),
 }
 
 impl HeadError {
-    fn refused(status: u16, message: &str) -> Self {
-        Self::Refused(Response::refusal(status, message))
+    fn rejected(status: u16, message: &str) -> Self {
+        Self::Rejected(Response::error(status, message))
     }
 }
 
-/// Reads the next request; `bytes` holds what was received and not used yet.
+/// Reads the next request; `bytes` holds received data that was not consumed yet.
 fn read_request(stream: &mut TcpStream, bytes: &mut Vec<u8>) -> io::Result<ReadOutcome> {
     loop {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
@@ -246,15 +247,17 @@
             Ok(httparse::Status::Complete(head_length)) => {
                 let head = match read_head(stream, &parsed) {
                     Ok(head) => head,
-                    Err(HeadError::Refused(refusal)) => return Ok(ReadOutcome::Refused(refusal)),
+                    Err(HeadError::Rejected(rejection)) => {
+                        return Ok(ReadOutcome::Rejected(rejection));
+                    }
                     Err(HeadError::Io(e)) => return Err(e),
                 };
                 bytes.drain(..head_length);
                 return read_body(stream, bytes, head);
             }
-            Ok(httparse::Status::Partial) if bytes.len() > MAX_HEAD => {
-                let refusal = Response::refusal(431, "the head is too large");
-                return Ok(ReadOutcome::Refused(refusal));
+            Ok(httparse::Status::Partial) if bytes.len() > MAX_HEAD_BYTES => {
+                let rejection = Response::error(431, "the head is too large");
+                return Ok(ReadOutcome::Rejected(rejection));
             }
             Ok(httparse::Status::Partial) => {
                 if read_more(stream, bytes)? == 0 {
@@ -262,14 +265,14 @@
                 }
             }
             Err(_) => {
-                let refusal = Response::refusal(400, "not an HTTP request");
-                return Ok(ReadOutcome::Refused(refusal));
+                let rejection = Response::error(400, "not an HTTP request");
+                return Ok(ReadOutcome::Rejected(rejection));
             }
         }
     }
 }
 
-/// Reads the headers in their order; one that asks for it is answered with `100 Continue` at once.
+/// Evaluates the headers in order; answers an `Expect` header with `100 Continue` immediately.
 fn read_head(
     stream: &mut TcpStream,
     parsed: &httparse::Request<'_, '_>,
@@ -279,16 +282,16 @@
         path: parsed.path.unwrap_or_default().to_owned(),
         ..Request::default()
     };
-    // HTTP/1.0 closes unless it says otherwise.
+    // HTTP/1.0 connections are not persistent by default.
     let mut close = parsed.version == Some(0);
     let mut content_length = 0;
     for header in parsed.headers.iter() {
         let value = String::from_utf8_lossy(header.value).trim().to_owned();
         if header.name.eq_ignore_ascii_case("content-length") {
             content_length =
-                value.parse().map_err(|_| HeadError::refused(400, "bad content-length"))?;
+                value.parse().map_err(|_| HeadError::rejected(400, "bad content-length"))?;
         } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
-            return Err(HeadError::refused(411, "a length is needed"));
+            return Err(HeadError::rejected(411, "a length is needed"));
         } else if header.name.eq_ignore_ascii_case("connection") {
             close = value.eq_ignore_ascii_case("close");
         } else if header.name.eq_ignore_ascii_case("if-match") {
@@ -297,8 +300,8 @@
             stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").map_err(HeadError::Io)?;
         }
     }
-    if content_length > MAX_BODY {
-        return Err(HeadError::refused(413, "the body is too large"));
+    if content_length > MAX_BODY_BYTES {
+        return Err(HeadError::rejected(413, "the body is too large"));
     }
     Ok(Head { request, close, content_length })
 }
@@ -313,7 +316,7 @@
     Ok(ReadOutcome::Request { request: Request { body, ..head.request }, close: head.close })
 }
 
-/// Reads once and appends what came; 0 at the end of the stream.
+/// Reads once and appends the data; returns the number of bytes read, 0 at the end of the stream.
 fn read_more(stream: &mut TcpStream, bytes: &mut Vec<u8>) -> io::Result<usize> {
     let mut chunk = [0; READ_BYTES];
     let count = read_uninterrupted(stream, &mut chunk)?;
@@ -340,12 +343,12 @@
     stream.write_all(&out)
 }
 
-/// Makes one call on a connection of its own. `timeout` holds for connecting, for each read, and for
-/// sent data that is not acknowledged.
+/// Sends one request on a new connection and returns the response. `timeout` limits connecting,
+/// each read, and how long sent data may be unacknowledged.
 ///
 /// # Errors
-/// Those of the connection; `UnexpectedEof` if it ends within the response, and `InvalidData` if what
-/// comes is no HTTP response.
+/// The errors of the connection; `UnexpectedEof` if it ends within the response, and `InvalidData`
+/// if the received data is not an HTTP response.
 pub fn call(
     to: SocketAddr,
     method: &str,
@@ -355,40 +358,41 @@
     timeout: Duration,
 ) -> io::Result<Response> {
     let request = OutgoingRequest { method, path, headers, body };
-    call_while(to, &request, timeout, || true).map_err(|error| match error {
+    call_if(to, &request, timeout, || true).map_err(|error| match error {
         CallError::Io(error) => error,
         CallError::NotSent => io::ErrorKind::Interrupted.into(),
     })
 }
 
-/// A request of this program to another one.
+/// A request sent by [`call_if`].
 pub struct OutgoingRequest<'a> {
     /// The method.
     pub method: &'a str,
     /// The path.
     pub path: &'a str,
-    /// Headers beside those that every request has.
+    /// Headers in addition to those that every request has.
     pub headers: &'a [(&'a str, String)],
     /// The body, in JSON.
     pub body: &'a [u8],
 }
 
-/// Why a call got no response.
+/// Why a call returned no response.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// It was given up before anything was sent.
-    #[error("given up before it was sent")]
+    /// The request was cancelled before anything was sent.
+    #[error("HTTP request cancelled before it was sent")]
     NotSent,
-    /// The connection failed or timed out; the request may have arrived.
+    /// The connection failed or timed out; the server may have received the request.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// As [`call`], but asks `may_send` once the connection is there, right before the request leaves.
+/// Like [`call`], but evaluates `may_send` once the connection is established, immediately before
+/// sending the request.
 ///
 /// # Errors
-/// `NotSent` if it may not; otherwise as [`call`].
-pub fn call_while(
+/// `NotSent` if `may_send` returns false; otherwise the errors of [`call`].
+pub fn call_if(
     to: SocketAddr,
     request: &OutgoingRequest<'_>,
     timeout: Duration,
@@ -418,21 +422,21 @@
     Ok(Response { status: head.status, location: head.location, body })
 }
 
-/// The head of a response.
+/// The head of a response, as far as it is used.
 struct ResponseHead {
     status: u16,
     location: Option<String>,
-    /// Without it the body ends with the connection.
+    /// The value of `Content-Length`; without it the body ends where the connection ends.
     content_length: Option<usize>,
 }
 
-/// Reads the head of the final response; `bytes` then holds what came of the body.
+/// Reads the head of the final response; `bytes` then holds the part of the body received so far.
 fn read_response_head(stream: &mut TcpStream, bytes: &mut Vec<u8>) -> io::Result<ResponseHead> {
     loop {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut parsed = httparse::Response::new(&mut headers);
         match parsed.parse(bytes) {
-            // An interim response such as 100; the final one follows.
+            // An interim response (1xx); the final response follows.
             Ok(httparse::Status::Complete(length)) if parsed.code.is_some_and(|c| c < 200) => {
                 bytes.drain(..length);
             }
@@ -450,12 +454,17 @@
                 bytes.drain(..length);
                 return Ok(head);
             }
-            Ok(httparse::Status::Partial) if bytes.len() <= MAX_HEAD => {
+            Ok(httparse::Status::Partial) if bytes.len() <= MAX_HEAD_BYTES => {
                 if read_more(stream, bytes)? == 0 {
                     return Err(io::ErrorKind::UnexpectedEof.into());
                 }
             }
-            _ => return Err(io::Error::new(io::ErrorKind::InvalidData, "not an HTTP answer")),
+            _ => {
+                return Err(io::Error::new(
+                    io::ErrorKind::InvalidData,
+                    "malformed HTTP response head",
+                ));
+            }
         }
     }
 }
@@ -465,8 +474,10 @@
     mut bytes: Vec<u8>,
     content_length: Option<usize>,
 ) -> io::Result<Vec<u8>> {
-    // Twice the largest request: a status may be larger than a configuration.
-    while content_length.is_none_or(|length| bytes.len() < length) && bytes.len() <= 2 * MAX_BODY {
+    // Twice the limit of requests: a status document may be larger than a configuration.
+    while content_length.is_none_or(|length| bytes.len() < length)
+        && bytes.len() <= 2 * MAX_BODY_BYTES
+    {
         if read_more(stream, &mut bytes)? == 0 {
             break;
         }
--- a/src/pooler/process.rs
+++ b/src/pooler/process.rs
@@ -69,7 +69,7 @@
     fn serve_status(&self, address: SocketAddr) -> Result<(), Fatal> {
         let (readiness, status) = (Arc::clone(&self.pooler), Arc::clone(&self.pooler));
         let is_ready = move || readiness.is_ready(Tick::now());
-        http::serve_state(address, is_ready, move || status.status(Tick::now()))
+        http::serve_readiness(address, is_ready, move || status.status(Tick::now()))
     }
 
     fn start_leader_connection(&self) -> Result<(), Fatal> {
