--- a/src/net/leader_discovery.rs
+++ b/src/net/leader_discovery.rs
@@ -1,37 +1,38 @@
-//! Which controller a node contacts when, while it looks for the leader.
+//! The schedule by which a node contacts controllers while it searches for the leader.
 //!
-//! A pure value: [`LeaderConnection`](crate::net::leader_connection::LeaderConnection) makes the
-//! attempts that it names and reports how they end.
+//! Performs no I/O: [`LeaderConnection`](crate::net::leader_connection::LeaderConnection) makes the
+//! scheduled attempts and reports their results.
 use crate::base::time::Tick;
 use std::net::SocketAddr;
 
-/// The next controller is contacted this much later, in ms, beside attempts still in flight.
+/// The interval between attempts, in ms. Earlier attempts may still be in flight.
 pub(crate) const ATTEMPT_INTERVAL_MS: u64 = 150;
 
-/// The pause after a round in which no controller led, in ms.
+/// The pause after a round in which no leader was found, in ms.
 const ROUND_PAUSE_MS: u64 = 80;
 
-/// Attempts in flight to one controller: the first packet of one may be lost.
+/// The maximum number of concurrent attempts to one controller. A second attempt helps if the first
+/// packet of the first one was lost.
 const MAX_ATTEMPTS_PER_CONTROLLER: usize = 2;
 
-/// Goes through the known controllers, one attempt after the other. An attempt that has not ended
-/// stays in flight while the next begins: on a congested link a late answer can't be told from a
-/// controller that gives none.
+/// Schedules attempts to the known controllers in turn. An attempt that has not ended stays in
+/// flight when the next one starts: over a congested link, a slow response can't be distinguished
+/// from a controller that does not respond.
 #[derive(Debug)]
 pub struct LeaderDiscovery {
-    /// The controllers to contact, in turn.
+    /// The known controllers, contacted in this order.
     pub(crate) controllers: Vec<SocketAddr>,
-    /// The one contacted last, as an index.
+    /// The index of the controller contacted last in turn.
     current: usize,
-    /// Named as the leader; contacted before the others.
+    /// The controller that was reported as the leader; contacted before the others.
     leader_hint: Option<SocketAddr>,
-    /// Attempts in flight.
+    /// The target of each attempt in flight.
     in_flight: Vec<SocketAddr>,
     next_attempt_at: Tick,
 }
 
 impl LeaderDiscovery {
-    /// Begins with these controllers; the first attempt is due at once.
+    /// Creates a schedule for these controllers; the first attempt is due immediately.
     pub fn new(controllers: Vec<SocketAddr>) -> Self {
         Self {
             controllers,
@@ -42,16 +43,16 @@
         }
     }
 
-    /// Starts another search after a connection was lost. Earlier attempts no longer count, but the
-    /// time of the next one stays: a leader that accepts nodes and ends at once must not be contacted
-    /// without a pause.
+    /// Starts another search after a connection was lost. Earlier attempts are forgotten, but the
+    /// next one is not due earlier than before: a leader that accepts connections and closes them
+    /// immediately must not be contacted in a busy loop.
     pub fn restart(&mut self, leader_hint: Option<SocketAddr>, now: Tick) {
         self.leader_hint = leader_hint;
         self.next_attempt_at = self.next_attempt_at.max(now);
         self.in_flight.clear();
     }
 
-    /// Adds controllers that are not known yet.
+    /// Adds the seeds that are not known yet.
     pub fn add_controllers(&mut self, seeds: &[SocketAddr]) {
         for seed in seeds {
             if !self.controllers.contains(seed) {
@@ -60,13 +61,13 @@
         }
     }
 
-    /// When the next attempt is due.
+    /// The time at which the next attempt is due.
     pub fn next_attempt_at(&self) -> Tick {
         self.next_attempt_at
     }
 
-    /// Begins an attempt if one is due, and gives the controller to contact; none also if each of
-    /// them has its attempts in flight.
+    /// Starts an attempt if one is due and returns the controller to contact. `None` also if every
+    /// controller has the maximum number of attempts in flight.
     pub fn next_attempt(&mut self, now: Tick) -> Option<SocketAddr> {
         if now < self.next_attempt_at {
             return None;
@@ -94,15 +95,16 @@
         None
     }
 
-    /// An attempt has ended without finding the leader; the controller may have named it.
+    /// Records that an attempt did not find the leader; `leader` is the one that the controller
+    /// named.
     pub fn attempt_failed(&mut self, to: SocketAddr, leader: Option<SocketAddr>, now: Tick) {
         if let Some(at) = self.in_flight.iter().position(|other| *other == to) {
             self.in_flight.swap_remove(at);
         }
         let hint = leader.filter(|leader| *leader != to);
         self.leader_hint = hint.or(self.leader_hint);
-        // A named leader with an attempt in flight may still answer that one: no need to contact it
-        // again each time it is named.
+        // The named leader may still respond to an attempt in flight, so it is not contacted again
+        // each time it is named.
         if hint.is_some_and(|leader| !self.in_flight.contains(&leader)) {
             self.next_attempt_at = now;
         } else if self.in_flight.is_empty() {
