--- a/src/net/leader_connection.rs
+++ b/src/net/leader_connection.rs
@@ -1,8 +1,8 @@
-//! The connection that a node (a pooler or a gateway) keeps to the leading controller.
+//! The connection of a node (a pooler or a gateway) to the leading controller.
 //!
-//! [`LeaderConnection::run`] owns a thread of the node: it looks for the leader, hands its messages
-//! to the node's [`LeaderSubscriber`], and begins again when the connection is lost. Other threads
-//! send through the same value.
+//! [`LeaderConnection::run`] runs on its own thread: it searches for the leader, passes the
+//! leader's messages to the node's [`LeaderSubscriber`], and starts over when the connection is
+//! lost. Other threads send messages through the same [`LeaderConnection`].
 use crate::base::sync::lock;
 use crate::base::time::Tick;
 use crate::base::worker_pool::start_thread;
@@ -19,81 +19,84 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// How long an attempt may take to connect, and again to receive the first answer. Over a congested
-/// link both take long; an unreachable controller delays the search only by its turn.
+/// The time-out of an attempt for connecting, and again for receiving the first response. Generous,
+/// since both take long over a congested link; other controllers are contacted in the meantime.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long sent data may be unacknowledged before the connection counts as lost.
+/// How long sent data may be unacknowledged before the connection fails.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long a message may wait for room in the kernel's buffer.
+/// How long sending a message may block because the kernel's send buffer is full.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Without a message for this long the leader counts as lost: renewals are answered far more often.
+/// The connection is lost if no message is received for this long. The leader responds to lease
+/// renewals far more often.
 const READ_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// The buffer of a connection's reader, in bytes.
+/// The size of a connection's read buffer.
 const READ_BUFFER_BYTES: usize = 4096;
 
-/// The part of a node that follows the leader. Its methods are called by the connection's thread.
+/// Receives the leader's messages on behalf of a node. The thread of the connection calls its
+/// methods.
 pub trait LeaderSubscriber {
-    /// The first message on a new connection, [`ToController::Hello`].
+    /// Returns the [`ToController::Hello`] that is sent first on a new connection.
     fn hello(&self) -> ToController;
-    /// A leader has welcomed the node; nothing can be sent to it yet.
+    /// Called when a leader has accepted the connection; messages can't be sent yet.
     fn on_connected(&self);
-    /// Messages can be sent from now on.
+    /// Called when messages can be sent on the connection.
     fn on_ready(&self);
-    /// A message of the leader.
+    /// Called for each message from the leader.
     fn on_message(&self, message: ToPooler);
 }
 
-/// Opens a connection to a controller within a time.
+/// Opens a connection to a controller within a time-out.
 pub type Connect = fn(SocketAddr, Duration) -> io::Result<TcpStream>;
 
-/// A connection to the leader, looked for again whenever it is lost.
+/// A connection to the leader, which is re-established whenever it is lost.
 pub struct LeaderConnection {
-    /// The target of its log lines.
+    /// The target of the log messages.
     log_target: &'static str,
-    /// Where controllers are looked for, as the settings name them now.
+    /// The peer addresses of the controllers in the current settings.
     seeds: Mutex<Vec<SocketAddr>>,
     stream: Mutex<Option<TcpStream>>,
     connected: AtomicBool,
     connect: Connect,
 }
 
-/// A connection whose controller has answered that it leads.
-struct Welcomed {
+/// A connection that the leader has accepted.
+struct AcceptedConnection {
     stream: TcpStream,
     reader: BufReader<TcpStream>,
     /// The peer addresses of all controllers.
     controllers: Vec<SocketAddr>,
 }
 
-/// What a controller answers first.
-enum FirstAnswer {
-    Welcome(Welcomed),
+/// A controller's response to a `Hello`.
+enum HelloResponse {
+    Welcome(AcceptedConnection),
     NotLeader(Option<SocketAddr>),
 }
 
-/// How an attempt at one controller ended.
+/// The result of an attempt to connect to one controller.
 struct AttemptResult {
     to: SocketAddr,
-    answer: io::Result<FirstAnswer>,
+    response: io::Result<HelloResponse>,
 }
 
-/// The controllers that were sent a `Hello` and have not answered; none once one has welcomed the
-/// node. Each has one `Hello` at a time, because the leader counts only the newest.
+/// The controllers that were sent a `Hello` and have not responded yet; `None` once the leader is
+/// found. At most one `Hello` per controller is unanswered, because the leader accepts only the
+/// newest connection of a node.
 type PendingHellos = Mutex<Option<BTreeSet<SocketAddr>>>;
 
 impl LeaderConnection {
-    /// A connection that is not open yet; `log_target` is the target of its log lines.
+    /// Creates a connection that is not open yet; `log_target` is the target of its log messages.
     pub fn new(log_target: &'static str, seeds: Vec<SocketAddr>) -> Self {
         Self::with_connect(log_target, seeds, |to, timeout| {
             connect_stream(to, timeout, UNACKNOWLEDGED_TIMEOUT)
         })
     }
 
-    /// The same, with another way to open connections.
+    /// Like [`Self::new`], with another function that opens connections.
     pub fn with_connect(
         log_target: &'static str,
         seeds: Vec<SocketAddr>,
@@ -108,60 +111,63 @@
         }
     }
 
-    /// Replaces the controllers that a search begins with.
+    /// Replaces the addresses at which the leader is searched for.
     pub fn set_seeds(&self, seeds: Vec<SocketAddr>) {
         *lock(&self.seeds) = seeds;
     }
 
-    /// Whether there is a connection to a leader.
+    /// Whether the node is connected to a leader.
     pub fn is_connected(&self) -> bool {
         self.connected.load(Ordering::Relaxed)
     }
 
-    /// Locks the connection, for messages whose order matters; see [`LeaderConnection::send_locked`].
+    /// Locks the connection, to send messages in a given order with [`Self::send_locked`].
     pub fn lock(&self) -> MutexGuard<'_, Option<TcpStream>> {
         lock(&self.stream)
     }
 
-    /// Sends a message; without a connection it is dropped, as one on a connection that breaks.
+    /// Sends a message. It is dropped if there is no connection or the connection fails.
     pub fn send(&self, message: ToController) {
         Self::send_locked(&mut self.lock(), message);
     }
 
-    /// Sends a message on the locked connection, as [`LeaderConnection::send`].
+    /// Sends a message on the locked connection, like [`Self::send`].
     pub fn send_locked(connection: &mut Option<TcpStream>, message: ToController) {
         if let Some(stream) = connection.as_mut()
             && send(stream, &Frame::Pooler(message)).is_err()
         {
-            // The reader sees the end and looks for another leader.
+            // The reading thread gets an error from this and searches for the leader again.
             drop(stream.shutdown(Shutdown::Both));
         }
     }
 
-    /// Keeps a connection to the leader, looking for it whenever there is none. Does not return.
+    /// Connects to the leader and handles its messages; searches for the leader again whenever the
+    /// connection is lost. Does not return.
     pub fn run(&self, subscriber: &dyn LeaderSubscriber) {
         let mut discovery = LeaderDiscovery::new(lock(&self.seeds).clone());
         let mut leader_hint = None;
         loop {
             discovery.restart(leader_hint.take(), Tick::now());
-            let (to, welcomed) = self.find_leader(subscriber.hello(), &mut discovery);
-            if !welcomed.controllers.is_empty() {
-                discovery.controllers = welcomed.controllers;
+            let (to, accepted) = self.find_leader(subscriber.hello(), &mut discovery);
+            if !accepted.controllers.is_empty() {
+                discovery.controllers = accepted.controllers;
             }
-            let (stream, reader) = (welcomed.stream, welcomed.reader);
-            match self.follow(subscriber, to, stream, reader, &mut discovery.controllers) {
+            let (stream, reader) = (accepted.stream, accepted.reader);
+            match self.follow_leader(subscriber, to, stream, reader, &mut discovery.controllers) {
                 Ok(leader) => leader_hint = leader.filter(|leader| *leader != to),
-                Err(e) => debug!(target: self.log_target, "controller {to}: {e}"),
+                Err(e) => {
+                    debug!(target: self.log_target, "connection to controller {to} failed: {e}")
+                }
             }
         }
     }
 
-    /// Contacts controllers side by side until one that leads has welcomed the node.
+    /// Contacts controllers concurrently until the leader has accepted the node.
     fn find_leader(
         &self,
         hello: ToController,
         discovery: &mut LeaderDiscovery,
-    ) -> (SocketAddr, Welcomed) {
+    ) -> (SocketAddr, AcceptedConnection) {
         let pending: Arc<PendingHellos> = Arc::new(Mutex::new(Some(BTreeSet::new())));
         let (results_tx, results) = channel();
         loop {
@@ -176,25 +182,25 @@
             let Ok(result) = results.recv_timeout(Duration::from_millis(wait_ms)) else {
                 continue;
             };
-            let AttemptResult { to, answer } = result;
-            match answer {
-                Ok(FirstAnswer::Welcome(welcomed)) => {
+            let AttemptResult { to, response } = result;
+            match response {
+                Ok(HelloResponse::Welcome(accepted)) => {
                     *lock(&pending) = None;
-                    return (to, welcomed);
+                    return (to, accepted);
                 }
-                Ok(FirstAnswer::NotLeader(leader)) => {
+                Ok(HelloResponse::NotLeader(leader)) => {
                     discovery.attempt_failed(to, leader, Tick::now());
                 }
                 Err(e) => {
-                    debug!(target: self.log_target, "controller {to}: {e}");
+                    debug!(target: self.log_target, "attempt at controller {to} failed: {e}");
                     discovery.attempt_failed(to, None, Tick::now());
                 }
             }
         }
     }
 
-    /// Contacts a controller on a thread of its own; false if there is none. A result that comes
-    /// after the search has ended is dropped, and its connection with it.
+    /// Contacts a controller on another thread; false if no thread could be started. A result that
+    /// arrives after the search has ended is dropped, which closes its connection.
     fn start_attempt(
         &self,
         to: SocketAddr,
@@ -205,14 +211,14 @@
         let (connect, hello) = (self.connect, hello.clone());
         let (pending, results) = (Arc::clone(pending), results.clone());
         start_thread(move || {
-            let answer = attempt(connect, to, hello, &pending);
-            drop(results.send(AttemptResult { to, answer }));
+            let response = attempt(connect, to, hello, &pending);
+            drop(results.send(AttemptResult { to, response }));
         })
     }
 
-    /// Follows one controller for as long as it leads; then gives who leads, if it says so. Keeps the
-    /// list of controllers up to date meanwhile.
-    fn follow(
+    /// Handles the messages of one leader until it steps down or the connection fails, and updates
+    /// the list of controllers. Returns the new leader if the old one names it.
+    fn follow_leader(
         &self,
         subscriber: &dyn LeaderSubscriber,
         to: SocketAddr,
@@ -238,45 +244,48 @@
         };
         *self.lock() = None;
         self.connected.store(false, Ordering::Relaxed);
-        info!(target: self.log_target, "disconnected from leader {to}");
+        info!(target: self.log_target, "disconnected from leader {to}; searching for the leader");
         ended
     }
 }
 
-/// Connects to a controller and introduces the node, unless a `Hello` to it is pending or another
-/// controller has welcomed the node meanwhile.
+/// Connects to a controller and sends a `Hello`, unless an earlier `Hello` to it is unanswered or
+/// the leader has been found in the meantime.
 fn attempt(
     connect: Connect,
     to: SocketAddr,
     hello: ToController,
     pending: &PendingHellos,
-) -> io::Result<FirstAnswer> {
+) -> io::Result<HelloResponse> {
     let mut stream = connect(to, ATTEMPT_TIMEOUT)?;
     stream.set_write_timeout(Some(WRITE_TIMEOUT))?;
     stream.set_read_timeout(Some(ATTEMPT_TIMEOUT))?;
     if !lock(pending).as_mut().is_some_and(|pending| pending.insert(to)) {
-        return Err(io::Error::new(io::ErrorKind::AlreadyExists, "not needed any more"));
+        return Err(io::Error::new(
+            io::ErrorKind::AlreadyExists,
+            "attempt superseded: leader found, or earlier Hello still unanswered",
+        ));
     }
-    let answer = introduce(&mut stream, hello);
-    if !matches!(answer, Ok(FirstAnswer::Welcome(_)))
+    let response = send_hello(&mut stream, hello);
+    if !matches!(response, Ok(HelloResponse::Welcome(_)))
         && let Some(pending) = lock(pending).as_mut()
     {
         pending.remove(&to);
     }
-    answer
+    response
 }
 
-/// Sends the `Hello` and reads the first answer.
-fn introduce(stream: &mut TcpStream, hello: ToController) -> io::Result<FirstAnswer> {
+/// Sends the `Hello` and reads the first response.
+fn send_hello(stream: &mut TcpStream, hello: ToController) -> io::Result<HelloResponse> {
     send(stream, &Frame::Pooler(hello))?;
     let mut reader = BufReader::with_capacity(READ_BUFFER_BYTES, stream.try_clone()?);
     match receive(&mut reader)? {
         Frame::Controller(ToPooler::Welcome { controllers }) => {
             stream.set_read_timeout(Some(READ_TIMEOUT))?;
             let stream = stream.try_clone()?;
-            Ok(FirstAnswer::Welcome(Welcomed { stream, reader, controllers }))
+            Ok(HelloResponse::Welcome(AcceptedConnection { stream, reader, controllers }))
         }
-        Frame::Controller(ToPooler::NotLeader(leader)) => Ok(FirstAnswer::NotLeader(leader)),
+        Frame::Controller(ToPooler::NotLeader(leader)) => Ok(HelloResponse::NotLeader(leader)),
         _ => Err(io::ErrorKind::InvalidData.into()),
     }
 }
