--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,7 +1,8 @@
-//! The command line: its arguments, the commands that run a node, and the operator's calls.
+//! The command line interface: its arguments, the commands that run a node, and the commands that
+//! call the admin and readiness addresses of nodes.
 //!
-//! `main` parses [`Arguments`] and calls [`run`]. What the commands print on standard output, and
-//! their exit codes, are used by operators' scripts and stay as they are.
+//! `main` parses [`Arguments`] and calls [`run`]. The output of the commands on standard output and
+//! their exit codes are a stable interface, on which operators' scripts rely.
 use clap::{Args, Parser, Subcommand};
 use log::LevelFilter;
 use silvertack::base::errors::Fatal;
@@ -16,11 +17,12 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Redirects that a call follows: to a controller that knows the leader, and to the leader.
+/// The maximum number of redirects of a call: to a controller that knows the leader, and to the
+/// leader.
 const MAX_REDIRECTS: usize = 2;
 
-/// Time for the answer to a call.
-const CALL_LIMIT: Duration = Duration::from_secs(3);
+/// The time-out of a call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A connection pooler, an API gateway, and the control plane that configures both.
 #[derive(Parser)]
@@ -34,7 +36,7 @@
     pub(crate) command: Command,
 }
 
-/// The subcommands.
+/// The subcommands of the program.
 #[derive(Subcommand)]
 pub(crate) enum Command {
     /// Run the connection pooler of this machine.
@@ -78,7 +80,7 @@
     },
 }
 
-/// What every kind of node is started with.
+/// The arguments of the commands that run a node.
 #[derive(Args)]
 pub(crate) struct NodeArguments {
     /// The settings file; if not given, the environment variable SILVERTACK_BOOT names it.
@@ -87,7 +89,7 @@
 }
 
 impl NodeArguments {
-    /// Finds and reads the settings; the path is needed again for reloads.
+    /// Locates and reads the settings file. The path is returned too, since reloads need it.
     fn load(self) -> Result<(PathBuf, Settings), Fatal> {
         let path = Settings::path(self.settings)?;
         let settings = Settings::read(&path)?;
@@ -95,7 +97,7 @@
     }
 }
 
-/// The kinds of files that can be validated.
+/// The kinds of files that `check` validates.
 #[derive(Subcommand)]
 pub(crate) enum Check {
     /// A node's settings file (TOML).
@@ -110,7 +112,7 @@
     },
 }
 
-/// The operator's calls about the configuration.
+/// The calls that read or replace the configuration.
 #[derive(Subcommand)]
 pub(crate) enum ConfigurationCall {
     /// Print the current configuration, as it was sent.
@@ -133,33 +135,33 @@
 /// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum CommandError {
-    /// A node could not start or go on, or a file is not valid.
+    /// A node failed, or a file is not valid.
     #[error(transparent)]
     Node(#[from] Fatal),
     /// A file could not be read.
     #[error("configuration: {}: {source}", file.display())]
     File { file: PathBuf, source: io::Error },
-    /// There was no answer.
+    /// The node did not respond.
     #[error("{address}: {source}")]
     Unreachable { address: SocketAddr, source: io::Error },
-    /// The answer was no success.
-    #[error("{address} answers {status}: {body}")]
+    /// The node responded with an error.
+    #[error("{address} responded with status {status}: {body}")]
     Rejected { address: SocketAddr, status: u16, body: String },
-    /// The answer was no JSON.
-    #[error("{address} answers nonsense: {source}")]
-    InvalidAnswer { address: SocketAddr, source: serde_json::Error },
+    /// The response was not valid JSON.
+    #[error("{address} responded with invalid JSON: {source}")]
+    InvalidResponse { address: SocketAddr, source: serde_json::Error },
     /// The node's status names no leader.
-    #[error("{0} knows of no leader, or is no controller")]
+    #[error("the status of {0} names no leader: it knows none, or is not a controller")]
     NoLeader(SocketAddr),
     /// The call was redirected more than [`MAX_REDIRECTS`] times.
-    #[error("{0} sends from node to node")]
+    #[error("the call to {0} was redirected more than {MAX_REDIRECTS} times")]
     TooManyRedirects(SocketAddr),
-    /// Standard output could not be written.
+    /// Writing to standard output failed.
     #[error("standard output: {0}")]
     Output(#[source] io::Error),
-    /// So many simulated schedules broke a guarantee.
-    #[error("{0} schedules broke a promise")]
-    BrokenSchedules(u64),
+    /// This number of simulated schedules violated a guarantee.
+    #[error("{0} simulated schedules violated a guarantee")]
+    FailedSchedules(u64),
 }
 
 impl CommandError {
@@ -172,10 +174,10 @@
     }
 }
 
-/// Carries out a command; those that run a node end with it.
+/// Executes a command. The commands that run a node return when the node has shut down.
 ///
 /// # Errors
-/// Why the command failed.
+/// A [`CommandError`] with the reason why the command failed.
 pub(crate) fn run(command: Command) -> Result<(), CommandError> {
     match command {
         Command::Pooler(arguments) => {
@@ -223,7 +225,7 @@
     print_json(address, &body)
 }
 
-/// The leader's admin address, as the status of the controller at `address` names it.
+/// The leader's admin address in the status of the controller at `address`.
 fn leader_address(address: SocketAddr, status: &[u8]) -> Result<SocketAddr, CommandError> {
     let status = parse_json(address, status)?;
     let leader = status["leader_admin"].as_str().and_then(|leader| leader.parse().ok());
@@ -251,19 +253,19 @@
 }
 
 fn parse_json(address: SocketAddr, body: &[u8]) -> Result<serde_json::Value, CommandError> {
-    serde_json::from_slice(body).map_err(|source| CommandError::InvalidAnswer { address, source })
+    serde_json::from_slice(body).map_err(|source| CommandError::InvalidResponse { address, source })
 }
 
 fn print_json(address: SocketAddr, body: &[u8]) -> Result<(), CommandError> {
     let value = parse_json(address, body)?;
     match writeln!(io::stdout(), "{value:#}") {
-        // The reader of a pipe may end before it has read everything.
+        // The reading end of a pipe may be closed before everything is written.
         Err(e) if e.kind() != io::ErrorKind::BrokenPipe => Err(CommandError::Output(e)),
         _ => Ok(()),
     }
 }
 
-/// Makes one call, following redirects to the leader; gives the body of a success.
+/// Sends one request, following redirects to the leader; returns the body of a success response.
 fn call(
     address: SocketAddr,
     method: &str,
@@ -271,17 +273,17 @@
     headers: &[(&str, String)],
     body: &[u8],
 ) -> Result<Vec<u8>, CommandError> {
-    let mut address_now = address;
+    let mut current_address = address;
     for _ in 0..=MAX_REDIRECTS {
-        let response = http::call(address_now, method, path, headers, body, CALL_LIMIT)
-            .map_err(|source| CommandError::Unreachable { address: address_now, source })?;
+        let response = http::call(current_address, method, path, headers, body, CALL_TIMEOUT)
+            .map_err(|source| CommandError::Unreachable { address: current_address, source })?;
         let status = response.status;
         match (status, response.location.as_deref().and_then(redirect_address)) {
             (200..=299, _) => return Ok(response.body),
-            (307, Some(next)) => address_now = next,
+            (307, Some(next)) => current_address = next,
             _ => {
                 let body = String::from_utf8_lossy(&response.body).into_owned();
-                return Err(CommandError::Rejected { address: address_now, status, body });
+                return Err(CommandError::Rejected { address: current_address, status, body });
             }
         }
     }
@@ -293,8 +295,8 @@
     location.strip_prefix("http://")?.split('/').next()?.parse().ok()
 }
 
-/// Runs schedules of random faults; prints those that broke a guarantee, each with the seed that
-/// reproduces it.
+/// Runs schedules of random faults; prints the seed and the violation of each schedule that
+/// violated a guarantee.
 fn simulate(first_seed: u64, schedules: u64, jobs: u64) -> Result<(), CommandError> {
     let (next, broken) = (AtomicU64::new(0), AtomicU64::new(0));
     std::thread::scope(|threads| {
@@ -316,11 +318,12 @@
     println!("{schedules} schedules from --seed {first_seed}: {broken} broken");
     match broken {
         0 => Ok(()),
-        _ => Err(CommandError::BrokenSchedules(broken)),
+        _ => Err(CommandError::FailedSchedules(broken)),
     }
 }
 
-/// Runs one schedule; false if it broke a guarantee. With `details` the schedule is printed too.
+/// Runs one schedule; false if it violated a guarantee. With `details`, prints the schedule as
+/// well.
 fn run_schedule(seed: u64, details: bool) -> bool {
     let schedule = simulation::schedule::Schedule::drawn(seed);
     match simulation::runner::run_schedule(&schedule) {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,10 +1,11 @@
-//! silvertack: a pool of client sessions on databases, an API gateway, and the control plane of both.
+//! silvertack: a database connection pooler, an API gateway, and the Raft control plane of both.
 //!
-//! Three roles: [`pooler`] carries the sessions of its machine, [`gateway`] forwards HTTP requests
-//! where the deployment is a gateway, and [`controller`] keeps the replicated state. The controller
-//! stands on [`raft`], [`state_machine`], [`failover`] and [`leases`], which are pure; [`simulation`]
-//! runs whole controllers under drawn faults. [`node`], [`net`], [`config`] and [`base`] are what the
-//! roles share. `docs/architecture.md` shows how they fit together.
+//! A process has one of three roles: [`pooler`] multiplexes client sessions over database
+//! connections, [`gateway`] forwards HTTP requests to the databases of an API deployment, and
+//! [`controller`] maintains the replicated state. The controller is built on [`raft`],
+//! [`state_machine`], [`failover`] and [`leases`], which perform no I/O; [`simulation`] runs
+//! complete controllers under random faults. The roles share [`node`], [`net`], [`config`] and
+//! [`base`]. `docs/architecture.md` describes how the modules fit together.
 pub mod base;
 pub mod config;
 pub mod controller;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,5 @@
-//! Process entry of silvertack: arguments in, exit code out.
+//! The entry point of the `silvertack` program: parses the arguments, runs the command and sets the
+//! exit code.
 mod cli;
 
 use clap::Parser;
