--- a/src/controller/failover_driver.rs
+++ b/src/controller/failover_driver.rs
@@ -12,7 +12,7 @@
 use crate::leases::lease_table::CoverageRule;
 use crate::leases::passed_on::AcknowledgedCommits;
 use crate::net::rpc::pooler_messages::{Handover, ToPooler};
-use crate::net::rpc::{Frame, PARTS_LAYOUT, encode};
+use crate::net::rpc::{CHUNKS_LAYOUT, Frame, encode};
 use crate::state_machine::Command;
 use log::{debug, info, warn};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -187,7 +187,7 @@
         match action {
             FailoverAction::Propose(
                 Command::ForgetDeparted { .. } | Command::PrimaryReturned { .. },
-            ) if !self.raft.all_peers_read_layout(PARTS_LAYOUT) => {
+            ) if !self.raft.all_peers_read_layout(CHUNKS_LAYOUT) => {
                 debug!(target: "failover", "{service}: waits until all controllers run the new version");
             }
             FailoverAction::Propose(command) => {
--- a/src/net/rpc/error.rs
+++ b/src/net/rpc/error.rs
@@ -1,32 +1,32 @@
-//! Why bytes are no frame or no value.
+//! The errors of decoding frames and values.
 use crate::net::rpc::layout::{FIRST_LAYOUT, LAYOUT};
 use std::io;
 
-/// Why received or stored bytes can't be decoded. It comes as the source of an [`io::Error`] of the
-/// kind `InvalidData`, since whoever reads a connection has to handle that error anyway.
+/// Why received or stored bytes can't be decoded. Returned as the source of an [`io::Error`] of
+/// kind `InvalidData`, because callers that read from a connection handle I/O errors anyway.
 #[derive(Debug, thiserror::Error)]
 pub enum RpcError {
-    /// The frame can only be read by a newer program.
+    /// The frame requires a newer layout than this program supports.
     #[error("a frame of layout {0}, this program reads {LAYOUT}")]
     UnsupportedFrameLayout(u8),
-    /// The frame announces more bytes than any frame has.
-    #[error("frame of {0} bytes")]
+    /// The frame's length is above the maximum.
+    #[error("frame of {0} bytes exceeds the maximum size")]
     FrameTooLarge(usize),
     /// The frame can't be decoded.
-    #[error("an unreadable frame, this program reads {LAYOUT}: {0}")]
+    #[error("can't decode a frame, this program reads {LAYOUT}: {0}")]
     UndecodableFrame(#[source] rmp_serde::decode::Error),
-    /// The frame can't be decoded, and its sender reads a newer layout.
+    /// The frame can't be decoded, and its sender supports a newer layout.
     #[error(
-        "an unreadable frame of a sender that reads layout {sender_layout}, \
+        "can't decode a frame of a sender that reads layout {sender_layout}, \
          this program reads {LAYOUT}: {source}"
     )]
     UndecodableNewerFrame {
-        /// The layout that the sender reads.
+        /// The newest layout that the sender supports.
         sender_layout: u8,
-        /// What the decoder says.
+        /// The error of the decoder.
         source: rmp_serde::decode::Error,
     },
-    /// The value has a layout of a newer program.
+    /// The value has a layout that only newer releases support.
     #[error("of layout {0}, this program reads {FIRST_LAYOUT}")]
     UnsupportedValueLayout(u8),
     /// The value can't be decoded.
--- a/src/net/rpc/frame.rs
+++ b/src/net/rpc/frame.rs
@@ -1,12 +1,13 @@
-//! The frames of the peer port: their content, and how they are written and read.
+//! The frames of the peer port: their content, and functions that write and read them.
 //!
-//! On the wire a frame is a big-endian length of four bytes, whose highest byte holds the layout that
-//! a reader must know, then the value, then one byte with the layout that the sender reads. A program
-//! of the first layout stops reading behind the value and does not see that byte.
+//! On the wire, a frame consists of a four-byte big-endian length, whose highest byte holds the
+//! layout that the reader must support, the encoded value, and one byte with the newest layout that
+//! the sender supports. A program of the first layout stops decoding after the value and ignores
+//! that byte.
 use crate::base::ids::MemberId;
 use crate::net::rpc::error::RpcError;
 use crate::net::rpc::layout::{
-    ANY_READER, FIRST_LAYOUT, HANDOVER_LAYOUT, LAYOUT, LAYOUT_LIMIT, PARTS_LAYOUT,
+    CHUNKS_LAYOUT, FIRST_LAYOUT, HANDOVER_LAYOUT, LAYOUT, MIN_STRUCTURE_BYTE, NO_REQUIRED_LAYOUT,
 };
 use crate::net::rpc::pooler_messages::{LeaseGrant, PrimaryStatus, ToController, ToPooler};
 use crate::net::rpc::raft_messages::{JoinResponse, Member, RaftMessage, RaftMessageKind};
@@ -14,22 +15,22 @@
 use std::io::{self, Read, Write};
 use std::sync::Arc;
 
-/// The largest frame, in bytes behind its length; what is larger is sent in chunks.
+/// The maximum size of a frame without its length. Larger messages are sent in chunks.
 const MAX_FRAME_BYTES: usize = 8 << 20;
 
-/// The bytes of the length.
+/// The size of the length field.
 const LENGTH_BYTES: usize = 4;
 
-/// The most that is reserved for a frame before its bytes arrive, so that a wrong length costs no
-/// memory.
+/// The maximum memory reserved for a frame before its bytes are received, so that a wrong length
+/// does not allocate much.
 const MAX_RESERVED_BYTES: usize = 64 << 10;
 
-/// Anything sent on the peer port. The first frame of a connection shows who calls.
+/// A frame on the peer port. The first frame of a connection identifies the kind of its sender.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Frame {
     /// A consensus message between controllers.
     Raft {
-        /// The member that it is meant for.
+        /// The recipient.
         to: MemberId,
         /// The message.
         message: Box<RaftMessage>,
@@ -38,56 +39,56 @@
     Join {
         /// The controller that asks.
         member: Member,
-        /// It was a member before and asks whether it still is.
+        /// Whether it was a member before and asks if it still is.
         was_member: bool,
     },
-    /// The answer to a `Join`.
+    /// The response to a `Join`.
     Joined(JoinResponse),
-    /// A message of a node to the leader.
+    /// A message from a node to the leader.
     #[serde(rename = "Stile")]
     Pooler(ToController),
-    /// A message of a controller to a node.
+    /// A message from a controller to a node.
     #[serde(rename = "Steward")]
     Controller(ToPooler),
 }
 
 impl Frame {
-    /// The layout that the frame's reader must know.
+    /// The layout that the reader of the frame must support.
     fn required_layout(&self) -> u8 {
         match self {
             Frame::Raft { message, .. } => match message.kind {
                 RaftMessageKind::Chunk { .. } | RaftMessageKind::ChunkResponse { .. } => {
-                    PARTS_LAYOUT
+                    CHUNKS_LAYOUT
                 }
-                _ => ANY_READER,
+                _ => NO_REQUIRED_LAYOUT,
             },
             Frame::Controller(ToPooler::HandOver { .. })
             | Frame::Pooler(ToController::HandOverAck { .. }) => HANDOVER_LAYOUT,
             Frame::Controller(ToPooler::LeaseGrants { grants, .. }) => {
                 let handed_over =
                     |grant: &LeaseGrant| matches!(grant.status, PrimaryStatus::HandingOver { .. });
-                if grants.iter().any(handed_over) { HANDOVER_LAYOUT } else { ANY_READER }
+                if grants.iter().any(handed_over) { HANDOVER_LAYOUT } else { NO_REQUIRED_LAYOUT }
             }
-            _ => ANY_READER,
+            _ => NO_REQUIRED_LAYOUT,
         }
     }
 }
 
-/// A frame that was read, and what is known of its sender.
+/// A received frame with the layout of its sender.
 #[derive(Debug)]
 pub struct ReceivedFrame {
     /// The frame.
     pub frame: Frame,
-    /// The newest layout that the sender reads.
+    /// The newest layout that the sender supports.
     pub sender_layout: u8,
 }
 
-/// The bytes of a frame, with its length in front.
+/// Encodes a frame, including its length.
 pub fn encode(frame: &Frame) -> Arc<[u8]> {
     let mut bytes = vec![0; LENGTH_BYTES];
-    // Only a type that has no encoding could fail here, and frames are plain data.
+    // Encoding can only fail for types without an encoding, and frames are plain data.
     if let Err(e) = rmp_serde::encode::write(&mut bytes, frame) {
-        log::error!(target: "peers", "a frame could not be encoded: {e}");
+        log::error!(target: "peers", "encoding a frame failed: {e}");
     }
     bytes.push(LAYOUT);
     let length = (bytes.len() - LENGTH_BYTES) as u32;
@@ -99,7 +100,7 @@
 /// Writes one frame.
 ///
 /// # Errors
-/// Those of the writer.
+/// The errors of the writer.
 pub fn send(to: &mut impl Write, frame: &Frame) -> io::Result<()> {
     to.write_all(&encode(frame))
 }
@@ -107,16 +108,16 @@
 /// Reads one frame.
 ///
 /// # Errors
-/// Those of the reader; `InvalidData` with an [`RpcError`] as its source if the frame is too large or
-/// can't be decoded. The connection is of no use after any of them.
+/// The errors of the reader; `InvalidData` with an [`RpcError`] as its source if the frame is too
+/// large or can't be decoded. The connection can't be used after any error.
 pub fn receive(from: &mut impl Read) -> io::Result<Frame> {
     receive_with_layout(from).map(|received| received.frame)
 }
 
-/// Reads one frame, and which layout its sender reads.
+/// Reads one frame and the newest layout that its sender supports.
 ///
 /// # Errors
-/// As [`receive`].
+/// The same as [`receive`].
 pub fn receive_with_layout(from: &mut impl Read) -> io::Result<ReceivedFrame> {
     let mut length = [0; LENGTH_BYTES];
     from.read_exact(&mut length)?;
@@ -139,8 +140,8 @@
 }
 
 fn undecodable(source: rmp_serde::decode::Error, last_byte: Option<&u8>) -> RpcError {
-    // The last byte is the number of a layout only if the sender knows of them.
-    match last_byte.copied().filter(|byte| (LAYOUT + 1..LAYOUT_LIMIT).contains(byte)) {
+    // The last byte is a layout number only if the sender's release numbers layouts.
+    match last_byte.copied().filter(|byte| (LAYOUT + 1..MIN_STRUCTURE_BYTE).contains(byte)) {
         Some(sender_layout) => RpcError::UndecodableNewerFrame { sender_layout, source },
         None => RpcError::UndecodableFrame(source),
     }
--- a/src/net/rpc/layout.rs
+++ b/src/net/rpc/layout.rs
@@ -1,25 +1,27 @@
-//! The layouts of frames: versions of the wire protocol between a system's own processes.
+//! Frame layouts: the versions of the wire protocol between the processes of a deployment.
 //!
-//! Every frame says in the highest byte of its length which layout its reader must know, and behind
-//! its value which layout its sender reads. So programs of different releases work together during
-//! an upgrade: a member learns what its peers read, and sends nothing that they can't.
+//! Every frame contains, in the highest byte of its length, the layout that its reader must support
+//! and, after its value, the newest layout that its sender supports. Programs of different releases
+//! can therefore work together during a rolling upgrade: a member learns which layout its peers
+//! support and sends them only frames that they can decode.
 
-/// The newest layout that this program reads and writes.
+/// The newest layout that this program supports.
 pub const LAYOUT: u8 = 3;
 
-/// The layout of programs from before layouts had numbers; they send none.
+/// The layout of releases that did not number layouts yet; their frames contain no layout.
 pub const FIRST_LAYOUT: u8 = 1;
 
-/// Members that read this layout accept large messages in chunks, and know the commands
-/// `ForgetDeparted` and `PrimaryReturned`.
-pub const PARTS_LAYOUT: u8 = 2;
+/// The first layout that supports large messages in chunks, and the commands `ForgetDeparted` and
+/// `PrimaryReturned`.
+pub const CHUNKS_LAYOUT: u8 = 2;
 
-/// Poolers that read this layout can be told that a service is handed over, see
+/// The first layout that supports planned handovers of a service, see
 /// [`ToPooler::HandOver`](crate::net::rpc::pooler_messages::ToPooler::HandOver).
 pub const HANDOVER_LAYOUT: u8 = 3;
 
-/// What a frame says that any reader can decode: the first layout wrote a zero in this place.
-pub(super) const ANY_READER: u8 = 0;
+/// The required layout of a frame that every release can decode. The first layout wrote a zero
+/// here.
+pub(super) const NO_REQUIRED_LAYOUT: u8 = 0;
 
-/// `rmp-serde` begins a structure with a byte of at least this. A smaller byte is a layout number.
-pub(super) const LAYOUT_LIMIT: u8 = 0x80;
+/// The lowest first byte of a structure encoded by `rmp-serde`. A lower byte is a layout number.
+pub(super) const MIN_STRUCTURE_BYTE: u8 = 0x80;
--- a/src/raft/replication.rs
+++ b/src/raft/replication.rs
@@ -8,7 +8,7 @@
 use crate::base::ids::{LogIndex, MemberId, Term};
 use crate::base::time::Tick;
 use crate::net::rpc::raft_messages::{EntryPayload, LogEntry, LogPosition, RaftMessageKind};
-use crate::net::rpc::{FIRST_LAYOUT, PARTS_LAYOUT};
+use crate::net::rpc::{CHUNKS_LAYOUT, FIRST_LAYOUT};
 use crate::state_machine::STATE_LAYOUT;
 
 /// The replication state of another member, as the leader tracks it.
@@ -177,7 +177,7 @@
             progress.resume_from(LogIndex(last_included.0 + 1));
         }
         let kind = RaftMessageKind::InstallSnapshot { snapshot, sent_at: now.0 };
-        match layout >= PARTS_LAYOUT {
+        match layout >= CHUNKS_LAYOUT {
             true => self.start_chunked_send(id, &kind, Some(last_included), now),
             false => self.send(id, kind),
         }
@@ -212,7 +212,7 @@
             commit_index: self.commit_index,
             sent_at: now.0,
         };
-        match large && layout.is_some_and(|l| l >= PARTS_LAYOUT) {
+        match large && layout.is_some_and(|l| l >= CHUNKS_LAYOUT) {
             true => self.start_chunked_send(id, &kind, None, now),
             false => self.send(id, kind),
         }
@@ -358,7 +358,7 @@
             self.peer_layouts.retain(|id, _| self.members.iter().any(|m| m.id == *id));
         }
         self.peer_layouts.insert(id, layout);
-        if layout < PARTS_LAYOUT
+        if layout < CHUNKS_LAYOUT
             && let Some(progress) = self.progress.get_mut(&id)
             && progress.transfer.take().is_some()
         {
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -21,7 +21,7 @@
 use silvertack::net::rpc::raft_messages::{
     LogPosition, Member, RaftMessage, RaftMessageKind, Snapshot,
 };
-use silvertack::net::rpc::{Frame, LAYOUT, PARTS_LAYOUT, receive};
+use silvertack::net::rpc::{CHUNKS_LAYOUT, Frame, LAYOUT, receive};
 use silvertack::net::statement_protocol::ServerDescription;
 use silvertack::raft::node::RaftNode;
 use silvertack::raft::state::{PersistentState, UnsavedChanges};
@@ -978,7 +978,7 @@
     ] {
         let is_older_version = case == "is of an older version";
         let (mut leader, handover) =
-            handing_over(if is_older_version { PARTS_LAYOUT } else { LAYOUT });
+            handing_over(if is_older_version { CHUNKS_LAYOUT } else { LAYOUT });
         let handover_ack = |number| ToController::HandOverAck {
             service: service(),
             handover: number,
