--- a/src/net/rpc/pooler_messages.rs
+++ b/src/net/rpc/pooler_messages.rs
@@ -1,12 +1,14 @@
 //! The messages between a node (a pooler or a gateway) and the leading controller.
 //!
-//! Nodes send [`ToController`], the leader answers with [`ToPooler`]; both travel as
-//! [`Frame`](crate::net::rpc::Frame) values on the peer port. This module owns the types only. The
-//! leader's side is in `controller` and `leases`, the nodes' side in `pooler` and `gateway`.
+//! Nodes send [`ToController`] and controllers send [`ToPooler`], both as
+//! [`Frame`](crate::net::rpc::Frame) values on the peer port. This module only defines the types.
+//! The leader's side is implemented in `controller` and `leases`, the nodes' side in `pooler` and
+//! `gateway`.
 //!
-//! The encoding is part of the wire protocol: `rmp-serde` writes a struct as an array of its fields,
-//! so their order and number must not change, and an enum variant by its name, so each renamed
-//! variant carries the name it has on the wire in `#[serde(rename)]`. Field names are not written.
+//! The encoding is part of the wire protocol. `rmp-serde` writes a struct as an array of its
+//! fields, so their order and number must not change; field names are not written. It writes an
+//! enum variant by its name, so a renamed variant keeps its name on the wire with
+//! `#[serde(rename)]`.
 use crate::base::ids::{DbTerm, InstanceId, NodeName, Position, Revision, ServiceName};
 use crate::config::directory::DirectoryEntry;
 use crate::config::route_table::{RouteTable, RouteTableDelta};
@@ -16,46 +18,47 @@
 /// Why a pooler suspects that a database has failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SuspicionReason {
-    /// Connections to it broke or were refused.
+    /// Connections to it failed or were refused.
     #[serde(rename = "Broken")]
     ConnectionsBroken,
-    /// Statements are pending there and nothing was received within the time-out.
+    /// Statements are pending there, but nothing was received within the time-out.
     #[serde(rename = "Silent")]
     NoResponse,
 }
 
-/// What a node sends to the leading controller.
+/// A message from a node to the leading controller.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum ToController {
-    /// Opens a connection; the first message on it.
+    /// Identifies the node; the first message on a connection.
     Hello {
-        /// The node's name in its settings.
+        /// The node's name, from its settings.
         node: NodeName,
-        /// Drawn at random at every start of the process, so that a restart is told from a reconnect.
+        /// A random number chosen at every start of the process. It distinguishes a restart from a
+        /// reconnect.
         incarnation: u64,
-        /// The newest configuration that the node has; 0 if it has none.
+        /// The revision of the configuration that the node has; 0 if it has none.
         revision: Revision,
-        /// The failure domain that the node runs in.
+        /// The zone (failure domain) that the node runs in.
         zone: String,
     },
-    /// Asks for a renewal of all leases; answered with [`ToPooler::LeaseGrants`].
+    /// Requests the renewal of all leases; the response is [`ToPooler::LeaseGrants`].
     #[serde(rename = "Renew")]
     RenewLeases {
-        /// Numbers the renewals of one connection upwards; the answer repeats it.
+        /// The sequence number of the renewal on this connection; the response repeats it.
         seq: u64,
-        /// The `seq` of the last answer that arrived on this connection; 0 before the first.
+        /// The `seq` of the last response received on this connection; 0 before the first.
         last_grant_seq: u64,
-        /// The connection quotas that the pooler now applies, for the services where they changed
-        /// since it last reported them on this connection.
+        /// The connection quotas that the pooler applies, for the services whose quota changed
+        /// since it was last reported on this connection.
         quotas: Vec<(ServiceName, u32)>,
-        /// How many more connections would be used now, for services whose sessions wait for one.
+        /// How many additional connections are needed, for services whose sessions wait for one.
         demand: Vec<(ServiceName, u32)>,
-        /// The furthest positions seen at primaries, where they advanced.
+        /// The highest positions observed at primaries, for services where they advanced.
         observed: Vec<ObservedPosition>,
-        /// Services whose replica reads need a newer [`PositionBound`] than the pooler has.
+        /// The services whose replica reads need a newer [`PositionBound`] than the pooler has.
         bounds_requested: Vec<ServiceName>,
-        /// Requests in flight at the databases of a service, in hundredths, where that changed
-        /// considerably. Reported by gateways.
+        /// The requests in flight at the databases of a service, in hundredths, for services where
+        /// the number changed considerably. Only gateways report it.
         load: Vec<(ServiceName, u32)>,
     },
     /// Reports that a database seems to have failed.
@@ -64,47 +67,49 @@
         service: ServiceName,
         /// The suspected database.
         instance: InstanceId,
-        /// What was observed.
+        /// The reason for the suspicion.
         reason: SuspicionReason,
     },
-    /// Acknowledges a [`ToPooler::Revoke`]: the pooler uses the term no more.
+    /// Acknowledges a [`ToPooler::Revoke`]: the pooler no longer uses the term.
     #[serde(rename = "Revoked")]
     RevokeAck {
         /// The service whose lease was revoked.
         service: ServiceName,
         /// The revoked term.
         term: DbTerm,
-        /// The furthest commit that this pooler passed on to a client; none if it passed on none.
+        /// The position of the highest commit that this pooler acknowledged to a client, if any.
         highest: Option<Position>,
     },
-    /// Acknowledges a handover, told by [`ToPooler::HandOver`] or [`PrimaryStatus::HandingOver`]:
-    /// from now on the pooler passes on a commit of the term only once the target has it.
+    /// Acknowledges a handover announced by [`ToPooler::HandOver`] or
+    /// [`PrimaryStatus::HandingOver`]: from now on the pooler acknowledges a commit of the term
+    /// only once the target has it.
     HandOverAck {
         /// The service that is handed over.
         service: ServiceName,
         /// The number of the handover.
         handover: u64,
-        /// The furthest commit that this pooler passed on to a client; none if it passed on none.
+        /// The position of the highest commit that this pooler acknowledged to a client, if any.
         highest: Option<Position>,
     },
-    /// A [`ToPooler::RouteTableDelta`] arrived for a revision that this node does not have: asks for
-    /// the complete table.
+    /// Requests the complete route table, because a [`ToPooler::RouteTableDelta`] is based on a
+    /// revision that the node does not have.
     #[serde(rename = "Whole")]
     RequestFullTable,
-    /// The node shuts down gracefully. How far it passed on commits is told by a `RevokeAck` for each
-    /// lease before; of a lease without one, nothing is known.
+    /// Announces that the node shuts down gracefully. Before it, the node sends a `RevokeAck` with
+    /// the highest acknowledged commit for each lease; for a lease without one, that position is
+    /// unknown.
     #[serde(rename = "Bye")]
     Goodbye,
 }
 
-/// What a controller sends to a node.
+/// A message from a controller to a node.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum ToPooler {
-    /// This controller does not lead; the leader's peer address, if it is known.
+    /// This controller is not the leader. Contains the leader's peer address, if it is known.
     #[serde(rename = "Elsewhere")]
     NotLeader(Option<SocketAddr>),
-    /// This controller leads. Sent as the first answer on a connection, and again when the
-    /// membership changes.
+    /// This controller is the leader. Sent in response to `Hello`, and again when the membership
+    /// changes.
     Welcome {
         /// The peer addresses of all controllers.
         controllers: Vec<SocketAddr>,
@@ -112,12 +117,12 @@
     /// The complete configuration.
     #[serde(rename = "Configured")]
     RouteTable(Box<RouteTable>),
-    /// The difference to a revision that the node has.
+    /// The changes from a revision that the node has.
     #[serde(rename = "Changed")]
     RouteTableDelta(Box<RouteTableDelta>),
-    /// The complete directory of databases, once at the beginning of a connection.
+    /// The complete directory of databases. Sent once at the beginning of a connection.
     Directory(Vec<DirectoryEntry>),
-    /// Changes of the directory, those of a short period in one message.
+    /// Changes of the directory, batched over a short period.
     #[serde(rename = "Moved")]
     DirectoryDelta {
         /// Databases that are new or changed.
@@ -125,45 +130,48 @@
         /// Databases that left the directory.
         removed: Vec<InstanceId>,
     },
-    /// Answers a [`ToController::RenewLeases`] and renews every lease granted on this connection.
+    /// The response to [`ToController::RenewLeases`]; renews every lease granted on this
+    /// connection.
     #[serde(rename = "Granted")]
     LeaseGrants {
-        /// The number of the renewal that this answers.
+        /// The sequence number of the renewal that this responds to.
         seq: u64,
-        /// How long the leases hold, in ms from the moment the renewal was sent.
+        /// The duration of the leases in ms, counted from the moment the renewal was sent.
         lease_ms: u64,
-        /// This is the first answer on the connection: a lease that is not in it does not hold.
+        /// Whether this is the first response on the connection: leases that it doesn't contain are
+        /// not valid.
         complete: bool,
-        /// What changed since the last answer. Everything else that was granted on this connection
-        /// is granted again.
+        /// The grants that changed since the last response. All others of this connection are
+        /// renewed.
         grants: Vec<LeaseGrant>,
-        /// The position bounds that were requested, as far as they are known.
+        /// The requested position bounds, as far as they are known.
         position_bounds: Vec<PositionBound>,
-        /// Which part of the databases of its zone a gateway is to use first, where that changed.
+        /// The subset of the databases of its zone that a gateway should prefer, for services where
+        /// it changed.
         subset_ranges: Vec<SubsetRange>,
     },
-    /// Withdraws a lease; answered with [`ToController::RevokeAck`].
+    /// Revokes a lease; the response is [`ToController::RevokeAck`].
     Revoke {
-        /// The service whose lease is withdrawn.
+        /// The service whose lease is revoked.
         service: ServiceName,
         /// This term and all earlier ones must not be used any more.
         term: DbTerm,
     },
-    /// Tells that a primary which still serves is about to be replaced; answered with
-    /// [`ToController::HandOverAck`]. The lease on the term goes on.
+    /// Announces that a primary that still serves is about to be replaced; the response is
+    /// [`ToController::HandOverAck`]. The lease on the term stays valid.
     HandOver {
         /// The service that is handed over.
         service: ServiceName,
-        /// What is handed over to whom.
+        /// The term and the target of the handover.
         handover: Handover,
     },
-    /// Something changed that the next renewal would bring: the node is to renew now.
+    /// Asks the node to renew its leases immediately, because the response would contain changes.
     #[serde(rename = "Renew")]
     RenewNow,
 }
 
-/// A position that the primary of a term reported under a lease that still held. It covers every
-/// commit acknowledged before the statement that asked for it was sent.
+/// A log position that the primary of a term reported under a valid lease. It covers every commit
+/// acknowledged before the statement that obtained it was sent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ObservedPosition {
     /// The service of the primary.
@@ -172,50 +180,51 @@
     pub term: DbTerm,
     /// The position that the primary reported.
     pub position: Position,
-    /// The statement was sent at least this many ms after the answer `last_grant_seq` arrived.
+    /// The statement was sent at least this many ms after the response `last_grant_seq` was
+    /// received.
     pub sent_after_ms: u64,
 }
 
-/// A position that covers every commit acknowledged up to `age_ms` before the renewal was sent.
+/// A log position that covers every commit acknowledged until `age_ms` before the renewal was sent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PositionBound {
-    /// The service it is valid for.
+    /// The service that the bound is valid for.
     pub service: ServiceName,
-    /// A replica at or beyond this position has all those commits.
+    /// A replica at or beyond this position has all these commits.
     pub position: Position,
-    /// Age in ms, counted back from the moment the renewal was sent.
+    /// The age of the bound in ms, counted back from the moment the renewal was sent.
     pub age_ms: u64,
 }
 
-/// A range of the databases of a service in one zone, which every node lays out in the same order, in
-/// millionths of their total capacity.
+/// A range of the databases of a service in one zone, in millionths of their total capacity. Every
+/// node arranges the databases in the same order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SubsetRange {
-    /// The service it is valid for.
+    /// The service that the range is valid for.
     pub service: ServiceName,
-    /// Where the range begins, in millionths.
+    /// The start of the range, in millionths.
     pub start: u32,
-    /// Where the range ends, in millionths; not included.
+    /// The exclusive end of the range, in millionths.
     pub end: u32,
 }
 
-/// What a pooler may use of a service for as long as its lease holds.
+/// What a pooler may use of a service while its lease is valid.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LeaseGrant {
     /// The service.
     pub service: ServiceName,
-    /// Whether there is a primary that may be used.
+    /// The primary that the pooler may use, if there is one.
     pub status: PrimaryStatus,
-    /// How many connections this pooler may have to each database of the service.
+    /// The number of connections that this pooler may have to each database of the service.
     pub quota: u32,
 }
 
-/// A planned change of a primary that still serves.
+/// A planned replacement of a primary that still serves.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Handover {
     /// Identifies the handover; a later one has a higher number.
     pub number: u64,
-    /// The term of the primary that is replaced.
+    /// The term of the primary to be replaced.
     pub term: DbTerm,
     /// The replica that is to become the primary.
     pub target: InstanceId,
@@ -232,15 +241,15 @@
         /// The primary.
         primary: InstanceId,
     },
-    /// As `Active`, but a commit may be passed on only once the target of the handover has it;
-    /// answered with [`ToController::HandOverAck`].
+    /// Like `Active`, but a commit may be acknowledged only once the target of the handover has it;
+    /// the response is [`ToController::HandOverAck`].
     HandingOver {
-        /// The primary that is replaced.
+        /// The primary to be replaced.
         primary: InstanceId,
-        /// What is handed over to whom.
+        /// The term and the target of the handover.
         handover: Handover,
     },
-    /// Nobody can commit; every acknowledged commit is at or before this position.
+    /// No commits are possible; every acknowledged commit is at or before this position.
     Sealed(Position),
     /// No primary may be used.
     #[serde(rename = "Unled")]
@@ -248,7 +257,7 @@
 }
 
 impl PrimaryStatus {
-    /// The term that a lease is granted on, if one is.
+    /// The term of the granted lease, if there is one.
     pub fn leased_term(&self) -> Option<DbTerm> {
         match self {
             PrimaryStatus::Active { term, .. } => Some(*term),
