--- a/src/net/idle_connections.rs
+++ b/src/net/idle_connections.rs
@@ -1,8 +1,8 @@
-//! Idle client connections, watched by one thread.
+//! Idle client connections, monitored by one thread with `epoll`.
 //!
-//! A connection without a pending request costs a descriptor and no thread. The pooler and the
-//! gateway park it here with what belongs to it, and get that back when the client sends something
-//! or closes.
+//! A connection without a pending request uses a file descriptor but no thread. The pooler and the
+//! gateway park it here together with its state, and get the state back when the client sends data
+//! or closes the connection.
 use crate::base::sync::lock;
 use log::warn;
 use rustix::event::{PollFd, PollFlags, Timespec, epoll, poll};
@@ -13,58 +13,59 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-/// Events that are taken from the kernel at once.
+/// The maximum number of events that one `epoll_wait` call returns.
 const MAX_EVENTS: usize = 64;
 
-/// The pause after the kernel refused to wait.
+/// The pause after a failed `epoll_wait` call.
 const WAIT_ERROR_PAUSE: Duration = Duration::from_millis(20);
 
-/// Whether a read from the stream would return at once: with data, or because the peer has closed.
+/// Whether a read from the stream would not block: data is available, or the peer has closed the
+/// connection.
 pub fn is_readable(stream: &TcpStream) -> bool {
     let mut fds = [PollFd::new(stream, PollFlags::IN | PollFlags::RDHUP)];
     !matches!(poll(&mut fds, Some(&Timespec { tv_sec: 0, tv_nsec: 0 })), Ok(0))
 }
 
-/// Parked connections, each with a value `T` under a number of its own.
+/// Parked connections. Each has a unique id and a value of type `T`.
 pub struct IdleConnections<T> {
-    /// The target of its log lines.
+    /// The target of the log messages.
     log_target: &'static str,
     parked: Mutex<HashMap<u64, T>>,
     epoll: OwnedFd,
 }
 
-/// Whether a connection is registered with the kernel already.
+/// Whether a connection is already registered with `epoll`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Registration {
-    /// It is parked for the first time.
+    /// The connection is parked for the first time.
     New,
-    /// It was parked before.
+    /// The connection was parked before.
     Existing,
 }
 
 impl<T> IdleConnections<T> {
-    /// None parked yet; `log_target` is the target of its log lines.
+    /// Creates an empty set; `log_target` is the target of its log messages.
     ///
     /// # Errors
-    /// If the operating system has no descriptor for it.
+    /// If the `epoll` instance can't be created.
     pub fn new(log_target: &'static str) -> io::Result<Self> {
         let epoll = epoll::create(epoll::CreateFlags::CLOEXEC)?;
         Ok(Self { log_target, parked: Mutex::default(), epoll })
     }
 
-    /// How many are parked.
+    /// The number of parked connections.
     pub fn len(&self) -> usize {
         lock(&self.parked).len()
     }
 
-    /// Whether none is parked.
+    /// Whether no connection is parked.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Parks a connection until its stream is readable. One that can't be watched is dropped.
+    /// Parks a connection until its stream is readable. It is dropped if it can't be monitored.
     pub fn park(&self, id: u64, stream: &TcpStream, value: T, registration: Registration) {
-        // The value first: an event that comes at once must find it.
+        // Inserted before registration, because an event may occur immediately.
         lock(&self.parked).insert(id, value);
         let flags = epoll::EventFlags::IN | epoll::EventFlags::RDHUP | epoll::EventFlags::ONESHOT;
         let token = epoll::EventData::new_u64(id);
@@ -73,19 +74,20 @@
             Registration::New => epoll::add(&self.epoll, stream, token, flags),
         };
         if let Err(e) = watched {
-            warn!(target: self.log_target, "an idle client can't be watched: {e}");
+            warn!(target: self.log_target, "epoll registration failed, idle client dropped: {e}");
             drop(lock(&self.parked).remove(&id));
         }
     }
 
-    /// Waits for all parked connections, and hands over those that became readable. Does not return.
+    /// Waits for parked connections to become readable and passes their values to `wake`. Does not
+    /// return.
     pub fn run(&self, wake: impl Fn(T)) {
         let mut events = Vec::with_capacity(MAX_EVENTS);
         loop {
             match epoll::wait(&self.epoll, rustix::buffer::spare_capacity(&mut events), None) {
                 Ok(_) | Err(rustix::io::Errno::INTR) => {}
                 Err(e) => {
-                    warn!(target: self.log_target, "waiting for clients: {e}");
+                    warn!(target: self.log_target, "epoll wait for idle clients failed, retrying: {e}");
                     std::thread::sleep(WAIT_ERROR_PAUSE);
                 }
             }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,10 +1,11 @@
 //! Sockets, protocols and the connection to the leading controller.
 //!
-//! Everything that reads or writes the network on behalf of the other modules, and nothing that
-//! decides what is sent: [`rpc`] between the system's own processes, [`statement_protocol`] between
-//! clients, poolers and databases, [`http`] for the admin and readiness addresses. Nodes follow the
-//! leader through [`leader_connection`], which [`leader_discovery`] tells whom to contact.
-//! [`idle_connections`], [`send_queue`] and [`sockets`] are what several of them share.
+//! These modules transport data for the other modules and don't decide what is sent. [`rpc`] is the
+//! protocol between controllers, poolers and gateways, [`statement_protocol`] the one between
+//! clients, poolers and databases, and [`http`] serves the admin and readiness addresses. Nodes
+//! communicate with the leader through [`leader_connection`], which finds it with
+//! [`leader_discovery`]. [`idle_connections`], [`send_queue`] and [`sockets`] are shared building
+//! blocks.
 pub mod http;
 pub mod idle_connections;
 pub mod leader_connection;
--- a/src/net/sockets.rs
+++ b/src/net/sockets.rs
@@ -1,27 +1,27 @@
-//! TCP sockets, and the options that all connections of this system share.
+//! TCP listeners and streams with the socket options that all connections of this system use.
 use crate::base::errors::Fatal;
 use std::io::{self, Read};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// How long a connection attempt between the system's own machines may take. If the first packet is
-/// lost, a new attempt is faster than waiting for the kernel to retransmit it after a second.
+/// The time-out of a connection attempt between machines of the deployment. If the first packet is
+/// lost, a new attempt is faster than the kernel's retransmission after one second.
 pub const PEER_CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// The least time, and the time between probes, that keep-alive probes are set to: the kernel counts
-/// in whole seconds.
-const KEEP_ALIVE_STEP: Duration = Duration::from_secs(1);
+/// The interval between keep-alive probes, and the minimum idle time before the first one. The
+/// kernel supports whole seconds only.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Unanswered keep-alive probes after which the kernel ends a connection.
+/// The number of unanswered keep-alive probes after which the kernel closes a connection.
 const KEEP_ALIVE_PROBES: u32 = 3;
 
-/// Connections that the kernel accepts ahead of the program.
+/// The number of connections that the kernel queues until the program accepts them.
 const LISTEN_BACKLOG: i32 = 512;
 
 /// Opens a connection and configures it as [`configure_stream`] does.
 ///
 /// # Errors
-/// Those of the connection attempt, `TimedOut` after `connect_timeout`.
+/// The errors of the connection attempt; `TimedOut` after `connect_timeout`.
 pub fn connect_stream(
     to: SocketAddr,
     connect_timeout: Duration,
@@ -32,8 +32,8 @@
     Ok(stream)
 }
 
-/// Has the stream send without delay, and end with an error once sent data has been unacknowledged
-/// for `unacknowledged_timeout`.
+/// Makes the stream send without delay (`TCP_NODELAY`), and fail once sent data has been
+/// unacknowledged for `unacknowledged_timeout` (`TCP_USER_TIMEOUT`).
 ///
 /// # Errors
 /// If the operating system refuses an option.
@@ -42,10 +42,10 @@
     socket2::SockRef::from(stream).set_tcp_user_timeout(Some(unacknowledged_timeout))
 }
 
-/// Reads once, and again where a signal interrupted that: it says nothing of the peer.
+/// Reads once, and retries reads that a signal interrupted.
 ///
 /// # Errors
-/// Those of the reader.
+/// The errors of the reader, except `Interrupted`.
 pub fn read_uninterrupted(from: &mut impl Read, bytes: &mut [u8]) -> io::Result<usize> {
     loop {
         match from.read(bytes) {
@@ -55,23 +55,23 @@
     }
 }
 
-/// Has the kernel probe a connection that was idle for `idle`, at least a second, so that an
-/// unreachable peer is noticed without any data in flight.
+/// Makes the kernel send keep-alive probes once a connection has been idle for `idle`, but at least
+/// a second, so that an unreachable peer is detected even if no data is in flight.
 ///
 /// # Errors
 /// If the operating system refuses an option.
 pub fn enable_keep_alive(stream: &TcpStream, idle: Duration) -> io::Result<()> {
     let probes = socket2::TcpKeepalive::new()
-        .with_time(idle.max(KEEP_ALIVE_STEP))
-        .with_interval(KEEP_ALIVE_STEP)
+        .with_time(idle.max(KEEP_ALIVE_INTERVAL))
+        .with_interval(KEEP_ALIVE_INTERVAL)
         .with_retries(KEEP_ALIVE_PROBES);
     socket2::SockRef::from(stream).set_tcp_keepalive(&probes)
 }
 
-/// Listens on an address, which a restarted process can use again at once.
+/// Listens on an address, with `SO_REUSEADDR` so that a restarted process can use it immediately.
 ///
 /// # Errors
-/// [`Fatal::Listen`] if the address can't be used.
+/// [`Fatal::Listen`] if the address can't be bound.
 pub fn listen(at: SocketAddr) -> Result<TcpListener, Fatal> {
     let open = || -> io::Result<TcpListener> {
         let socket = socket2::Socket::new(
