--- a/src/base/ids.rs
+++ b/src/base/ids.rs
@@ -1,11 +1,11 @@
-//! Identifiers and version numbers as types of their own, so that they can't be confused.
+//! Newtypes of identifiers and version numbers, so that they can't be confused with each other.
 //!
-//! All are serialized as the plain string or number inside.
+//! All except [`Position`] are serialized as the string or number that they contain.
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::str::FromStr;
 
-/// Defines an identifier that is a string.
+/// Defines an identifier type that contains a string.
 macro_rules! string_id {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -25,7 +25,7 @@
     };
 }
 
-/// Defines an identifier or version that is a number.
+/// Defines an identifier or version type that contains a number.
 macro_rules! number_id {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -41,27 +41,29 @@
 }
 
 string_id!(
-    /// A service: one primary database and its replicas, or the databases behind a gateway.
+    /// The name of a service: a primary database and its replicas, or the databases behind a
+    /// gateway.
     ServiceName
 );
 
 string_id!(
-    /// One database of a service, by the name it gives in its heartbeats.
+    /// The id of a database of a service, which its heartbeats contain.
     InstanceId
 );
 
 string_id!(
-    /// A machine of the system, as its settings name it.
+    /// The name of a machine in its settings.
     NodeName
 );
 
 number_id!(
-    /// The term of a database's log: rises with each promotion, and says which primary wrote.
+    /// The term of a database's log. It increases with each promotion and identifies the primary
+    /// that wrote an entry.
     DbTerm
 );
 
 number_id!(
-    /// The Raft term of the controllers: rises with each election.
+    /// The Raft term of the controllers. It increases with each election.
     Term
 );
 
@@ -71,12 +73,13 @@
 );
 
 number_id!(
-    /// A controller with one disk; a new disk makes a new member of the Raft group.
+    /// The id of a member of the Raft cluster: a controller with a certain disk. A controller with
+    /// a new disk is a new member.
     MemberId
 );
 
 number_id!(
-    /// The revision that the operator gave a configuration; 0 is none.
+    /// The revision number that the operator assigned to a configuration; 0 stands for none.
     Revision
 );
 
--- a/src/base/logging.rs
+++ b/src/base/logging.rs
@@ -1,7 +1,7 @@
-//! Log lines on standard error.
+//! The logger of the process, which writes to standard error.
 //!
-//! The process entry starts it once; all other modules log through the `log` crate's macros. A line
-//! is the milliseconds since the start, the level, the target and the message.
+//! `main` installs it; all other modules log through the macros of the `log` crate. A line contains
+//! the milliseconds since the start of the process, the level, the target and the message.
 use crate::base::time::Tick;
 use log::{LevelFilter, Log, Metadata, Record};
 use std::io::Write;
@@ -13,7 +13,7 @@
         true
     }
     fn log(&self, record: &Record<'_>) {
-        // A log that can't be written must not stop the work.
+        // Failing to write a log line must not affect the process.
         let _ = writeln!(
             std::io::stderr().lock(),
             "{} {:<5} {}: {}",
@@ -26,12 +26,13 @@
     fn flush(&self) {}
 }
 
-/// Begins to log what is at `level` or more severe. A second call only changes the level.
+/// Installs the logger for messages at `level` or more severe. A second call only changes the
+/// level.
 pub fn start(level: LevelFilter) {
     static LOGGER: StderrLogger = StderrLogger;
-    // A second logger is refused: the first goes on.
+    // Fails if a logger is installed already, which then stays in use.
     let _ = log::set_logger(&LOGGER);
     log::set_max_level(level);
-    // The first reading of the clock is the start of time.
+    // The first reading of the clock defines the start of the process.
     Tick::now();
 }
--- a/src/base/mod.rs
+++ b/src/base/mod.rs
@@ -1,4 +1,4 @@
-//! Small types and helpers that every other module uses; depends on none of them.
+//! Basic types and helpers for all other modules, without dependencies on them.
 pub mod errors;
 pub mod ids;
 pub mod logging;
--- a/src/base/signals.rs
+++ b/src/base/signals.rs
@@ -1,11 +1,12 @@
-//! The signals that a process reacts to: SIGTERM and SIGINT end it, SIGHUP reloads its settings.
+//! Signal handling: SIGTERM and SIGINT request a graceful shutdown, SIGHUP a reload of the
+//! settings.
 //!
-//! Each node's main loop polls them; nothing runs in a signal handler but the setting of a flag.
+//! The signal handlers only set flags, which the main loop of each node polls.
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Which signals have come. Clones share their state.
+/// Flags for the received signals. Clones share their state.
 #[derive(Clone, Default)]
 pub struct Signals {
     terminate: Arc<AtomicBool>,
@@ -13,10 +14,10 @@
 }
 
 impl Signals {
-    /// Registers the handlers.
+    /// Installs the signal handlers.
     ///
     /// # Errors
-    /// If the operating system refuses one.
+    /// If the operating system refuses a handler.
     pub fn install() -> std::io::Result<Self> {
         let signals = Self::default();
         for (signal, flag) in
@@ -26,12 +27,12 @@
         }
         Ok(signals)
     }
-    /// Whether the process has been asked to end; stays true.
-    pub fn terminated(&self) -> bool {
+    /// Whether SIGTERM or SIGINT has been received. Never becomes false again.
+    pub fn termination_requested(&self) -> bool {
         self.terminate.load(Ordering::Relaxed)
     }
-    /// Whether SIGHUP has come since the last call.
-    pub fn take_hup(&self) -> bool {
+    /// Whether SIGHUP has been received since the last call.
+    pub fn take_hangup(&self) -> bool {
         self.hangup.swap(false, Ordering::Relaxed)
     }
 }
--- a/src/base/sync.rs
+++ b/src/base/sync.rs
@@ -1,10 +1,10 @@
-//! Locks that stay usable after a thread has panicked while it held one.
+//! Mutex locking that ignores poisoning.
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locks a mutex, also one that a panic has poisoned.
+/// Locks a mutex, even if it is poisoned by a panic.
 ///
-/// Every value behind a lock in this program is consistent between two statements, so that going on
-/// with it is better than a panic in every thread that comes after.
+/// Every value behind a mutex in this program is consistent between any two statements. Continuing
+/// to use it is therefore safe, and better than a panic in every thread that locks it later.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/src/base/worker_pool.rs
+++ b/src/base/worker_pool.rs
@@ -1,27 +1,28 @@
-//! Threads for short jobs, and for the loops of a process.
+//! A pool of threads for short jobs, and threads for the loops of a process.
 //!
-//! Calls, heartbeats and requests come by the hundred a second, and a new thread for each would cost
-//! more than the work: finished threads wait a while for another job. There is one pool a process.
+//! A process runs hundreds of jobs per second for calls, heartbeats and requests. Since a new
+//! thread for each would cost more than the job, idle threads wait for another job. Each process
+//! has one pool.
 //!
-//! Nobody joins these threads. A job ends by itself, by the time limits of its sockets; an idle
-//! thread ends after `IDLE_LIMIT`; a loop runs until its input ends or the process does. A process
-//! ends by returning from `main`, without waiting for any of them: what must be complete by then is
-//! done by the main loop itself.
+//! The threads are never joined. A job is bounded by the time-outs of its sockets, an idle thread
+//! exits after `IDLE_TIMEOUT`, and a loop runs until its input or the process ends. A process ends
+//! by returning from `main` without waiting for any thread: the main loop itself does everything
+//! that must be completed before.
 use crate::base::errors::Fatal;
 use crate::base::sync::lock;
 use std::collections::VecDeque;
 use std::sync::{Condvar, Mutex, PoisonError};
 use std::time::Duration;
 
-/// How long an idle thread waits for another job before it ends.
-const IDLE_LIMIT: Duration = Duration::from_secs(10);
+/// How long an idle thread waits for another job before it exits.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Stack of each thread. Jobs and loops are shallow, and there may be thousands of threads.
+/// The stack size of each thread. Call stacks are shallow, and there may be thousands of threads.
 const STACK_BYTES: usize = 256 << 10;
 
 type Job = Box<dyn FnOnce() + Send>;
 
-/// The threads of the pool, and the jobs that one of them is about to take.
+/// The number of threads in the pool, and the jobs that wait for one.
 struct WorkerPool {
     threads: usize,
     idle: usize,
@@ -34,7 +35,8 @@
 /// Signalled when a job has been queued for an idle thread.
 static JOB_QUEUED: Condvar = Condvar::new();
 
-/// Waits for the next job of a pool thread; none if it has been idle for too long and must end.
+/// Waits for the next job of a pool thread; `None` if the thread was idle for [`IDLE_TIMEOUT`] and
+/// must exit.
 fn next_job() -> Option<Job> {
     let mut pool = lock(&POOL);
     if let Some(job) = pool.jobs.pop_front() {
@@ -42,7 +44,7 @@
     }
     pool.idle += 1;
     let no_job = |pool: &mut WorkerPool| pool.jobs.is_empty();
-    let waited = JOB_QUEUED.wait_timeout_while(pool, IDLE_LIMIT, no_job);
+    let waited = JOB_QUEUED.wait_timeout_while(pool, IDLE_TIMEOUT, no_job);
     pool = waited.unwrap_or_else(PoisonError::into_inner).0;
     pool.idle -= 1;
     let job = pool.jobs.pop_front();
@@ -50,11 +52,11 @@
     job
 }
 
-/// Runs a job, which must end, on a thread of the pool.
+/// Runs a job on a thread of the pool. The job must end.
 ///
-/// Where the operating system has no thread left, a busy one of the pool takes the job next. False
-/// if there is none at all: the job will not run. That is no reason for a process to end; the caller
-/// tries again later or refuses what it was asked for.
+/// If the operating system can't start another thread, a busy thread of the pool runs the job next.
+/// Returns false if the pool has no thread at all: the job will not run. The process should
+/// continue in this case; the caller retries later or rejects the request.
 pub fn start_thread(work: impl FnOnce() + Send + 'static) -> bool {
     {
         let mut pool = lock(&POOL);
@@ -82,15 +84,18 @@
 fn spawn(work: impl FnOnce() + Send + 'static) -> bool {
     let started = std::thread::Builder::new().stack_size(STACK_BYTES).spawn(work);
     if let Err(e) = &started {
-        log::warn!(target: "threads", "none left: {e}");
+        log::warn!(target: "threads", "starting a thread failed: {e}");
     }
     started.is_ok()
 }
 
-/// Starts a thread for a loop that the process can't do without; `name` says what for.
+/// Starts a thread for a loop that the process requires; `name` describes the loop in the error.
 ///
 /// # Errors
-/// [`Fatal::Thread`] if there is no thread for it.
-pub fn must_start(name: &'static str, work: impl FnOnce() + Send + 'static) -> Result<(), Fatal> {
+/// [`Fatal::Thread`] if the thread can't be started.
+pub fn start_loop_thread(
+    name: &'static str,
+    work: impl FnOnce() + Send + 'static,
+) -> Result<(), Fatal> {
     spawn(work).then_some(()).ok_or(Fatal::Thread(name))
 }
--- a/src/controller/event_loop.rs
+++ b/src/controller/event_loop.rs
@@ -46,11 +46,11 @@
                 last_housekeeping = now;
                 let poolers = &self.poolers;
                 self.effects.close_stalled(|conn| poolers.contains_key(&conn), now);
-                if let Some(settings) = watched.poll(signals.take_hup()) {
+                if let Some(settings) = watched.poll(signals.take_hangup()) {
                     self.settings = settings;
                 }
             }
-            if signals.terminated() && stopping_since.is_none() {
+            if signals.termination_requested() && stopping_since.is_none() {
                 info!(target: "raft", "stopping");
                 stopping_since = Some(now);
                 self.transfer_leadership(now);
--- a/src/controller/peer_listener.rs
+++ b/src/controller/peer_listener.rs
@@ -3,7 +3,7 @@
 //! Each connection has a thread that reads, on the worker pool, and tells the controller's event
 //! queue of its beginning, its frames and its end. Writing is `peer_connections`' part.
 use crate::base::errors::Fatal;
-use crate::base::worker_pool::{must_start, start_thread};
+use crate::base::worker_pool::{start_loop_thread, start_thread};
 use crate::controller::effects::Input;
 use crate::controller::transport::Event;
 use crate::net::rpc::pooler_messages::ToController;
@@ -43,7 +43,7 @@
     let next_id = AtomicU64::new(1);
     // Each connection holds a clone; their count is the number of open connections.
     let open = Arc::new(());
-    must_start("peers", move || {
+    start_loop_thread("peers", move || {
         for stream in listener.incoming() {
             let Ok(stream) = stream else {
                 std::thread::sleep(ACCEPT_PAUSE);
--- a/src/controller/process.rs
+++ b/src/controller/process.rs
@@ -4,7 +4,7 @@
 use crate::base::ids::MemberId;
 use crate::base::signals::Signals;
 use crate::base::time::Tick;
-use crate::base::worker_pool::must_start;
+use crate::base::worker_pool::start_loop_thread;
 use crate::config::settings::{Settings, SettingsWatcher};
 use crate::controller::core::Controller;
 use crate::controller::effects::Input;
@@ -82,7 +82,7 @@
                 }),
             };
         match opened {
-            Err(Fatal::Disk(reason)) if !signals.terminated() => {
+            Err(Fatal::Disk(reason)) if !signals.termination_requested() => {
                 warn!(target: "disk", "cannot be used, tried again soon: {reason}");
                 std::thread::sleep(DISK_RETRY);
             }
@@ -99,7 +99,7 @@
     events: Sender<Event>,
 ) -> Result<Sender<WriteBatch>, Fatal> {
     let (writes, queue) = channel::<WriteBatch>();
-    must_start("the disk", move || {
+    start_loop_thread("the disk", move || {
         for batch in queue {
             let saved = storage.save(&batch);
             if events.send(Event::Input(Input::Saved(saved))).is_err() {
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -4,7 +4,7 @@
 use crate::base::signals::Signals;
 use crate::base::sync::lock;
 use crate::base::time::Tick;
-use crate::base::worker_pool::must_start;
+use crate::base::worker_pool::start_loop_thread;
 use crate::config::settings::{Settings, SettingsWatcher};
 use crate::gateway::client_connection::ClientConnection;
 use crate::gateway::server::Gateway;
@@ -43,7 +43,7 @@
     let (ready, status) = (Arc::clone(&gateway), Arc::clone(&gateway));
     http::serve_readiness(readiness, move || ready.is_ready(), move || status.status())?;
     let linking = Arc::clone(&gateway);
-    must_start("the leader connection", move || linking.leader.run(&*linking))?;
+    start_loop_thread("the leader connection", move || linking.leader.run(&*linking))?;
     if await_configuration(&gateway, &signals, &mut watched) == Startup::Terminated {
         return Ok(());
     }
@@ -68,10 +68,10 @@
     watched: &mut SettingsWatcher,
 ) -> Startup {
     while !gateway.is_configured() {
-        if signals.terminated() {
+        if signals.termination_requested() {
             return Startup::Terminated;
         }
-        if let Some(settings) = watched.poll(signals.take_hup()) {
+        if let Some(settings) = watched.poll(signals.take_hangup()) {
             gateway.leader.set_seeds(settings.seed_peers());
         }
         let upstreams = lock(&gateway.upstreams);
@@ -87,7 +87,7 @@
     let accepting = Arc::clone(gateway);
     accept_clients(listener, move |stream| accepting.admit_client(stream))?;
     let watching = Arc::clone(gateway);
-    must_start("idle clients", move || {
+    start_loop_thread("idle clients", move || {
         watching.idle_clients.run(|client| watching.serve_on_thread(client));
     })
 }
@@ -107,11 +107,11 @@
         let now = Tick::now();
         gateway.renew_when_due();
         gateway.close_expired_clients(now);
-        if let Some(changed) = watched.poll(signals.take_hup()) {
+        if let Some(changed) = watched.poll(signals.take_hangup()) {
             apply_settings(gateway, &changed);
             settings = changed;
         }
-        if signals.terminated() && draining_since.is_none() {
+        if signals.termination_requested() && draining_since.is_none() {
             info!(target: "gateway", "draining");
             draining_since = Some(now);
             gateway.draining.store(true, Ordering::Relaxed);
--- a/src/net/idle_connections.rs
+++ b/src/net/idle_connections.rs
@@ -87,7 +87,7 @@
             match epoll::wait(&self.epoll, rustix::buffer::spare_capacity(&mut events), None) {
                 Ok(_) | Err(rustix::io::Errno::INTR) => {}
                 Err(e) => {
-                    warn!(target: self.log_target, "epoll wait for idle clients failed, retrying: {e}");
+                    warn!(target: self.log_target, "epoll wait failed, retrying: {e}");
                     std::thread::sleep(WAIT_ERROR_PAUSE);
                 }
             }
--- a/src/node/listeners.rs
+++ b/src/node/listeners.rs
@@ -1,6 +1,6 @@
 //! The listeners of a node.
 use crate::base::errors::Fatal;
-use crate::base::worker_pool::must_start;
+use crate::base::worker_pool::start_loop_thread;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
@@ -27,7 +27,7 @@
     listener: TcpListener,
     admit: impl Fn(TcpStream) + Send + 'static,
 ) -> Result<(), Fatal> {
-    must_start("clients", move || {
+    start_loop_thread("clients", move || {
         for stream in listener.incoming() {
             match stream {
                 Ok(stream) => admit(stream),
--- a/src/pooler/process.rs
+++ b/src/pooler/process.rs
@@ -2,7 +2,7 @@
 use crate::base::errors::Fatal;
 use crate::base::signals::Signals;
 use crate::base::time::Tick;
-use crate::base::worker_pool::must_start;
+use crate::base::worker_pool::start_loop_thread;
 use crate::config::settings::{Settings, SettingsWatcher};
 use crate::net::http;
 use crate::net::rpc::pooler_messages::ToController;
@@ -74,7 +74,7 @@
 
     fn start_leader_connection(&self) -> Result<(), Fatal> {
         let pooler = Arc::clone(&self.pooler);
-        must_start("the leader connection", move || pooler.leader.run(&*pooler))
+        start_loop_thread("the leader connection", move || pooler.leader.run(&*pooler))
     }
 
     /// Waits until clients can be served. Before that the pooler does not listen, because a client
@@ -82,7 +82,7 @@
     /// signalled to terminate first.
     fn wait_until_can_serve(&mut self) -> bool {
         while !self.pooler.can_serve(Tick::now()) {
-            if self.signals.terminated() {
+            if self.signals.termination_requested() {
                 return false;
             }
             self.reload_settings();
@@ -94,7 +94,7 @@
 
     /// Applies changed settings, after SIGHUP or a change of the file.
     fn reload_settings(&mut self) {
-        if let Some(settings) = self.settings_watcher.poll(self.signals.take_hup()) {
+        if let Some(settings) = self.settings_watcher.poll(self.signals.take_hangup()) {
             self.pooler.apply_settings(&settings);
             self.settings = settings;
         }
@@ -104,9 +104,9 @@
     fn start_serving(&self, listener: TcpListener) -> Result<(), Fatal> {
         self.pooler.listening.store(true, Ordering::Relaxed);
         let pooler = Arc::clone(&self.pooler);
-        must_start("idle clients", move || pooler.parked.run(|s| pooler.dispatch(s)))?;
+        start_loop_thread("idle clients", move || pooler.parked.run(|s| pooler.dispatch(s)))?;
         let pooler = Arc::clone(&self.pooler);
-        must_start("sessions", move || pooler.run_worker())?;
+        start_loop_thread("sessions", move || pooler.run_worker())?;
         let pooler = Arc::clone(&self.pooler);
         accept_clients(listener, move |stream| pooler.admit(stream))
     }
@@ -127,7 +127,7 @@
                 self.pooler.enforce_limits(now);
                 self.reload_settings();
             }
-            if self.signals.terminated() && draining_since.is_none() {
+            if self.signals.termination_requested() && draining_since.is_none() {
                 info!(
                     target: "pooler",
                     "draining after SIGTERM or SIGINT; sessions are closed within the grace period"
