--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -141,7 +141,7 @@
 /// Goes on with a graceful shutdown that began `elapsed_ms` milliseconds ago.
 fn drain(gateway: &Gateway, elapsed_ms: u64, grace_ms: u64) -> Drain {
     let grace = GracePeriod { elapsed_ms, grace_ms };
-    if grace.clients_still_come() {
+    if grace.may_receive_new_clients() {
         return Drain::InProgress;
     }
     // Idle clients are disconnected; requests that were received are still served.
--- a/src/node/grace_period.rs
+++ b/src/node/grace_period.rs
@@ -1,26 +1,27 @@
 //! The timing of a graceful shutdown.
 
-/// The platform probes readiness each second and needs two failures, so new clients come for so
-/// long after draining began, in ms.
-const READINESS_NOTICED_MS: u64 = 2_300;
+/// How long new clients may still be routed to a node after it started draining, in ms. The
+/// platform probes readiness every second and requires two failures.
+const READINESS_DETECTION_MS: u64 = 2_300;
 
-/// The process ends so long before the end of its grace period, in ms, whoever is still connected.
+/// How long before the end of its grace period the process exits, in ms, even with connected
+/// clients.
 const EXIT_MARGIN_MS: u64 = 300;
 
-/// How far the grace period of a process that is shutting down has passed.
+/// The progress of the grace period of a process that is shutting down.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct GracePeriod {
-    /// The time since draining began, in ms.
+    /// The time since draining started, in ms.
     pub(crate) elapsed_ms: u64,
-    /// The time that the platform gives the process to end, in ms.
+    /// The time that the platform grants the process to exit, in ms.
     pub(crate) grace_ms: u64,
 }
 
 impl GracePeriod {
-    /// Whether new clients may still be sent here: too early to close idle ones, which would only
-    /// come back.
-    pub(crate) fn clients_still_come(self) -> bool {
-        self.elapsed_ms < READINESS_NOTICED_MS.min(self.grace_ms / 3)
+    /// Whether new clients may still be routed to the node. Idle clients that it closes now might
+    /// reconnect to it.
+    pub(crate) fn may_receive_new_clients(self) -> bool {
+        self.elapsed_ms < READINESS_DETECTION_MS.min(self.grace_ms / 3)
     }
 
     /// Whether more than half of the grace period has passed.
@@ -28,7 +29,7 @@
         self.elapsed_ms > self.grace_ms / 2
     }
 
-    /// Whether the process has to end now, whoever is still connected.
+    /// Whether the process must exit now, even with connected clients.
     pub(crate) fn is_over(self) -> bool {
         self.elapsed_ms + EXIT_MARGIN_MS > self.grace_ms
     }
--- a/src/node/listeners.rs
+++ b/src/node/listeners.rs
@@ -1,16 +1,16 @@
-//! The listeners of a node.
+//! The client listener of a node.
 use crate::base::errors::Fatal;
 use crate::base::worker_pool::start_loop_thread;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// The pause after a client could not be accepted, which happens when no descriptor is left.
+/// The pause after a failed accept, which is usually due to a lack of file descriptors.
 const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(20);
 
-/// The address of a listener that a node in this role can't do without.
+/// Returns the address of a listener that nodes of a role require.
 ///
 /// # Errors
-/// If the settings don't name it.
+/// [`Fatal::Settings`] if the settings don't contain it.
 pub(crate) fn required_listener(
     address: Option<SocketAddr>,
     name: &str,
@@ -19,10 +19,10 @@
     address.ok_or_else(|| Fatal::Settings(format!("listeners.{name} is needed by a {role}")))
 }
 
-/// Starts a thread that accepts clients until the process ends.
+/// Starts a thread that accepts clients and passes them to `admit` until the process ends.
 ///
 /// # Errors
-/// If the machine has no thread left.
+/// [`Fatal::Thread`] if the thread can't be started.
 pub(crate) fn accept_clients(
     listener: TcpListener,
     admit: impl Fn(TcpStream) + Send + 'static,
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! What the nodes that serve clients, poolers and gateways, have in common: how they accept
-//! clients, and how they time their graceful shutdown. Called by the `process` module of each.
+//! Code shared by the nodes that serve clients (poolers and gateways): accepting clients, and the
+//! timing of a graceful shutdown. Used by their `process` modules.
 pub(crate) mod grace_period;
 pub(crate) mod listeners;
--- a/src/pooler/process.rs
+++ b/src/pooler/process.rs
@@ -145,7 +145,7 @@
     fn drain(&self, elapsed_ms: u64) -> bool {
         let grace_ms = self.settings.timing_bounds.grace_s * 1_000;
         let grace = GracePeriod { elapsed_ms, grace_ms };
-        if grace.clients_still_come() {
+        if grace.may_receive_new_clients() {
             return false;
         }
         self.pooler.close_idle_from.store(0, Ordering::Relaxed);
