--- a/src/config/configuration.rs
+++ b/src/config/configuration.rs
@@ -1,19 +1,19 @@
-//! The configuration that the operator sends as JSON: routes, services and limits.
+//! The operator's configuration in JSON: routes, services and limits.
 //!
-//! A controller validates it before it puts it in force, and again when it reads it from the
+//! A controller validates a configuration before applying it, and again when it reads it from the
 //! replicated state.
 use crate::base::ids::{Revision, ServiceName};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use validator::{Validate, ValidationError, ValidationErrors};
 
-/// Why a configuration is not accepted. The operator is shown the text.
+/// Why a configuration is rejected. The text is part of the response to the operator.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigurationError {
-    /// Not JSON, or not of the form of a configuration.
+    /// The document is not JSON, or does not have the structure of a configuration.
     #[error("cannot be read: {0}")]
     Unreadable(#[from] serde_json::Error),
-    /// A value is out of its range, or values contradict each other.
+    /// A value is out of range, or values contradict each other.
     #[error("{}", .0.to_string().replace('\n', "; "))]
     Invalid(#[from] ValidationErrors),
 }
@@ -22,14 +22,14 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Validate)]
 #[validate(schema(function = "validate_references"))]
 pub struct Configuration {
-    /// The version number that the operator gave it; each new one must be higher.
+    /// The revision number assigned by the operator. A new configuration must have a higher one.
     #[validate(custom(function = "validate_revision"))]
     pub revision: Revision,
     /// The routes by host name and path prefix.
     #[validate(nested)]
     pub route_rules: Vec<Route>,
-    /// The services that routes lead to. The limit is far above any deployment; a route entry
-    /// refers to a service by a 16-bit index.
+    /// The services that routes refer to. The limit is far above any deployment; route entries
+    /// refer to a service by a 16-bit index.
     #[validate(nested, length(max = 60_000))]
     pub services: Vec<Service>,
     /// Limits of client sessions and requests.
@@ -38,8 +38,8 @@
     pub limits: SessionLimits,
 }
 
-/// How the statements or requests of a route are handled. The first three are for poolers, the
-/// others for gateways.
+/// How the statements or requests of a route are handled. The first three types are for poolers,
+/// the others for gateways.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RouteType {
@@ -49,88 +49,88 @@
     Bounded,
     /// Reads may run on a replica that has the session's own writes.
     ReadYourWrites,
-    /// A request may run more than once.
+    /// A request may be executed more than once.
     Idempotent,
-    /// A request runs at most once for each attempt of the client.
+    /// A request is executed at most once per attempt of the client.
     NonIdempotent,
-    /// As `Idempotent`, with a large response.
+    /// Like `Idempotent`, for large responses.
     Download,
 }
 
 impl RouteType {
-    /// Whether a request may be sent to a second database after it may have run on a first.
+    /// Whether a request may be retried at another database after it may have been executed.
     pub fn is_idempotent(self) -> bool {
         matches!(self, RouteType::Idempotent | RouteType::Download)
     }
 }
 
-/// A route: from a host name and a path prefix to one or more services.
+/// A route, which maps a host name and a path prefix to one or more services.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Validate)]
 #[validate(schema(function = "validate_targets"))]
 pub struct Route {
     /// A name for the operator; nothing refers to it.
     #[validate(length(min = 1))]
     pub name: String,
-    /// The host name of a request; at a pooler, the name of the database that a client asks for.
+    /// The host name of requests; at a pooler, the database name in the client's CONNECT.
     #[validate(length(min = 1, max = 255))]
     pub hostname: String,
-    /// The prefix of the paths that the route is for; the longest matching one wins.
+    /// The prefix of the paths that the route matches. The longest matching prefix wins.
     #[serde(default = "default_path_prefix")]
     pub path_prefix: String,
     /// How statements or requests are handled.
     pub route_type: RouteType,
-    /// How long a statement or request may take, in milliseconds.
+    /// The time-out of a statement or request, in milliseconds.
     #[validate(range(min = 1))]
     pub timeout_ms: u64,
     /// The latency target, in milliseconds; 0 for none.
     #[serde(default)]
     pub target_latency_ms: u64,
-    /// Where sessions wait for a connection, lower values are served first.
+    /// The priority of sessions that wait for a connection; lower values are served first.
     #[serde(default)]
     pub priority: u8,
-    /// The one service of the route, unless `weighted_targets` are given.
+    /// The target service of the route, unless `weighted_targets` are given.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub target_service: Option<ServiceName>,
-    /// Instead of one service: several, each with a share of the requests.
+    /// Several target services, each with a share of the requests.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[validate(length(max = 1_000))]
     pub weighted_targets: Vec<Target>,
-    /// How often a statement or request is attempted at the most.
+    /// The maximum number of attempts of a statement or request.
     #[serde(default = "default_max_attempts")]
     #[validate(range(min = 1))]
     pub max_attempts: u32,
-    /// How far a replica may lag behind for reads of a `Bounded` route, in milliseconds.
+    /// The maximum lag of a replica for reads of a `Bounded` route, in milliseconds.
     #[serde(default)]
     pub stale_ms: u64,
 }
 
 impl Route {
-    /// The services that the route leads to, with their weights.
+    /// The target services of the route with their weights.
     pub(crate) fn targets(&self) -> impl Iterator<Item = (&ServiceName, u32)> {
         let single = self.target_service.iter().map(|service| (service, 1));
         single.chain(self.weighted_targets.iter().map(|t| (&t.target_service, t.weight)))
     }
 }
 
-/// One of several services of a route.
+/// One of several target services of a route.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Target {
     /// The service.
     pub target_service: ServiceName,
-    /// Its share of the requests, in proportion to the sum of all weights.
+    /// Its share of the requests, relative to the sum of all weights.
     pub weight: u32,
 }
 
-/// A service: one primary database and its replicas, or the equal databases of a gateway.
+/// A service: a primary database and its replicas, or the equivalent databases behind a gateway.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, Validate)]
 pub struct Service {
-    /// Its name; one word.
+    /// The name of the service, without whitespace.
     #[validate(custom(function = "validate_service_name"))]
     pub name: ServiceName,
-    /// The connections that each database of the service accepts.
+    /// The number of connections that each database of the service accepts.
     #[validate(range(min = 1))]
     pub max_connections: u32,
-    /// How many replicas have a commit before it is acknowledged.
+    /// The number of replicas that must have a commit before it is acknowledged.
     #[serde(default)]
     pub sync_replicas: u32,
 }
@@ -142,10 +142,10 @@
     /// How long a transaction may be idle, in milliseconds.
     #[validate(range(min = 1))]
     pub txn_idle_ms: u64,
-    /// The size of the head of a request, its first line included.
+    /// The maximum size of the head of a request, including the request line.
     #[validate(range(min = 1))]
     pub max_header_bytes: usize,
-    /// The size of the body of a request.
+    /// The maximum size of the body of a request.
     pub max_body_bytes: u64,
     /// How long a client may take to send the head of a request, in milliseconds.
     #[validate(range(min = 1))]
@@ -175,7 +175,7 @@
     1
 }
 
-// The codes of the validation errors are part of the texts that operators are shown.
+// The codes of the validation errors are part of the error messages for operators.
 
 fn validate_revision(revision: &Revision) -> Result<(), ValidationError> {
     if revision.0 == 0 { Err(ValidationError::new("above_zero")) } else { Ok(()) }
@@ -188,7 +188,8 @@
     Ok(())
 }
 
-/// A route has either one service or weighted targets, and some target gets requests.
+/// Checks that a route has either one service or weighted targets, and a target with a positive
+/// weight.
 fn validate_targets(route: &Route) -> Result<(), ValidationError> {
     if route.target_service.is_some() != route.weighted_targets.is_empty() {
         return Err(ValidationError::new("target_service_or_weighted_targets"));
@@ -199,8 +200,8 @@
     Ok(())
 }
 
-/// Service names are unique, routes lead to known services, and no two routes have the same host
-/// name and path prefix.
+/// Checks that service names are unique, routes refer to existing services, and no two routes have
+/// the same host name and path prefix.
 fn validate_references(config: &Configuration) -> Result<(), ValidationError> {
     let mut services = BTreeSet::new();
     if !config.services.iter().all(|service| services.insert(&service.name)) {
@@ -219,10 +220,10 @@
 }
 
 impl Configuration {
-    /// Decodes and validates a configuration as the operator sent it, in JSON.
+    /// Decodes and validates a configuration in JSON.
     ///
     /// # Errors
-    /// The bytes are not a configuration, or one that can't be put in force.
+    /// [`ConfigurationError`] if the document is not a valid configuration.
     pub fn read(body: &[u8]) -> Result<Self, ConfigurationError> {
         let config: Configuration = serde_json::from_slice(body)?;
         config.validate()?;
--- a/src/config/directory.rs
+++ b/src/config/directory.rs
@@ -1,46 +1,46 @@
-//! The entries of the directory of databases, as heartbeats bring them and as nodes receive them.
+//! The entries of the directory of databases, as contained in heartbeats and as sent to nodes.
 use crate::base::ids::{InstanceId, ServiceName};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Whether a database may get new work.
+/// Whether a database accepts new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Lifecycle {
-    /// It gets new work.
+    /// It accepts new work.
     Available,
-    /// It finishes its work and is about to shut down.
+    /// It completes the work in progress and is about to shut down.
     Draining,
 }
 
-/// What a database says it is.
+/// The role that a database reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
     /// It accepts writes.
     Primary,
-    /// It follows a primary.
+    /// It replicates from a primary.
     Replica,
 }
 
-/// A database as its heartbeats describe it. The sequence number changes with every heartbeat and
-/// is kept apart, in [`Heartbeat`].
+/// A database as described by its heartbeats. The sequence number changes with every heartbeat and
+/// is therefore not part of this type, see [`Heartbeat`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Instance {
-    /// The service that it belongs to.
+    /// The service that the database belongs to.
     pub target_service: ServiceName,
-    /// Where it accepts connections.
+    /// The address at which it accepts connections.
     pub address: SocketAddr,
     /// The zone that it runs in.
     #[serde(default)]
     pub zone: String,
-    /// The version of its program.
+    /// The version of the database software.
     #[serde(default)]
     pub revision: String,
-    /// How many requests it works on at once; 0 if it does not say.
+    /// The number of requests that it processes concurrently; 0 if it does not report one.
     #[serde(default)]
     pub capacity: u32,
-    /// Whether it may get new work.
+    /// Whether it accepts new work.
     pub lifecycle_state: Lifecycle,
     /// Whether it is a primary or a replica.
     #[serde(default = "default_role")]
@@ -57,30 +57,30 @@
     /// The database.
     #[serde(flatten)]
     pub instance: Instance,
-    /// The number of the heartbeat; a database counts them upwards.
+    /// The sequence number of the heartbeat, which increases with every heartbeat of the database.
     pub sequence: u64,
 }
 
-/// One entry of the directory as nodes receive it: only what they need, as there are hundreds of
-/// entries and of nodes. Encoded by the order of the fields.
+/// An entry of the directory as sent to nodes. Contains only what nodes need, since there are
+/// hundreds of entries and hundreds of nodes. Encoded by the order of the fields.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DirectoryEntry {
-    /// The database.
+    /// The id of the database.
     pub id: InstanceId,
     /// The service that it belongs to.
     pub service: ServiceName,
-    /// Where it accepts connections.
+    /// The address at which it accepts connections.
     pub address: SocketAddr,
     /// The zone that it runs in.
     pub zone: String,
-    /// Whether it finishes its work and is about to shut down.
+    /// Whether it is draining: it completes the work in progress and is about to shut down.
     pub draining: bool,
-    /// How many requests it works on at once; 0 if it does not say.
+    /// The number of requests that it processes concurrently; 0 if it does not report one.
     pub capacity: u32,
 }
 
 impl DirectoryEntry {
-    /// The entry of a database.
+    /// Creates the entry of a database.
     pub fn of(id: &InstanceId, instance: &Instance) -> Self {
         Self {
             id: id.clone(),
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,7 +1,7 @@
-//! What a node is configured with: its settings file, the operator's configuration, the form of it
-//! that nodes receive, and the entries of the directory of databases.
+//! The types that configure a node: its settings file, the operator's configuration, the route
+//! table that nodes receive, and the entries of the directory of databases.
 //!
-//! All roles read these types. Keys of JSON and TOML documents are the names of the fields; the
+//! All roles use these types. In JSON and TOML documents, the names of the fields are the keys;
 //! types that are sent to nodes are encoded by the order of their fields.
 pub mod configuration;
 pub mod directory;
--- a/src/config/route_table.rs
+++ b/src/config/route_table.rs
@@ -1,13 +1,14 @@
-//! What a node needs of a configuration, and the difference between two versions of it.
+//! The route table: the part of a configuration that nodes need, and deltas between two versions.
 //!
-//! The controller sends a [`RouteTable`] to each node that connects, and a [`RouteTableDelta`]
-//! where the node has an earlier version. Both are encoded by the order of their fields.
+//! The controller sends a [`RouteTable`] to each node that connects, or a [`RouteTableDelta`] if
+//! the node has an earlier version. Both are encoded by the order of their fields.
 use crate::base::ids::{Revision, ServiceName};
 use crate::config::configuration::{Configuration, Route, RouteType, SessionLimits};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What a node needs of a route. There may be thousands, and links to nodes may be slow.
+/// The part of a route that nodes need. There may be thousands of routes, and links to nodes may be
+/// slow.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RouteEntry {
     /// As [`Route::hostname`].
@@ -30,16 +31,16 @@
     targets: Vec<WeightedService>,
 }
 
-/// A service of a route. Encoded as an array of two numbers.
+/// A target of a route. Encoded as an array of two numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 struct WeightedService {
-    /// The index in [`RouteTable::services`].
+    /// The index of the service in [`RouteTable::services`].
     index: u16,
     weight: u32,
 }
 
 impl RouteEntry {
-    /// What entries are sorted by; no two entries of a table have the same.
+    /// The sort key of the entry, which is unique within a table.
     fn key(&self) -> (&str, &str) {
         (&self.hostname, &self.path_prefix)
     }
@@ -51,7 +52,7 @@
     use serde::de::Error;
     use serde::{Deserialize, Deserializer, Serializer};
 
-    /// The types in the order of their numbers.
+    /// The route types in the order of their numbers.
     const ALL: [RouteType; 6] = [
         RouteType::Primary,
         RouteType::Bounded,
@@ -72,13 +73,11 @@
         deserializer: D,
     ) -> Result<RouteType, D::Error> {
         let number = u8::deserialize(deserializer)?;
-        ALL.get(usize::from(number))
-            .copied()
-            .ok_or_else(|| D::Error::custom("no such type of route"))
+        ALL.get(usize::from(number)).copied().ok_or_else(|| D::Error::custom("unknown route type"))
     }
 }
 
-/// What a node needs of a configuration.
+/// The part of a configuration that nodes need.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RouteTable {
     /// The revision of the configuration.
@@ -92,12 +91,12 @@
 }
 
 impl RouteTable {
-    /// The route table of a validated configuration.
+    /// Creates the route table of a validated configuration.
     pub fn of(config: &Configuration) -> Self {
         let indexes: BTreeMap<&ServiceName, usize> =
             config.services.iter().enumerate().map(|(index, s)| (&s.name, index)).collect();
-        // A validated configuration refers only to services that it has, and has fewer of them than
-        // 16 bits can count.
+        // Validation guarantees that targets refer to existing services, and that their number fits
+        // into 16 bits.
         let target = |(service, weight): (&ServiceName, u32)| {
             Some(WeightedService { index: *indexes.get(service)? as u16, weight })
         };
@@ -122,16 +121,16 @@
         }
     }
 
-    /// The route entry of a database name, and the service that it leads to. Of several routes with
-    /// that name, the one with the first prefix counts.
+    /// The route entry of a database name, and its service. If several routes have that name, the
+    /// one whose path prefix sorts first is used.
     pub fn entry_for_hostname(&self, hostname: &str) -> Option<(&RouteEntry, &ServiceName)> {
         let index = self.entries.partition_point(|entry| entry.hostname.as_str() < hostname);
         let entry = self.entries.get(index).filter(|entry| entry.hostname == hostname)?;
         Some((entry, self.service(entry, 0)?))
     }
 
-    /// The route entry of a request: of those for its host, the one with the longest prefix of its
-    /// path. Prefixes end with a slash.
+    /// The route entry of a request: among those of its host, the one with the longest matching
+    /// path prefix. Prefixes end with a slash.
     pub fn entry_for_path(&self, hostname: &str, path: &str) -> Option<&RouteEntry> {
         let bytes = path.bytes().enumerate().rev();
         let slashes = bytes.filter(|(_, byte)| *byte == b'/').map(|(at, _)| at);
@@ -143,8 +142,8 @@
             .map(|index| &self.entries[index])
     }
 
-    /// The service that a route entry leads to for one of its requests. The same request leads to
-    /// the same service at every node.
+    /// The target service of a request, chosen by the weights of the route entry. The same request
+    /// number selects the same service at every node.
     pub fn service(&self, entry: &RouteEntry, request: u64) -> Option<&ServiceName> {
         let sum: u64 = entry.targets.iter().map(|target| u64::from(target.weight)).sum();
         let mut rest = request.checked_rem(sum)?;
@@ -157,7 +156,7 @@
         None
     }
 
-    /// The difference from `base` to this version.
+    /// The delta from `base` to this version.
     pub fn delta_from(&self, base: &RouteTable) -> RouteTableDelta {
         RouteTableDelta {
             base: base.revision,
@@ -168,7 +167,8 @@
         }
     }
 
-    /// The version that `delta` makes of this one; none if it is based on another one.
+    /// Applies a delta to this version; `None` if the delta is based on another version or is not
+    /// valid.
     pub fn apply(&self, delta: &RouteTableDelta) -> Option<RouteTable> {
         if delta.base != self.revision {
             return None;
@@ -182,36 +182,36 @@
     }
 }
 
-/// The difference from one version of the route table to another.
+/// The delta from one version of the route table to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RouteTableDelta {
-    /// The revision that it applies to.
+    /// The revision that the delta applies to.
     pub base: Revision,
-    /// The revision that it leads to.
+    /// The revision that results from it.
     pub revision: Revision,
-    /// How the new entries are made from the old.
+    /// The runs that produce the new entries from the old ones.
     pub entries: Vec<DeltaRun<RouteEntry>>,
-    /// How the new services are made from the old.
+    /// The runs that produce the new services from the old ones.
     pub services: Vec<DeltaRun<ServiceName>>,
     /// The new limits.
     pub limits: SessionLimits,
 }
 
-/// A run of items of the new list.
+/// A run of consecutive items in a new list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum DeltaRun<T> {
-    /// The same items as in the old list.
+    /// Items copied from the old list.
     Same {
-        /// The index of the first in the old list.
+        /// The index of the first item in the old list.
         from: usize,
-        /// How many.
+        /// The number of items.
         count: usize,
     },
     /// Items that are not in the old list.
     New(Vec<T>),
 }
 
-/// The runs that make the list `new` from `old`.
+/// Computes the runs that produce the list `new` from `old`.
 fn delta_runs<'a, T: Clone + PartialEq, K: Ord>(
     old: &'a [T],
     new: &'a [T],
@@ -233,7 +233,7 @@
     runs
 }
 
-/// The list that the runs make from `old`; none if they refer to items that `old` does not have.
+/// Produces the new list from `old`; `None` if the runs refer to items that `old` doesn't have.
 fn apply_runs<T: Clone>(old: &[T], runs: &[DeltaRun<T>]) -> Option<Vec<T>> {
     let mut new = Vec::new();
     for run in runs {
