--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -1,7 +1,7 @@
-//! The settings file of a node, in TOML, and the watch for changes of it.
+//! The settings file of a node in TOML, and the detection of changes to it.
 //!
-//! Every role reads it at the start, and again when the file changes or on SIGHUP. Keys of the file
-//! are the names of the fields; unknown keys are ignored.
+//! Every role reads the file at its start, when the file changes, and on SIGHUP. The names of the
+//! fields are the keys of the file; unknown keys are ignored.
 use crate::base::errors::Fatal;
 use crate::base::ids::NodeName;
 use log::{info, warn};
@@ -20,27 +20,28 @@
     /// The name of the machine.
     #[validate(length(min = 1, max = 255))]
     pub node_name: String,
-    /// The address of the machine.
+    /// The IP address of the machine.
     pub ip_address: IpAddr,
-    /// The zone that the machine stands in.
+    /// The zone (failure domain) of the machine.
     #[validate(length(min = 1))]
     pub zone: String,
-    /// The first and the last port that the program may use; the same on every machine.
+    /// The first and the last port that the program may use. The same on every machine.
     #[validate(custom(function = "validate_port_range"))]
     pub port_range: (u16, u16),
-    /// The admin addresses of the controllers that a node asks first.
+    /// The admin addresses of the controllers that a node contacts first.
     #[validate(length(min = 1), custom(function = "validate_seed_nodes"))]
     pub seed_nodes: Vec<SocketAddr>,
-    /// Whether the first seed may found the Raft group; set for the first start only.
+    /// Whether the first seed may bootstrap the Raft cluster. Set for the first start only.
     #[serde(default)]
     pub bootstrap: bool,
-    /// Where a controller stores its state; one without it never votes.
+    /// The folder in which a controller stores its state. A controller without it never votes.
     #[serde(default)]
     pub data_path: Option<PathBuf>,
-    /// Whether the loss of this machine counts; a controller on another machine never votes.
+    /// Whether this machine counts towards the fault tolerance. Controllers on other machines never
+    /// vote.
     #[serde(default = "default_quorum_member")]
     pub quorum_member: bool,
-    /// How many machines may be lost at once.
+    /// The number of concurrent machine failures that the system must tolerate.
     #[validate(nested)]
     #[serde(default)]
     pub fault_tolerance: FaultTolerance,
@@ -48,18 +49,18 @@
     #[serde(default = "default_heartbeat_ms")]
     #[validate(range(min = 1, max = 600_000))]
     pub heartbeat_ms: u64,
-    /// Where the node accepts connections.
+    /// The addresses at which the node accepts connections.
     #[validate(nested)]
     pub listeners: Listeners,
-    /// What the process may use.
+    /// The resource limits of the process.
     #[validate(nested)]
     #[serde(default)]
     pub limits: Limits,
-    /// Time bounds of the deployment.
+    /// The time bounds of the deployment.
     #[validate(nested)]
     #[serde(default)]
     pub timing_bounds: TimingBounds,
-    /// The platform that carries out failovers.
+    /// The platform that performs failovers.
     #[serde(default)]
     pub provider: Option<Provider>,
     /// The kind of deployment.
@@ -71,12 +72,12 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rollout {
-    /// Client sessions are pooled onto databases; each service has a primary.
+    /// A connection pooler: each service has a primary.
     #[default]
     Pooler,
-    /// A gateway; the databases of a service are equal.
+    /// An API gateway: the databases of a service are equivalent.
     Api,
-    /// A kind that this version does not know; handled like `Pooler`.
+    /// A kind that this version does not know; treated like `Pooler`.
     #[serde(other)]
     Other,
 }
@@ -84,22 +85,22 @@
 /// The addresses that a node listens on.
 #[derive(Clone, Debug, Default, Deserialize, Validate)]
 pub struct Listeners {
-    /// For clients.
+    /// The address for clients.
     pub frontend: Option<SocketAddr>,
-    /// For readiness checks.
+    /// The address for readiness checks.
     pub readiness: Option<SocketAddr>,
-    /// For operators and databases, at controllers.
+    /// The address for operators and databases; only controllers use it.
     pub admin: Option<SocketAddr>,
 }
 
-/// What the process may use.
+/// The resource limits of a process.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(default)]
 pub struct Limits {
-    /// Memory, in MiB. Validated, but not enforced by the program.
+    /// The memory limit in MiB. Validated, but not enforced by the program.
     #[validate(range(min = 16))]
     pub memory_mb: u64,
-    /// Open files, sockets included.
+    /// The maximum number of open files, including sockets.
     #[validate(range(min = 64))]
     pub max_open_files: u64,
 }
@@ -110,24 +111,24 @@
     }
 }
 
-/// Time bounds of the deployment.
+/// The time bounds of a deployment.
 #[derive(Clone, Debug, Deserialize, Validate)]
 #[serde(default)]
 pub struct TimingBounds {
-    /// How long a node may take to shut down, in seconds.
+    /// The grace period of a shutdown, in seconds.
     #[validate(range(min = 1, max = 3600))]
     pub grace_s: u64,
-    /// How long a database may still get new work after it began to drain, in milliseconds.
+    /// How long a database may still receive new work after it started draining, in milliseconds.
     #[validate(range(min = 100))]
     pub drain_ms: u64,
-    /// Validated, but not used by the program; in milliseconds.
+    /// A time in milliseconds that is validated, but not used by the program.
     #[validate(range(min = 100))]
     pub contact_ms: u64,
-    /// How long a machine still counts as lost after it returned, in seconds.
+    /// How long a machine still counts as failed after its return, in seconds.
     #[validate(range(min = 1, max = 3600))]
     pub join_sync_s: u64,
-    /// Over any `retry_window_s`, all nodes together may send this fraction of the requests, and
-    /// `retry_slack` more, to a second database.
+    /// The maximum fraction of the requests, plus `retry_slack`, that all nodes together may retry
+    /// at another database in any window of `retry_window_s`.
     #[validate(range(min = 0.0, max = 1.0))]
     pub retry_ratio: f64,
     /// The window of the retry budget, in seconds.
@@ -148,19 +149,19 @@
     }
 }
 
-/// How much may be lost at once.
+/// The failures that the system must tolerate.
 #[derive(Clone, Debug, Default, Deserialize, Validate)]
 #[serde(default)]
 pub struct FaultTolerance {
-    /// Machines.
+    /// The number of machines that may fail at the same time.
     #[validate(range(max = 100))]
     pub machines: u64,
 }
 
-/// The platform that carries out failovers.
+/// The platform that performs failovers.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Provider {
-    /// Where it accepts calls.
+    /// The address of its HTTP interface.
     pub address: SocketAddr,
 }
 
@@ -191,7 +192,7 @@
     /// Decodes and validates the text of a settings file.
     ///
     /// # Errors
-    /// `Fatal::Settings` with one line that names the wrong key.
+    /// [`Fatal::Settings`] with a one-line message that contains the invalid key.
     pub fn parse(text: &str) -> Result<Self, Fatal> {
         let settings: Settings =
             toml::from_str(text).map_err(|e| Fatal::Settings(one_line(&e.to_string())))?;
@@ -202,7 +203,7 @@
     /// Reads a settings file.
     ///
     /// # Errors
-    /// `Fatal::Settings` with the path, and why the file can't be read or is not valid.
+    /// [`Fatal::Settings`] with the path and the reason why the file can't be read or is not valid.
     pub fn read(path: &Path) -> Result<Self, Fatal> {
         let text = std::fs::read_to_string(path)
             .map_err(|e| Fatal::Settings(format!("{}: {e}", path.display())))?;
@@ -212,10 +213,11 @@
         })
     }
 
-    /// The path of the settings file: from the command line if given, else from the environment.
+    /// The path of the settings file: from the command line if given, otherwise from the
+    /// environment variable [`SETTINGS_PATH_VARIABLE`].
     ///
     /// # Errors
-    /// `Fatal::Settings` if neither gives one.
+    /// [`Fatal::Settings`] if neither contains a path.
     pub fn path(flag: Option<PathBuf>) -> Result<PathBuf, Fatal> {
         flag.or_else(|| std::env::var_os(SETTINGS_PATH_VARIABLE).map(PathBuf::from)).ok_or_else(
             || {
@@ -231,36 +233,37 @@
         NodeName(self.node_name.clone())
     }
 
-    /// Where controllers listen for nodes and other controllers: the first port of the range, the
-    /// same on every machine.
+    /// The port on which controllers accept connections from nodes and other controllers: the first
+    /// port of the range, which is the same on every machine.
     pub fn peer_port(&self) -> u16 {
         self.port_range.0
     }
 
-    /// Whether a controller here may vote.
+    /// Whether a controller on this machine may vote.
     pub fn can_vote(&self) -> bool {
         self.data_path.is_some() && self.quorum_member
     }
 
-    /// The seed that founds the Raft group when the system starts for the first time.
-    pub fn founder(&self) -> Option<SocketAddr> {
+    /// The admin address of the seed that bootstraps the Raft cluster at the first start of the
+    /// system.
+    pub fn bootstrap_seed(&self) -> Option<SocketAddr> {
         self.seed_nodes.iter().min().copied().filter(|_| self.bootstrap)
     }
 
-    /// How many machines may be lost at once.
-    pub fn tolerated(&self) -> usize {
+    /// The number of concurrent machine failures that the system must tolerate.
+    pub fn tolerated_failures(&self) -> usize {
         self.fault_tolerance.machines as usize
     }
 
-    /// How long a voter beyond those needed may be silent before it is removed, in milliseconds:
-    /// half of `join_sync_s`. A machine that replaces it counts after `join_sync_s`, and from then
-    /// on others may be lost again; with the lost voter still a member, the remaining ones might be
-    /// no quorum.
-    pub fn silent_voter_ms(&self) -> u64 {
+    /// How long a voter that is not needed for the fault tolerance may be unreachable before it is
+    /// removed, in milliseconds: half of `join_sync_s`. The replacement of a failed machine counts
+    /// after `join_sync_s`, and further machines may fail from then on. If the failed voter were
+    /// still a member, the remaining voters might not form a quorum.
+    pub fn voter_removal_timeout_ms(&self) -> u64 {
         500 * self.timing_bounds.join_sync_s
     }
 
-    /// The addresses at which nodes ask the seeds for the leader.
+    /// The peer addresses of the seeds, at which nodes search for the leader.
     pub fn seed_peers(&self) -> Vec<SocketAddr> {
         let port = self.peer_port();
         self.seed_nodes.iter().map(|seed| SocketAddr::new(seed.ip(), port)).collect()
@@ -271,14 +274,14 @@
     text.split_whitespace().collect::<Vec<_>>().join(" ")
 }
 
-/// Detects changes of the settings file, on SIGHUP or without.
+/// Detects changes of the settings file and reloads it.
 pub struct SettingsWatcher {
     path: PathBuf,
-    /// The version that was last read, or attempted to.
+    /// The version of the file at the last attempt to read it.
     version: Option<FileVersion>,
 }
 
-/// What changes when a file is written.
+/// File metadata that changes when the file is written.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct FileVersion {
     modified: SystemTime,
@@ -286,7 +289,7 @@
 }
 
 impl FileVersion {
-    /// The version of a file; none if it can't be examined.
+    /// The version of a file; `None` if its metadata can't be read.
     fn of(path: &Path) -> Option<Self> {
         let metadata = std::fs::metadata(path).ok()?;
         Some(Self { modified: metadata.modified().ok()?, length: metadata.len() })
@@ -294,13 +297,14 @@
 }
 
 impl SettingsWatcher {
-    /// Watches a file that has just been read.
+    /// Creates a watcher for a file that has just been read.
     pub fn new(path: PathBuf) -> Self {
         let version = FileVersion::of(&path);
         Self { path, version }
     }
 
-    /// New settings if the file has changed, or `reload_requested` is set, and it is valid.
+    /// Reads the settings if the file has changed or `reload_requested` is set; `None` if there is
+    /// no reason to reload, or the file is not valid.
     pub fn poll(&mut self, reload_requested: bool) -> Option<Settings> {
         let version = FileVersion::of(&self.path);
         if !reload_requested && version == self.version {
@@ -309,11 +313,11 @@
         self.version = version;
         match Settings::read(&self.path) {
             Ok(settings) => {
-                info!(target: "settings", "reloaded");
+                info!(target: "settings", "{} reloaded", self.path.display());
                 Some(settings)
             }
             Err(e) => {
-                warn!(target: "settings", "reload failed, the old settings stay in force: {e}");
+                warn!(target: "settings", "reload failed, current settings stay in effect: {e}");
                 None
             }
         }
--- a/src/controller/admin_handler.rs
+++ b/src/controller/admin_handler.rs
@@ -139,7 +139,7 @@
 
     /// Rejects the first command of a new Raft group until it has the voters that it needs.
     fn check_founding(&self, now: Tick) -> Result<(), Response> {
-        let tolerated = self.settings.tolerated();
+        let tolerated = self.settings.tolerated_failures();
         let (voters, needed) = (self.raft.voters().len(), 2 * tolerated + 1);
         if !self.raft.may_bootstrap(tolerated, now) {
             let why = format!("being founded: {voters} of {needed} controllers vote");
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -222,7 +222,7 @@
     fn nominates_as_founder(&mut self, member: &Member, now: Tick) -> bool {
         let own_address = self.settings.listeners.admin;
         if self.settings.can_vote()
-            || self.settings.founder() != own_address
+            || self.settings.bootstrap_seed() != own_address
             || !self.raft.members().is_empty()
             || !member.can_vote
         {
@@ -245,7 +245,8 @@
     /// As the leader: proposes the next change of the membership, if one is needed.
     pub(super) fn propose_membership_change(&mut self, now: Tick) {
         self.join.candidates.retain(|_, c| now.since(c.asked_at) < CANDIDATE_EXPIRY_MS);
-        let (tolerated, silent) = (self.settings.tolerated(), self.settings.silent_voter_ms());
+        let (tolerated, silent) =
+            (self.settings.tolerated_failures(), self.settings.voter_removal_timeout_ms());
         let candidates = self.join.candidates.values().map(|c| &c.member);
         if let Some(members) = self.raft.next_membership_change(candidates, tolerated, silent, now)
         {
--- a/src/controller/process.rs
+++ b/src/controller/process.rs
@@ -117,7 +117,7 @@
 pub fn first_state(settings: &Settings, admin: SocketAddr, random: fn() -> u64) -> PersistentState {
     let mut state =
         PersistentState { member_id: new_member_id(random), ..PersistentState::default() };
-    if settings.can_vote() && settings.founder() == Some(admin) {
+    if settings.can_vote() && settings.bootstrap_seed() == Some(admin) {
         let founder = Member { voter: true, ..new_member(settings, admin, state.member_id) };
         state.snapshot.members = vec![founder];
     }
--- a/tests/raft.rs
+++ b/tests/raft.rs
@@ -334,7 +334,8 @@
     let counts_from = controllers.now.plus(6_000);
     while controllers.now < counts_from {
         let (raft, now) = (&controllers.nodes[&leader], controllers.now);
-        let (tolerated, silent) = (settings.tolerated(), settings.silent_voter_ms());
+        let (tolerated, silent) =
+            (settings.tolerated_failures(), settings.voter_removal_timeout_ms());
         if let Some(list) =
             raft.next_membership_change([&joiner].into_iter(), tolerated, silent, now)
         {
