--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -281,7 +281,7 @@
     assert_eq!(system.leader.hand_over(&handover(1, "i-ledger-1")), Some(at(1)), "reports q1");
     assert_eq!(client.store("q2"), "COMPLETE", "the target has it");
     // The target receives nothing, but the primary acknowledges because another replica does.
-    system.databases.faults.replicas_lack.store(2, Ordering::SeqCst);
+    system.databases.faults.replica_lag.store(2, Ordering::SeqCst);
     client.send("QUERY q3 STORE thing q3");
     let mut transaction = Client::open(&system);
     for (id, text) in [("t1", "BEGIN"), ("t2", "STORE thing t2")] {
@@ -291,23 +291,23 @@
     }
     transaction.send("QUERY t3 COMMIT");
     assert!(client.gets_no_reply() && transaction.gets_no_reply());
-    assert_eq!(system.databases.reached("q3"), 1);
+    assert_eq!(system.databases.times_received("q3"), 1);
     // Reads are not held back, and commits are forwarded once the target has them.
     let mut reader = Client::open(&system);
     reader.send("QUERY r1 FETCH thing");
     assert!(reader.line().starts_with("ROW"));
-    system.databases.faults.replicas_lack.store(0, Ordering::SeqCst);
+    system.databases.faults.replica_lag.store(0, Ordering::SeqCst);
     assert_eq!((client.outcome(), transaction.outcome()), ("COMPLETE".into(), "COMPLETE".into()));
     // A commit that the target never receives is not forwarded; its outcome is unknown, as it may
     // have run.
-    system.databases.faults.replicas_lack.store(9, Ordering::SeqCst);
+    system.databases.faults.replica_lag.store(9, Ordering::SeqCst);
     client.send("QUERY q4 STORE thing q4");
     assert!(client.gets_no_reply());
     system.leader.send(ToPooler::Revoke { service: service(), term: TERM });
     *system.leader.status.lock().expect("status") = PrimaryStatus::Absent;
     assert_eq!(system.leader.receive_revoke_ack(), Some(at(4)), "q3 and the transaction, not q4");
     assert_eq!(client.outcome(), "UNKNOWN");
-    assert_eq!(system.databases.reached("q4"), 1);
+    assert_eq!(system.databases.times_received("q4"), 1);
 }
 
 #[test]
@@ -315,14 +315,14 @@
     let mut system = start("called-off");
     let mut client = Client::open(&system);
     assert_eq!(system.leader.hand_over(&handover(1, "i-ledger-1")), None);
-    system.databases.faults.replicas_lack.store(1, Ordering::SeqCst);
+    system.databases.faults.replica_lag.store(1, Ordering::SeqCst);
     client.send("QUERY q1 STORE thing q1");
     assert!(client.gets_no_reply());
     // An unknown database, or one that does not reply, confirms no commit.
     assert_eq!(system.leader.hand_over(&handover(2, "i-unknown")), None);
     assert!(client.gets_no_reply());
-    system.databases.faults.replicas_lack.store(0, Ordering::SeqCst);
-    system.databases.inject("DESCRIBE", &[InjectedFault::NoAnswer; 4]);
+    system.databases.faults.replica_lag.store(0, Ordering::SeqCst);
+    system.databases.inject("DESCRIBE", &[InjectedFault::NoReply; 4]);
     assert_eq!(system.leader.hand_over(&handover(3, "i-ledger-2")), None);
     assert!(client.gets_no_reply());
     system.leader.grant(active());
--- a/tests/pooler.rs
+++ b/tests/pooler.rs
@@ -172,7 +172,7 @@
     connection_losses_are_retried_or_reported(&system);
     commands_have_their_exit_codes(&system);
     assert!(
-        system.databases.most_open.load(Ordering::SeqCst) <= 3 * 16,
+        system.databases.max_open_connections.load(Ordering::SeqCst) <= 3 * 16,
         "connection limits exceeded"
     );
     sessions_end_when_the_leader_is_lost(&mut system, &folder);
@@ -311,7 +311,10 @@
     client.send("QUERY q FETCH a\nSTORE a 1\r\n");
     assert_eq!((client.answer(), client.answer()), ("MALFORMED I".into(), "MALFORMED I".into()));
     assert_eq!(client.ask("q", "EXECUTE nobody a"), "NOTFOUND I");
-    assert!(system.databases.clients_ran().is_empty(), "a rejected statement reached a database");
+    assert!(
+        system.databases.client_statements().is_empty(),
+        "a rejected statement reached a database"
+    );
     client.send(&format!("QUERY q STORE a {}\r\n", "x".repeat(1 << 20)));
     assert_eq!(client.answer(), "TOOLARGE end");
 }
@@ -331,18 +334,18 @@
     ] {
         assert_eq!(client.ask("n1", text), answer, "{text}");
     }
-    let lose_next_reply = || databases.faults.break_next.store(true, Ordering::SeqCst);
+    let lose_next_reply = || databases.faults.disconnect_next.store(true, Ordering::SeqCst);
     // A read is retried, and the prepared statements are replayed on the next connection.
     lose_next_reply();
     assert_eq!(client.ask("n2", "EXECUTE get a"), "one stamped I");
-    assert_eq!(databases.clients_ran().iter().filter(|(id, _)| id == "n2").count(), 2);
+    assert_eq!(databases.client_statements().iter().filter(|(id, _)| id == "n2").count(), 2);
     // A malformed reply is handled like a lost connection and never forwarded to the client.
-    databases.faults.garble_next.store(true, Ordering::SeqCst);
+    databases.faults.malformed_reply_next.store(true, Ordering::SeqCst);
     assert_eq!(client.ask("n3", "EXECUTE get a"), "one stamped I");
     // A write whose reply is lost is not retried, and its outcome is unknown.
     lose_next_reply();
     assert_eq!(client.ask("n4", "EXECUTE put a two"), "UNKNOWN I");
-    assert_eq!(databases.clients_ran().iter().filter(|(id, _)| id == "n4").count(), 1);
+    assert_eq!(databases.client_statements().iter().filter(|(id, _)| id == "n4").count(), 1);
     assert_eq!(client.ask("n5", "EXECUTE get a"), "two stamped I");
     // The first statement of a transaction is retried transparently, a later one is not.
     assert_eq!(client.ask("n6", "BEGIN"), "done T");
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -184,7 +184,7 @@
 fn statements_that_may_be_committed_are_not_retried_and_replies_match_their_statements() {
     let databases = StandIn::start("ledger", 3).expect("databases");
     let site = start_pooler(&databases);
-    let faults = [NoAnswer, Late(60), ResetBeforeRun, ResetAfterRun, ResetInAnswer, Duplicated];
+    let faults = [NoReply, Late(60), ResetBeforeRun, ResetAfterRun, ResetDuringReply, Duplicated];
     // (earlier statements, the statement, the expected outcome for each fault)
     let unknown = "UNKNOWN I";
     let cases: [(&[&str], &str, [&str; 6]); 6] = [
@@ -220,8 +220,8 @@
                     databases.inject(&id, &[fault]);
                     let (got, row) = session.ask(&id, text);
                     // The statement may not be sent at all while the primary is suspected.
-                    let sent = databases.reached(&id) > 0;
-                    sent.then(|| (got, row, databases.reached(&id)))
+                    let sent = databases.times_received(&id) > 0;
+                    sent.then(|| (got, row, databases.times_received(&id)))
                 })
                 .unwrap_or_else(|| panic!("never sent: {what}"));
             assert_eq!(got, end, "{what}");
@@ -278,7 +278,7 @@
         session_after(&site, "strict", &early, &["BEGIN", "FETCH a", "FETCH a"]).expect("open");
     std::thread::sleep(Duration::from_millis(60));
     assert_eq!(session.ask(&id, "FETCH b").0, "ROLLEDBACK I");
-    assert_eq!(databases.reached(&id), 0, "the connection was used again");
+    assert_eq!(databases.times_received(&id), 0, "the connection was used again");
     // A duplicate or lost reply to a statement that the pooler sends before the client's statement.
     for (word, before, ends) in [
         ("BEGIN", &["BEGIN"][..], "own T"),
@@ -286,7 +286,7 @@
         ("PREPARE", &["PREPARE p FETCH shape"][..], "own I"),
     ] {
         let text = if word == "PREPARE" { "EXECUTE p b" } else { "FETCH b" };
-        for fault in [Duplicated, DuplicatedLate(30), ResetBeforeRun, ResetInAnswer, NoAnswer] {
+        for fault in [Duplicated, DuplicatedLate(30), ResetBeforeRun, ResetDuringReply, NoReply] {
             let (early, id) = (fresh_id(), fresh_id());
             let mut session = session_after(&site, "strict", &early, before).expect("open");
             databases.inject(word, &[fault]);
@@ -298,12 +298,12 @@
     // A connection is reset while idle: nothing was sent, so a write is sent on another one.
     for _ in 0..3 {
         let id = fresh_id();
-        databases.inject(&id, &[ResetAfterAnswer]);
+        databases.inject(&id, &[ResetAfterReply]);
         let mut first = Session::open(&site, "strict").expect("session");
         assert_eq!(first.ask(&id, "FETCH a"), own("a"));
         std::thread::sleep(Duration::from_millis(120));
         let (id, (end, _)) = run_until_served(&site, "strict", "STORE a a");
-        assert_eq!((end.as_str(), databases.reached(&id)), ("own I", 1));
+        assert_eq!((end.as_str(), databases.times_received(&id)), ("own I", 1));
     }
     // The same if more connections are reset at once than a statement has retries.
     let mut open = Vec::new();
@@ -314,13 +314,13 @@
     });
     for session in &mut open {
         let id = fresh_id();
-        databases.inject(&id, &[ResetAfterAnswer]);
+        databases.inject(&id, &[ResetAfterReply]);
         assert_eq!(session.ask(&id, "COMMIT").0, "own I");
     }
     std::thread::sleep(Duration::from_millis(150));
     let id = fresh_id();
     assert_eq!(open[0].ask(&id, "STORE a a").0, "own I");
-    assert_eq!(databases.reached(&id), 1);
+    assert_eq!(databases.times_received(&id), 1);
     // A client disconnects before its reply arrives: no other client gets that reply.
     for _ in 0..3 {
         let id = fresh_id();
@@ -359,7 +359,7 @@
                         let id = fresh_id();
                         match (place + round + step) % 9 {
                             0 => databases.inject(&id, &[Duplicated]),
-                            1 => databases.inject(&id, &[ResetInAnswer]),
+                            1 => databases.inject(&id, &[ResetDuringReply]),
                             2 => databases.inject(&id, &[Late(15)]),
                             3 => databases.inject(&id, &[ResetAfterRun]),
                             _ => {}
@@ -388,7 +388,7 @@
                 }
                 assert!(served > 60, "{served} were served");
                 for (id, end) in writes {
-                    let reached = databases.reached(&id);
+                    let reached = databases.times_received(&id);
                     assert!(reached <= 1, "{id} ended {end}, reached databases {reached} times");
                     assert!(end != "own I" || reached == 1, "{id}: {end}");
                 }
@@ -440,7 +440,7 @@
     }
     for (mut session, id, text, end) in sessions {
         assert_eq!(session.answer(&id).0, end, "{text}");
-        assert!(text == "FETCH a" || databases.reached(&id) == 1, "{text}");
+        assert!(text == "FETCH a" || databases.times_received(&id) == 1, "{text}");
     }
 }
 
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,7 +1,7 @@
 //! A stand-in for the databases of one service and for the platform, in one process.
 //!
-//! All databases share one store, so that a replica never lags. Tests set the faults they want in
-//! `Faults`, and look up what reached a database in `ran`.
+//! All databases share one store, so replicas never lag. Tests inject faults with `Faults` and
+//! query which statements a database has received.
 #![allow(dead_code, reason = "each test file and the example use a part of it")]
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -10,48 +10,51 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// A statement that reached a database.
-pub(crate) struct Ran {
+/// A statement that a database has received.
+pub(crate) struct ReceivedStatement {
     pub(crate) database: usize,
     pub(crate) id: String,
     pub(crate) text: String,
 }
 
-/// A fault that a statement meets at a database.
+/// A fault that a database applies to a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum InjectedFault {
-    /// Answered as it should be; stands for a statement in the sequence.
+    /// No fault: a placeholder for a statement that is handled normally.
     NoFault,
-    /// Never answered; the connection stays open.
-    NoAnswer,
-    /// Answered after so many milliseconds.
+    /// No reply is sent; the connection stays open.
+    NoReply,
+    /// The reply is delayed by this many milliseconds.
     Late(u64),
-    /// The connection is reset before it ran, after it ran, within the answer, after the answer.
+    /// The connection is reset before the statement is executed, after it is executed, while the
+    /// reply is sent, or after the reply.
     ResetBeforeRun,
     ResetAfterRun,
-    ResetInAnswer,
-    ResetAfterAnswer,
-    /// Not run, and the transaction is rolled back with the session's state from within.
+    ResetDuringReply,
+    ResetAfterReply,
+    /// The statement is not executed. The transaction is rolled back, including the session state
+    /// set within it.
     RolledBack,
-    /// Answered twice: at once, or so many milliseconds apart.
+    /// The reply is sent twice, immediately or this many milliseconds apart.
     Duplicated,
     DuplicatedLate(u64),
 }
 
-/// The faults that are set; each happens once.
+/// The injected faults. Each is applied once.
 #[derive(Default)]
 pub(crate) struct Faults {
-    /// Close the connection after running the next statement with a client's id.
-    pub(crate) break_next: AtomicBool,
-    /// Answer the next statement with a client's id by something that is no answer.
-    pub(crate) garble_next: AtomicBool,
-    /// What the next statements meet, in their order: by the statement's id, or by the first word
-    /// of its text where the id is `-`.
+    /// Closes the connection after executing the next statement that has a client's id.
+    pub(crate) disconnect_next: AtomicBool,
+    /// Sends a malformed reply to the next statement that has a client's id.
+    pub(crate) malformed_reply_next: AtomicBool,
+    /// The faults of the next statements, in order. The key is the statement's id, or the first
+    /// word of its text if the id is `-`.
     pub(crate) by_key: Mutex<HashMap<String, VecDeque<InjectedFault>>>,
-    /// So many commits of the primary are missing at the replicas, as they describe themselves.
-    pub(crate) replicas_lack: AtomicU64,
+    /// The number of commits of the primary that replicas lack according to their own description.
+    pub(crate) replica_lag: AtomicU64,
 }
 
+/// The state that all databases of the service share.
 #[derive(Default)]
 struct Store {
     values: HashMap<String, String>,
@@ -60,15 +63,15 @@
     primary: usize,
 }
 
-/// Databases of one service and a platform that promotes them.
+/// The databases of one service, and a platform that promotes them.
 pub(crate) struct StandIn {
     pub(crate) service: String,
     pub(crate) addresses: Vec<SocketAddr>,
     pub(crate) platform: SocketAddr,
     pub(crate) faults: Faults,
-    pub(crate) open: AtomicUsize,
-    pub(crate) most_open: AtomicUsize,
-    ran: Mutex<Vec<Ran>>,
+    pub(crate) open_connections: AtomicUsize,
+    pub(crate) max_open_connections: AtomicUsize,
+    received: Mutex<Vec<ReceivedStatement>>,
     store: Mutex<Store>,
     stamps: AtomicU64,
 }
@@ -77,7 +80,7 @@
     mutex.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-/// Makes the connection be reset when it is closed.
+/// Makes the kernel reset the connection when it is closed.
 fn reset(stream: &TcpStream) -> std::io::Result<()> {
     socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO))
 }
@@ -93,9 +96,9 @@
             addresses: listeners.iter().map(TcpListener::local_addr).collect::<Result<_, _>>()?,
             platform: platform.local_addr()?,
             faults: Faults::default(),
-            open: AtomicUsize::new(0),
-            most_open: AtomicUsize::new(0),
-            ran: Mutex::default(),
+            open_connections: AtomicUsize::new(0),
+            max_open_connections: AtomicUsize::new(0),
+            received: Mutex::default(),
             store: Mutex::new(Store { term: 1, ..Store::default() }),
             stamps: AtomicU64::new(1),
         });
@@ -105,19 +108,19 @@
                 for stream in listener.incoming().flatten() {
                     let this = Arc::clone(&this);
                     std::thread::spawn(move || {
-                        let open = this.open.fetch_add(1, Ordering::SeqCst) + 1;
-                        this.most_open.fetch_max(open, Ordering::SeqCst);
-                        // Tests break connections off.
+                        let open = this.open_connections.fetch_add(1, Ordering::SeqCst) + 1;
+                        this.max_open_connections.fetch_max(open, Ordering::SeqCst);
+                        // Errors are expected, because tests close connections at any point.
                         let _ = this.serve(database, stream);
-                        this.open.fetch_sub(1, Ordering::SeqCst);
+                        this.open_connections.fetch_sub(1, Ordering::SeqCst);
                     });
                 }
             });
         }
-        let promoting = Arc::clone(&this);
+        let promoter = Arc::clone(&this);
         std::thread::spawn(move || {
             for stream in platform.incoming().flatten() {
-                let _ = promoting.promote(stream);
+                let _ = promoter.promote(stream);
             }
         });
         Ok(this)
@@ -126,21 +129,23 @@
     pub(crate) fn id(&self, database: usize) -> String {
         format!("i-{}-{database}", self.service)
     }
-    /// What ran with a client's id, in order.
-    pub(crate) fn clients_ran(&self) -> Vec<(String, String)> {
-        lock(&self.ran)
+    /// The id and text of every received statement that has a client's id, in order.
+    pub(crate) fn client_statements(&self) -> Vec<(String, String)> {
+        lock(&self.received)
             .iter()
             .filter(|r| r.id != "-")
             .map(|r| (r.id.clone(), r.text.clone()))
             .collect()
     }
+    /// The database that received a statement with this id last.
     pub(crate) fn last_database(&self, id: &str) -> Option<usize> {
-        lock(&self.ran).iter().rev().find(|r| r.id == id).map(|r| r.database)
+        lock(&self.received).iter().rev().find(|r| r.id == id).map(|r| r.database)
     }
-    /// How often a statement with this id reached any database.
-    pub(crate) fn reached(&self, id: &str) -> usize {
-        lock(&self.ran).iter().filter(|r| r.id == id).count()
+    /// How often the databases have received a statement with this id.
+    pub(crate) fn times_received(&self, id: &str) -> usize {
+        lock(&self.received).iter().filter(|r| r.id == id).count()
     }
+    /// Sets the faults of the next statements with this key, see [`Faults::by_key`].
     pub(crate) fn inject(&self, key: &str, faults: &[InjectedFault]) {
         let faults = faults.iter().copied().collect();
         lock(&self.faults.by_key).insert(key.to_owned(), faults);
@@ -174,23 +179,25 @@
         });
     }
 
+    /// Handles a promotion request to the platform.
     fn promote(&self, mut stream: TcpStream) -> std::io::Result<()> {
         stream.set_read_timeout(Some(Duration::from_secs(1)))?;
         let mut bytes = Vec::new();
         let mut chunk = [0; 1024];
         let body = loop {
-            let got = stream.read(&mut chunk)?;
-            bytes.extend_from_slice(&chunk[..got]);
+            let count = stream.read(&mut chunk)?;
+            bytes.extend_from_slice(&chunk[..count]);
             let text = String::from_utf8_lossy(&bytes).into_owned();
             if let Some((_, body)) = text.split_once("\r\n\r\n")
-                && (body.ends_with('}') || got == 0)
+                && (body.ends_with('}') || count == 0)
             {
                 break body.to_owned();
             }
         };
         let body: serde_json::Value = serde_json::from_str(&body).unwrap_or_default();
-        let named = (0..self.addresses.len()).find(|d| body["instance_id"] == self.id(*d).as_str());
-        let status = match named {
+        let target =
+            (0..self.addresses.len()).find(|d| body["instance_id"] == self.id(*d).as_str());
+        let status = match target {
             Some(database) => {
                 let mut store = lock(&self.store);
                 if store.primary != database {
@@ -204,6 +211,7 @@
         stream.write_all(format!("HTTP/1.1 {status}\r\nContent-Length: 2\r\n\r\n{{}}").as_bytes())
     }
 
+    /// Serves one connection to a database until it ends.
     #[expect(clippy::too_many_lines, reason = "one connection, read to its end")]
     fn serve(&self, database: usize, stream: TcpStream) -> std::io::Result<()> {
         stream.set_nodelay(true)?;
@@ -230,7 +238,11 @@
             else {
                 return Ok(());
             };
-            lock(&self.ran).push(Ran { database, id: id.to_owned(), text: text.to_owned() });
+            lock(&self.received).push(ReceivedStatement {
+                database,
+                id: id.to_owned(),
+                text: text.to_owned(),
+            });
             let fault = self.next_fault(id, text);
             if fault == InjectedFault::ResetBeforeRun {
                 return reset(&out);
@@ -238,51 +250,51 @@
             if open.is_none() {
                 before.clone_from(&names);
             }
-            let answer = match fault {
+            let reply = match fault {
                 InjectedFault::RolledBack => "ERROR THROTTLED not now\r\n".to_owned(),
-                _ => self.answer(database, id, text, &mut names, &mut open),
+                _ => self.execute(database, id, text, &mut names, &mut open),
             };
             if fault == InjectedFault::RolledBack || text == "ABORT" {
                 open = None;
                 names.clone_from(&before);
             }
-            // These faults come after the statement ran.
+            // These faults occur after the statement was executed.
             match fault {
-                InjectedFault::NoAnswer => {
+                InjectedFault::NoReply => {
                     while reader.read_line(&mut line)? > 0 {}
                     return Ok(());
                 }
                 InjectedFault::ResetAfterRun => return reset(&out),
-                InjectedFault::ResetInAnswer => {
-                    out.write_all(&answer.as_bytes()[..answer.len() - 3])?;
+                InjectedFault::ResetDuringReply => {
+                    out.write_all(&reply.as_bytes()[..reply.len() - 3])?;
                     std::thread::sleep(Duration::from_millis(20));
                     return reset(&out);
                 }
                 InjectedFault::Late(ms) => std::thread::sleep(Duration::from_millis(ms)),
                 _ => {}
             }
-            if id != "-" && self.faults.break_next.swap(false, Ordering::SeqCst) {
+            if id != "-" && self.faults.disconnect_next.swap(false, Ordering::SeqCst) {
                 return Ok(());
             }
-            if id != "-" && self.faults.garble_next.swap(false, Ordering::SeqCst) {
+            if id != "-" && self.faults.malformed_reply_next.swap(false, Ordering::SeqCst) {
                 out.write_all(b"COMPLETE 1\r\nNONSENSE\r\n")?;
                 continue;
             }
             let state = if open.is_some() { 'T' } else { 'I' };
-            let answer = format!("{answer}READY {state} {}\r\n", self.position());
+            let reply = format!("{reply}READY {state} {}\r\n", self.position());
             match fault {
-                InjectedFault::Duplicated => out.write_all(answer.repeat(2).as_bytes())?,
+                InjectedFault::Duplicated => out.write_all(reply.repeat(2).as_bytes())?,
                 InjectedFault::DuplicatedLate(ms) => {
-                    out.write_all(answer.as_bytes())?;
+                    out.write_all(reply.as_bytes())?;
                     std::thread::sleep(Duration::from_millis(ms));
-                    out.write_all(answer.as_bytes())?;
-                    // The second answer comes by itself, ahead of any to the next statement.
+                    out.write_all(reply.as_bytes())?;
+                    // The second reply is sent separately, before any reply to the next statement.
                     std::thread::sleep(Duration::from_millis(ms));
                 }
-                _ => out.write_all(answer.as_bytes())?,
+                _ => out.write_all(reply.as_bytes())?,
             }
-            if fault == InjectedFault::ResetAfterAnswer {
-                // A reset discards what has not been read: the answer must have been.
+            if fault == InjectedFault::ResetAfterReply {
+                // A reset discards unread data, so wait until the client has read the reply.
                 std::thread::sleep(Duration::from_millis(50));
                 return reset(&out);
             }
@@ -294,8 +306,9 @@
         format!("{}.{}", store.term, store.number)
     }
 
+    /// Executes a statement and returns the lines of the reply before `READY`.
     #[expect(clippy::too_many_lines, reason = "one connection, read to its end")]
-    fn answer(
+    fn execute(
         &self,
         database: usize,
         id: &str,
@@ -310,12 +323,12 @@
         let (word, rest) = text.split_once(' ').unwrap_or((text, ""));
         let stamp = format!("stamp.{id}.{}", self.stamps.fetch_add(1, Ordering::SeqCst));
         let primary = lock(&self.store).primary == database;
-        let done = "COMPLETE -\r\n".to_owned();
+        let complete = "COMPLETE -\r\n".to_owned();
         match word {
             "BEGIN" if rest.is_empty() && !primary => "ERROR READONLY here\r\n".to_owned(),
             "BEGIN" => {
                 *open = Some(Vec::new());
-                done
+                complete
             }
             "COMMIT" => {
                 let writes = open.take().unwrap_or_default();
@@ -326,7 +339,7 @@
             }
             "ABORT" => {
                 *open = None;
-                done
+                complete
             }
             "FETCH" if rest.starts_with('=') => {
                 let value = names.get(rest).cloned().unwrap_or_default();
@@ -338,8 +351,8 @@
             }
             "STORE" if !primary => "ERROR READONLY here\r\n".to_owned(),
             "STORE" => {
-                let (thing, data) = rest.split_once(' ').unwrap_or((rest, ""));
-                let write = (thing.to_owned(), data.to_owned());
+                let (key, value) = rest.split_once(' ').unwrap_or((rest, ""));
+                let write = (key.to_owned(), value.to_owned());
                 match open {
                     Some(writes) => writes.push(write),
                     None => {
@@ -351,35 +364,34 @@
                 format!("COMPLETE {stamp}\r\n")
             }
             "PREPARE" => {
-                let (name, shape) = rest.split_once(' ').unwrap_or((rest, ""));
-                names.insert(name.to_owned(), shape.to_owned());
-                done
+                let (name, text) = rest.split_once(' ').unwrap_or((rest, ""));
+                names.insert(name.to_owned(), text.to_owned());
+                complete
             }
             "EXECUTE" => {
                 let (name, rest) = rest.split_once(' ').unwrap_or((rest, ""));
-                match names.get(name).and_then(|shape| shape.split(' ').next()) {
+                match names.get(name).and_then(|text| text.split(' ').next()) {
                     Some(verb) => {
                         let text = format!("{verb} {rest}");
-                        self.answer(database, id, &text, &mut BTreeMap::new(), open)
+                        self.execute(database, id, &text, &mut BTreeMap::new(), open)
                     }
                     None => "ERROR NOTFOUND name\r\n".to_owned(),
                 }
             }
             "DISCARD" => {
                 names.clear();
-                done
+                complete
             }
             "CONFIGURE" => {
                 let (name, value) = rest.split_once(' ').unwrap_or((rest, ""));
                 names.insert(format!("={name}"), value.to_owned());
-                done
+                complete
             }
             "DESCRIBE" | "PAUSE" | "CONTINUE" | "STEPDOWN" => {
                 let store = lock(&self.store);
                 let role = if primary { "primary" } else { "replica" };
-                let lacks =
-                    if primary { 0 } else { self.faults.replicas_lack.load(Ordering::SeqCst) };
-                let position = format!("{}.{}", store.term, store.number.saturating_sub(lacks));
+                let lag = if primary { 0 } else { self.faults.replica_lag.load(Ordering::SeqCst) };
+                let position = format!("{}.{}", store.term, store.number.saturating_sub(lag));
                 format!("ROW {role} {} {position} 0 0 0 1\r\nCOMPLETE -\r\n", store.term)
             }
             _ => "ERROR MALFORMED what\r\n".to_owned(),
@@ -387,8 +399,8 @@
     }
 }
 
-/// A free port outside the kernel's range for outgoing connections: one within it may be taken by
-/// the time a program listens on it.
+/// A free port outside the kernel's range for outgoing connections. A port within that range may be
+/// in use by the time a program listens on it.
 pub(crate) fn free_port() -> u16 {
     static NEXT: AtomicU64 = AtomicU64::new(0);
     loop {
@@ -400,7 +412,7 @@
     }
 }
 
-/// One HTTP call on a connection of its own: the status and the body.
+/// Sends one HTTP request on a new connection; returns the status and the body.
 pub(crate) fn http(
     to: SocketAddr,
     method: &str,
--- a/tests/support/processes.rs
+++ b/tests/support/processes.rs
@@ -1,4 +1,4 @@
-//! Processes of the program under test, and the folders that they use.
+//! Helpers that run processes of the program under test in temporary folders.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 use crate::support::{free_port, http};
 use std::net::SocketAddr;
@@ -26,7 +26,7 @@
     }
 }
 
-/// A folder that is removed when it is dropped.
+/// A temporary folder that is removed when it is dropped.
 pub(crate) struct Folder(pub(crate) PathBuf);
 impl Folder {
     pub(crate) fn new(name: &str, port: u16) -> Self {
@@ -46,16 +46,16 @@
     }
 }
 
-/// Waits until something holds.
+/// Waits until `check` returns true; panics after 20 s.
 pub(crate) fn eventually(what: &str, mut check: impl FnMut() -> bool) {
     let start = Instant::now();
     while !check() {
-        assert!(start.elapsed() < Duration::from_secs(20), "never: {what}");
+        assert!(start.elapsed() < Duration::from_secs(20), "timed out waiting for: {what}");
         std::thread::sleep(Duration::from_millis(10));
     }
 }
 
-/// Three controllers on addresses of the loopback network.
+/// Three controllers, each on its own loopback address.
 pub(crate) struct Controllers {
     processes: Vec<Process>,
     admin_port: u16,
@@ -63,7 +63,7 @@
     _folder: Folder,
 }
 impl Controllers {
-    /// Starts them and waits for a leader of three voters.
+    /// Starts the controllers and waits until there is a leader and all three are voters.
     pub(crate) fn start(name: &str) -> Self {
         let (peer_port, admin_port) = (free_port(), free_port());
         let folder = Folder::new(name, peer_port);
@@ -84,7 +84,7 @@
         };
         let processes = (1..=3).map(run).collect();
         let controllers = Self { processes, admin_port, peer_port, _folder: folder };
-        eventually("a leader of three", || {
+        eventually("a leader with three voters", || {
             (1..=3).any(|n| controllers.leads(n) && controllers.voters(n) == 3)
         });
         controllers
@@ -105,7 +105,7 @@
         let members = self.status(n)["members"].clone();
         members.as_array().map_or(0, |m| m.iter().filter(|m| m["voter"] == true).count())
     }
-    /// The number of the leader.
+    /// Waits for a leader and returns its number.
     pub(crate) fn leader(&self) -> u8 {
         let mut leader = None;
         eventually("a leader", || {
@@ -122,7 +122,7 @@
     }
 }
 
-/// What a process says of itself; null if it does not answer.
+/// The status document of a process; null if it does not respond.
 pub(crate) fn status(at: SocketAddr) -> serde_json::Value {
     let answer = http(at, "GET", "/status", &[], "");
     answer.ok().and_then(|(_, body)| serde_json::from_str(&body).ok()).unwrap_or_default()
