--- a/tests/interfaces.rs
+++ b/tests/interfaces.rs
@@ -1,5 +1,6 @@
-//! What operators, the platform and their scripts see: keys of `status`, answers of readiness, exit
-//! codes, and the keys of a settings file. What is listed here changes only on purpose.
+//! The external interfaces that operators, the platform and scripts rely on: the keys of `status`
+//! documents, readiness responses, exit codes, and the keys of settings files and configurations.
+//! These tests guard against unintended changes of them.
 #[path = "support/gateway.rs"]
 mod gateway;
 mod support;
@@ -18,6 +19,7 @@
 
 const BINARY: &str = env!("CARGO_BIN_EXE_silvertack");
 
+/// A process of the program; killed when dropped.
 struct Process(Child);
 impl Process {
     fn start(role: &str, settings: &Path) -> Self {
@@ -37,6 +39,7 @@
     }
 }
 
+/// A temporary folder that is removed when dropped.
 struct Folder(PathBuf);
 impl Folder {
     fn new(name: &str) -> Self {
@@ -57,15 +60,16 @@
     }
 }
 
+/// Waits until `check` returns true; panics after 20 s.
 fn eventually(what: &str, mut check: impl FnMut() -> bool) {
     let start = Instant::now();
     while !check() {
-        assert!(start.elapsed() < Duration::from_secs(20), "never: {what}");
+        assert!(start.elapsed() < Duration::from_secs(20), "timed out waiting for: {what}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// A machine's settings, and where its programs are to be found.
+/// The settings file of a machine and the addresses of its processes.
 struct Machine {
     folder: Folder,
     file: PathBuf,
@@ -74,7 +78,7 @@
     readiness: SocketAddr,
 }
 impl Machine {
-    fn new(name: &str, more: &str, platform: Option<SocketAddr>) -> Self {
+    fn new(name: &str, extra: &str, platform: Option<SocketAddr>) -> Self {
         let [peer, admin, front, ready] = [0; 4].map(|_| free_port());
         let at = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
         let folder = Folder::new(name);
@@ -82,7 +86,7 @@
             platform.map_or(String::new(), |p| format!("[provider]\naddress = \"{p}\"\n"));
         let settings = format!(
             "node_name = \"one\"\nip_address = \"127.0.0.1\"\nzone = \"here\"\n\
-             port_range = [{peer}, {peer}]\nseed_nodes = [\"{a}\"]\nbootstrap = true\n{more}\
+             port_range = [{peer}, {peer}]\nseed_nodes = [\"{a}\"]\nbootstrap = true\n{extra}\
              data_path = \"{data}\"\n[listeners]\nfrontend = \"{f}\"\nreadiness = \"{r}\"\n\
              admin = \"{a}\"\n[timing_bounds]\ngrace_s = 6\n{platform}",
             a = at(admin),
@@ -93,50 +97,58 @@
         let file = folder.write("node.toml", &settings);
         Self { folder, file, admin: at(admin), frontend: at(front), readiness: at(ready) }
     }
-    fn put(&self, service: &str) {
+    /// Puts a configuration with one route to this service.
+    fn put_configuration(&self, service: &str) {
         let route = serde_json::json!({ "name": "r", "hostname": "strict", "timeout_ms": 2000,
             "route_type": if service == "query" { "idempotent" } else { "primary" },
             "target_service": service });
         let body = serde_json::json!({ "revision": 1, "route_rules": [route],
             "services": [{ "name": service, "max_connections": 16, "sync_replicas": 0 }] });
-        let (body, sent) = (body.to_string(), [("If-Match", "0")]);
-        eventually("a configuration", || {
-            http(self.admin, "PUT", "/configuration", &sent, &body).is_ok_and(|(s, _)| s == 200)
+        let (body, headers) = (body.to_string(), [("If-Match", "0")]);
+        eventually("the configuration to be accepted", || {
+            http(self.admin, "PUT", "/configuration", &headers, &body).is_ok_and(|(s, _)| s == 200)
         });
     }
-    fn readiness(&self, method: &str, path: &str) -> Option<(u16, String)> {
+    /// Sends a request to the readiness address; returns the status and the body.
+    fn request_readiness(&self, method: &str, path: &str) -> Option<(u16, String)> {
         http(self.readiness, method, path, &[], "").ok()
     }
     fn node_status(&self) -> Value {
         status(self.readiness)
     }
 }
+/// The status document of a process; null if it does not respond.
 fn status(at: SocketAddr) -> Value {
-    let answer = http(at, "GET", "/status", &[], "");
-    answer.ok().and_then(|(_, body)| serde_json::from_str(&body).ok()).unwrap_or_default()
+    let response = http(at, "GET", "/status", &[], "");
+    response.ok().and_then(|(_, body)| serde_json::from_str(&body).ok()).unwrap_or_default()
 }
 
-/// All keys of a value, each behind those it stands in, `[]` for what is in a list.
-fn keys(value: &Value, within: &str, into: &mut BTreeSet<String>) {
+/// Collects the paths of all keys of a value, with `[]` for the elements of a list.
+fn collect_keys(value: &Value, parent: &str, paths: &mut BTreeSet<String>) {
     match value {
         Value::Object(map) => {
             for (key, value) in map {
-                let key = if within.is_empty() { key.clone() } else { format!("{within}.{key}") };
-                keys(value, &key, into);
-                into.insert(key);
+                let path = if parent.is_empty() { key.clone() } else { format!("{parent}.{key}") };
+                collect_keys(value, &path, paths);
+                paths.insert(path);
             }
         }
-        Value::Array(list) => list.iter().for_each(|v| keys(v, &format!("{within}[]"), into)),
+        Value::Array(list) => {
+            list.iter().for_each(|v| collect_keys(v, &format!("{parent}[]"), paths))
+        }
         _ => {}
     }
 }
-fn assert_keys(what: &str, value: &Value, wanted: &str) {
+fn assert_keys(what: &str, value: &Value, expected: &str) {
     let mut found = BTreeSet::new();
-    keys(value, "", &mut found);
-    let wanted: BTreeSet<String> = wanted.split_whitespace().map(str::to_owned).collect();
-    let lacking: Vec<_> = wanted.difference(&found).collect();
-    let new: Vec<_> = found.difference(&wanted).collect();
-    assert!(lacking.is_empty() && new.is_empty(), "{what}: lacking {lacking:?}, new {new:?}");
+    collect_keys(value, "", &mut found);
+    let expected: BTreeSet<String> = expected.split_whitespace().map(str::to_owned).collect();
+    let missing: Vec<_> = expected.difference(&found).collect();
+    let unexpected: Vec<_> = found.difference(&expected).collect();
+    assert!(
+        missing.is_empty() && unexpected.is_empty(),
+        "{what}: missing keys {missing:?}, unexpected keys {unexpected:?}"
+    );
 }
 
 const CONTROLLER: &str = "node role member leader leader_admin leads epoch entry committed
@@ -166,14 +178,22 @@
 const READY: (u16, &str) = (200, "{}");
 const NOT_READY: (u16, &str) = (503, r#"{"message":"not ready"}"#);
 
-/// The answers of a node's readiness address from its start to its end, and what it ends with.
-fn answers(machine: &Machine, role: &str, supply: impl FnOnce(), full: impl Fn(&Value) -> bool) {
-    let ask = || machine.readiness("GET", "/readiness");
-    let answered =
-        |wanted: (u16, &str)| ask().is_some_and(|(status, body)| (status, body.as_str()) == wanted);
+/// Checks the responses of a node's readiness address from its start to its shutdown, and its exit
+/// code. `configure` provides a configuration and heartbeats; `is_complete` tells whether a status
+/// has all its entries.
+fn check_readiness_and_status(
+    machine: &Machine,
+    role: &str,
+    configure: impl FnOnce(),
+    is_complete: impl Fn(&Value) -> bool,
+) {
+    let readiness = || machine.request_readiness("GET", "/readiness");
+    let responds = |expected: (u16, &str)| {
+        readiness().is_some_and(|(status, body)| (status, body.as_str()) == expected)
+    };
     let mut node = Process::start(role, &machine.file);
-    eventually("an answer", || ask().is_some());
-    assert!(answered(NOT_READY), "{role}, alone: {:?}", ask());
+    eventually("a readiness response", || readiness().is_some());
+    assert!(responds(NOT_READY), "{role} without a controller: {:?}", readiness());
     let before = machine.node_status();
     assert_eq!((&before["ready"], &before["draining"]), (&false.into(), &false.into()), "{role}");
     for (method, path, status, message) in [
@@ -182,26 +202,33 @@
         ("GET", "/ready", 404, "no such path"),
     ] {
         let body = serde_json::json!({ "message": message }).to_string();
-        assert_eq!(machine.readiness(method, path), Some((status, body)), "{role} {method} {path}");
+        assert_eq!(
+            machine.request_readiness(method, path),
+            Some((status, body)),
+            "{role} {method} {path}"
+        );
     }
-    let _steward = Process::start("controller", &machine.file);
-    supply();
-    eventually("ready", || answered(READY));
-    eventually("all of its state", || full(&machine.node_status()));
+    let _controller = Process::start("controller", &machine.file);
+    configure();
+    eventually("the node to be ready", || responds(READY));
+    eventually("a complete status", || is_complete(&machine.node_status()));
     let status = machine.node_status();
     assert_eq!((&status["role"], &status["ready"]), (&role.into(), &true.into()));
     assert_keys(role, &status, if role == "pooler" { POOLER } else { GATEWAY });
     if role == "pooler" {
-        eventually("the controller's whole state", || {
+        eventually("a complete status of the controller", || {
             let status = self::status(machine.admin);
-            let told = &status["stiles"][0]["services"][0]["term"];
-            status["leads"] == true && status["services"][0]["primary"].is_string() && told.is_u64()
+            let reported_term = &status["stiles"][0]["services"][0]["term"];
+            status["leads"] == true
+                && status["services"][0]["primary"].is_string()
+                && reported_term.is_u64()
         });
         let status = self::status(machine.admin);
         assert_eq!(status["role"], "controller");
         assert_keys("controller", &status, CONTROLLER);
     }
-    // With a client there, which is let go once others know that this node drains.
+    // A connected client keeps the node draining until the platform has noticed that it is not
+    // ready.
     let mut client = BufReader::new(TcpStream::connect(machine.frontend).expect("frontend"));
     if role == "pooler" {
         client.get_mut().write_all(b"CONNECT strict me\r\n").expect("sent");
@@ -210,66 +237,71 @@
         assert_eq!(line, "READY I -\r\n");
     }
     node.terminate();
-    eventually("draining", || answered(NOT_READY));
+    eventually("the draining node to be not ready", || responds(NOT_READY));
     let status = machine.node_status();
     assert_eq!((&status["role"], &status["draining"]), (&role.into(), &true.into()));
-    assert_eq!(node.0.wait().expect("ended").code(), Some(0), "{role} ends in order");
+    assert_eq!(
+        node.0.wait().expect("ended").code(),
+        Some(0),
+        "exit code of the {role} after SIGTERM"
+    );
 }
 
 #[test]
-fn a_pooler_and_its_controller_show_these_keys_and_answers() {
+fn status_keys_and_readiness_responses_of_a_pooler_and_its_controller() {
     let databases = StandIn::start("ledger", 2).expect("databases");
     let machine = Machine::new("shown-pooler", "", Some(databases.platform));
     let supply = || {
-        machine.put("ledger");
+        machine.put_configuration("ledger");
         databases.start_heartbeats(machine.admin, Duration::from_millis(200));
     };
-    answers(&machine, "pooler", supply, |status| {
-        let listed = status["databases"].as_array().map_or(0, Vec::len);
-        listed == 2 && status["services"][0]["primary"].is_string()
+    check_readiness_and_status(&machine, "pooler", supply, |status| {
+        let database_count = status["databases"].as_array().map_or(0, Vec::len);
+        database_count == 2 && status["services"][0]["primary"].is_string()
     });
 }
 
 #[test]
-fn a_gateway_shows_these_keys_and_answers() {
+fn status_keys_and_readiness_responses_of_a_gateway() {
     let databases = StandInEndpoints::start("query", 2).expect("databases");
     let machine = Machine::new("shown-gateway", "rollout = \"api\"\n", None);
     let supply = || {
-        machine.put("query");
+        machine.put_configuration("query");
         eventually("databases", || databases.send_heartbeats(machine.admin, 1));
-        // A heartbeat that is news, and one that is none.
+        // The last heartbeat repeats the state of the one before; the others change it.
         for (sequence, state) in [(2, "draining"), (3, "available"), (4, "available")] {
             let (path, heartbeat) =
                 ("/instances/i-query-0", databases.heartbeat(0, sequence, state));
-            let answer = http(machine.admin, "PUT", path, &[], &heartbeat).expect("answer");
-            let told = serde_json::json!({ "heartbeat_url": machine.admin }).to_string();
-            assert_eq!(answer, (200, told), "{sequence}");
+            let response = http(machine.admin, "PUT", path, &[], &heartbeat).expect("response");
+            let body = serde_json::json!({ "heartbeat_url": machine.admin }).to_string();
+            assert_eq!(response, (200, body), "{sequence}");
         }
     };
-    answers(&machine, "gateway", supply, |status| {
+    check_readiness_and_status(&machine, "gateway", supply, |status| {
         status["databases"].as_array().map_or(0, Vec::len) == 2
     });
 }
 
 #[test]
-fn a_controller_ends_in_order_with_0() {
+fn a_controller_exits_with_code_0_on_sigterm() {
     let machine = Machine::new("shown-controller", "", None);
     let mut controller = Process::start("controller", &machine.file);
-    eventually("it leads", || status(machine.admin)["leads"] == true);
+    eventually("the controller to lead", || status(machine.admin)["leads"] == true);
     controller.terminate();
     assert_eq!(controller.0.wait().expect("ended").code(), Some(0));
 }
 
-/// What a call of the program ends with, and what it says then. One that goes on is ended.
-fn ended(words: &[&str], boot: Option<&str>) -> (Option<i32>, String) {
+/// Runs the program with these arguments; returns its exit code and standard error. Kills it and
+/// panics if it doesn't exit.
+fn run_to_exit(arguments: &[&str], settings_variable: Option<&str>) -> (Option<i32>, String) {
     let mut command = Command::new(BINARY);
-    command.args(["--log", "off"]).args(words).env_remove("SILVERTACK_BOOT");
-    command.envs(boot.map(|file| ("SILVERTACK_BOOT", file)));
+    command.args(["--log", "off"]).args(arguments).env_remove("SILVERTACK_BOOT");
+    command.envs(settings_variable.map(|file| ("SILVERTACK_BOOT", file)));
     let child = command.stdout(Stdio::null()).stderr(Stdio::piped()).spawn();
     let mut process = Process(child.expect("run"));
     let start = Instant::now();
     while process.0.try_wait().expect("asked").is_none() {
-        assert!(start.elapsed() < Duration::from_secs(20), "{words:?} goes on");
+        assert!(start.elapsed() < Duration::from_secs(20), "{arguments:?} did not exit");
         std::thread::sleep(Duration::from_millis(5));
     }
     let mut errors = String::new();
@@ -280,74 +312,89 @@
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario, told in order")]
-fn exit_codes_are_these() {
+fn exit_codes_and_error_messages_of_the_commands() {
     let machine = Machine::new("exits", "", None);
-    let good = std::fs::read_to_string(&machine.file).expect("settings");
+    let valid_settings = std::fs::read_to_string(&machine.file).expect("settings");
     let path = |path: &Path| path.display().to_string();
     let write = |name: &str, text: &str| path(&machine.folder.write(name, text));
-    let order = serde_json::json!({ "revision": 1, "route_rules": [], "services": [] }).to_string();
-    let (file, nobody) = (path(&machine.file), format!("127.0.0.1:{}", free_port()));
-    let (order, no_order) = (write("order.json", &order), write("none.json", "{"));
-    let bad = write("bad.toml", &good.replace("grace_s = 6", "grace_s = 0"));
-    let unheard =
-        write("unheard.toml", &good.replace("[listeners]", "[listeners]\nx = 1\n[other]"));
-    // A folder whose file is of a newer program, one that isn't a file of SQLite, and one whose
-    // state is gone.
-    let of = |name: &str, fill: &dyn Fn(&Path)| {
+    let configuration =
+        serde_json::json!({ "revision": 1, "route_rules": [], "services": [] }).to_string();
+    let (file, unused_address) = (path(&machine.file), format!("127.0.0.1:{}", free_port()));
+    let (configuration, invalid_configuration) =
+        (write("configuration.json", &configuration), write("none.json", "{"));
+    let bad = write("bad.toml", &valid_settings.replace("grace_s = 6", "grace_s = 0"));
+    let no_listeners = write(
+        "no_listeners.toml",
+        &valid_settings.replace("[listeners]", "[listeners]\nx = 1\n[other]"),
+    );
+    // Data folders with a database file of a newer release, with a file that is not an SQLite
+    // database, and with an identity file but no database.
+    let with_data = |name: &str, fill: &dyn Fn(&Path)| {
         let data = machine.folder.0.join(format!("{name}-data"));
         std::fs::create_dir_all(&data).expect("folder");
         fill(&data);
         let old = format!("data_path = \"{}\"", machine.folder.0.join("data").display());
         let new = format!("data_path = \"{}\"", data.display());
-        assert!(good.contains(&old));
-        write(&format!("{name}.toml"), &good.replace(&old, &new))
+        assert!(valid_settings.contains(&old));
+        write(&format!("{name}.toml"), &valid_settings.replace(&old, &new))
     };
-    let newer = of("newer", &|data| {
+    let newer = with_data("newer", &|data| {
         let db = rusqlite::Connection::open(data.join("hedge.sqlite")).expect("file");
         db.pragma_update(None, "user_version", 2).expect("version");
     });
-    let garbage = of("garbage", &|data| {
+    let garbage = with_data("garbage", &|data| {
         std::fs::write(data.join("hedge.sqlite"), "no such file ".repeat(100)).expect("written");
     });
-    let gone =
-        of("gone", &|data| std::fs::write(data.join("member"), "members 1\n").expect("mark"));
+    let gone = with_data("gone", &|data| {
+        std::fs::write(data.join("member"), "members 1\n").expect("mark")
+    });
     let no_folder = write("file", "");
     let old = format!("data_path = \"{}\"", machine.folder.0.join("data").display());
-    let no_disk = good.replace(&old, &format!("data_path = \"{no_folder}/data\""));
+    let no_disk = valid_settings.replace(&old, &format!("data_path = \"{no_folder}/data\""));
     let no_disk = write("no-disk.toml", &no_disk);
-    // (what, words, code, how the line on standard error begins)
+    // (case, arguments, exit code, prefix of standard error)
     let table: &[(&str, &[&str], i32, &str)] = &[
         ("version", &["--version"], 0, ""),
         ("help", &["--help"], 0, ""),
         ("good settings", &["check", "settings", &file], 0, ""),
-        ("a good configuration", &["check", "configuration", &order], 0, ""),
+        ("a good configuration", &["check", "configuration", &configuration], 0, ""),
         (
             "no configuration",
-            &["check", "configuration", &no_order],
+            &["check", "configuration", &invalid_configuration],
             1,
             "silvertack: configuration: ",
         ),
-        ("nobody there", &["status", &nobody], 1, "silvertack: 127.0.0.1:"),
-        ("nobody to send to", &["configuration", "get", &nobody], 1, "silvertack: 127.0.0.1:"),
+        ("no process at the address", &["status", &unused_address], 1, "silvertack: 127.0.0.1:"),
+        (
+            "no controller at the address",
+            &["configuration", "get", &unused_address],
+            1,
+            "silvertack: 127.0.0.1:",
+        ),
         ("bad settings", &["check", "settings", &bad], 2, "silvertack: settings: "),
-        ("a pooler's", &["pooler", "--settings", &bad], 2, "silvertack: settings: "),
-        ("a gateway's", &["gateway", "--settings", &bad], 2, "silvertack: settings: "),
-        ("a controller's", &["controller", "--settings", &bad], 2, "silvertack: settings: "),
+        ("bad settings, pooler", &["pooler", "--settings", &bad], 2, "silvertack: settings: "),
+        ("bad settings, gateway", &["gateway", "--settings", &bad], 2, "silvertack: settings: "),
+        (
+            "bad settings, controller",
+            &["controller", "--settings", &bad],
+            2,
+            "silvertack: settings: ",
+        ),
         (
             "no listener, pooler",
-            &["pooler", "--settings", &unheard],
+            &["pooler", "--settings", &no_listeners],
             2,
             "silvertack: settings: listeners.",
         ),
         (
             "no listener, gateway",
-            &["gateway", "--settings", &unheard],
+            &["gateway", "--settings", &no_listeners],
             2,
             "silvertack: settings: listeners.",
         ),
         (
             "no listener, controller",
-            &["controller", "--settings", &unheard],
+            &["controller", "--settings", &no_listeners],
             2,
             "silvertack: settings: listeners.",
         ),
@@ -367,24 +414,24 @@
             "silvertack: state on disk: ",
         ),
     ];
-    for (what, words, code, said) in table {
-        let (found, errors) = ended(words, None);
+    for (what, arguments, code, prefix) in table {
+        let (found, errors) = run_to_exit(arguments, None);
         assert_eq!(found, Some(*code), "{what}: {errors}");
         assert!(
-            errors.starts_with(said) && errors.is_empty() == said.is_empty(),
+            errors.starts_with(prefix) && errors.is_empty() == prefix.is_empty(),
             "{what}: {errors}"
         );
     }
-    // The variable names the file where the flag does not.
-    let (code, errors) = ended(&["controller"], Some(&bad));
+    // Without --settings, the environment variable contains the path of the file.
+    let (code, errors) = run_to_exit(&["controller"], Some(&bad));
     assert!(code == Some(2) && errors.contains("grace_s"), "{code:?}: {errors}");
-    // An address that is taken.
-    let taken = std::net::TcpListener::bind(machine.readiness).expect("free");
-    let (code, errors) = ended(&["pooler", "--settings", &file], None);
-    drop(taken);
-    let said = errors.starts_with("silvertack: cannot listen on ");
-    assert!(code == Some(1) && said, "{code:?}: {errors}");
-    // A disk that can't be used is tried again until the end.
+    // The address of a listener is in use.
+    let occupied = std::net::TcpListener::bind(machine.readiness).expect("free");
+    let (code, errors) = run_to_exit(&["pooler", "--settings", &file], None);
+    drop(occupied);
+    let is_expected = errors.starts_with("silvertack: cannot listen on ");
+    assert!(code == Some(1) && is_expected, "{code:?}: {errors}");
+    // A controller whose disk can't be used retries until it is terminated.
     let mut command = Command::new(BINARY);
     let command = command.args(["controller", "--settings", &no_disk]).stderr(Stdio::piped());
     let mut controller = Process(command.spawn().expect("controller"));
@@ -398,8 +445,8 @@
 }
 
 #[test]
-fn each_key_of_a_configuration_is_read() {
-    let order = serde_json::json!({
+fn every_key_of_a_configuration_is_read() {
+    let configuration = serde_json::json!({
         "revision": 3,
         "route_rules": [
             { "name": "a", "hostname": "h", "path_prefix": "/p/", "route_type": "read_your_writes",
@@ -414,19 +461,19 @@
         "limits": { "txn_idle_ms": 24, "max_header_bytes": 25, "max_body_bytes": 26,
             "header_timeout_ms": 27, "idle_timeout_ms": 28 },
     });
-    // None of it is a default, so what is read under another name comes out otherwise.
-    let read = Configuration::read(order.to_string().as_bytes()).expect("valid");
-    assert_eq!(serde_json::to_value(&read).expect("JSON"), order);
-    let mut more = order.clone();
-    more["limits"]["of_later"] = 1.into();
+    // No value is a default, so a key that is not read changes the result.
+    let read = Configuration::read(configuration.to_string().as_bytes()).expect("valid");
+    assert_eq!(serde_json::to_value(&read).expect("JSON"), configuration);
+    let mut with_unknown_key = configuration.clone();
+    with_unknown_key["limits"]["of_later"] = 1.into();
     assert_eq!(
-        Configuration::read(more.to_string().as_bytes()).expect("read"),
+        Configuration::read(with_unknown_key.to_string().as_bytes()).expect("read"),
         read,
-        "others are ignored"
+        "unknown keys are ignored"
     );
 }
 
-/// Every key, none with its default.
+/// A settings file with every key, none of them with its default value.
 const ALL: &str = r#"node_name = "one"
 ip_address = "10.0.0.1"
 zone = "here"
@@ -457,7 +504,8 @@
 address = "10.0.0.1:4"
 "#;
 
-/// What is read of each key, in the file's order; every field is named.
+/// The value of every field as text, in the order of the file. The pattern names every field, so
+/// that a new one has to be added here.
 fn values(settings: &Settings) -> Vec<String> {
     use silvertack::config::settings::{FaultTolerance, Limits, Listeners, TimingBounds};
     let Settings {
@@ -483,7 +531,7 @@
         Rollout::Api => "api",
         Rollout::Other => "other",
     };
-    let place = |at: &Option<SocketAddr>| at.map_or("none".into(), |at| at.to_string());
+    let address = |at: &Option<SocketAddr>| at.map_or("none".into(), |at| at.to_string());
     vec![
         node_name.clone(),
         ip_address.to_string(),
@@ -496,9 +544,9 @@
         heartbeat_ms.to_string(),
         rollout.to_owned(),
         machines.to_string(),
-        place(frontend),
-        place(readiness),
-        place(admin),
+        address(frontend),
+        address(readiness),
+        address(admin),
         memory_mb.to_string(),
         max_open_files.to_string(),
         grace_s.to_string(),
@@ -507,13 +555,13 @@
         join_sync_s.to_string(),
         retry_ratio.to_string(),
         retry_window_s.to_string(),
-        place(&provider.as_ref().map(|p| p.address)),
+        address(&provider.as_ref().map(|p| p.address)),
     ]
 }
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario, told in order")]
-fn each_key_of_a_settings_file_is_read_and_a_misspelled_one_is_as_none() {
+fn every_key_of_a_settings_file_is_read_and_misspelled_keys_are_ignored() {
     let all = values(&Settings::parse(ALL).expect("every key"));
     let lines: Vec<&str> = ALL.lines().filter(|line| line.contains('=')).collect();
     assert_eq!((lines.len(), all.len()), (23, 23));
@@ -523,7 +571,7 @@
         let plain_value = value.replace(['[', ']', '(', ')'], "");
         assert_eq!(plain, plain_value, "{line}");
     }
-    // (key, what is read without it; nothing where it is needed)
+    // (key, its value if it is missing; `None` if it is required)
     let defaults = [
         ("node_name", None),
         ("ip_address", None),
@@ -551,13 +599,13 @@
     ];
     for (at, (line, (key, default))) in lines.iter().zip(defaults).enumerate() {
         assert!(line.starts_with(&format!("{key} = ")), "{line}");
-        // Misspelled: ignored, and the key is missing.
+        // A misspelled key is ignored, so the correct key is missing.
         let read = Settings::parse(&ALL.replace(&format!("{line}\n"), &format!("x{line}\n")));
         match (read, default) {
             (Ok(settings), Some(default)) => {
-                let mut wanted = all.clone();
-                wanted[at] = default.to_owned();
-                assert_eq!(values(&settings), wanted, "without {key}");
+                let mut expected = all.clone();
+                expected[at] = default.to_owned();
+                assert_eq!(values(&settings), expected, "without {key}");
             }
             (Err(e), None) => {
                 let why = e.to_string();
@@ -567,8 +615,8 @@
             (read, _) => panic!("without {key}: {read:?}"),
         }
     }
-    // The same for whole tables; one is needed.
-    for (table, wanted) in [
+    // The same for tables, of which one is required.
+    for (table, expected) in [
         ("fault_tolerance", true),
         ("listeners", false),
         ("limits", true),
@@ -576,7 +624,7 @@
         ("provider", true),
     ] {
         let read = Settings::parse(&ALL.replace(&format!("[{table}]"), &format!("[x{table}]")));
-        assert_eq!(read.is_ok(), wanted, "without {table}");
+        assert_eq!(read.is_ok(), expected, "without {table}");
     }
     for (word, kind) in [("pooler", "pooler"), ("api", "api"), ("some", "other")] {
         let text = ALL.replace("\"api\"", &format!("{word:?}"));
