--- a/tests/leader_discovery.rs
+++ b/tests/leader_discovery.rs
@@ -1,4 +1,4 @@
-//! A node's connection to the leader, against controllers that are played here.
+//! The connection of a node to the leader, tested with simulated controllers.
 use silvertack::base::ids::{NodeName, Revision};
 use silvertack::base::time::Tick;
 use silvertack::net::leader_connection::{LeaderConnection, LeaderSubscriber};
@@ -21,7 +21,8 @@
     fn on_message(&self, _: ToPooler) {}
 }
 
-/// Takes in a node that says who it is, and tells it of these controllers.
+/// Accepts a connection, expects a `Hello` and responds with a `Welcome` that lists these
+/// controllers.
 fn welcome(at: &TcpListener, controllers: Vec<SocketAddr>) -> TcpStream {
     let (mut stream, _) = at.accept().expect("a node");
     stream.set_read_timeout(Some(Duration::from_secs(5))).expect("timeout");
@@ -32,13 +33,14 @@
 }
 
 #[test]
-fn a_node_that_loses_its_leader_looks_among_the_controllers_of_now() {
+fn after_losing_its_leader_a_node_contacts_the_current_members() {
     let listeners: Vec<_> =
         (0..2).map(|_| TcpListener::bind("127.0.0.1:0").expect("a port")).collect();
     let at: Vec<_> = listeners.iter().map(|l| l.local_addr().expect("address")).collect();
     let connection = Arc::new(LeaderConnection::new("test", vec![at[0]]));
     std::thread::spawn(move || connection.run(&Node));
-    // The second joined after the node was welcomed, and the first goes dark.
+    // The second controller joins after the node has connected to the first, which then
+    // disconnects.
     let mut first = welcome(&listeners[0], vec![at[0]]);
     let all = ToPooler::Welcome { controllers: at.clone() };
     send(&mut first, &Frame::Controller(all)).expect("sent");
@@ -47,93 +49,99 @@
     welcome(&listeners[1], at);
 }
 
-/// What a controller does with a node.
+/// How a controller responds to a `Hello`.
 #[derive(Clone, Copy)]
-enum Says {
-    /// Frozen, or elected and not yet sure of it.
-    Nothing,
-    Elsewhere,
+enum HelloResponse {
+    /// Doesn't respond: frozen, or elected but not yet confirmed as the leader.
+    Silence,
+    NotLeader,
     Welcome,
 }
-fn controller(says: Says, after: Duration, leader: SocketAddr, listener: TcpListener) {
+fn controller(response: HelloResponse, delay: Duration, leader: SocketAddr, listener: TcpListener) {
     std::thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
             std::thread::spawn(move || {
                 let hello = receive(&mut stream);
-                std::thread::sleep(after);
-                let answer = match says {
-                    Says::Nothing => return std::thread::sleep(Duration::from_secs(60)),
-                    Says::Elsewhere => ToPooler::NotLeader(Some(leader)),
-                    Says::Welcome => ToPooler::Welcome { controllers: Vec::new() },
+                std::thread::sleep(delay);
+                let message = match response {
+                    HelloResponse::Silence => return std::thread::sleep(Duration::from_secs(60)),
+                    HelloResponse::NotLeader => ToPooler::NotLeader(Some(leader)),
+                    HelloResponse::Welcome => ToPooler::Welcome { controllers: Vec::new() },
                 };
-                let _ = hello.and_then(|_| send(&mut stream, &Frame::Controller(answer)));
-                // Open for as long as the node wants it.
+                let _ = hello.and_then(|_| send(&mut stream, &Frame::Controller(message)));
+                // Keep the connection open until the node closes it.
                 while receive(&mut stream).is_ok() {}
             });
         }
     });
 }
-const CROWDED: Duration = Duration::from_millis(450);
-/// Over a congested link every connection takes this long.
-fn crowded(to: SocketAddr, within: Duration) -> io::Result<TcpStream> {
-    std::thread::sleep(CROWDED.min(within));
-    if within < CROWDED {
+const CONGESTED_CONNECT_TIME: Duration = Duration::from_millis(450);
+/// Connects like over a congested link, where it takes [`CONGESTED_CONNECT_TIME`].
+fn connect_over_congested_link(to: SocketAddr, timeout: Duration) -> io::Result<TcpStream> {
+    std::thread::sleep(CONGESTED_CONNECT_TIME.min(timeout));
+    if timeout < CONGESTED_CONNECT_TIME {
         return Err(io::ErrorKind::TimedOut.into());
     }
     TcpStream::connect(to)
 }
-fn at_once(to: SocketAddr, _: Duration) -> io::Result<TcpStream> {
+fn connect_immediately(to: SocketAddr, _: Duration) -> io::Result<TcpStream> {
     TcpStream::connect(to)
 }
 
-/// A version counts within three seconds at a node in touch, the way to the leader with it.
+/// A configuration must be in effect within three seconds at every connected node, including the
+/// time to find the leader.
 #[test]
-fn a_node_finds_the_leader_behind_a_crowded_link_and_among_silent_controllers() {
-    use Says::*;
+fn a_node_finds_the_leader_over_a_congested_link_and_among_unresponsive_controllers() {
+    use HelloResponse::*;
     let none = Duration::ZERO;
     let cases = [
-        ("crowded", CROWDED, [Elsewhere, Elsewhere, Elsewhere, Elsewhere, Welcome]),
-        ("silent", none, [Nothing, Nothing, Nothing, Nothing, Welcome]),
-        ("both", CROWDED, [Welcome, Elsewhere, Nothing, Nothing, Elsewhere]),
+        (
+            "congested",
+            CONGESTED_CONNECT_TIME,
+            [NotLeader, NotLeader, NotLeader, NotLeader, Welcome],
+        ),
+        ("silent", none, [Silence, Silence, Silence, Silence, Welcome]),
+        ("both", CONGESTED_CONNECT_TIME, [Welcome, NotLeader, Silence, Silence, NotLeader]),
     ];
-    for (name, after, all) in cases {
+    for (name, delay, all) in cases {
         let listeners = all.map(|_| TcpListener::bind("127.0.0.1:0").expect("a port"));
         let at: Vec<_> = listeners.iter().map(|l| l.local_addr().expect("address")).collect();
-        let leads = all.iter().position(|s| matches!(s, Welcome)).expect("one leads");
-        for (says, listener) in all.into_iter().zip(listeners) {
-            controller(says, after, at[leads], listener);
+        let leader_index = all.iter().position(|s| matches!(s, Welcome)).expect("a leader");
+        for (response, listener) in all.into_iter().zip(listeners) {
+            controller(response, delay, at[leader_index], listener);
         }
-        let connect = if after == none { at_once } else { crowded };
+        let connect = if delay == none { connect_immediately } else { connect_over_congested_link };
         let connection = Arc::new(LeaderConnection::with_connect("test", at, connect));
-        let keeping = Arc::clone(&connection);
-        let begun = Instant::now();
-        std::thread::spawn(move || keeping.run(&Node));
+        let runner = Arc::clone(&connection);
+        let start = Instant::now();
+        std::thread::spawn(move || runner.run(&Node));
         while !connection.is_connected() {
-            assert!(begun.elapsed() < Duration::from_millis(2_500), "{name}: no connection");
+            assert!(start.elapsed() < Duration::from_millis(2_500), "{name}: no connection");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 }
 
 #[test]
-fn tries_go_on_side_by_side() {
+fn attempts_to_different_controllers_run_concurrently() {
     let at = |n: u16| SocketAddr::from(([10, 0, 0, 1], n));
     let mut discovery = LeaderDiscovery::new(vec![at(0), at(1), at(2)]);
     discovery.restart(None, Tick(1_000));
-    // Now, what ended with which hint, and what is tried then.
+    // (time, the attempt that failed with the leader it named, the controller contacted next)
     type Row = (u64, Option<(u16, Option<u16>)>, Option<u16>);
     let rows: [Row; 17] = [
         (1_000, None, Some(1)),
         (1_149, None, None),
         (1_150, None, Some(2)),
-        // A name that is new is tried at once.
+        // A newly named leader is contacted immediately.
         (1_200, Some((2, Some(9))), Some(9)),
-        // One that is being tried is tried once more, at the next turn; a third time it is not.
+        // A named leader with an attempt in flight is contacted once more after the interval, but
+        // not a third time.
         (1_250, Some((5, Some(9))), None),
         (1_350, None, Some(9)),
         (1_400, Some((5, Some(9))), None),
         (1_500, None, Some(0)),
-        // While another may answer yet, a refusal doesn't hasten the next turn.
+        // While other attempts are in flight, a failure doesn't make the next one due earlier.
         (1_510, Some((0, None)), None),
         (1_650, None, Some(1)),
         (1_800, None, Some(2)),
@@ -141,19 +149,20 @@
         (1_900, Some((9, None)), None),
         (1_900, Some((1, None)), None),
         (1_900, Some((1, None)), None),
-        // The last that was open: the next at once, and after a round with a pause.
+        // The last attempt in flight fails: the next is due immediately, and after a round with a
+        // pause.
         (1_900, Some((2, Some(2))), Some(0)),
         (1_900, Some((0, None)), None),
     ];
-    for (row, (now, ended, tried)) in rows.into_iter().enumerate() {
-        if let Some((to, hint)) = ended {
+    for (row, (now, failed, expected)) in rows.into_iter().enumerate() {
+        if let Some((to, hint)) = failed {
             discovery.attempt_failed(at(to), hint.map(at), Tick(now));
         }
-        assert_eq!(discovery.next_attempt(Tick(now)), tried.map(at), "row {row}");
+        assert_eq!(discovery.next_attempt(Tick(now)), expected.map(at), "row {row}");
     }
     assert_eq!(discovery.next_attempt(Tick(1_979)), None);
     assert_eq!(discovery.next_attempt(Tick(1_980)), Some(at(1)));
-    // A new search waits for the end of the turn, and for nothing else of the old one.
+    // A new search keeps the time of the next attempt and forgets the attempts in flight.
     discovery.restart(Some(at(1)), Tick(2_000));
     assert_eq!(discovery.next_attempt(Tick(2_129)), None);
     assert_eq!(discovery.next_attempt(Tick(2_130)), Some(at(1)));
