--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -1,13 +1,14 @@
-//! The list of tests that are known to fail: CI passes over exactly what it names, or fails.
+//! The script that reads the list of tests known to fail: CI skips exactly the tests that it names,
+//! and fails if an entry is not valid.
 use std::path::PathBuf;
 use std::process::{Command, Output};
 
-/// A test that exists, and one of another file.
+/// A test of this file and one of another file.
 const TEST: &str = "tests/known_red.rs::a_line_passes_over_exactly_the_test_that_it_names";
 const OTHER: &str = "tests/simulation.rs::the_same_schedule_plays_the_same_way";
 
-/// What the script makes of a list.
-fn read(name: &str, list: &str) -> Output {
+/// Runs the script with a list and returns its output.
+fn run_script(name: &str, list: &str) -> Output {
     let file =
         std::env::temp_dir().join(format!("silvertack-known-red-{name}-{}", std::process::id()));
     std::fs::write(&file, list).expect("the list");
@@ -21,7 +22,7 @@
 fn a_line_passes_over_exactly_the_test_that_it_names() {
     let name = "a_line_passes_over_exactly_the_test_that_it_names";
     let other = "the_same_schedule_plays_the_same_way";
-    // (a list, the options)
+    // (list, options that skip its tests)
     let cases = [
         (String::new(), String::new()),
         (format!("{TEST}, seen, issue 1\n"), format!("--exact\n--skip\n{name}\n")),
@@ -33,18 +34,18 @@
         ),
     ];
     for (list, options) in cases {
-        let output = read("good", &list);
+        let output = run_script("good", &list);
         let printed = String::from_utf8(output.stdout).expect("text");
         assert!(output.status.success(), "{list:?}: {}", String::from_utf8_lossy(&output.stderr));
         assert_eq!(printed, options, "{list:?}");
     }
 }
 
-/// Guards against a list that makes CI pass without a single test: an empty filter matches all of them.
+/// Guards against a list that makes CI skip every test: an empty filter matches all of them.
 #[test]
 fn a_line_that_names_no_test_is_an_error() {
-    let good = format!("{TEST}, seen\n");
-    // (a line, what is said)
+    let valid_line = format!("{TEST}, seen\n");
+    // (line, part of the error message)
     let cases = [
         ("", "no cause"),
         (" ", "no cause"),
@@ -60,12 +61,12 @@
         ("review/no_such_case, seen", "does not exist"),
         ("src/lib.rs::tests, seen", "neither"),
     ];
-    for (line, said) in cases {
-        for list in [format!("{line}\n"), format!("{good}{line}\n{good}")] {
-            let output = read("bad", &list);
+    for (line, expected) in cases {
+        for list in [format!("{line}\n"), format!("{valid_line}{line}\n{valid_line}")] {
+            let output = run_script("bad", &list);
             let message = String::from_utf8(output.stderr).expect("text");
             assert_eq!(output.status.code(), Some(1), "{list:?}: {message}");
-            assert!(message.contains(said), "{list:?}: {message}");
+            assert!(message.contains(expected), "{list:?}: {message}");
             let number = if list.starts_with(TEST) { "line 2" } else { "line 1" };
             assert!(message.contains(number), "{list:?}: {message}");
         }
