--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -1,10 +1,10 @@
-//! What programs of one version say to each other and keep on disk, pinned to the byte. Rust's names
-//! may change; what is in the two files of `tests/data` may not, nor the names listed here.
+//! Compatibility of the wire protocol and of stored state with earlier releases, byte for byte. Rust
+//! names may change, but neither the files in `tests/data` nor the encoded names listed here.
 //!
-//! Two files were written by the program of commit e679ba0: the frames by `encode` of `frames()`,
-//! one behind the other; the state by `RaftStorage::open_or_initialize` of `kept()`, put into SQL by
-//! `dump`. What frame layout 3 added was written by the program that introduced it, by `encode` of
-//! `frames_of_layout_3()`.
+//! Two files were written by the program of commit e679ba0: the frames with `encode` of `frames()`,
+//! concatenated, and the state with `RaftStorage::open_or_initialize` of `persistent_state()`,
+//! converted to SQL by `dump`. The frames that layout 3 added were written by the program that
+//! introduced it, with `encode` of `frames_of_layout_3()`.
 use serde::de::{Deserialize, Deserializer, MapAccess, SeqAccess, Visitor};
 use serde_bytes::ByteBuf;
 use sha2::{Digest as _, Sha256};
@@ -53,23 +53,23 @@
 fn members() -> Vec<Member> {
     vec![member(5, true, true), member(6, false, true), member(7, false, false)]
 }
-fn entry(term: u64, index: u64, body: EntryPayload) -> LogEntry {
-    LogEntry { term: Term(term), index: LogIndex(index), payload: body }
+fn entry(term: u64, index: u64, payload: EntryPayload) -> LogEntry {
+    LogEntry { term: Term(term), index: LogIndex(index), payload }
 }
-fn bytes(of: &[u8]) -> ByteBuf {
-    ByteBuf::from(of.to_vec())
+fn bytes(content: &[u8]) -> ByteBuf {
+    ByteBuf::from(content.to_vec())
 }
-fn limits(from: u64) -> SessionLimits {
+fn limits(base: u64) -> SessionLimits {
     SessionLimits {
-        txn_idle_ms: from + 1,
-        max_header_bytes: from as usize + 2,
-        max_body_bytes: from + 3,
-        header_timeout_ms: from + 4,
-        idle_timeout_ms: from + 5,
+        txn_idle_ms: base + 1,
+        max_header_bytes: base as usize + 2,
+        max_body_bytes: base + 3,
+        header_timeout_ms: base + 4,
+        idle_timeout_ms: base + 5,
     }
 }
-/// A configuration with a route of each type and both kinds of targets.
-fn order(revision: u64, routes: &[&str]) -> Vec<u8> {
+/// A configuration with a route of each given type, and both kinds of targets.
+fn configuration(revision: u64, routes: &[&str]) -> Vec<u8> {
     let route = |(at, kind): (usize, &&str)| {
         let base = 10 * (at as u64 + 1);
         let mut route = serde_json::json!({
@@ -98,12 +98,12 @@
     .to_string()
     .into_bytes()
 }
-const TYPES: [&str; 6] =
+const ROUTE_TYPES: [&str; 6] =
     ["primary", "bounded", "read_your_writes", "idempotent", "non_idempotent", "download"];
 fn route_table(revision: u64, routes: &[&str]) -> RouteTable {
-    RouteTable::of(&Configuration::read(&order(revision, routes)).expect("valid"))
+    RouteTable::of(&Configuration::read(&configuration(revision, routes)).expect("valid"))
 }
-fn listed(id: &str, draining: bool) -> DirectoryEntry {
+fn directory_entry(id: &str, draining: bool) -> DirectoryEntry {
     DirectoryEntry {
         id: id.into(),
         service: "s".into(),
@@ -116,29 +116,30 @@
 fn position(term: u64, number: u64) -> Position {
     Position { term: DbTerm(term), number }
 }
-fn grant(service: &str, standing: PrimaryStatus, share: u32) -> LeaseGrant {
-    LeaseGrant { service: service.into(), status: standing, quota: share }
+fn grant(service: &str, status: PrimaryStatus, quota: u32) -> LeaseGrant {
+    LeaseGrant { service: service.into(), status, quota }
 }
 
-/// Every variant of what is said on the peer port, with other values in each field.
+/// A frame with every variant of the messages on the peer port, each field with a different value.
 #[expect(clippy::too_many_lines, reason = "one scenario, told in order")]
 fn frames() -> Vec<Frame> {
     let (s, t) = (ServiceName::from("s"), ServiceName::from("t"));
-    let ask = |pre_vote, leadership_transfer, led_previous_term| RaftMessageKind::RequestVote {
-        pre_vote,
-        leadership_transfer,
-        led_previous_term,
-        last_log: LogPosition::new(Term(41), LogIndex(42)),
-    };
+    let request_vote =
+        |pre_vote, leadership_transfer, led_previous_term| RaftMessageKind::RequestVote {
+            pre_vote,
+            leadership_transfer,
+            led_previous_term,
+            last_log: LogPosition::new(Term(41), LogIndex(42)),
+        };
     let entries = vec![
         entry(43, 44, EntryPayload::NoOp),
         entry(45, 46, EntryPayload::Membership(members())),
         entry(47, 48, EntryPayload::Command(bytes(&[1, 2, 200]))),
     ];
     let kinds = [
-        ask(true, false, false),
-        ask(false, true, false),
-        ask(false, false, true),
+        request_vote(true, false, false),
+        request_vote(false, true, false),
+        request_vote(false, false, true),
         RaftMessageKind::VoteResponse { pre_vote: true, granted: false },
         RaftMessageKind::VoteResponse { pre_vote: false, granted: true },
         RaftMessageKind::AppendEntries {
@@ -180,7 +181,7 @@
         JoinResponse::FoundCluster,
     ];
     let suspect =
-        |why| ToController::Suspect { service: "s".into(), instance: "i1".into(), reason: why };
+        |reason| ToController::Suspect { service: "s".into(), instance: "i1".into(), reason };
     let revoked =
         |highest| ToController::RevokeAck { service: "s".into(), term: DbTerm(82), highest };
     let to_controller = [
@@ -211,10 +212,10 @@
         ToController::RequestFullTable,
         ToController::Goodbye,
     ];
-    let granted = |whole| ToPooler::LeaseGrants {
+    let lease_grants = |complete| ToPooler::LeaseGrants {
         seq: 101,
         lease_ms: 102,
-        complete: whole,
+        complete,
         grants: vec![
             grant("s", PrimaryStatus::Active { term: DbTerm(103), primary: "i1".into() }, 104),
             grant("t", PrimaryStatus::Sealed(position(105, 106)), 107),
@@ -227,27 +228,27 @@
         }],
         subset_ranges: vec![SubsetRange { service: s.clone(), start: 112, end: 113 }],
     };
-    let (old, new) = (route_table(121, &TYPES[..3]), route_table(122, &TYPES));
-    let mut changed = new.delta_from(&old);
-    changed.services = vec![DeltaRun::Same { from: 1, count: 1 }, DeltaRun::New(vec!["v".into()])];
-    changed.limits = limits(130);
+    let (old, new) = (route_table(121, &ROUTE_TYPES[..3]), route_table(122, &ROUTE_TYPES));
+    let mut delta = new.delta_from(&old);
+    delta.services = vec![DeltaRun::Same { from: 1, count: 1 }, DeltaRun::New(vec!["v".into()])];
+    delta.limits = limits(130);
     let to_pooler = [
         ToPooler::NotLeader(None),
         ToPooler::NotLeader(Some(at("[fd00::9]:82"))),
         ToPooler::Welcome { controllers: vec![at("10.0.0.5:83"), at("10.0.0.6:84")] },
         ToPooler::RouteTable(Box::new(new)),
-        ToPooler::RouteTableDelta(Box::new(changed)),
-        ToPooler::Directory(vec![listed("i1", false), listed("i2", true)]),
+        ToPooler::RouteTableDelta(Box::new(delta)),
+        ToPooler::Directory(vec![directory_entry("i1", false), directory_entry("i2", true)]),
         ToPooler::DirectoryDelta {
-            upserted: vec![listed("i3", true)],
+            upserted: vec![directory_entry("i3", true)],
             removed: vec!["i4".into(), "i5".into()],
         },
-        granted(true),
-        granted(false),
+        lease_grants(true),
+        lease_grants(false),
         ToPooler::Revoke { service: s, term: DbTerm(141) },
         ToPooler::RenewNow,
     ];
-    let join = |was| Frame::Join { member: member(9, true, false), was_member: was };
+    let join = |was_member| Frame::Join { member: member(9, true, false), was_member };
     (kinds.into_iter().map(raft))
         .chain([join(false), join(true)])
         .chain(joined.map(Frame::Joined))
@@ -256,11 +257,11 @@
         .collect()
 }
 
-/// What layout 3 added: the handover of a service.
+/// The frames that layout 3 added, for the handover of a service.
 fn frames_of_layout_3() -> Vec<Frame> {
     let handover = Handover { number: 151 << 20, term: DbTerm(152), target: "i2".into() };
     let status = PrimaryStatus::HandingOver { primary: "i1".into(), handover: handover.clone() };
-    let granted = ToPooler::LeaseGrants {
+    let lease_grants = ToPooler::LeaseGrants {
         seq: 153,
         lease_ms: 154,
         complete: false,
@@ -274,14 +275,15 @@
     };
     vec![
         Frame::Controller(ToPooler::HandOver { service: "s".into(), handover }),
-        Frame::Controller(granted),
+        Frame::Controller(lease_grants),
         acknowledged(None),
         acknowledged(Some(position(157, 158))),
     ]
 }
 
-/// Whether two frames hold the same, field by field. No `_` and no `..`: what is new has to be here.
-fn same(a: &Frame, b: &Frame) -> bool {
+/// Whether two frames are equal, field by field. Without `_` and `..` in the patterns, so that new
+/// variants and fields have to be added here.
+fn same_frame(a: &Frame, b: &Frame) -> bool {
     match (a, b) {
         (Frame::Raft { to, message }, Frame::Raft { to: t, message: m }) => {
             to == t && message == m && same_kind(&message.kind, &m.kind)
@@ -290,8 +292,8 @@
             member == m && was == w
         }
         (Frame::Joined(a), Frame::Joined(b)) => a == b,
-        (Frame::Pooler(a), Frame::Pooler(b)) => said(a, b),
-        (Frame::Controller(a), Frame::Controller(b)) => told(a, b),
+        (Frame::Pooler(a), Frame::Pooler(b)) => same_to_controller(a, b),
+        (Frame::Controller(a), Frame::Controller(b)) => same_to_pooler(a, b),
         (
             Frame::Raft { .. }
             | Frame::Join { .. }
@@ -302,9 +304,9 @@
         ) => false,
     }
 }
-/// As `==` has it; only so that each field is named.
+/// Like `==`, but names each field, so that new variants and fields have to be added here.
 fn same_kind(a: &RaftMessageKind, b: &RaftMessageKind) -> bool {
-    let again = match a.clone() {
+    let rebuilt = match a.clone() {
         RaftMessageKind::RequestVote {
             pre_vote,
             leadership_transfer,
@@ -340,9 +342,9 @@
             RaftMessageKind::ChunkResponse { transfer_id, received, sent_at }
         }
     };
-    again == *b
+    rebuilt == *b
 }
-fn said(a: &ToController, b: &ToController) -> bool {
+fn same_to_controller(a: &ToController, b: &ToController) -> bool {
     use ToController::*;
     match (a, b) {
         (
@@ -350,15 +352,7 @@
             Hello { node: n, incarnation: l, revision: r, zone: z },
         ) => (node, incarnation, revision, zone) == (n, l, r, z),
         (
-            RenewLeases {
-                seq,
-                last_grant_seq: heard,
-                quotas: shares,
-                demand: wants,
-                observed: saw,
-                bounds_requested: asks,
-                load: busy,
-            },
+            RenewLeases { seq, last_grant_seq, quotas, demand, observed, bounds_requested, load },
             RenewLeases {
                 seq: q,
                 last_grant_seq: h,
@@ -368,11 +362,13 @@
                 bounds_requested: k,
                 load: y,
             },
-        ) => (seq, heard, shares, wants, saw, asks, busy) == (q, h, s, w, v, k, y),
-        (
-            Suspect { service, instance, reason: why },
-            Suspect { service: s, instance: i, reason: w },
-        ) => (service, instance, why) == (s, i, w),
+        ) => {
+            (seq, last_grant_seq, quotas, demand, observed, bounds_requested, load)
+                == (q, h, s, w, v, k, y)
+        }
+        (Suspect { service, instance, reason }, Suspect { service: s, instance: i, reason: w }) => {
+            (service, instance, reason) == (s, i, w)
+        }
         (RevokeAck { service, term, highest }, RevokeAck { service: s, term: t, highest: h }) => {
             (service, term, highest) == (s, t, h)
         }
@@ -393,7 +389,7 @@
         ) => false,
     }
 }
-fn told(a: &ToPooler, b: &ToPooler) -> bool {
+fn same_to_pooler(a: &ToPooler, b: &ToPooler) -> bool {
     use ToPooler::*;
     match (a, b) {
         (NotLeader(a), NotLeader(b)) => a == b,
@@ -401,19 +397,11 @@
         (RouteTable(a), RouteTable(b)) => a == b,
         (RouteTableDelta(a), RouteTableDelta(b)) => a == b,
         (Directory(a), Directory(b)) => a == b,
+        (DirectoryDelta { upserted, removed }, DirectoryDelta { upserted: l, removed: g }) => {
+            (upserted, removed) == (l, g)
+        }
         (
-            DirectoryDelta { upserted: listed, removed: gone },
-            DirectoryDelta { upserted: l, removed: g },
-        ) => (listed, gone) == (l, g),
-        (
-            LeaseGrants {
-                seq,
-                lease_ms,
-                complete: whole,
-                grants,
-                position_bounds: fresh,
-                subset_ranges,
-            },
+            LeaseGrants { seq, lease_ms, complete, grants, position_bounds, subset_ranges },
             LeaseGrants {
                 seq: s,
                 lease_ms: l,
@@ -422,7 +410,9 @@
                 position_bounds: f,
                 subset_ranges: p,
             },
-        ) => (seq, lease_ms, whole, grants, fresh, subset_ranges) == (s, l, w, g, f, p),
+        ) => {
+            (seq, lease_ms, complete, grants, position_bounds, subset_ranges) == (s, l, w, g, f, p)
+        }
         (Revoke { service, term }, Revoke { service: s, term: t }) => (service, term) == (s, t),
         (
             HandOver { service, handover: Handover { number, term, target } },
@@ -444,25 +434,25 @@
         ) => false,
     }
 }
-/// The names of what is only inside; no `_`, for the same reason.
-fn inner(
-    doubt: SuspicionReason,
-    standing: &PrimaryStatus,
-    body: &EntryPayload,
+/// The encoded names of variants of types within messages, without `_` for the same reason.
+fn inner_names(
+    reason: SuspicionReason,
+    status: &PrimaryStatus,
+    payload: &EntryPayload,
     run: &DeltaRun<u8>,
 ) -> [&'static str; 4] {
     [
-        match doubt {
+        match reason {
             SuspicionReason::ConnectionsBroken => "Broken",
             SuspicionReason::NoResponse => "Silent",
         },
-        match standing {
+        match status {
             PrimaryStatus::Active { term: _, primary: _ } => "Led",
             PrimaryStatus::HandingOver { primary: _, handover: _ } => "HandingOver",
             PrimaryStatus::Sealed(_) => "Sealed",
             PrimaryStatus::Absent => "Unled",
         },
-        match body {
+        match payload {
             EntryPayload::NoOp => "Opened",
             EntryPayload::Membership(_) => "Members",
             EntryPayload::Command(_) => "Change",
@@ -474,8 +464,9 @@
     ]
 }
 
-/// The names in encoded values, whatever Rust calls them: texts that begin with a capital, which no
-/// other text here does, each behind the names it stands in. Families of addresses are left out.
+/// The variant names in an encoded value, each with the names of the variants that enclose it. All
+/// texts that begin with a capital letter are variant names, except the address families `V4` and
+/// `V6`.
 #[derive(Default)]
 struct Names(Vec<String>);
 impl Names {
@@ -483,7 +474,7 @@
         let names: Names = rmp_serde::from_slice(bytes).expect("a value");
         names.0.into_iter().collect()
     }
-    fn named(name: &str) -> bool {
+    fn is_variant_name(name: &str) -> bool {
         name.starts_with(|c: char| c.is_ascii_uppercase()) && !matches!(name, "V4" | "V6")
     }
 }
@@ -508,7 +499,7 @@
                 Ok(Names::default())
             }
             fn visit_str<E>(self, text: &str) -> Result<Names, E> {
-                Ok(Names(Vec::from_iter(Names::named(text).then(|| text.to_owned()))))
+                Ok(Names(Vec::from_iter(Names::is_variant_name(text).then(|| text.to_owned()))))
             }
             fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Names, A::Error> {
                 let mut all = Names::default();
@@ -534,16 +525,19 @@
         from.deserialize_any(Walk)
     }
 }
-fn assert_names(found: BTreeSet<String>, wanted: &str) {
-    let wanted: BTreeSet<String> =
-        wanted.lines().map(str::trim).filter(|l| !l.is_empty()).map(str::to_owned).collect();
-    let lacking: Vec<_> = wanted.difference(&found).collect();
-    let new: Vec<_> = found.difference(&wanted).collect();
-    assert!(lacking.is_empty() && new.is_empty(), "lacking {lacking:?}, new {new:?}");
+fn assert_names(found: BTreeSet<String>, expected: &str) {
+    let expected: BTreeSet<String> =
+        expected.lines().map(str::trim).filter(|l| !l.is_empty()).map(str::to_owned).collect();
+    let missing: Vec<_> = expected.difference(&found).collect();
+    let new: Vec<_> = found.difference(&expected).collect();
+    assert!(
+        missing.is_empty() && new.is_empty(),
+        "missing names {missing:?}, unexpected names {new:?}"
+    );
 }
 
-/// The frame as a program that reads this layout writes it: the last byte says so, and nothing else.
-fn encode_as_of(layout: u8, frame: &Frame) -> Vec<u8> {
+/// Encodes a frame as a program that supports this layout does; only the last byte depends on it.
+fn encode_with_sender_layout(layout: u8, frame: &Frame) -> Vec<u8> {
     let mut bytes = encode(frame).to_vec();
     assert_eq!(bytes.last(), Some(&LAYOUT), "{frame:?}");
     bytes.splice(bytes.len() - 1.., [layout]);
@@ -551,14 +545,14 @@
 }
 
 #[test]
-fn every_frame_is_read_and_written_as_ever() {
-    // (a file, the layout that its writer read, its frames, the layouts that some ask for). Only parts
-    // ask for more than the first layout, and what a handover brought.
+fn every_frame_is_decoded_and_encoded_as_in_earlier_releases() {
+    // (file, newest layout of the program that wrote it, its frames, the layouts that frames
+    // require). Only chunks and the messages of handovers require more than the first layout.
     let files = [
         (FRAMES, 2, frames(), vec![2, 2]),
         (FRAMES_OF_LAYOUT_3, 3, frames_of_layout_3(), vec![3, 3, 3, 3]),
     ];
-    for (mut rest, layout, made, asked) in files {
+    for (mut rest, layout, expected, required_layouts) in files {
         let mut read = Vec::new();
         while !rest.is_empty() {
             let start = rest;
@@ -567,14 +561,23 @@
             assert_eq!(sender_layout, layout);
             read.push((frame, &start[..start.len() - rest.len()]));
         }
-        assert_eq!(read.len(), made.len());
-        for ((frame, bytes), made) in read.iter().zip(&made) {
-            assert!(same(frame, made), "{frame:?} is not {made:?}");
-            assert_eq!(encode_as_of(layout, frame), *bytes, "written again: {frame:?}");
-            assert_eq!(encode_as_of(layout, made), *bytes, "made: {made:?}");
+        assert_eq!(read.len(), expected.len());
+        for ((frame, bytes), expected) in read.iter().zip(&expected) {
+            assert!(same_frame(frame, expected), "{frame:?} is not {expected:?}");
+            assert_eq!(
+                encode_with_sender_layout(layout, frame),
+                *bytes,
+                "decoded and encoded again: {frame:?}"
+            );
+            assert_eq!(
+                encode_with_sender_layout(layout, expected),
+                *bytes,
+                "expected: {expected:?}"
+            );
         }
-        let asking: Vec<u8> = read.iter().map(|(_, bytes)| bytes[0]).filter(|l| *l != 0).collect();
-        assert_eq!(asking, asked);
+        let found_layouts: Vec<u8> =
+            read.iter().map(|(_, bytes)| bytes[0]).filter(|l| *l != 0).collect();
+        assert_eq!(found_layouts, required_layouts);
     }
 }
 
@@ -630,11 +633,11 @@
     Steward Granted HandingOver";
 
 #[test]
-fn the_names_in_frames_are_these() {
-    let written = |frames: Vec<Frame>| -> Vec<u8> {
+fn the_variant_names_in_frames_are_unchanged() {
+    let encode_all = |frames: Vec<Frame>| -> Vec<u8> {
         frames.iter().flat_map(|frame| encode(frame).to_vec()).collect()
     };
-    let (first, added) = (written(frames()), written(frames_of_layout_3()));
+    let (first, added) = (encode_all(frames()), encode_all(frames_of_layout_3()));
     for (file, names) in [
         (FRAMES, FRAME_NAMES),
         (&first, FRAME_NAMES),
@@ -644,14 +647,14 @@
         let (mut rest, mut found) = (file, BTreeSet::new());
         while !rest.is_empty() {
             let length = u32::from_be_bytes([0, rest[1], rest[2], rest[3]]) as usize;
-            // Behind the value stands the layout that its sender reads.
+            // The last byte is the layout of the sender.
             found.extend(Names::of(&rest[4..3 + length]));
             rest = &rest[4 + length..];
         }
         assert_names(found, names);
     }
     let led = PrimaryStatus::Active { term: DbTerm(1), primary: "i".into() };
-    let first = inner(
+    let first = inner_names(
         SuspicionReason::ConnectionsBroken,
         &led,
         &EntryPayload::NoOp,
@@ -666,15 +669,16 @@
     std::fs::create_dir_all(&path).expect("folder");
     path
 }
-/// All that a folder's file holds, as SQL that makes it again.
+/// The content of a data folder's database file, as SQL that recreates it.
 fn dump(folder: &Path) -> String {
     let db = rusqlite::Connection::open(folder.join("hedge.sqlite")).expect("file");
     let mut out = String::from("BEGIN TRANSACTION;\n");
-    let mut things = db.prepare("SELECT name, sql FROM sqlite_master ORDER BY rowid").expect("SQL");
-    let mut things = things.query([]).expect("tables");
-    while let Some(thing) = things.next().expect("a table") {
+    let mut statement =
+        db.prepare("SELECT name, sql FROM sqlite_master ORDER BY rowid").expect("SQL");
+    let mut tables = statement.query([]).expect("tables");
+    while let Some(table) = tables.next().expect("a table") {
         let (name, sql): (String, String) =
-            (thing.get(0).expect("name"), thing.get(1).expect("SQL"));
+            (table.get(0).expect("name"), table.get(1).expect("SQL"));
         writeln!(out, "{sql};").expect("text");
         let mut rows = db.prepare(&format!("SELECT * FROM {name} ORDER BY 1")).expect("SQL");
         let columns = rows.column_count();
@@ -712,10 +716,10 @@
 fn heartbeat(id: &str, instance: Instance, sequence: u64) -> Command {
     Command::Heartbeat { id: id.into(), instance, sequence }
 }
-/// One of each variant; all of them do something behind `state()`.
-fn changes() -> Vec<Command> {
+/// A command of each variant. Each has an effect when applied to `state()`.
+fn commands() -> Vec<Command> {
     let service = || ServiceName::from("s");
-    let body = ByteBuf::from(order(162, &TYPES));
+    let body = ByteBuf::from(configuration(162, &ROUTE_TYPES));
     let departed = BTreeMap::from([("d3".into(), 204), ("d4".into(), 205)]);
     vec![
         Command::PutConfiguration { base: Revision(161), revision: Revision(162), body },
@@ -728,9 +732,10 @@
         Command::PrimaryReturned { service: service(), term: DbTerm(208), primary: "d5".into() },
     ]
 }
-/// The name of a change in the log. No `_` and no `..`: what is new has to be here.
-fn name(change: &Command) -> &'static str {
-    match change {
+/// The encoded name of a command. Without `_` and `..`, so that new variants and fields have to be
+/// added here.
+fn command_name(command: &Command) -> &'static str {
+    match command {
         Command::PutConfiguration { base: _, revision: _, body: _ } => "Configure",
         Command::Heartbeat { id: _, instance: _, sequence: _ } => "Beat",
         Command::RemoveInstance { id: _, sequence: _ } => "Gone",
@@ -741,21 +746,21 @@
         Command::PrimaryReturned { service: _, term: _, primary: _ } => "Returned",
     }
 }
-/// Its digest is of the older kind, which no program makes any more: it comes from a state of the
-/// first layout.
-const OLD_BODY: &[u8] = b"an older body";
+/// A configuration whose digest is of the older kind (FNV), which only state of the first layout
+/// contains.
+const FNV_DIGEST_BODY: &[u8] = b"an older body";
 fn fnv(body: &[u8]) -> u64 {
     let step = |h: u64, b: &u8| (h ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3);
     body.iter().fold(0xcbf2_9ce4_8422_2325, step)
 }
 fn state() -> StateMachine {
-    let taken = BTreeMap::from([(160, (OLD_BODY.len(), fnv(OLD_BODY)))]);
+    let digests = BTreeMap::from([(160, (FNV_DIGEST_BODY.len(), fnv(FNV_DIGEST_BODY)))]);
     let empty = BTreeMap::<String, ()>::new();
-    let first = (bytes(OLD_BODY), 160, taken, &empty, Vec::<()>::new(), &empty);
+    let first_layout = (bytes(FNV_DIGEST_BODY), 160, digests, &empty, Vec::<()>::new(), &empty);
     let mut state_machine =
-        StateMachine::from_snapshot(&pack(&first)).expect("of the first layout");
-    let body = ByteBuf::from(order(161, &TYPES[..2]));
-    for change in [
+        StateMachine::from_snapshot(&pack(&first_layout)).expect("of the first layout");
+    let body = ByteBuf::from(configuration(161, &ROUTE_TYPES[..2]));
+    for command in [
         Command::PutConfiguration { base: Revision(160), revision: Revision(161), body },
         heartbeat("d1", instance(211, Lifecycle::Available, Role::Primary), 212),
         heartbeat("d2", instance(213, Lifecycle::Draining, Role::Replica), 214),
@@ -767,14 +772,15 @@
         Command::RemoveInstance { id: "d3".into(), sequence: 204 },
         Command::RemoveInstance { id: "d4".into(), sequence: 205 },
     ] {
-        assert_eq!(state_machine.apply(&change), CommandOutcome::Applied, "{change:?}");
+        assert_eq!(state_machine.apply(&command), CommandOutcome::Applied, "{command:?}");
     }
     state_machine
 }
-fn kept() -> PersistentState {
+fn persistent_state() -> PersistentState {
     let mut bodies = vec![EntryPayload::NoOp, EntryPayload::Membership(members())];
-    bodies
-        .extend(changes().iter().map(|change| EntryPayload::Command(ByteBuf::from(pack(change)))));
+    bodies.extend(
+        commands().iter().map(|command| EntryPayload::Command(ByteBuf::from(pack(command)))),
+    );
     let numbered = (233..).zip(bodies).map(|(index, body)| entry(232, index, body));
     let log = numbered.collect();
     PersistentState {
@@ -790,17 +796,17 @@
         },
     }
 }
-/// The folder as it was written then.
-fn folder_of_then(name: &str) -> PathBuf {
+/// A data folder as written by the earlier release.
+fn folder_of_earlier_release(name: &str) -> PathBuf {
     let path = folder(name);
     let db = rusqlite::Connection::open(path.join("hedge.sqlite")).expect("file");
     db.execute_batch(STATE).expect("loaded");
-    db.execute_batch("PRAGMA journal_mode = WAL").expect("as it was");
+    db.execute_batch("PRAGMA journal_mode = WAL").expect("WAL mode");
     std::fs::write(path.join("member"), "members 5\n").expect("mark");
     path
 }
-/// All that is in a folder but the file of SQLite, which is closed.
-fn beside(folder: &Path) -> Vec<(String, String)> {
+/// The other files of a data folder besides the closed SQLite file.
+fn other_files(folder: &Path) -> Vec<(String, String)> {
     let mut files: Vec<(String, String)> = std::fs::read_dir(folder)
         .expect("folder")
         .map(|file| file.expect("file").path())
@@ -816,15 +822,15 @@
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario, told in order")]
-fn a_state_folder_is_read_and_written_as_ever() {
-    let old = folder_of_then("then");
+fn a_data_folder_is_read_and_written_as_in_earlier_releases() {
+    let old = folder_of_earlier_release("then");
     let OpenedStorage { storage, state: read } = RaftStorage::open(&old).expect("opened");
     drop(storage);
-    let (read, made) = (read.expect("a state"), kept());
-    assert_eq!((read.member_id, read.term), (made.member_id, made.term));
-    assert_eq!((read.voted_for, read.last_led_term), (made.voted_for, made.last_led_term));
-    assert_eq!(read.log, made.log);
-    assert_eq!(read.snapshot, made.snapshot);
+    let (read, expected) = (read.expect("a state"), persistent_state());
+    assert_eq!((read.member_id, read.term), (expected.member_id, expected.term));
+    assert_eq!((read.voted_for, read.last_led_term), (expected.voted_for, expected.last_led_term));
+    assert_eq!(read.log, expected.log);
+    assert_eq!(read.snapshot, expected.snapshot);
 
     let mut state_machine = StateMachine::from_snapshot(&read.snapshot.state).expect("a state");
     assert_eq!(state_machine, state());
@@ -833,19 +839,19 @@
     let record = &state_machine.instances()[&"d2".into()];
     let draining = instance(213, Lifecycle::Draining, Role::Replica);
     assert_eq!((&record.instance, record.sequence), (&draining, 214));
-    let lead = &state_machine.primaries()[&"s".into()];
-    assert_eq!((lead.term, lead.primary.0.as_str()), (DbTerm(200), "d1"));
-    assert_eq!(lead.intent, Some("d2".into()));
+    let primary = &state_machine.primaries()[&"s".into()];
+    assert_eq!((primary.term, primary.primary.0.as_str()), (DbTerm(200), "d1"));
+    assert_eq!(primary.intent, Some("d2".into()));
     assert_eq!(state_machine.primaries()[&"t".into()].intent, None);
     let departed = BTreeMap::from([("d3".into(), 204), ("d4".into(), 205)]);
     assert_eq!(state_machine.departed_replicas(&"s".into()), departed);
-    // Both kinds of digests know their own body and no other, and who left stays away.
-    let now = order(161, &TYPES[..2]);
+    // Both kinds of digests match only their own body, and databases that left stay removed.
+    let now = configuration(161, &ROUTE_TYPES[..2]);
     for (revision, body, effect) in [
-        (160, OLD_BODY, CommandOutcome::NoChange),
+        (160, FNV_DIGEST_BODY, CommandOutcome::NoChange),
         (160, &now, CommandOutcome::StaleBase),
         (161, &now, CommandOutcome::NoChange),
-        (161, OLD_BODY, CommandOutcome::StaleBase),
+        (161, FNV_DIGEST_BODY, CommandOutcome::StaleBase),
     ] {
         assert_eq!(
             state_machine.evaluate_configuration(Revision(3), Revision(revision), body),
@@ -853,51 +859,51 @@
             "{revision}"
         );
     }
-    for (sequence, news) in [(204, false), (205, true)] {
-        assert_eq!(state_machine.accepts_heartbeat(&"d3".into(), &draining, sequence), news);
+    for (sequence, is_accepted) in [(204, false), (205, true)] {
+        assert_eq!(state_machine.accepts_heartbeat(&"d3".into(), &draining, sequence), is_accepted);
     }
 
-    // Written again from the values.
-    let mut again = PersistentState { log: Vec::new(), ..read.clone() };
-    for (entry, made) in read.log.iter().zip(&made.log) {
+    // Encode the decoded values again.
+    let mut reencoded = PersistentState { log: Vec::new(), ..read.clone() };
+    for (entry, expected) in read.log.iter().zip(&expected.log) {
         let mut entry = entry.clone();
         if let EntryPayload::Command(bytes) = &mut entry.payload {
-            let change = unpack::<Command>(bytes).expect("a change");
-            assert_eq!(state_machine.apply(&change), CommandOutcome::Applied, "{change:?}");
-            *bytes = ByteBuf::from(pack(&change));
+            let command = unpack::<Command>(bytes).expect("a command");
+            assert_eq!(state_machine.apply(&command), CommandOutcome::Applied, "{command:?}");
+            *bytes = ByteBuf::from(pack(&command));
         }
-        assert_eq!(entry, *made);
-        again.log.push(entry);
+        assert_eq!(entry, *expected);
+        reencoded.log.push(entry);
     }
-    again.snapshot.state = ByteBuf::from(state().to_snapshot());
+    reencoded.snapshot.state = ByteBuf::from(state().to_snapshot());
     let new = folder("now");
-    for kept in [again, made] {
+    for state_on_disk in [reencoded, expected] {
         let _ = std::fs::remove_dir_all(&new);
         let InitializedStorage { storage, restarted, .. } =
-            RaftStorage::open_or_initialize(&new, || kept).expect("founded");
+            RaftStorage::open_or_initialize(&new, || state_on_disk).expect("founded");
         drop(storage);
         assert!(!restarted);
         assert_eq!(dump(&new), STATE);
-        assert_eq!(beside(&new), [("member".to_owned(), "members 5\n".to_owned())]);
+        assert_eq!(other_files(&new), [("member".to_owned(), "members 5\n".to_owned())]);
     }
     assert_eq!(dump(&old), STATE, "opening changes nothing");
-    assert_eq!(beside(&old), beside(&new));
+    assert_eq!(other_files(&old), other_files(&new));
     let _ = std::fs::remove_dir_all(&old);
     let _ = std::fs::remove_dir_all(&new);
 }
 
 #[test]
-fn the_names_in_a_state_are_these() {
-    let old = folder_of_then("names");
-    let kept = RaftStorage::open(&old).expect("opened").state.expect("a state");
+fn the_variant_names_in_stored_state_are_unchanged() {
+    let old = folder_of_earlier_release("names");
+    let state_on_disk = RaftStorage::open(&old).expect("opened").state.expect("a state");
     let _ = std::fs::remove_dir_all(&old);
     let mut found = BTreeSet::new();
     let mut names = Vec::new();
-    for entry in &kept.log {
+    for entry in &state_on_disk.log {
         found.extend(Names::of(&pack(entry)));
         if let EntryPayload::Command(bytes) = &entry.payload {
             found.extend(Names::of(bytes).into_iter().map(|name| format!("Change {name}")));
-            names.push(name(&unpack::<Command>(bytes).expect("a change")));
+            names.push(command_name(&unpack::<Command>(bytes).expect("a command")));
         }
     }
     let listed = ["Configure", "Beat", "Gone", "Led", "Intend", "Abandon", "Covered", "Returned"];
@@ -916,11 +922,11 @@
          Change Covered
          Change Returned",
     );
-    // The state has no names of its own: digests are told apart by their form.
-    let state = &kept.snapshot.state[1..];
-    assert_eq!((kept.snapshot.state[0], Names::of(state)), (2, BTreeSet::new()));
+    // The snapshot contains no variant names: the kind of a digest is determined by its structure.
+    let state = &state_on_disk.snapshot.state[1..];
+    assert_eq!((state_on_disk.snapshot.state[0], Names::of(state)), (2, BTreeSet::new()));
     type Database = (String, Names, String, String, u32, String, String);
-    type Form = (
+    type Layout2State = (
         ByteBuf,
         u64,
         BTreeMap<u64, Names>,
@@ -929,18 +935,18 @@
         BTreeMap<String, (u64, String, Option<String>)>,
         BTreeMap<String, BTreeMap<String, u64>>,
     );
-    let form: Form = unpack(state).expect("of this form");
-    let (body, revision, taken, instances, gone, leads, departed) = form;
-    assert_eq!((&body[..], revision), (&order(161, &TYPES[..2])[..], 161));
-    assert_eq!(taken.into_keys().collect::<Vec<_>>(), [160, 161]);
+    let decoded: Layout2State = unpack(state).expect("state of layout 2");
+    let (body, revision, digests, instances, removed, primaries, departed) = decoded;
+    assert_eq!((&body[..], revision), (&configuration(161, &ROUTE_TYPES[..2])[..], 161));
+    assert_eq!(digests.into_keys().collect::<Vec<_>>(), [160, 161]);
     let words = instances.iter().map(|(id, (d, n))| (id.as_str(), d.5.as_str(), d.6.as_str(), *n));
     let words: Vec<_> = words.collect();
     assert_eq!(words, [("d1", "available", "primary", 212), ("d2", "draining", "replica", 214)]);
-    assert_eq!(gone, [("d3".to_owned(), 204), ("d4".to_owned(), 205)]);
-    assert_eq!(leads["s"], (200, "d1".to_owned(), Some("d2".to_owned())));
+    assert_eq!(removed, [("d3".to_owned(), 204), ("d4".to_owned(), 205)]);
+    assert_eq!(primaries["s"], (200, "d1".to_owned(), Some("d2".to_owned())));
     assert_eq!(departed["s"], BTreeMap::from([("d3".to_owned(), 204), ("d4".to_owned(), 205)]));
-    let old = pack(&(OLD_BODY.len(), fnv(OLD_BODY)));
+    let old = pack(&(FNV_DIGEST_BODY.len(), fnv(FNV_DIGEST_BODY)));
     let new = [&[0xc4, 32][..], &Sha256::digest(&body)].concat();
-    let holds = |form: &[u8]| state.windows(form.len()).any(|part| part == form);
-    assert!(holds(&old) && holds(&new), "digests of both kinds");
+    let contains = |digest: &[u8]| state.windows(digest.len()).any(|window| window == digest);
+    assert!(contains(&old) && contains(&new), "digests of both kinds");
 }
