--- a/src/controller/event_loop.rs
+++ b/src/controller/event_loop.rs
@@ -46,11 +46,11 @@
                 last_housekeeping = now;
                 let subscribers = &self.subscribers;
                 self.effects.close_stalled(|conn| subscribers.contains_key(&conn), now);
-                if let Some(settings) = watched.poll(signals.take_hup()) {
+                if let Some(settings) = watched.poll(signals.take_hangup()) {
                     self.settings = settings;
                 }
             }
-            if signals.terminated() && stopping_since.is_none() {
+            if signals.termination_requested() && stopping_since.is_none() {
                 info!(target: "raft", "stopping; leadership is transferred if held");
                 stopping_since = Some(now);
                 self.transfer_leadership(now);
--- a/src/controller/leader_state.rs
+++ b/src/controller/leader_state.rs
@@ -111,7 +111,7 @@
         for reply in self.pending_proposals.drain() {
             // The command may still be committed by another leader; the caller finds out by
             // retrying.
-            drop(reply.try_send(Response::refusal(503, "no longer the leader")));
+            drop(reply.try_send(Response::error(503, "no longer the leader")));
         }
         for (conn, _) in std::mem::take(&mut self.subscribers) {
             self.send_not_leader(conn);
--- a/src/controller/linearizable_reads.rs
+++ b/src/controller/linearizable_reads.rs
@@ -30,7 +30,7 @@
 impl<R> DecidedCall<R> {
     /// Refuses a call, because its correct response is unknown.
     fn unavailable(caller: R, reason: &str) -> Self {
-        Self { caller, decision: CallDecision::Answer(Response::refusal(503, reason)) }
+        Self { caller, decision: CallDecision::Answer(Response::error(503, reason)) }
     }
 }
 
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -230,7 +230,7 @@
     fn nominates_as_founder(&mut self, member: &Member, now: Tick) -> bool {
         let own_address = self.settings.listeners.admin;
         if self.settings.can_vote()
-            || self.settings.founder() != own_address
+            || self.settings.bootstrap_seed() != own_address
             || !self.raft.members().is_empty()
             || !member.can_vote
         {
@@ -255,7 +255,8 @@
         self.join
             .received_requests
             .retain(|_, r| now.since(r.received_at) < JOIN_REQUEST_EXPIRY_MS);
-        let (tolerated, silent) = (self.settings.tolerated(), self.settings.silent_voter_ms());
+        let (tolerated, silent) =
+            (self.settings.tolerated_failures(), self.settings.voter_removal_timeout_ms());
         let joining = self.join.received_requests.values().map(|r| &r.member);
         if let Some(members) = self.raft.next_membership_change(joining, tolerated, silent, now) {
             self.raft.propose(EntryPayload::Membership(members), now);
--- a/src/controller/outgoing_calls.rs
+++ b/src/controller/outgoing_calls.rs
@@ -102,7 +102,7 @@
     stream.write_all(format!("QUERY - {}\r\n", statement(request)).as_bytes())?;
     loop {
         if let Some(reply) = next_reply(&buffer)? {
-            let description = reply.described(buffer.pending());
+            let description = reply.description(buffer.pending());
             return Ok(
                 description.map_or(DatabaseResponse::NoDescription, DatabaseResponse::Description)
             );
@@ -129,7 +129,7 @@
 
 fn read_connect_reply(stream: &mut TcpStream, buffer: &mut ReadBuffer) -> io::Result<ConnectReply> {
     loop {
-        if let Some(kind) = statement_protocol::refused_connect(buffer.pending()) {
+        if let Some(kind) = statement_protocol::parse_connect_error(buffer.pending()) {
             return Ok(ConnectReply::Refused(kind));
         }
         if let Some(reply) = next_reply(buffer)? {
@@ -142,7 +142,7 @@
 
 /// Parses the reply at the start of the buffer, if it is complete.
 fn next_reply(buffer: &ReadBuffer) -> io::Result<Option<Reply>> {
-    statement_protocol::reply(buffer.pending())
+    statement_protocol::parse_reply(buffer.pending())
         .map_err(|MalformedReply| io::ErrorKind::InvalidData.into())
 }
 
@@ -183,7 +183,7 @@
         headers: &headers,
         body: body.as_bytes(),
     };
-    match http::call_while(provider, &request, PROVIDER_TIMEOUT, leads) {
+    match http::call_if(provider, &request, PROVIDER_TIMEOUT, leads) {
         Ok(Response { status: 200..=299, .. }) => PromotionResponse::Accepted,
         Ok(Response { status: 409, .. }) => PromotionResponse::NotRunning,
         Ok(Response { status: 429, .. }) => PromotionResponse::NotAttempted,
--- a/src/controller/peer_listener.rs
+++ b/src/controller/peer_listener.rs
@@ -3,7 +3,7 @@
 //! A worker pool thread reads each connection and reports its opening, its frames and its end to
 //! the controller's event queue. Writing is done in `peer_connections`.
 use crate::base::errors::Fatal;
-use crate::base::worker_pool::{must_start, start_thread};
+use crate::base::worker_pool::{start_loop_thread, start_thread};
 use crate::controller::effects::Input;
 use crate::controller::transport::Event;
 use crate::net::rpc::pooler_messages::ToController;
@@ -45,7 +45,7 @@
     let next_id = AtomicU64::new(1);
     // Each connection holds a clone, so the reference count gives the number of open connections.
     let open_connections = Arc::new(());
-    must_start("peers", move || {
+    start_loop_thread("peers", move || {
         for stream in listener.incoming() {
             let Ok(stream) = stream else {
                 std::thread::sleep(ACCEPT_RETRY_DELAY);
--- a/src/controller/transport.rs
+++ b/src/controller/transport.rs
@@ -38,11 +38,11 @@
 pub(crate) fn submit_admin_request(events: &Sender<Event>, request: Request) -> Response {
     let (reply, response) = sync_channel(1);
     if events.send(Event::Input(Input::AdminRequest(request, reply))).is_err() {
-        return Response::refusal(503, "stopping");
+        return Response::error(503, "stopping");
     }
     response
         .recv_timeout(RESPONSE_TIMEOUT)
-        .unwrap_or_else(|_| Response::refusal(503, "no quorum in time"))
+        .unwrap_or_else(|_| Response::error(503, "no quorum in time"))
 }
 
 /// An event for the controller's thread.
--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -130,9 +130,9 @@
             // request.
             AttemptOutcome::NotExecuted if !execution_possible => NextStep::ForwardResponse,
             AttemptOutcome::Failed => NextStep::ForwardResponse,
-            _ if !execution_possible => NextStep::Refuse(Refusal::Full),
-            _ if conditions.time_left => NextStep::Refuse(Refusal::Lost),
-            _ => NextStep::Refuse(Refusal::Late),
+            _ if !execution_possible => NextStep::Refuse(Refusal::Unavailable),
+            _ if conditions.time_left => NextStep::Refuse(Refusal::BadGateway),
+            _ => NextStep::Refuse(Refusal::GatewayTimeout),
         }
     }
 
--- a/src/gateway/forwarding.rs
+++ b/src/gateway/forwarding.rs
@@ -158,7 +158,7 @@
             return Flow::Continue(Step::AwaitResponses);
         }
         let may_have_executed = self.policy.may_have_executed();
-        self.refuse(if may_have_executed { Refusal::Lost } else { Refusal::Full })
+        self.refuse(if may_have_executed { Refusal::BadGateway } else { Refusal::Unavailable })
     }
 
     /// Streams the rest of a body that is too large to be buffered, if there is one, and counts the
@@ -202,7 +202,7 @@
             for attempt in self.attempts.drain(..) {
                 self.gateway.abandon_attempt(attempt, AbandonReason::EndpointTooSlow);
             }
-            return Ok(self.refuse(Refusal::Late));
+            return Ok(self.refuse(Refusal::GatewayTimeout));
         }
         let hedge_due = self.hedge_due();
         if hedge_due.is_some_and(|due| now >= due)
@@ -300,8 +300,8 @@
             // The endpoint's response is too large to be buffered; the client gets the refusal
             // with the same meaning.
             NextStep::ForwardResponse => self.refuse(match outcome {
-                AttemptOutcome::NotExecuted => Refusal::Full,
-                _ => Refusal::Lost,
+                AttemptOutcome::NotExecuted => Refusal::Unavailable,
+                _ => Refusal::BadGateway,
             }),
         }
     }
@@ -309,8 +309,8 @@
     fn refuse(&self, refusal: Refusal) -> Flow {
         let counters = &self.gateway.counters;
         match refusal {
-            Refusal::Full => increment(&counters.refused),
-            Refusal::Lost | Refusal::Late => increment(&counters.lost),
+            Refusal::Unavailable => increment(&counters.refused),
+            Refusal::BadGateway | Refusal::GatewayTimeout => increment(&counters.lost),
             _ => {}
         }
         let quarter_ms = self.request.route.target_latency_ms / 4;
@@ -326,7 +326,7 @@
     attempt: &mut Attempt,
     client: &mut ClientStream<'_>,
 ) -> Result<(), ReceiveError> {
-    let endpoint_lost = |_: io::Error| ReceiveError::Refused(Refusal::Lost);
+    let endpoint_lost = |_: io::Error| ReceiveError::Refused(Refusal::BadGateway);
     let framing = request.head.framing;
     let mut length = request.body.len() as u64;
     let mut data = Vec::new();
--- a/src/gateway/http1/request_head.rs
+++ b/src/gateway/http1/request_head.rs
@@ -43,26 +43,26 @@
         framing: &FramingHeaders,
         host: &mut Option<String>,
     ) -> Result<(), Refusal> {
-        let text = || header_text(header).map_err(|_| Refusal::Unreadable);
+        let text = || header_text(header).map_err(|_| Refusal::Malformed);
         let reject_repeated =
-            |is_repeated| if is_repeated { Err(Refusal::Unreadable) } else { Ok(()) };
+            |is_repeated| if is_repeated { Err(Refusal::Malformed) } else { Ok(()) };
         if header.name.eq_ignore_ascii_case("host") {
             let name = text()?;
             if name.is_empty() || name.contains(|c: char| c.is_whitespace() || c == ',') {
-                return Err(Refusal::Unreadable);
+                return Err(Refusal::Malformed);
             }
             reject_repeated(host.replace(name.to_ascii_lowercase()).is_some())?;
         } else if header.name.eq_ignore_ascii_case("request-id") {
             reject_repeated(self.request_id.replace(text()?.to_owned()).is_some())?;
         } else if header.name.eq_ignore_ascii_case("deadline-ms") {
-            let ms = text()?.parse().map_err(|_| Refusal::Unreadable)?;
+            let ms = text()?.parse().map_err(|_| Refusal::Malformed)?;
             return reject_repeated(self.deadline_ms.replace(ms).is_some());
         } else if header.name.eq_ignore_ascii_case("target-instance") {
             // Not forwarded: like the deadline, it is set for each endpoint.
             return Ok(());
         } else if header.name.eq_ignore_ascii_case("expect") {
             if !text()?.eq_ignore_ascii_case("100-continue") {
-                return Err(Refusal::Unreadable);
+                return Err(Refusal::Malformed);
             }
             self.expects_continue = self.accepts_chunked;
         }
@@ -83,13 +83,13 @@
     let mut parsed = httparse::Request::new(&mut headers);
     let status = parsed.parse(bytes);
     let Some(length) = head_length(status, bytes, max_length)? else { return Ok(None) };
-    let framing = FramingHeaders::parse(parsed.headers).map_err(|_| Refusal::Unreadable)?;
+    let framing = FramingHeaders::parse(parsed.headers).map_err(|_| Refusal::Malformed)?;
     let mut head = head_from_request_line(&parsed, &framing, length)?;
     let mut host = None;
     for header in parsed.headers.iter() {
         head.read_header(header, &framing, &mut host)?;
     }
-    head.host = without_port(host.ok_or(Refusal::Unreadable)?);
+    head.host = without_port(host.ok_or(Refusal::Malformed)?);
     Ok(Some(ParsedHead { head, length }))
 }
 
@@ -102,14 +102,14 @@
     match status {
         Ok(httparse::Status::Complete(length)) if length > max_length => Err(Refusal::HeadTooLarge),
         Ok(httparse::Status::Complete(length)) if has_bare_lf(&bytes[..length]) => {
-            Err(Refusal::Unreadable)
+            Err(Refusal::Malformed)
         }
         Ok(httparse::Status::Complete(length)) => Ok(Some(length)),
         Ok(httparse::Status::Partial) if bytes.len() > max_length => Err(Refusal::HeadTooLarge),
-        Ok(httparse::Status::Partial) if has_bare_lf(bytes) => Err(Refusal::Unreadable),
+        Ok(httparse::Status::Partial) if has_bare_lf(bytes) => Err(Refusal::Malformed),
         Ok(httparse::Status::Partial) => Ok(None),
         Err(httparse::Error::TooManyHeaders) => Err(Refusal::HeadTooLarge),
-        Err(_) => Err(Refusal::Unreadable),
+        Err(_) => Err(Refusal::Malformed),
     }
 }
 
@@ -126,11 +126,11 @@
     framing: &FramingHeaders,
     length: usize,
 ) -> Result<RequestHead, Refusal> {
-    let method = parsed.method.ok_or(Refusal::Unreadable)?;
-    let target = parsed.path.ok_or(Refusal::Unreadable)?;
+    let method = parsed.method.ok_or(Refusal::Malformed)?;
+    let target = parsed.path.ok_or(Refusal::Malformed)?;
     // Routes match by path, so targets in absolute or asterisk form are refused.
     if !target.starts_with('/') || target.contains('#') {
-        return Err(Refusal::Unreadable);
+        return Err(Refusal::Malformed);
     }
     let is_http_1_1 = parsed.version == Some(1);
     Ok(RequestHead {
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -4,7 +4,7 @@
 use crate::base::signals::Signals;
 use crate::base::sync::lock;
 use crate::base::time::Tick;
-use crate::base::worker_pool::must_start;
+use crate::base::worker_pool::start_loop_thread;
 use crate::config::settings::{Settings, SettingsWatcher};
 use crate::gateway::client_connection::ClientConnection;
 use crate::gateway::server::Gateway;
@@ -38,16 +38,18 @@
     let mut settings_watcher = SettingsWatcher::new(path);
     let frontend = required_listener(settings.listeners.frontend, "frontend", "gateway")?;
     let readiness = required_listener(settings.listeners.readiness, "readiness", "gateway")?;
-    let signals = Signals::install().map_err(|e| Fatal::Call(e.to_string()))?;
+    let signals = Signals::install().map_err(|e| Fatal::Startup(e.to_string()))?;
     let gateway = Arc::new(Gateway::new(&settings)?);
     let (readiness_gateway, status_gateway) = (Arc::clone(&gateway), Arc::clone(&gateway));
-    http::serve_state(
+    http::serve_readiness(
         readiness,
         move || readiness_gateway.is_ready(),
         move || status_gateway.status(),
     )?;
     let leader_gateway = Arc::clone(&gateway);
-    must_start("the leader connection", move || leader_gateway.leader.run(&*leader_gateway))?;
+    start_loop_thread("the leader connection", move || {
+        leader_gateway.leader.run(&*leader_gateway)
+    })?;
     if await_configuration(&gateway, &signals, &mut settings_watcher) == Startup::Terminated {
         return Ok(());
     }
@@ -73,10 +75,10 @@
     settings_watcher: &mut SettingsWatcher,
 ) -> Startup {
     while !gateway.is_configured() {
-        if signals.terminated() {
+        if signals.termination_requested() {
             return Startup::Terminated;
         }
-        if let Some(settings) = settings_watcher.poll(signals.take_hup()) {
+        if let Some(settings) = settings_watcher.poll(signals.take_hangup()) {
             gateway.leader.set_seeds(settings.seed_peers());
         }
         let upstreams = lock(&gateway.upstreams);
@@ -92,7 +94,7 @@
     let accept_gateway = Arc::clone(gateway);
     accept_clients(listener, move |stream| accept_gateway.admit_client(stream))?;
     let idle_gateway = Arc::clone(gateway);
-    must_start("idle clients", move || {
+    start_loop_thread("idle clients", move || {
         idle_gateway.idle_clients.run(|client| idle_gateway.serve_on_thread(client));
     })
 }
@@ -116,11 +118,11 @@
         let now = Tick::now();
         gateway.renew_when_due();
         gateway.close_expired_clients(now);
-        if let Some(changed) = settings_watcher.poll(signals.take_hup()) {
+        if let Some(changed) = settings_watcher.poll(signals.take_hangup()) {
             apply_settings(gateway, &changed);
             settings = changed;
         }
-        if signals.terminated() && draining_since.is_none() {
+        if signals.termination_requested() && draining_since.is_none() {
             info!(
                 target: "gateway",
                 "draining after SIGTERM or SIGINT; client connections are closed within the \
@@ -154,7 +156,7 @@
 /// Continues a graceful shutdown that began `elapsed_ms` milliseconds ago.
 fn drain(gateway: &Gateway, elapsed_ms: u64, grace_ms: u64) -> Drain {
     let grace = GracePeriod { elapsed_ms, grace_ms };
-    if grace.clients_still_come() {
+    if grace.may_receive_new_clients() {
         return Drain::InProgress;
     }
     // Idle connections are closed; requests that were received are still served.
--- a/src/gateway/server.rs
+++ b/src/gateway/server.rs
@@ -92,7 +92,7 @@
             closing_idle_clients: AtomicBool::new(false),
             clients: Mutex::default(),
             idle_clients: IdleConnections::new("gateway")
-                .map_err(|e| Fatal::Call(e.to_string()))?,
+                .map_err(|e| Fatal::Startup(e.to_string()))?,
             next_client_id: AtomicU64::new(1),
             // A client that is being served needs a second connection, to an endpoint.
             max_clients: (client_file_descriptors.max(MIN_CLIENT_FILE_DESCRIPTORS) / 2) as usize,
--- a/tests/raft.rs
+++ b/tests/raft.rs
@@ -342,7 +342,8 @@
     let replaced_by = cluster.now.plus(6_000);
     while cluster.now < replaced_by {
         let (raft, now) = (&cluster.nodes[&leader], cluster.now);
-        let (tolerated, silent_ms) = (settings.tolerated(), settings.silent_voter_ms());
+        let (tolerated, silent_ms) =
+            (settings.tolerated_failures(), settings.voter_removal_timeout_ms());
         if let Some(members) =
             raft.next_membership_change([&joiner].into_iter(), tolerated, silent_ms, now)
         {
