--- a/src/cli.rs
+++ b/src/cli.rs
@@ -322,7 +322,7 @@
 
 /// Runs one schedule; false if it broke a guarantee. With `details` the schedule is printed too.
 fn run_schedule(seed: u64, details: bool) -> bool {
-    let schedule = simulation::schedule::Schedule::drawn(seed);
+    let schedule = simulation::schedule::Schedule::from_seed(seed);
     match simulation::runner::run_schedule(&schedule) {
         Ok(report) => {
             if details {
--- a/src/simulation/change_faults.rs
+++ b/src/simulation/change_faults.rs
@@ -3,7 +3,7 @@
 use crate::base::ids::{DbTerm, InstanceId, ServiceName};
 use crate::net::rpc::pooler_messages::ToController;
 use crate::simulation::events::Event;
-use crate::simulation::schedule::{FaultTarget, draw_below};
+use crate::simulation::schedule::{FaultTarget, random_below};
 use crate::simulation::world::{SERVICES, World};
 
 /// What strikes.
@@ -41,7 +41,7 @@
 pub(super) struct PendingChangeFault {
     service: ServiceName,
     fault: ChangeFault,
-    lasts_ms: u64,
+    duration_ms: u64,
 }
 
 /// What is known of the change of a service's primary.
@@ -67,9 +67,9 @@
 
 impl World {
     /// Has a fault strike in the next change of a service.
-    pub(super) fn await_change(&mut self, fault: ChangeFault, number: u8, lasts_ms: u64) {
+    pub(super) fn await_change(&mut self, fault: ChangeFault, number: u8, duration_ms: u64) {
         let service = service_of(number);
-        self.pending_change_faults.push(PendingChangeFault { service, fault, lasts_ms });
+        self.pending_change_faults.push(PendingChangeFault { service, fault, duration_ms });
     }
 
     /// Looks what a controller has applied, and has the faults strike that wait for it.
@@ -106,8 +106,8 @@
             .into_iter()
             .partition(|pending| pending.service == *service && pending.fault.moment() == moment);
         self.pending_change_faults = rest;
-        for PendingChangeFault { fault, lasts_ms, .. } in due {
-            self.strike(fault, service, target, lasts_ms);
+        for PendingChangeFault { fault, duration_ms, .. } in due {
+            self.strike(fault, service, target, duration_ms);
         }
     }
 
@@ -116,11 +116,11 @@
         fault: ChangeFault,
         service: &ServiceName,
         target: &InstanceId,
-        lasts_ms: u64,
+        duration_ms: u64,
     ) {
         match fault {
             ChangeFault::TargetDeaf => {
-                let until = self.now + lasts_ms;
+                let until = self.now + duration_ms;
                 let target = self.databases.iter_mut().find(|d| d.id == *target);
                 target.into_iter().for_each(|target| target.stalled_until = until);
             }
@@ -130,16 +130,16 @@
                 });
                 if let Some(number) = paused {
                     self.databases[number].up = false;
-                    self.schedule_after(draw_below(50), Event::DatabaseUp(number));
+                    self.schedule_after(random_below(50), Event::DatabaseUp(number));
                 }
             }
             ChangeFault::UnlistedReplica => {
                 self.add_database(&service.0, false, LATE_HEARTBEAT_MS);
             }
             ChangeFault::LeaderThaws => {
-                let lasts_ms = LONGEST_WAIT_FOR_CHANGE_MS;
-                if let Some(number) = self.reserve_loss(FaultTarget::Leader, lasts_ms) {
-                    self.freeze(number, self.now + lasts_ms);
+                let duration_ms = LONGEST_WAIT_FOR_CHANGE_MS;
+                if let Some(number) = self.reserve_loss(FaultTarget::Leader, duration_ms) {
+                    self.freeze(number, self.now + duration_ms);
                     self.machines[number].thaws_in_change_of = Some(service.clone());
                 }
             }
--- a/src/simulation/checker.rs
+++ b/src/simulation/checker.rs
@@ -155,7 +155,7 @@
             Some(format!("{id} said goodbye and is listed again"))
         } else if let Some(number) = late {
             Some(format!("node{number} has an old configuration"))
-        } else if voters < 2 * self.schedule.tolerated + 1 {
+        } else if voters < 2 * self.schedule.tolerated_losses + 1 {
             Some(format!("in the end {voters} vote"))
         } else if self.report.acknowledged == 0 {
             Some("no order was ever acknowledged".to_owned())
--- a/src/simulation/commits.rs
+++ b/src/simulation/commits.rs
@@ -8,7 +8,7 @@
 use crate::simulation::events::Event;
 use crate::simulation::network::Party;
 use crate::simulation::nodes::ObservedCommit;
-use crate::simulation::schedule::draw_below;
+use crate::simulation::schedule::random_below;
 use crate::simulation::world::World;
 
 /// The pause in ms before a commit is judged again.
@@ -69,7 +69,7 @@
         let question =
             |answer| TargetQuestion { node: number, incarnation, commit, target, answer };
         let arrival = to.and_then(|to| {
-            self.arrival_time(Party::Node(number), Party::Database(to), draw_below(5))
+            self.arrival_time(Party::Node(number), Party::Database(to), random_below(5))
         });
         match (arrival, to) {
             (Some(time), Some(to)) => {
--- a/src/simulation/databases.rs
+++ b/src/simulation/databases.rs
@@ -11,7 +11,7 @@
 use crate::simulation::commits::Commit;
 use crate::simulation::events::Event;
 use crate::simulation::network::Party;
-use crate::simulation::schedule::{FaultTarget, chance, draw_below};
+use crate::simulation::schedule::{FaultTarget, chance, random_below};
 use crate::simulation::world::World;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -283,7 +283,7 @@
                 && let Some(time) = self.arrival_time(
                     Party::Database(number),
                     Party::Database(replica),
-                    draw_below(15),
+                    random_below(15),
                 )
             {
                 self.schedule_at(time, Event::Replicate(number, replica, term, Arc::clone(&log)));
@@ -417,7 +417,7 @@
             Some(n) => {
                 let response = self.databases[n].answer(request);
                 let late =
-                    if !self.repaired && chance(3) { draw_below(1_200) } else { draw_below(5) };
+                    if !self.repaired && chance(3) { random_below(1_200) } else { random_below(5) };
                 (response, 1 + late)
             }
         };
@@ -461,7 +461,7 @@
             None => (PromotionResponse::NotRunning, 20),
         };
         if let Some(n) = running {
-            self.schedule_after(100 + draw_below(300), Event::Promote(service.clone(), n));
+            self.schedule_after(100 + random_below(300), Event::Promote(service.clone(), n));
         }
         if !self.repaired && chance(10) {
             (posted, after) = (PromotionResponse::Unknown, 1_000);
--- a/src/simulation/faults.rs
+++ b/src/simulation/faults.rs
@@ -5,7 +5,7 @@
 use crate::simulation::machines::{DiskFault, Machine};
 use crate::simulation::network::Partition;
 use crate::simulation::schedule::{
-    CutDirection, Fault, FaultKind, FaultTarget, chance, draw, draw_below,
+    Fault, FaultKind, FaultTarget, PartitionDirection, chance, random_below, random_u64,
 };
 use crate::simulation::world::{JOIN_SYNC_MS, LATER_HEARD_MS, SERVICES, World};
 
@@ -30,17 +30,17 @@
     }
 
     /// Whether a controller may be lost now for so long; it then counts as lost.
-    pub(super) fn reserve_loss(&mut self, target: FaultTarget, lasts_ms: u64) -> Option<usize> {
+    pub(super) fn reserve_loss(&mut self, target: FaultTarget, duration_ms: u64) -> Option<usize> {
         let number = self.pick_machine(target)?;
         let now = self.now;
         let lost = (0..self.machines.len())
             .filter(|m| *m != number && !self.machines[*m].gone && self.machines[*m].lost > now);
         let replaced = self.machines.iter().filter(|m| m.gone && m.lost > now).count();
-        if lost.count() + replaced >= self.schedule.tolerated {
+        if lost.count() + replaced >= self.schedule.tolerated_losses {
             return None;
         }
         let machine = &mut self.machines[number];
-        machine.lost = machine.lost.max(now + lasts_ms + LATER_HEARD_MS + JOIN_SYNC_MS);
+        machine.lost = machine.lost.max(now + duration_ms + LATER_HEARD_MS + JOIN_SYNC_MS);
         Some(number)
     }
 
@@ -49,24 +49,24 @@
         if self.repaired {
             return;
         }
-        let Fault { lasts_ms, kind, .. } = self.schedule.faults[number].clone();
-        let until = self.now + lasts_ms;
+        let Fault { duration_ms, kind, .. } = self.schedule.faults[number].clone();
+        let until = self.now + duration_ms;
         match kind {
             FaultKind::Partition(target, direction) => {
-                self.inject_partition(target, direction, lasts_ms);
+                self.inject_partition(target, direction, duration_ms);
             }
-            FaultKind::Freeze(target) => self.inject_freeze(target, lasts_ms),
-            FaultKind::Suspend(target) => self.inject_suspension(target, lasts_ms),
+            FaultKind::Freeze(target) => self.inject_freeze(target, duration_ms),
+            FaultKind::Suspend(target) => self.inject_suspension(target, duration_ms),
             FaultKind::Kill(target) | FaultKind::PowerLoss(target) => {
-                self.inject_stop(target, lasts_ms, false);
+                self.inject_stop(target, duration_ms, false);
             }
-            FaultKind::DiskLoss(target) => self.inject_stop(target, lasts_ms, true),
-            FaultKind::Replace(target) => self.inject_replacement(target, lasts_ms),
-            FaultKind::AllMachines { disks_lost, .. } => {
-                self.inject_stop_of_all(disks_lost, lasts_ms);
+            FaultKind::DiskLoss(target) => self.inject_stop(target, duration_ms, true),
+            FaultKind::Replace(target) => self.inject_replacement(target, duration_ms),
+            FaultKind::StopAllMachines { disks_lost, .. } => {
+                self.inject_stop_of_all(disks_lost, duration_ms);
             }
-            FaultKind::DiskFull(target) => self.inject_disk_fault(target, lasts_ms, true),
-            FaultKind::DiskStall(target) => self.inject_disk_fault(target, lasts_ms, false),
+            FaultKind::DiskFull(target) => self.inject_disk_fault(target, duration_ms, true),
+            FaultKind::DiskStall(target) => self.inject_disk_fault(target, duration_ms, false),
             FaultKind::ConnectionReset => self.inject_connection_reset(),
             FaultKind::PacketLoss(percent) => self.packet_loss = (until, u64::from(percent)),
             FaultKind::DatabaseCrash { primary, number } => {
@@ -77,45 +77,50 @@
                     self.databases[number].stalled_until = until;
                 }
             }
-            FaultKind::DatabaseLeave { primary, number } => {
+            FaultKind::DatabaseReplacement { primary, number } => {
                 self.inject_database_leave(primary, number);
             }
             FaultKind::LargeConfigurations(hundreds) => self.large = u64::from(hundreds),
             FaultKind::NodeRestart(number) => {
                 let number = usize::from(number) % self.nodes.len();
-                self.restart_node(number, lasts_ms.min(LONGEST_NODE_RESTART_MS));
+                self.restart_node(number, duration_ms.min(LONGEST_NODE_RESTART_MS));
             }
-            FaultKind::InNextChange { fault, number } => {
-                self.await_change(fault, number, lasts_ms);
+            FaultKind::DuringPrimaryChange { fault, number } => {
+                self.await_change(fault, number, duration_ms);
             }
-            FaultKind::NodeStop(number) => {
+            FaultKind::NodeShutdown(number) => {
                 let number = usize::from(number) % self.nodes.len();
                 self.nodes[number].stops_after_commit = true;
             }
-            FaultKind::GoodbyeFirst(number) => self.inject_goodbye_first(number),
+            FaultKind::EarlyDeregistration(number) => self.inject_goodbye_first(number),
         }
     }
 
-    fn inject_partition(&mut self, target: FaultTarget, direction: CutDirection, lasts_ms: u64) {
-        let until = self.now + lasts_ms;
-        if let Some(controller) = self.reserve_loss(target, lasts_ms) {
-            self.partitions.push(Partition { controller, direction, until, salt: draw() });
+    fn inject_partition(
+        &mut self,
+        target: FaultTarget,
+        direction: PartitionDirection,
+        duration_ms: u64,
+    ) {
+        let until = self.now + duration_ms;
+        if let Some(controller) = self.reserve_loss(target, duration_ms) {
+            self.partitions.push(Partition { controller, direction, until, salt: random_u64() });
         }
     }
 
-    fn inject_freeze(&mut self, target: FaultTarget, lasts_ms: u64) {
-        if let Some(number) = self.reserve_loss(target, lasts_ms) {
+    fn inject_freeze(&mut self, target: FaultTarget, duration_ms: u64) {
+        if let Some(number) = self.reserve_loss(target, duration_ms) {
             if chance(40) {
-                self.partition_past(number, self.now + lasts_ms);
+                self.partition_past(number, self.now + duration_ms);
             }
-            self.freeze(number, self.now + lasts_ms);
+            self.freeze(number, self.now + duration_ms);
         }
     }
 
-    fn inject_suspension(&mut self, target: FaultTarget, lasts_ms: u64) {
-        if let Some(number) = self.reserve_loss(target, lasts_ms) {
-            self.partition_past(number, self.now + lasts_ms);
-            self.freeze(number, self.now + lasts_ms);
+    fn inject_suspension(&mut self, target: FaultTarget, duration_ms: u64) {
+        if let Some(number) = self.reserve_loss(target, duration_ms) {
+            self.partition_past(number, self.now + duration_ms);
+            self.freeze(number, self.now + duration_ms);
             self.machines[number].suspended_since.get_or_insert(self.now);
         }
     }
@@ -126,46 +131,47 @@
         self.schedule_at(until, Event::Thaw(number));
     }
 
-    fn inject_stop(&mut self, target: FaultTarget, lasts_ms: u64, disk_lost: bool) {
-        if let Some(number) = self.reserve_loss(target, lasts_ms) {
+    fn inject_stop(&mut self, target: FaultTarget, duration_ms: u64, disk_lost: bool) {
+        if let Some(number) = self.reserve_loss(target, duration_ms) {
             self.stop(number, disk_lost);
-            self.schedule_at(self.now + lasts_ms, Event::Start(number));
+            self.schedule_at(self.now + duration_ms, Event::Start(number));
         }
     }
 
     /// The machine is gone for good; an empty one starts in its place, with seeds that are there.
-    fn inject_replacement(&mut self, target: FaultTarget, lasts_ms: u64) {
-        let Some(number) = self.reserve_loss(target, lasts_ms) else { return };
+    fn inject_replacement(&mut self, target: FaultTarget, duration_ms: u64) {
+        let Some(number) = self.reserve_loss(target, duration_ms) else { return };
         self.stop(number, true);
         self.machines[number].gone = true;
         let seeds: Vec<usize> =
             (0..self.machines.len()).filter(|m| !self.machines[*m].gone).collect();
-        let start = draw_below(seeds.len() as u64) as usize;
+        let start = random_below(seeds.len() as u64) as usize;
         let seeds: Vec<usize> = seeds.iter().cycle().skip(start).take(3).copied().collect();
         let new = self.add_machine(&seeds, false);
-        self.schedule_at(self.now + lasts_ms, Event::Start(new));
+        self.schedule_at(self.now + duration_ms, Event::Start(new));
     }
 
     /// Stops all machines; as many disks are lost as may still be lost.
-    fn inject_stop_of_all(&mut self, disks_lost: u8, lasts_ms: u64) {
+    fn inject_stop_of_all(&mut self, disks_lost: u8, duration_ms: u64) {
         let now = self.now;
         let lost = self.machines.iter().filter(|m| m.lost > now).count();
-        let mut wipes = usize::from(disks_lost).min(self.schedule.tolerated.saturating_sub(lost));
+        let mut wipes =
+            usize::from(disks_lost).min(self.schedule.tolerated_losses.saturating_sub(lost));
         for number in 0..self.machines.len() {
             let wipe = wipes > 0 && self.machines[number].controller.is_some();
             wipes -= usize::from(wipe);
             if wipe {
-                self.machines[number].lost = now + lasts_ms + JOIN_SYNC_MS;
+                self.machines[number].lost = now + duration_ms + JOIN_SYNC_MS;
             }
             self.stop(number, wipe);
-            let back = lasts_ms.min(LONGEST_STOP_OF_ALL_MS) + draw_below(300);
+            let back = duration_ms.min(LONGEST_STOP_OF_ALL_MS) + random_below(300);
             self.schedule_after(back, Event::Start(number));
         }
     }
 
-    fn inject_disk_fault(&mut self, target: FaultTarget, lasts_ms: u64, full: bool) {
-        let until = self.now + lasts_ms;
-        if let Some(number) = self.reserve_loss(target, lasts_ms) {
+    fn inject_disk_fault(&mut self, target: FaultTarget, duration_ms: u64, full: bool) {
+        let until = self.now + duration_ms;
+        if let Some(number) = self.reserve_loss(target, duration_ms) {
             self.machines[number].disk_fault = Some(DiskFault { until, full });
         }
     }
@@ -214,7 +220,7 @@
     /// Partitions a controller from the others for longer than it stands still: its callers may reach
     /// it before the others do.
     fn partition_past(&mut self, controller: usize, than: u64) {
-        let (direction, salt) = (CutDirection::Both, draw());
+        let (direction, salt) = (PartitionDirection::Both, random_u64());
         self.partitions.push(Partition {
             controller,
             direction,
--- a/src/simulation/machines.rs
+++ b/src/simulation/machines.rs
@@ -11,7 +11,7 @@
 use crate::simulation::events::Event;
 use crate::simulation::network::{Party, RemoteEnd};
 use crate::simulation::recorded_effects::RecordedEffects;
-use crate::simulation::schedule::{chance, draw, draw_below};
+use crate::simulation::schedule::{chance, random_below, random_u64};
 use crate::simulation::world::{ADMIN, JOIN_SYNC_MS, PEER, World, address_of, machine_of};
 use std::net::SocketAddr;
 
@@ -74,7 +74,7 @@
             address_of(number, ADMIN).ip(),
             seeds.join(", "),
             address_of(number, ADMIN),
-            self.schedule.tolerated,
+            self.schedule.tolerated_losses,
             JOIN_SYNC_MS / 1_000,
         );
         let (settings, disk) = match (Settings::parse(&text), RaftStorage::in_memory()) {
@@ -90,7 +90,7 @@
             disk,
             controller: None,
             incarnation: 0,
-            clock_offset: 100_000 + draw_below(1_000_000),
+            clock_offset: 100_000 + random_below(1_000_000),
             wake: 0,
             frozen_until: None,
             frozen_mid_step: false,
@@ -128,7 +128,7 @@
         let kept = match machine.disk.load() {
             Ok(Some(kept)) => Ok((kept, true)),
             Ok(None) => {
-                let first = first_state(&machine.settings, address_of(number, ADMIN), draw);
+                let first = first_state(&machine.settings, address_of(number, ADMIN), random_u64);
                 let saved = machine
                     .disk
                     .save(&WriteBatch::new(&first, &crate::raft::state::UnsavedChanges::all()));
@@ -142,7 +142,7 @@
             (machine.checked, machine.applied) =
                 (kept.snapshot.last_included.index, kept.snapshot.last_included.index);
             let settings = machine.settings.clone();
-            Controller::new(settings, kept, again, draw, RecordedEffects::default(), tick)
+            Controller::new(settings, kept, again, random_u64, RecordedEffects::default(), tick)
                 .map_err(|e| e.to_string())
         });
         match started {
@@ -235,7 +235,7 @@
         }
         if let Some(batch) = wanted.batch {
             self.machines[number].pending_write = Some(batch);
-            self.schedule_after(1 + draw_below(4), Event::WriteDone(number, incarnation));
+            self.schedule_after(1 + random_below(4), Event::WriteDone(number, incarnation));
         }
         for (at, member, was) in wanted.standing {
             self.ask_to_join(number, at, member, was, held);
@@ -245,11 +245,11 @@
         }
         for (service, id, request, attempt) in wanted.asks {
             let event = Event::DatabaseRequest(number, incarnation, service, id, request, attempt);
-            self.schedule_after(held + 1 + draw_below(5), event);
+            self.schedule_after(held + 1 + random_below(5), event);
         }
         for (service, target, attempt) in wanted.posts {
             let event = Event::PromotionRequest(number, incarnation, service, target, attempt);
-            self.schedule_after(held + 1 + draw_below(20), event);
+            self.schedule_after(held + 1 + random_below(20), event);
         }
     }
 
--- a/src/simulation/network.rs
+++ b/src/simulation/network.rs
@@ -2,7 +2,7 @@
 use crate::base::ids::MemberId;
 use crate::controller::effects::Input;
 use crate::simulation::events::Event;
-use crate::simulation::schedule::{CutDirection, chance, draw_below};
+use crate::simulation::schedule::{PartitionDirection, chance, random_below};
 use crate::simulation::world::World;
 use std::net::SocketAddr;
 
@@ -35,7 +35,7 @@
 
 pub(super) struct Partition {
     pub(super) controller: usize,
-    pub(super) direction: CutDirection,
+    pub(super) direction: PartitionDirection,
     pub(super) until: u64,
     pub(super) salt: u64,
 }
@@ -49,9 +49,9 @@
             };
             let (from, to) = (within(from), within(to));
             let stopped = match cut.direction {
-                CutDirection::Both => from != to,
-                CutDirection::Outbound => from && !to,
-                CutDirection::Inbound => !from && to,
+                PartitionDirection::Both => from != to,
+                PartitionDirection::Outbound => from && !to,
+                PartitionDirection::Inbound => !from && to,
             };
             !stopped || self.now >= cut.until
         })
@@ -67,8 +67,8 @@
         if !self.can_reach(from, to) || self.is_lost() {
             return None;
         }
-        let late = if !self.repaired && chance(2) { draw_below(900) } else { 0 };
-        let at = self.now + held + 1 + draw_below(4) + late;
+        let late = if !self.repaired && chance(2) { random_below(900) } else { 0 };
+        let at = self.now + held + 1 + random_below(4) + late;
         // A connection that ended and was opened anew may overtake.
         let last = self.last_arrivals.entry((from, to)).or_default();
         let at = if chance(2) { at } else { at.max(*last) };
--- a/src/simulation/operators.rs
+++ b/src/simulation/operators.rs
@@ -5,7 +5,7 @@
 use crate::simulation::callers::Caller;
 use crate::simulation::events::Event;
 use crate::simulation::runner::Violation;
-use crate::simulation::schedule::{chance, draw_below};
+use crate::simulation::schedule::{chance, random_below};
 use crate::simulation::world::{SERVICES, World};
 
 /// A configuration that an operator sends, until it knows what became of it.
@@ -29,9 +29,9 @@
 impl World {
     /// Checks what an operator was answered, and has it go on after a while.
     pub(super) fn handle_operator_response(&mut self, who: usize, sent: u64, response: Response) {
-        let pause = 20 + draw_below(600);
+        let pause = 20 + random_below(600);
         let checked = match self.operators[who].change.take() {
-            None => self.handle_read(who, sent, &response).map(|()| draw_below(60)),
+            None => self.handle_read(who, sent, &response).map(|()| random_below(60)),
             Some(change) => {
                 self.handle_change_response(who, change, response.status).map(|()| pause)
             }
@@ -142,7 +142,7 @@
             return ConfigurationChange { base, revision, body, known: Some(false) };
         }
         // Two operators may pick the same number.
-        let revision = Revision(base.0 + 1 + draw_below(2));
+        let revision = Revision(base.0 + 1 + random_below(2));
         let body = self.configuration_body(who, number, revision);
         ConfigurationChange { base, revision, body, known: None }
     }
--- a/src/simulation/schedule.rs
+++ b/src/simulation/schedule.rs
@@ -1,21 +1,21 @@
-//! Schedules of faults, drawn from a seed.
+//! Schedules of faults, generated from a seed, and the random numbers that a run uses.
 use crate::simulation::change_faults::ChangeFault;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 use std::cell::RefCell;
 
-/// Who takes part in a run, and which fault comes when. All times are milliseconds.
+/// The size of a simulated cluster and the faults injected into it. All times are in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Schedule {
-    /// Rules every draw of the run, so that a schedule always runs the same way.
+    /// Seeds every random choice of the run, so that a schedule always runs the same way.
     pub seed: u64,
-    /// Controllers with a disk at the first start.
+    /// Controllers at the first start, each with a disk of its own.
     pub controllers: usize,
-    /// How many of them may be lost at once.
-    pub tolerated: usize,
+    /// The number of controllers that may be lost at the same time.
+    pub tolerated_losses: usize,
     /// Operators that read and change the configuration.
     pub operators: usize,
-    /// After this everything is repaired.
+    /// When fault injection ends and everything is repaired.
     pub length_ms: u64,
     /// The faults, in no particular order.
     pub faults: Vec<Fault>,
@@ -24,235 +24,246 @@
 /// One fault of a schedule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
-    /// When it begins, in milliseconds since the start.
-    pub at: u64,
-    /// How long it lasts, where it lasts.
-    pub lasts_ms: u64,
-    /// What it is.
+    /// When the fault begins, in milliseconds since the start of the run.
+    pub start_ms: u64,
+    /// How long the fault lasts; ignored by faults that are instantaneous.
+    pub duration_ms: u64,
+    /// The kind of fault.
     pub kind: FaultKind,
 }
 
-/// The controller that a fault strikes.
+/// The controller that a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum FaultTarget {
-    /// The one that leads when the fault begins.
+    /// The leader at the time when the fault begins.
     Leader,
-    /// One of the running ones, by number modulo their count.
+    /// One of the running controllers, by number modulo their count.
     Number(u8),
 }
 
-/// Which messages a partition stops, seen from the controller that is cut off.
+/// Which messages a partition drops, seen from the isolated controller.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum CutDirection {
-    /// Both directions.
+pub enum PartitionDirection {
+    /// Messages in both directions.
     Both,
-    /// What it sends.
+    /// Messages that it sends.
     Outbound,
-    /// What it is sent.
+    /// Messages sent to it.
     Inbound,
 }
 
-/// What can go wrong. Faults of controllers happen only while no more than `tolerated` are lost.
+/// The kinds of fault. A controller is lost only if that keeps the number of lost controllers
+/// within `Schedule::tolerated_losses`.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultKind {
-    /// Partitioned from the other controllers; each caller and node is on one of the two sides.
-    Partition(FaultTarget, CutDirection),
-    /// Stands still, perhaps between a decision and the bytes that tell of it.
+    /// A controller is partitioned from the others; each client, node and database is on one of the
+    /// two sides.
+    Partition(FaultTarget, PartitionDirection),
+    /// A controller freezes, possibly after a decision and before the messages that announce it are
+    /// sent.
     Freeze(FaultTarget),
-    /// Frozen, partitioned, and its monotonic clock stands still with it, as that of a suspended virtual
-    /// machine may. The pages promise that clocks run on: nothing is promised of leases in such a
-    /// schedule, but no answer about what is current may rest on a clock.
+    /// A controller is frozen and partitioned, and its monotonic clock stops as well, as that of a
+    /// suspended virtual machine may. Leases assume that clocks keep running, so they are not
+    /// checked in such a schedule. Reads must be current all the same, because they do not depend
+    /// on a clock.
     Suspend(FaultTarget),
-    /// The process is killed and starts again.
+    /// A controller's process is killed and restarts.
     Kill(FaultTarget),
-    /// The machine loses power and comes back with its disk.
+    /// A controller's machine loses power and restarts with its disk.
     PowerLoss(FaultTarget),
-    /// The machine loses power and comes back with an empty disk.
+    /// A controller's machine loses power and restarts with an empty disk.
     DiskLoss(FaultTarget),
-    /// Gone for good; an empty machine starts at another address.
+    /// A controller's machine is removed for good; one with an empty disk starts at another
+    /// address.
     Replace(FaultTarget),
-    /// All controllers stop at once.
-    AllMachines {
-        /// By a loss of power; killed otherwise.
+    /// All controllers stop at once and restart later.
+    StopAllMachines {
+        /// Whether the machines lose power; otherwise the processes are killed.
         power_loss: bool,
-        /// How many of those that may still be lost come back with empty disks.
+        /// How many of them restart with empty disks, limited to the losses still tolerated.
         disks_lost: u8,
     },
-    /// The disk refuses every write.
+    /// A controller's disk rejects every write.
     DiskFull(FaultTarget),
-    /// Writes hang until the fault ends.
+    /// Writes to a controller's disk hang until the fault ends.
     DiskStall(FaultTarget),
-    /// All connections end.
+    /// All connections are closed.
     ConnectionReset,
-    /// This many messages in a hundred are lost.
+    /// This percentage of all messages is lost.
     PacketLoss(u8),
-    /// A database is down for a while.
+    /// A database crashes, and restarts when the fault ends.
     DatabaseCrash {
         /// The service's primary; otherwise a replica.
         primary: bool,
         /// Chooses the service, and the replica.
         number: u8,
     },
-    /// A replica, by number, receives nothing.
+    /// A replica, chosen by number, receives no log entries.
     ReplicationStall(u8),
-    /// A database drains and leaves; a new one comes.
-    DatabaseLeave {
+    /// A database drains and is removed; a new one starts.
+    DatabaseReplacement {
         /// The service's primary; otherwise a replica.
         primary: bool,
         /// Chooses the service, and the replica.
         number: u8,
     },
-    /// From here on some configurations have this many hundred routes.
+    /// From now on some configurations have this many hundred routes.
     LargeConfigurations(u8),
-    /// A node, by number, restarts and has forgotten everything.
+    /// A node, chosen by number, restarts and loses its in-memory state.
     NodeRestart(u8),
-    /// Strikes in the next change of a service, by number.
-    InNextChange {
-        /// What strikes.
+    /// A fault is injected into the next change of a service's primary.
+    DuringPrimaryChange {
+        /// The fault to inject.
         fault: ChangeFault,
         /// Chooses the service.
         number: u8,
     },
-    /// A node, by number, stops in order with a commit under way.
-    NodeStop(u8),
-    /// A replica, by number, says goodbye first and serves on for long.
-    GoodbyeFirst(u8),
+    /// A node, chosen by number, shuts down gracefully right after its next commit.
+    NodeShutdown(u8),
+    /// A replica, chosen by number, deregisters first and keeps serving for a long time.
+    EarlyDeregistration(u8),
 }
 
-/// The kinds that are drawn for any schedule, but for the last one where few are suspended.
-const GENERAL_KINDS: u64 = 20;
-/// All kinds; those from `GENERAL_KINDS` on are about changes of primaries.
-const ALL_KINDS: u64 = 31;
+/// The number of kinds that any schedule may contain. The last one, a suspension, is left out where
+/// a schedule of the general kinds is not limited to a few of them.
+const GENERAL_KIND_COUNT: u64 = 20;
+/// The number of all kinds; those from `GENERAL_KIND_COUNT` on concern changes of primaries.
+const KIND_COUNT: u64 = 31;
 
-/// How a fault is drawn from a schedule's seed.
+/// The kinds of fault that a generated schedule selects from.
 #[derive(Clone, Copy, PartialEq)]
-enum FaultDrawing {
-    /// Of the general kinds, as the seeds in the table of `tests/simulation.rs` were found.
+enum FaultSelection {
+    /// The general kinds. The regression seeds in `tests/simulation.rs` depend on this selection.
     General,
-    /// Of all kinds; some schedules are about changes of primaries alone.
-    WithChanges,
+    /// All kinds; some schedules contain faults of primary changes only.
+    WithPrimaryChanges,
 }
 
 impl Schedule {
-    /// A schedule drawn from a seed, for the command line; the tests draw theirs with a library that can
-    /// shrink them.
-    pub fn drawn(seed: u64) -> Self {
-        Self::draw(seed, FaultDrawing::WithChanges)
+    /// Generates a schedule from a seed, for the command line. The property test generates its
+    /// schedules with `proptest`, which can shrink them.
+    pub fn from_seed(seed: u64) -> Self {
+        Self::generate(seed, FaultSelection::WithPrimaryChanges)
     }
 
-    /// A schedule drawn from a seed without the faults that wait for a change of a primary.
-    pub fn drawn_without_change_faults(seed: u64) -> Self {
-        Self::draw(seed, FaultDrawing::General)
+    /// Generates a schedule from a seed, without the kinds that concern changes of primaries.
+    pub fn from_seed_without_change_faults(seed: u64) -> Self {
+        Self::generate(seed, FaultSelection::General)
     }
 
-    fn draw(seed: u64, drawing: FaultDrawing) -> Self {
-        seed_draws(seed);
-        let (controllers, tolerated) =
-            [(3, 1), (4, 1), (5, 2), (6, 2), (7, 2)][draw_below(5) as usize];
-        let length_ms = 20_000 + draw_below(20_000);
-        // Most schedules know few kinds of fault, and some of these strike close together: what is
-        // rare among all of them is common there (swarm testing).
-        let kinds = if drawing == FaultDrawing::General { GENERAL_KINDS } else { ALL_KINDS };
-        let few = [draw_below(kinds), draw_below(kinds), draw_below(kinds)];
-        let swarm = chance(70);
-        let changes_only = drawing == FaultDrawing::WithChanges && chance(30);
-        let mut before = 4_000;
+    fn generate(seed: u64, selection: FaultSelection) -> Self {
+        seed_rng(seed);
+        let (controllers, tolerated_losses) =
+            [(3, 1), (4, 1), (5, 2), (6, 2), (7, 2)][random_below(5) as usize];
+        let length_ms = 20_000 + random_below(20_000);
+        // Most schedules contain few kinds of fault, some of them close together, so that
+        // combinations that are rare among all kinds become common (swarm testing).
+        let kind_count =
+            if selection == FaultSelection::General { GENERAL_KIND_COUNT } else { KIND_COUNT };
+        let selected_kinds =
+            [random_below(kind_count), random_below(kind_count), random_below(kind_count)];
+        let only_selected_kinds = chance(70);
+        let changes_only = selection == FaultSelection::WithPrimaryChanges && chance(30);
+        let mut previous_start_ms = 4_000;
         let fault = |_| {
-            let at = if chance(50) {
-                before + draw_below(3_000)
+            let start_ms = if chance(50) {
+                previous_start_ms + random_below(3_000)
             } else {
-                4_000 + draw_below(length_ms - 4_000)
+                4_000 + random_below(length_ms - 4_000)
             };
-            before = at;
-            let lasts_ms = [100, 500, 800, 1_500, 5_000, 12_000, 20_000][draw_below(7) as usize];
-            let number = draw_below(3) as u8;
-            let drawn = match (changes_only, swarm) {
-                (true, _) => GENERAL_KINDS + draw_below(ALL_KINDS - GENERAL_KINDS),
-                (false, true) => few[draw_below(3) as usize],
-                (false, false) => draw_below(kinds - 1),
+            previous_start_ms = start_ms;
+            let duration_ms =
+                [100, 500, 800, 1_500, 5_000, 12_000, 20_000][random_below(7) as usize];
+            let number = random_below(3) as u8;
+            let kind_number = match (changes_only, only_selected_kinds) {
+                (true, _) => GENERAL_KIND_COUNT + random_below(KIND_COUNT - GENERAL_KIND_COUNT),
+                (false, true) => selected_kinds[random_below(3) as usize],
+                (false, false) => random_below(kind_count - 1),
             };
-            let kind = match drawn {
-                ..GENERAL_KINDS => general_fault(drawn, number),
-                _ => fault_of_a_change(drawn - GENERAL_KINDS, number),
+            let kind = match kind_number {
+                ..GENERAL_KIND_COUNT => general_fault(kind_number, number),
+                _ => primary_change_fault(kind_number - GENERAL_KIND_COUNT, number),
             };
-            Fault { at, lasts_ms, kind }
+            Fault { start_ms, duration_ms, kind }
         };
-        let faults = (0..2 + draw_below(8)).map(fault).collect();
+        let faults = (0..2 + random_below(8)).map(fault).collect();
         Self {
             seed,
             controllers,
-            tolerated,
-            operators: 2 + draw_below(7) as usize,
+            tolerated_losses,
+            operators: 2 + random_below(7) as usize,
             length_ms,
             faults,
         }
     }
 }
 
-fn draw_target() -> FaultTarget {
-    if chance(50) { FaultTarget::Leader } else { FaultTarget::Number(draw_below(8) as u8) }
+fn random_target() -> FaultTarget {
+    if chance(50) { FaultTarget::Leader } else { FaultTarget::Number(random_below(8) as u8) }
 }
 
-fn general_fault(drawn: u64, number: u8) -> FaultKind {
-    match drawn {
+fn general_fault(kind_number: u64, number: u8) -> FaultKind {
+    match kind_number {
         0..=2 => FaultKind::Partition(
-            draw_target(),
-            [CutDirection::Both, CutDirection::Outbound, CutDirection::Inbound]
-                [draw_below(3) as usize],
+            random_target(),
+            [PartitionDirection::Both, PartitionDirection::Outbound, PartitionDirection::Inbound]
+                [random_below(3) as usize],
         ),
-        3 | 4 => FaultKind::Freeze(draw_target()),
-        5 => FaultKind::Kill(draw_target()),
-        6 => FaultKind::PowerLoss(draw_target()),
-        7 => FaultKind::DiskLoss(draw_target()),
-        8 => FaultKind::Replace(draw_target()),
-        9 => FaultKind::AllMachines { power_loss: chance(50), disks_lost: draw_below(3) as u8 },
-        10 => FaultKind::DiskFull(draw_target()),
-        11 => FaultKind::DiskStall(draw_target()),
+        3 | 4 => FaultKind::Freeze(random_target()),
+        5 => FaultKind::Kill(random_target()),
+        6 => FaultKind::PowerLoss(random_target()),
+        7 => FaultKind::DiskLoss(random_target()),
+        8 => FaultKind::Replace(random_target()),
+        9 => {
+            FaultKind::StopAllMachines { power_loss: chance(50), disks_lost: random_below(3) as u8 }
+        }
+        10 => FaultKind::DiskFull(random_target()),
+        11 => FaultKind::DiskStall(random_target()),
         12 => FaultKind::ConnectionReset,
-        13 => FaultKind::PacketLoss(3 + draw_below(10) as u8),
+        13 => FaultKind::PacketLoss(3 + random_below(10) as u8),
         14 => FaultKind::DatabaseCrash { primary: chance(60), number },
         15 => FaultKind::ReplicationStall(number),
-        16 => FaultKind::DatabaseLeave { primary: chance(40), number },
-        17 => FaultKind::LargeConfigurations(1 + draw_below(10) as u8),
+        16 => FaultKind::DatabaseReplacement { primary: chance(40), number },
+        17 => FaultKind::LargeConfigurations(1 + random_below(10) as u8),
         18 => FaultKind::NodeRestart(number),
-        _ => FaultKind::Suspend(draw_target()),
+        _ => FaultKind::Suspend(random_target()),
     }
 }
 
-fn fault_of_a_change(drawn: u64, number: u8) -> FaultKind {
-    let in_next_change = |fault| FaultKind::InNextChange { fault, number };
-    match drawn {
-        0 | 1 => FaultKind::DatabaseLeave { primary: true, number },
+fn primary_change_fault(kind_number: u64, number: u8) -> FaultKind {
+    let during_primary_change = |fault| FaultKind::DuringPrimaryChange { fault, number };
+    match kind_number {
+        0 | 1 => FaultKind::DatabaseReplacement { primary: true, number },
         2 => FaultKind::DatabaseCrash { primary: true, number },
         3 => FaultKind::ReplicationStall(number),
-        4 | 5 => in_next_change(ChangeFault::TargetDeaf),
-        6 => in_next_change(ChangeFault::PausedReplicaRestarts),
-        7 => in_next_change(ChangeFault::UnlistedReplica),
-        8 => in_next_change(ChangeFault::LeaderThaws),
-        9 => FaultKind::NodeStop(number),
-        _ => FaultKind::GoodbyeFirst(number),
+        4 | 5 => during_primary_change(ChangeFault::TargetDeaf),
+        6 => during_primary_change(ChangeFault::PausedReplicaRestarts),
+        7 => during_primary_change(ChangeFault::UnlistedReplica),
+        8 => during_primary_change(ChangeFault::LeaderThaws),
+        9 => FaultKind::NodeShutdown(number),
+        _ => FaultKind::EarlyDeregistration(number),
     }
 }
 
 thread_local! {
-    static DRAWS: RefCell<SmallRng> = RefCell::new(SmallRng::seed_from_u64(0));
+    static RNG: RefCell<SmallRng> = RefCell::new(SmallRng::seed_from_u64(0));
 }
-/// Restarts the drawing of this thread.
-pub(super) fn seed_draws(seed: u64) {
-    DRAWS.with_borrow_mut(|rng| *rng = SmallRng::seed_from_u64(seed));
+/// Seeds the random number generator of this thread.
+pub(super) fn seed_rng(seed: u64) {
+    RNG.with_borrow_mut(|rng| *rng = SmallRng::seed_from_u64(seed));
 }
 
-/// The next random number.
-pub(super) fn draw() -> u64 {
-    DRAWS.with_borrow_mut(|rng| rng.next_u64())
+/// The next random number of this thread's generator.
+pub(super) fn random_u64() -> u64 {
+    RNG.with_borrow_mut(|rng| rng.next_u64())
 }
 
-/// A random number below `n`; 0 if `n` is 0.
-pub(super) fn draw_below(n: u64) -> u64 {
-    draw() % n.max(1)
+/// A random number below `n`, or 0 if `n` is 0.
+pub(super) fn random_below(n: u64) -> u64 {
+    random_u64() % n.max(1)
 }
 
-/// True in this many cases of a hundred.
+/// Returns true with this probability, in percent.
 pub(super) fn chance(percent: u64) -> bool {
-    draw_below(100) < percent
+    random_below(100) < percent
 }
--- a/src/simulation/world.rs
+++ b/src/simulation/world.rs
@@ -11,7 +11,7 @@
 use crate::simulation::nodes::Node;
 use crate::simulation::operators::Operator;
 use crate::simulation::runner::{Report, Violation};
-use crate::simulation::schedule::{Schedule, draw_below, seed_draws};
+use crate::simulation::schedule::{Schedule, random_below, seed_rng};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::net::SocketAddr;
@@ -85,7 +85,7 @@
 
 impl World {
     pub(super) fn new(schedule: &Schedule) -> Self {
-        seed_draws(schedule.seed);
+        seed_rng(schedule.seed);
         let mut world = Self {
             schedule: schedule.clone(),
             now: 0,
@@ -119,23 +119,23 @@
         let seeds: Vec<usize> = (0..schedule.controllers.min(3)).collect();
         for machine in 0..schedule.controllers {
             world.add_machine(&seeds, true);
-            world.schedule_at(draw_below(300), Event::Start(machine));
+            world.schedule_at(random_below(300), Event::Start(machine));
         }
         for number in 0..schedule.operators {
             let caller = Caller { next: number, ..Caller::default() };
             world.operators.push(Operator { caller, change: None, made: 0 });
-            world.schedule_at(500 + draw_below(500), Event::TakeTurn(number));
+            world.schedule_at(500 + random_below(500), Event::TakeTurn(number));
         }
         for service in SERVICES {
             for number in 0..3 {
-                world.add_database(service, number == 0, 1_000 + draw_below(500));
+                world.add_database(service, number == 0, 1_000 + random_below(500));
             }
         }
         for number in 0..3 {
             world.add_node(number, &seeds);
         }
         for number in 0..schedule.faults.len() {
-            world.schedule_at(schedule.faults[number].at, Event::InjectFault(number));
+            world.schedule_at(schedule.faults[number].start_ms, Event::InjectFault(number));
         }
         world
     }
--- a/tests/simulation.rs
+++ b/tests/simulation.rs
@@ -5,7 +5,9 @@
 use proptest::test_runner::{Config, RngSeed, TestRunner};
 use silvertack::simulation::change_faults::ChangeFault;
 use silvertack::simulation::runner::run_schedule;
-use silvertack::simulation::schedule::{CutDirection, Fault, FaultKind, FaultTarget, Schedule};
+use silvertack::simulation::schedule::{
+    Fault, FaultKind, FaultTarget, PartitionDirection, Schedule,
+};
 
 /// Threads that draw and play, each with its own luck.
 const RUNNERS: u64 = 8;
@@ -23,9 +25,9 @@
 }
 fn kind() -> impl Strategy<Value = FaultKind> {
     let way = prop_oneof![
-        Just(CutDirection::Both),
-        Just(CutDirection::Outbound),
-        Just(CutDirection::Inbound)
+        Just(PartitionDirection::Both),
+        Just(PartitionDirection::Outbound),
+        Just(PartitionDirection::Inbound)
     ];
     prop_oneof![
         3 => (fault_target(), way).prop_map(|(target, way)| FaultKind::Partition(target, way)),
@@ -34,32 +36,29 @@
         1 => fault_target().prop_map(FaultKind::PowerLoss),
         1 => fault_target().prop_map(FaultKind::DiskLoss),
         1 => fault_target().prop_map(FaultKind::Replace),
-        1 => (any::<bool>(), 0..3u8).prop_map(|(power_loss, disks_lost)| FaultKind::AllMachines { power_loss, disks_lost }),
+        1 => (any::<bool>(), 0..3u8).prop_map(|(power_loss, disks_lost)| FaultKind::StopAllMachines { power_loss, disks_lost }),
         1 => fault_target().prop_map(FaultKind::DiskFull),
         1 => fault_target().prop_map(FaultKind::DiskStall),
         1 => Just(FaultKind::ConnectionReset),
         1 => (3..13u8).prop_map(FaultKind::PacketLoss),
         1 => (any::<bool>(), 0..3u8).prop_map(|(primary, number)| FaultKind::DatabaseCrash { primary, number }),
         1 => (0..3u8).prop_map(FaultKind::ReplicationStall),
-        1 => (any::<bool>(), 0..3u8).prop_map(|(primary, number)| FaultKind::DatabaseLeave { primary, number }),
+        1 => (any::<bool>(), 0..3u8).prop_map(|(primary, number)| FaultKind::DatabaseReplacement { primary, number }),
         1 => (1..10u8).prop_map(FaultKind::LargeConfigurations),
         1 => (0..3u8).prop_map(FaultKind::NodeRestart),
-        2 => (change_fault(), 0..3u8).prop_map(|(fault, number)| FaultKind::InNextChange { fault, number }),
-        1 => (0..3u8).prop_map(FaultKind::NodeStop),
-        1 => (0..3u8).prop_map(FaultKind::GoodbyeFirst),
+        2 => (change_fault(), 0..3u8).prop_map(|(fault, number)| FaultKind::DuringPrimaryChange { fault, number }),
+        1 => (0..3u8).prop_map(FaultKind::NodeShutdown),
+        1 => (0..3u8).prop_map(FaultKind::EarlyDeregistration),
     ]
 }
 fn schedule() -> impl Strategy<Value = Schedule> {
-    let lasts_ms = prop::sample::select(vec![100, 500, 800, 1_500, 5_000, 12_000, 20_000]);
-    let fault = (4_000..30_000u64, lasts_ms, kind()).prop_map(|(at, lasts_ms, kind)| Fault {
-        at,
-        lasts_ms,
-        kind,
-    });
+    let duration_ms = prop::sample::select(vec![100, 500, 800, 1_500, 5_000, 12_000, 20_000]);
+    let fault = (4_000..30_000u64, duration_ms, kind())
+        .prop_map(|(start_ms, duration_ms, kind)| Fault { start_ms, duration_ms, kind });
     let size = prop::sample::select(vec![(3, 1), (4, 1), (5, 2), (6, 2), (7, 2)]);
     let suspends = prop::bool::weighted(0.15);
     (any::<u64>(), size, 2..9usize, prop::collection::vec(fault, 0..10), suspends).prop_map(
-        |(seed, (controllers, tolerated), operators, mut faults, suspends)| {
+        |(seed, (controllers, tolerated_losses), operators, mut faults, suspends)| {
             let length_ms = 20_000;
             // Nothing is promised of leases then, so most schedules are without.
             for fault in faults.iter_mut().filter(|_| suspends) {
@@ -67,7 +66,7 @@
                     fault.kind = FaultKind::Suspend(target);
                 }
             }
-            Schedule { seed, controllers, tolerated, operators, length_ms, faults }
+            Schedule { seed, controllers, tolerated_losses, operators, length_ms, faults }
         },
     )
 }
@@ -111,7 +110,7 @@
         (90, "drawn"),
     ];
     for (seed, what) in cases {
-        if let Err(why) = run_schedule(&Schedule::drawn_without_change_faults(seed)) {
+        if let Err(why) = run_schedule(&Schedule::from_seed_without_change_faults(seed)) {
             panic!("{what}: {why}");
         }
     }
@@ -120,7 +119,8 @@
 #[test]
 fn the_same_schedule_plays_the_same_way() {
     for seed in [2, 3] {
-        for schedule in [Schedule::drawn(seed), Schedule::drawn_without_change_faults(seed)] {
+        for schedule in [Schedule::from_seed(seed), Schedule::from_seed_without_change_faults(seed)]
+        {
             let (first, second) = (run_schedule(&schedule), run_schedule(&schedule));
             assert_eq!(first, second);
             let report = first.expect("nothing breaks");
@@ -138,6 +138,6 @@
     // Schedules in which a new replica is the only one that has a commit before its first heartbeat is
     // taken, while a planned change is under way.
     let played = [10_588, 10_856, 11_529]
-        .map(|seed| run_schedule(&Schedule::drawn_without_change_faults(seed)).map(drop));
+        .map(|seed| run_schedule(&Schedule::from_seed_without_change_faults(seed)).map(drop));
     assert_eq!(played, [Ok(()), Ok(()), Ok(())]);
 }
