--- a/src/simulation/checker.rs
+++ b/src/simulation/checker.rs
@@ -33,8 +33,8 @@
     }
 
     /// What does not hold now.
-    pub(super) fn violated(&self, what: String) -> Violation {
-        Violation { at_ms: self.now, what }
+    pub(super) fn violated(&self, description: String) -> Violation {
+        Violation { at_ms: self.now, description }
     }
 
     /// Notes what did not hold; the first one ends the run.
@@ -63,7 +63,7 @@
         }
         for entry in raft.committed_entries_after(machine.checked) {
             machine.checked = entry.index;
-            let first = self.entries.entry(entry.index).or_insert_with(|| entry.clone());
+            let first = self.committed_entries.entry(entry.index).or_insert_with(|| entry.clone());
             if *first != entry {
                 wrong = Some(format!("entry {} differs at n{number}", entry.index));
             }
@@ -74,7 +74,7 @@
             let mut hasher = DefaultHasher::new();
             pack(state_machine).hash(&mut hasher);
             let state = hasher.finish();
-            if *self.states.entry(applied).or_insert(state) != state {
+            if *self.state_hashes.entry(applied).or_insert(state) != state {
                 wrong = Some(format!("the state at entry {applied} differs at n{number}"));
             }
             let newest = self.committed_configurations.last().map_or(Revision(0), |f| f.revision);
@@ -136,8 +136,11 @@
         let Some(controller) = &self.machines[leader].controller else { return };
         let (revision, applied) = (controller.state_machine().revision(), controller.applied());
         let voters = controller.raft().members().iter().filter(|m| m.voter).count();
-        let listed =
-            controller.state_machine().instances().keys().find(|id| self.goodbyes.contains(*id));
+        let listed = controller
+            .state_machine()
+            .instances()
+            .keys()
+            .find(|id| self.deregistered_databases.contains(*id));
         let behind = self
             .machines
             .iter()
--- a/src/simulation/databases.rs
+++ b/src/simulation/databases.rs
@@ -198,7 +198,7 @@
         let (id, reported) = (self.databases[number].id.clone(), self.databases[number].reported);
         if request.method == "DELETE" {
             self.check_acknowledged(number, AcknowledgedHeartbeat::Goodbye);
-            self.goodbyes.insert(id);
+            self.deregistered_databases.insert(id);
             self.databases[number].departed = true;
             let serves_on_ms = self.databases[number].serves_on_ms;
             return self.schedule_after(serves_on_ms, Event::DatabaseEnds(number));
@@ -357,8 +357,8 @@
         term: DbTerm,
         sent_at: u64,
     ) {
-        self.last_number += 1;
-        let id = self.last_number;
+        self.last_id += 1;
+        let id = self.last_id;
         let database = &mut self.databases[to];
         if database.up && database.primary {
             let term = if database.term == term { term } else { database.term };
--- a/src/simulation/faults.rs
+++ b/src/simulation/faults.rs
@@ -7,7 +7,7 @@
 use crate::simulation::schedule::{
     Fault, FaultKind, FaultTarget, PartitionDirection, chance, random_below, random_u64,
 };
-use crate::simulation::world::{JOIN_SYNC_MS, LATER_HEARD_MS, SERVICES, World};
+use crate::simulation::world::{JOIN_SYNC_MS, PEER_PARTITION_EXTRA_MS, SERVICES, World};
 
 /// All machines stop no longer than this, so that the run has time left with them.
 const LONGEST_STOP_OF_ALL_MS: u64 = 3_000;
@@ -40,7 +40,7 @@
             return None;
         }
         let machine = &mut self.machines[number];
-        machine.lost = machine.lost.max(now + duration_ms + LATER_HEARD_MS + JOIN_SYNC_MS);
+        machine.lost = machine.lost.max(now + duration_ms + PEER_PARTITION_EXTRA_MS + JOIN_SYNC_MS);
         Some(number)
     }
 
@@ -80,7 +80,9 @@
             FaultKind::DatabaseReplacement { primary, number } => {
                 self.inject_database_leave(primary, number);
             }
-            FaultKind::LargeConfigurations(hundreds) => self.large = u64::from(hundreds),
+            FaultKind::LargeConfigurations(hundreds) => {
+                self.extra_routes_hundreds = u64::from(hundreds)
+            }
             FaultKind::NodeRestart(number) => {
                 let number = usize::from(number) % self.nodes.len();
                 self.restart_node(number, duration_ms.min(LONGEST_NODE_RESTART_MS));
@@ -224,7 +226,7 @@
         self.partitions.push(Partition {
             controller,
             direction,
-            until: than + LATER_HEARD_MS,
+            until: than + PEER_PARTITION_EXTRA_MS,
             salt,
         });
     }
--- a/src/simulation/machines.rs
+++ b/src/simulation/machines.rs
@@ -12,7 +12,9 @@
 use crate::simulation::network::{Party, RemoteEnd};
 use crate::simulation::recorded_effects::RecordedEffects;
 use crate::simulation::schedule::{chance, random_below, random_u64};
-use crate::simulation::world::{ADMIN, JOIN_SYNC_MS, PEER, World, address_of, machine_of};
+use crate::simulation::world::{
+    ADMIN_PORT, JOIN_SYNC_MS, PEER_PORT, World, address_of, machine_of,
+};
 use std::net::SocketAddr;
 
 /// A disk that takes no writes.
@@ -64,16 +66,16 @@
     pub(super) fn add_machine(&mut self, seeds: &[usize], bootstrap: bool) -> usize {
         let number = self.machines.len();
         let seeds: Vec<String> =
-            seeds.iter().map(|m| format!("\"{}\"", address_of(*m, ADMIN))).collect();
+            seeds.iter().map(|m| format!("\"{}\"", address_of(*m, ADMIN_PORT))).collect();
         let text = format!(
             "node_name = \"n{number}\"\nip_address = \"{}\"\nzone = \"z{number}\"\n\
-             port_range = [{PEER}, {PEER}]\nseed_nodes = [{}]\nbootstrap = {bootstrap}\n\
+             port_range = [{PEER_PORT}, {PEER_PORT}]\nseed_nodes = [{}]\nbootstrap = {bootstrap}\n\
              data_path = \"/none\"\nheartbeat_ms = 1000\n[listeners]\nadmin = \"{}\"\n\
              [fault_tolerance]\nmachines = {}\n[timing_bounds]\njoin_sync_s = {}\n\
              [provider]\naddress = \"10.9.0.1:9\"\n",
-            address_of(number, ADMIN).ip(),
+            address_of(number, ADMIN_PORT).ip(),
             seeds.join(", "),
-            address_of(number, ADMIN),
+            address_of(number, ADMIN_PORT),
             self.schedule.tolerated_losses,
             JOIN_SYNC_MS / 1_000,
         );
@@ -120,7 +122,7 @@
             // An empty machine is given seeds that are there.
             let there = |m: &usize| !self.machines[*m].gone && self.machines[*m].lost <= now;
             let all = (0..self.machines.len()).cycle().skip(number + 1).take(self.machines.len());
-            let seeds = all.filter(there).take(3).map(|m| address_of(m, ADMIN)).collect();
+            let seeds = all.filter(there).take(3).map(|m| address_of(m, ADMIN_PORT)).collect();
             self.machines[number].settings.seed_nodes = seeds;
         }
         let machine = &mut self.machines[number];
@@ -128,7 +130,8 @@
         let kept = match machine.disk.load() {
             Ok(Some(kept)) => Ok((kept, true)),
             Ok(None) => {
-                let first = first_state(&machine.settings, address_of(number, ADMIN), random_u64);
+                let first =
+                    first_state(&machine.settings, address_of(number, ADMIN_PORT), random_u64);
                 let saved = machine
                     .disk
                     .save(&WriteBatch::new(&first, &crate::raft::state::UnsavedChanges::all()));
@@ -283,8 +286,8 @@
                 ),
             );
         };
-        self.last_number += 1;
-        let conn = self.last_number;
+        self.last_id += 1;
+        let conn = self.last_id;
         self.connections.insert(conn, (to, RemoteEnd::Join { asker: from, incarnation, me, at }));
         if let Some(controller) = &mut self.machines[to].controller {
             controller.effects.open.insert(conn);
--- a/src/simulation/mod.rs
+++ b/src/simulation/mod.rs
@@ -1,4 +1,5 @@
-//! A simulation of the control plane: whole controllers under drawn faults in virtual time.
+//! A deterministic simulation of the control plane: complete controllers run in virtual time under
+//! random faults.
 mod callers;
 pub mod change_faults;
 mod checker;
--- a/src/simulation/nodes.rs
+++ b/src/simulation/nodes.rs
@@ -149,8 +149,8 @@
             });
             let at = machine_of(to);
             if self.machines.get(at).is_some_and(|m| m.controller.is_some()) {
-                self.last_number += 1;
-                let conn = self.last_number;
+                self.last_id += 1;
+                let conn = self.last_id;
                 self.connections.insert(conn, (at, RemoteEnd::Node(number, incarnation)));
                 if let Some(controller) = &mut self.machines[at].controller {
                     controller.effects.open.insert(conn);
--- a/src/simulation/operators.rs
+++ b/src/simulation/operators.rs
@@ -38,7 +38,7 @@
         };
         match checked {
             Ok(after) => self.schedule_after(after, Event::TakeTurn(who)),
-            Err(violation) => self.report_violation(violation.what),
+            Err(violation) => self.report_violation(violation.description),
         }
     }
 
@@ -153,7 +153,7 @@
                 "route_type": "primary", "timeout_ms": 1000, "target_service": SERVICES[0] })
         };
         let service = |name: &str| serde_json::json!({ "name": name, "max_connections": 64, "sync_replicas": 1 });
-        let many = 1 + if chance(20) { self.large * 100 } else { 0 };
+        let many = 1 + if chance(20) { self.extra_routes_hundreds * 100 } else { 0 };
         let routes: Vec<_> = (0..many).map(route).collect();
         let services: Vec<_> = SERVICES.into_iter().map(service).collect();
         serde_json::json!({ "revision": revision, "route_rules": routes, "services": services })
--- a/src/simulation/world.rs
+++ b/src/simulation/world.rs
@@ -1,4 +1,4 @@
-//! The world that the controllers run in: who is there, what time it is, and what happens next.
+//! The simulated cluster: its participants, the virtual clock, and the queue of events.
 use crate::base::ids::{DbTerm, InstanceId, LogIndex, MemberId, ServiceName, Term};
 use crate::net::rpc::raft_messages::LogEntry;
 use crate::simulation::callers::Caller;
@@ -16,59 +16,70 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::net::SocketAddr;
 
-/// Everything in a run, and the history that it is checked against.
+/// The state of a run, and the history that its guarantees are checked against. All times are in
+/// milliseconds since the start.
 pub(super) struct World {
     pub(super) schedule: Schedule,
     pub(super) now: u64,
     events: BTreeMap<u64, Event>,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
-    pub(super) last_number: u64,
+    /// The last number given to an event, a connection or a write.
+    pub(super) last_id: u64,
     pub(super) machines: Vec<Machine>,
     pub(super) partitions: Vec<Partition>,
+    /// When the loss of messages ends, and the percentage that is lost until then.
     pub(super) packet_loss: (u64, u64),
+    /// The open connections to peer ports: the controller's machine and the remote end of each.
     pub(super) connections: BTreeMap<u64, (usize, RemoteEnd)>,
-    /// When the last message on a connection arrives, so that the next one does not overtake it.
+    /// When the last message between two endpoints arrives, so that the next one does not overtake
+    /// it.
     pub(super) last_arrivals: BTreeMap<(Party, Party), u64>,
     pub(super) operators: Vec<Operator>,
     pub(super) databases: Vec<Database>,
     pub(super) nodes: Vec<Node>,
-    pub(super) large: u64,
+    /// How many hundred routes some configurations have in addition.
+    pub(super) extra_routes_hundreds: u64,
+    /// Whether fault injection has ended.
     pub(super) repaired: bool,
     pub(super) pending_change_faults: Vec<PendingChangeFault>,
     pub(super) observed_changes: BTreeMap<ServiceName, ObservedChange>,
-    /// The highest fencing token that the platform has seen for each service.
+    /// The highest fencing token that the platform has received for each service.
     pub(super) highest_fences: BTreeMap<ServiceName, u64>,
-    // The history.
+    // The history that is checked.
     pub(super) committed_configurations: Vec<CommittedConfiguration>,
     pub(super) leaders: BTreeMap<Term, MemberId>,
-    pub(super) entries: BTreeMap<LogIndex, LogEntry>,
-    /// A hash of the state at each entry.
-    pub(super) states: BTreeMap<LogIndex, u64>,
-    /// What a later read may not go behind: when it was known, and how far in `committed_configurations`.
+    pub(super) committed_entries: BTreeMap<LogIndex, LogEntry>,
+    /// The hash of the replicated state after each log entry.
+    pub(super) state_hashes: BTreeMap<LogIndex, u64>,
+    /// Lower bounds for later reads: when a configuration was known to be committed, and its place
+    /// in `committed_configurations`, counted from 1.
     pub(super) read_floors: Vec<(u64, usize)>,
-    /// Commits that nodes passed on to clients.
+    /// Commits that nodes acknowledged to clients.
     pub(super) acknowledged_commits: BTreeMap<ServiceName, Vec<AcknowledgedCommit>>,
-    /// What each new primary began with.
+    /// The term of each promoted primary, and its log at the time of the promotion.
     pub(super) promotions: BTreeMap<ServiceName, Vec<(DbTerm, Vec<Write>)>>,
-    pub(super) goodbyes: BTreeSet<InstanceId>,
+    /// Databases whose deregistration was acknowledged.
+    pub(super) deregistered_databases: BTreeSet<InstanceId>,
     pub(super) report: Report,
     pub(super) violation: Option<Violation>,
 }
 
 /// The port of every controller's admin address.
-pub(super) const ADMIN: u16 = 2;
+pub(super) const ADMIN_PORT: u16 = 2;
 /// The port of every controller's peer address.
-pub(super) const PEER: u16 = 1;
-/// `join_sync_s` of all settings: a machine that is back counts as lost for so long.
+pub(super) const PEER_PORT: u16 = 1;
+/// `join_sync_s` of all settings, in milliseconds: a restarted machine counts as lost for this
+/// time.
 pub(super) const JOIN_SYNC_MS: u64 = 4_000;
 /// The services of every schedule.
 pub(super) const SERVICES: [&str; 2] = ["pears", "plums"];
 
-/// How long a run goes on after everything was repaired.
-const REST_MS: u64 = 25_000;
+/// How long a run continues after everything has been repaired.
+const RECOVERY_MS: u64 = 25_000;
 
-/// How much longer than its callers the other controllers may not reach a machine that stood still.
-pub(super) const LATER_HEARD_MS: u64 = 600;
+/// How long a controller stays partitioned from the others after it resumes, while its clients may
+/// already reach it.
+pub(super) const PEER_PARTITION_EXTRA_MS: u64 = 600;
 
 /// The address of a machine's port.
 pub(super) fn address_of(machine: usize, port: u16) -> SocketAddr {
@@ -76,9 +87,9 @@
 }
 
 /// The machine that an address belongs to.
-pub(super) fn machine_of(at: SocketAddr) -> usize {
-    match at {
-        SocketAddr::V4(at) => usize::from(at.ip().octets()[2]) - 1,
+pub(super) fn machine_of(address: SocketAddr) -> usize {
+    match address {
+        SocketAddr::V4(address) => usize::from(address.ip().octets()[2]) - 1,
         SocketAddr::V6(_) => 0,
     }
 }
@@ -91,7 +102,7 @@
             now: 0,
             events: BTreeMap::new(),
             queue: BinaryHeap::new(),
-            last_number: 0,
+            last_id: 0,
             machines: Vec::new(),
             partitions: Vec::new(),
             packet_loss: (0, 0),
@@ -100,19 +111,19 @@
             operators: Vec::new(),
             databases: Vec::new(),
             nodes: Vec::new(),
-            large: 0,
+            extra_routes_hundreds: 0,
             repaired: false,
             pending_change_faults: Vec::new(),
             observed_changes: BTreeMap::new(),
             highest_fences: BTreeMap::new(),
             committed_configurations: Vec::new(),
             leaders: BTreeMap::new(),
-            entries: BTreeMap::new(),
-            states: BTreeMap::new(),
+            committed_entries: BTreeMap::new(),
+            state_hashes: BTreeMap::new(),
             read_floors: Vec::new(),
             acknowledged_commits: BTreeMap::new(),
             promotions: BTreeMap::new(),
-            goodbyes: BTreeSet::new(),
+            deregistered_databases: BTreeSet::new(),
             report: Report::default(),
             violation: None,
         };
@@ -145,7 +156,7 @@
             incarnation: 1,
             conn: None,
             welcome: false,
-            known: seeds.iter().map(|m| address_of(*m, PEER)).collect(),
+            known: seeds.iter().map(|m| address_of(*m, PEER_PORT)).collect(),
             next: number,
             hint: None,
             heard: 0,
@@ -164,21 +175,21 @@
         self.schedule_at(500 + number as u64, Event::NodeTurn(number, 1));
     }
 
-    /// Has something happen at a time.
+    /// Schedules an event at a time.
     pub(super) fn schedule_at(&mut self, time: u64, event: Event) {
-        self.last_number += 1;
-        self.queue.push(Reverse((time, self.last_number)));
-        self.events.insert(self.last_number, event);
+        self.last_id += 1;
+        self.queue.push(Reverse((time, self.last_id)));
+        self.events.insert(self.last_id, event);
     }
 
-    /// Has something happen so many milliseconds from now.
+    /// Schedules an event this many milliseconds from now.
     pub(super) fn schedule_after(&mut self, after: u64, event: Event) {
         self.schedule_at(self.now + after, event);
     }
 
-    /// Runs until a violation, or until everything has had time to recover after the last fault.
+    /// Runs until a violation, or until the cluster has had time to recover after the last fault.
     pub(super) fn run(&mut self) {
-        let (length_ms, end) = (self.schedule.length_ms, self.schedule.length_ms + REST_MS);
+        let (length_ms, end) = (self.schedule.length_ms, self.schedule.length_ms + RECOVERY_MS);
         while let Some(Reverse((time, number))) = self.queue.pop() {
             if self.violation.is_some() {
                 return;
