--- a/src/simulation/callers.rs
+++ b/src/simulation/callers.rs
@@ -2,7 +2,7 @@
 use crate::controller::effects::Input;
 use crate::net::http::{Request, Response};
 use crate::simulation::events::Event;
-use crate::simulation::network::Party;
+use crate::simulation::network::Endpoint;
 use crate::simulation::schedule::chance;
 use crate::simulation::world::{World, machine_of};
 use std::sync::mpsc::{Receiver, sync_channel};
@@ -29,18 +29,18 @@
         }
     }
 
-    fn party_of(&self, who: usize) -> Party {
+    fn endpoint_of(&self, who: usize) -> Endpoint {
         match who.checked_sub(self.operators.len()) {
-            None => Party::Operator(who),
-            Some(database) => Party::Database(database),
+            None => Endpoint::Operator(who),
+            Some(database) => Endpoint::Database(database),
         }
     }
 
     /// Sends a request, or the same one again, to the controller that is next.
     pub(super) fn send_request(&mut self, who: usize, request: Request) {
         let running: Vec<usize> =
-            (0..self.machines.len()).filter(|m| !self.machines[*m].gone).collect();
-        let (now, from) = (self.now, self.party_of(who));
+            (0..self.machines.len()).filter(|m| !self.machines[*m].removed).collect();
+        let (now, from) = (self.now, self.endpoint_of(who));
         let caller = self.caller(who);
         caller.attempt += 1;
         caller.sent = now;
@@ -49,7 +49,7 @@
         let (attempt, next) = (caller.attempt, caller.next);
         let to = if running.contains(&next) { next } else { running[next % running.len()] };
         self.caller(who).next = to;
-        match self.arrival_time(from, Party::Controller(to), 0) {
+        match self.arrival_time(from, Endpoint::Controller(to), 0) {
             Some(time) if self.machines[to].controller.is_some() => {
                 self.schedule_at(time, Event::Request(who, attempt, request));
             }
@@ -76,7 +76,7 @@
     }
 
     /// What this controller has answered goes on its direction.
-    pub(super) fn collect_responses(&mut self, number: usize, held: u64) {
+    pub(super) fn collect_responses(&mut self, number: usize, delay_ms: u64) {
         let incarnation = self.machines[number].incarnation;
         for who in 0..self.operators.len() + self.databases.len() {
             let caller = self.caller(who);
@@ -87,9 +87,9 @@
             let Ok(response) = answer.try_recv() else { continue };
             let attempt = caller.attempt;
             caller.answer = None;
-            let to = self.party_of(who);
+            let to = self.endpoint_of(who);
             let lost = !self.repaired && chance(3);
-            if let Some(time) = self.arrival_time(Party::Controller(number), to, held)
+            if let Some(time) = self.arrival_time(Endpoint::Controller(number), to, delay_ms)
                 && !lost
             {
                 self.schedule_at(time, Event::Response(who, attempt, Some(response)));
--- a/src/simulation/change_faults.rs
+++ b/src/simulation/change_faults.rs
@@ -126,7 +126,7 @@
             }
             ChangeFault::PausedReplicaRestarts => {
                 let paused = self.databases.iter().position(|d| {
-                    d.service == *service && d.id != *target && d.paused && d.up && !d.gone
+                    d.service == *service && d.id != *target && d.paused && d.up && !d.removed
                 });
                 if let Some(number) = paused {
                     self.databases[number].up = false;
--- a/src/simulation/checker.rs
+++ b/src/simulation/checker.rs
@@ -49,28 +49,28 @@
         let machine = &mut self.machines[number];
         let Some(controller) = &machine.controller else { return };
         let (raft, state_machine) = (controller.raft(), controller.state_machine());
-        if raft.state.member_id != machine.me {
-            machine.me = raft.state.member_id;
-            (machine.checked, machine.applied) = (LogIndex(0), LogIndex(0));
+        if raft.state.member_id != machine.member_id {
+            machine.member_id = raft.state.member_id;
+            (machine.last_checked, machine.last_applied) = (LogIndex(0), LogIndex(0));
         }
         let mut wrong = None;
         if raft.is_leader() {
-            let (raft_term, me) = (raft.state.term, raft.state.member_id);
-            let first = *self.leaders.entry(raft_term).or_insert(me);
-            if first != me {
-                wrong = Some(format!("two led term {raft_term}: {first} and {me}"));
+            let (raft_term, member_id) = (raft.state.term, raft.state.member_id);
+            let first = *self.leaders.entry(raft_term).or_insert(member_id);
+            if first != member_id {
+                wrong = Some(format!("two led term {raft_term}: {first} and {member_id}"));
             }
         }
-        for entry in raft.committed_entries_after(machine.checked) {
-            machine.checked = entry.index;
+        for entry in raft.committed_entries_after(machine.last_checked) {
+            machine.last_checked = entry.index;
             let first = self.committed_entries.entry(entry.index).or_insert_with(|| entry.clone());
             if *first != entry {
                 wrong = Some(format!("entry {} differs at n{number}", entry.index));
             }
         }
         let applied = controller.applied();
-        if applied > machine.applied {
-            machine.applied = applied;
+        if applied > machine.last_applied {
+            machine.last_applied = applied;
             let mut hasher = DefaultHasher::new();
             pack(state_machine).hash(&mut hasher);
             let state = hasher.finish();
--- a/src/simulation/commits.rs
+++ b/src/simulation/commits.rs
@@ -6,7 +6,7 @@
 use crate::simulation::checker::AcknowledgedCommit;
 use crate::simulation::databases::Write;
 use crate::simulation::events::Event;
-use crate::simulation::network::Party;
+use crate::simulation::network::Endpoint;
 use crate::simulation::nodes::ObservedCommit;
 use crate::simulation::schedule::random_below;
 use crate::simulation::world::World;
@@ -69,7 +69,7 @@
         let question =
             |answer| TargetQuestion { node: number, incarnation, commit, target, answer };
         let arrival = to.and_then(|to| {
-            self.arrival_time(Party::Node(number), Party::Database(to), random_below(5))
+            self.arrival_time(Endpoint::Node(number), Endpoint::Database(to), random_below(5))
         });
         match (arrival, to) {
             (Some(time), Some(to)) => {
@@ -83,7 +83,7 @@
     pub(super) fn answer_target_question(&mut self, number: usize, question: TargetQuestion) {
         let database = &self.databases[number];
         let description = database.up.then(|| database.description());
-        let back = self.arrival_time(Party::Database(number), Party::Node(question.node), 0);
+        let back = self.arrival_time(Endpoint::Database(number), Endpoint::Node(question.node), 0);
         match (back, description) {
             (Some(time), Some(description)) => {
                 let answer = TargetQuestion { answer: Some(description), ..question };
--- a/src/simulation/databases.rs
+++ b/src/simulation/databases.rs
@@ -10,7 +10,7 @@
 use crate::simulation::checker::AcknowledgedCommit;
 use crate::simulation::commits::Commit;
 use crate::simulation::events::Event;
-use crate::simulation::network::Party;
+use crate::simulation::network::Endpoint;
 use crate::simulation::schedule::{FaultTarget, chance, random_below};
 use crate::simulation::world::World;
 use std::collections::BTreeMap;
@@ -55,7 +55,7 @@
     pub(super) service: ServiceName,
     pub(super) caller: Caller,
     pub(super) up: bool,
-    pub(super) gone: bool,
+    pub(super) removed: bool,
     pub(super) primary: bool,
     pub(super) term: DbTerm,
     pub(super) log: Vec<Write>,
@@ -126,7 +126,7 @@
             service: service.into(),
             caller: Caller { next: number, ..Caller::default() },
             up: true,
-            gone: false,
+            removed: false,
             primary,
             term: DbTerm(1),
             log: Vec::new(),
@@ -150,7 +150,7 @@
     /// The databases of a service that are not gone, by number.
     pub(super) fn databases_of(&self, service: &ServiceName) -> Vec<usize> {
         (0..self.databases.len())
-            .filter(|d| self.databases[*d].service == *service && !self.databases[*d].gone)
+            .filter(|d| self.databases[*d].service == *service && !self.databases[*d].removed)
             .collect()
     }
 
@@ -163,7 +163,7 @@
     /// Sends a heartbeat, or the goodbye of a database that has drained.
     pub(super) fn send_heartbeat(&mut self, number: usize) {
         let database = &mut self.databases[number];
-        if !database.up || database.gone || database.departed {
+        if !database.up || database.removed || database.departed {
             return;
         }
         database.sequence += 1;
@@ -243,12 +243,12 @@
 
     pub(super) fn remove_database(&mut self, number: usize) {
         let database = &mut self.databases[number];
-        (database.up, database.gone, database.primary) = (false, true, false);
+        (database.up, database.removed, database.primary) = (false, true, false);
     }
 
     /// A primary brings its replicas on, and one that was replaced gives direction in the end.
     pub(super) fn replicate(&mut self, number: usize) {
-        if self.databases[number].gone {
+        if self.databases[number].removed {
             return;
         }
         self.schedule_after(40, Event::ReplicationTurn(number));
@@ -262,7 +262,7 @@
         if newest.is_some_and(|n| {
             n != number
                 && self.databases[n].up
-                && self.can_reach(Party::Database(number), Party::Database(n))
+                && self.can_reach(Endpoint::Database(number), Endpoint::Database(n))
         }) {
             let since = *self.databases[number].deposed_since.get_or_insert(now);
             if now - since > 1_000 {
@@ -281,8 +281,8 @@
             if replica != number
                 && behind
                 && let Some(time) = self.arrival_time(
-                    Party::Database(number),
-                    Party::Database(replica),
+                    Endpoint::Database(number),
+                    Endpoint::Database(replica),
                     random_below(15),
                 )
             {
@@ -305,7 +305,7 @@
         }
         database.term = term;
         let has = database.log.len().min(log.len());
-        if let Some(time) = self.arrival_time(Party::Database(to), Party::Database(from), 0) {
+        if let Some(time) = self.arrival_time(Endpoint::Database(to), Endpoint::Database(from), 0) {
             self.schedule_at(time, Event::ReplicaAck(from, to, term, has));
         }
     }
@@ -342,7 +342,9 @@
             })
             .collect();
         for (node, event) in acknowledgements {
-            if let Some(time) = self.arrival_time(Party::Database(number), Party::Node(node), 0) {
+            if let Some(time) =
+                self.arrival_time(Endpoint::Database(number), Endpoint::Node(node), 0)
+            {
                 self.schedule_at(time, event);
             }
         }
@@ -408,7 +410,7 @@
         }
         let number = self.databases.iter().position(|d| d.id == id);
         let reached = number.filter(|n| {
-            let (here, there) = (Party::Controller(from), Party::Database(*n));
+            let (here, there) = (Endpoint::Controller(from), Endpoint::Database(*n));
             self.can_reach(here, there) && self.can_reach(there, here) && !self.is_lost()
         });
         let (response, after) = match reached {
@@ -504,7 +506,7 @@
         database.received.clear();
         database.pending_commits.clear();
         for other in self.databases_of(service) {
-            let hears = self.can_reach(Party::Database(target), Party::Database(other));
+            let hears = self.can_reach(Endpoint::Database(target), Endpoint::Database(other));
             let database = &mut self.databases[other];
             if other != target && hears && database.up && !database.primary {
                 database.term = term;
--- a/src/simulation/events.rs
+++ b/src/simulation/events.rs
@@ -10,7 +10,7 @@
 use crate::simulation::commits::{Commit, TargetQuestion};
 use crate::simulation::databases::{AcknowledgedHeartbeat, Write};
 use crate::simulation::machines::DiskFault;
-use crate::simulation::network::{Party, RemoteEnd};
+use crate::simulation::network::{Endpoint, RemoteEnd};
 use crate::simulation::world::{World, machine_of};
 use std::io;
 use std::net::SocketAddr;
@@ -64,9 +64,9 @@
     /// Hands an event to whom it concerns.
     pub(super) fn dispatch(&mut self, event: Event) {
         match event {
-            Event::Wake(number, incarnation, wake) => {
+            Event::Wake(number, incarnation, generation) => {
                 let machine = &self.machines[number];
-                if machine.incarnation == incarnation && machine.wake == wake {
+                if machine.incarnation == incarnation && machine.timer_generation == generation {
                     self.step(number, None);
                 }
             }
@@ -79,7 +79,7 @@
                 }
             }
             Event::WriteDone(number, incarnation) => self.finish_write(number, incarnation),
-            Event::Frame(conn, frame) => self.deliver_frame(conn, frame),
+            Event::Frame(connection, frame) => self.deliver_frame(connection, frame),
             Event::Request(who, attempt, request) => self.deliver_request(who, attempt, request),
             Event::Response(who, attempt, response) => self.handle_response(who, attempt, response),
             Event::TakeTurn(who) => self.take_turn(who),
@@ -124,7 +124,7 @@
         message: RaftMessage,
     ) {
         let number = machine_of(at);
-        if !self.can_reach(Party::Controller(from), Party::Controller(number)) {
+        if !self.can_reach(Endpoint::Controller(from), Endpoint::Controller(number)) {
             return;
         }
         // The sender's layout counts only once its message reaches a running process.
@@ -160,25 +160,30 @@
         }
     }
 
-    fn deliver_frame(&mut self, conn: u64, frame: Frame) {
-        match self.connections.get(&conn) {
+    fn deliver_frame(&mut self, connection: u64, frame: Frame) {
+        match self.connections.get(&connection) {
             Some((_, RemoteEnd::Node(node, incarnation))) => {
                 let (node, incarnation) = (*node, *incarnation);
                 if self.nodes[node].incarnation == incarnation {
-                    self.handle_node_message(node, conn, frame);
+                    self.handle_node_message(node, connection, frame);
                 }
             }
-            Some((_, RemoteEnd::Join { asker, incarnation, me, at })) => {
-                let (asker, incarnation, me, at) = (*asker, *incarnation, *me, *at);
+            Some((_, RemoteEnd::Join { requester, incarnation, member_id, address })) => {
+                let (requester, incarnation, member_id, address) =
+                    (*requester, *incarnation, *member_id, *address);
                 let answer = match frame {
                     Frame::Joined(answer) => Some(answer),
                     _ => None,
                 };
-                self.close(conn);
-                if self.machines[asker].incarnation == incarnation {
+                self.close(connection);
+                if self.machines[requester].incarnation == incarnation {
                     self.step(
-                        asker,
-                        Some(Input::JoinResponse { requested_id: me, from: at, answer }),
+                        requester,
+                        Some(Input::JoinResponse {
+                            requested_id: member_id,
+                            from: address,
+                            answer,
+                        }),
                     );
                 }
             }
@@ -189,14 +194,14 @@
     fn thaw(&mut self, number: usize) {
         let machine = &self.machines[number];
         if machine.frozen_until.is_some_and(|t| t <= self.now) {
-            self.wake(number);
+            self.resume(number);
             self.step(number, None);
         }
     }
 
     fn restart_database(&mut self, number: usize) {
         let database = &mut self.databases[number];
-        if database.gone || database.up {
+        if database.removed || database.up {
             return;
         }
         (database.up, database.paused) = (true, false);
--- a/src/simulation/faults.rs
+++ b/src/simulation/faults.rs
@@ -16,7 +16,7 @@
 
 impl World {
     pub(super) fn pick_machine(&self, target: FaultTarget) -> Option<usize> {
-        let here = |m: &Machine| !m.gone && m.controller.is_some();
+        let here = |m: &Machine| !m.removed && m.controller.is_some();
         let leads = |m: &Machine| {
             let now = Tick(self.now + m.clock_offset);
             m.controller.as_ref().is_some_and(|s| s.raft().holds_leader_lease(now))
@@ -33,14 +33,16 @@
     pub(super) fn reserve_loss(&mut self, target: FaultTarget, duration_ms: u64) -> Option<usize> {
         let number = self.pick_machine(target)?;
         let now = self.now;
-        let lost = (0..self.machines.len())
-            .filter(|m| *m != number && !self.machines[*m].gone && self.machines[*m].lost > now);
-        let replaced = self.machines.iter().filter(|m| m.gone && m.lost > now).count();
+        let lost = (0..self.machines.len()).filter(|m| {
+            *m != number && !self.machines[*m].removed && self.machines[*m].lost_until > now
+        });
+        let replaced = self.machines.iter().filter(|m| m.removed && m.lost_until > now).count();
         if lost.count() + replaced >= self.schedule.tolerated_losses {
             return None;
         }
         let machine = &mut self.machines[number];
-        machine.lost = machine.lost.max(now + duration_ms + PEER_PARTITION_EXTRA_MS + JOIN_SYNC_MS);
+        machine.lost_until =
+            machine.lost_until.max(now + duration_ms + PEER_PARTITION_EXTRA_MS + JOIN_SYNC_MS);
         Some(number)
     }
 
@@ -144,9 +146,9 @@
     fn inject_replacement(&mut self, target: FaultTarget, duration_ms: u64) {
         let Some(number) = self.reserve_loss(target, duration_ms) else { return };
         self.stop(number, true);
-        self.machines[number].gone = true;
+        self.machines[number].removed = true;
         let seeds: Vec<usize> =
-            (0..self.machines.len()).filter(|m| !self.machines[*m].gone).collect();
+            (0..self.machines.len()).filter(|m| !self.machines[*m].removed).collect();
         let start = random_below(seeds.len() as u64) as usize;
         let seeds: Vec<usize> = seeds.iter().cycle().skip(start).take(3).copied().collect();
         let new = self.add_machine(&seeds, false);
@@ -156,14 +158,14 @@
     /// Stops all machines; as many disks are lost as may still be lost.
     fn inject_stop_of_all(&mut self, disks_lost: u8, duration_ms: u64) {
         let now = self.now;
-        let lost = self.machines.iter().filter(|m| m.lost > now).count();
+        let lost = self.machines.iter().filter(|m| m.lost_until > now).count();
         let mut wipes =
             usize::from(disks_lost).min(self.schedule.tolerated_losses.saturating_sub(lost));
         for number in 0..self.machines.len() {
             let wipe = wipes > 0 && self.machines[number].controller.is_some();
             wipes -= usize::from(wipe);
             if wipe {
-                self.machines[number].lost = now + duration_ms + JOIN_SYNC_MS;
+                self.machines[number].lost_until = now + duration_ms + JOIN_SYNC_MS;
             }
             self.stop(number, wipe);
             let back = duration_ms.min(LONGEST_STOP_OF_ALL_MS) + random_below(300);
@@ -180,7 +182,7 @@
 
     fn inject_connection_reset(&mut self) {
         let all: Vec<u64> = self.connections.keys().copied().collect();
-        all.into_iter().for_each(|conn| self.close(conn));
+        all.into_iter().for_each(|connection| self.close(connection));
     }
 
     fn inject_database_crash(&mut self, primary: bool, number: u8, until: u64) {
@@ -202,8 +204,8 @@
 
     /// A node forgets everything and is back after so many ms.
     pub(super) fn restart_node(&mut self, number: usize, after: u64) {
-        if let Some((conn, _)) = self.nodes[number].conn {
-            self.close(conn);
+        if let Some((connection, _)) = self.nodes[number].connection {
+            self.close(connection);
         }
         let node = &mut self.nodes[number];
         node.incarnation += 1;
--- a/src/simulation/machines.rs
+++ b/src/simulation/machines.rs
@@ -1,4 +1,5 @@
-//! The controllers' machines: processes that start, stop, stand still, and their disks.
+//! The controllers' machines: their disks, their clocks, and the processes that start, stop and
+//! freeze.
 use crate::base::ids::{LogIndex, MemberId, ServiceName};
 use crate::base::time::Tick;
 use crate::config::settings::Settings;
@@ -9,7 +10,7 @@
 use crate::net::rpc::{Frame, receive};
 use crate::raft::storage::{RaftStorage, WriteBatch};
 use crate::simulation::events::Event;
-use crate::simulation::network::{Party, RemoteEnd};
+use crate::simulation::network::{Endpoint, RemoteEnd};
 use crate::simulation::recorded_effects::RecordedEffects;
 use crate::simulation::schedule::{chance, random_below, random_u64};
 use crate::simulation::world::{
@@ -17,11 +18,11 @@
 };
 use std::net::SocketAddr;
 
-/// A disk that takes no writes.
+/// A fault of a disk that completes no writes.
 #[derive(Clone, Copy)]
 pub(super) struct DiskFault {
     pub(super) until: u64,
-    /// It refuses writes; otherwise it stalls them until then.
+    /// Whether the disk rejects writes; otherwise it stalls them until the fault ends.
     pub(super) full: bool,
 }
 
@@ -30,30 +31,37 @@
     pub(super) settings: Settings,
     pub(super) disk: RaftStorage,
     pub(super) controller: Option<Controller<RecordedEffects>>,
-    /// Grows with each start, so that what was meant for an older process is known.
+    /// Increases with each start, so that events for an earlier process are recognized.
     pub(super) incarnation: u64,
-    /// Its steady clock is ahead of the world's by this.
+    /// How far the machine's monotonic clock is ahead of the simulation's, in milliseconds.
     pub(super) clock_offset: u64,
-    pub(super) wake: u64,
+    /// Increases with each new timer; a timer of an earlier generation is ignored.
+    pub(super) timer_generation: u64,
     pub(super) frozen_until: Option<u64>,
-    /// Frozen in the middle of a step: what that step decides leaves only when it wakes.
+    /// Freezes in the middle of the next step: what that step sends leaves only when the machine
+    /// resumes.
     pub(super) frozen_mid_step: bool,
-    /// It wakes when the primary of this service changes next.
+    /// The service whose next change of its primary ends the freeze.
     pub(super) thaws_in_change_of: Option<ServiceName>,
-    /// Since when its steady clock stands still.
+    /// When its monotonic clock was suspended.
     pub(super) suspended_since: Option<u64>,
+    /// Inputs that arrived while the machine was frozen.
     pub(super) backlog: Vec<Input>,
     pub(super) pending_write: Option<WriteBatch>,
     pub(super) disk_fault: Option<DiskFault>,
-    /// Counts as lost until then.
-    pub(super) lost: u64,
-    pub(super) gone: bool,
-    pub(super) me: MemberId,
-    pub(super) checked: LogIndex,
-    pub(super) applied: LogIndex,
+    /// The machine counts as lost until this time.
+    pub(super) lost_until: u64,
+    /// Whether the machine is gone for good.
+    pub(super) removed: bool,
+    pub(super) member_id: MemberId,
+    /// The last committed log entry that was compared with those of other controllers.
+    pub(super) last_checked: LogIndex,
+    /// The last log entry after which the replicated state was compared.
+    pub(super) last_applied: LogIndex,
 }
 
 impl Machine {
+    /// Ends a freeze; a suspended clock continues from where it stopped.
     pub(super) fn thaw(&mut self, now: u64) {
         (self.frozen_until, self.frozen_mid_step) = (None, false);
         if let Some(since) = self.suspended_since.take() {
@@ -82,8 +90,12 @@
         let (settings, disk) = match (Settings::parse(&text), RaftStorage::in_memory()) {
             (Ok(settings), Ok(disk)) => (settings, disk),
             (settings, disk) => {
-                // Neither depends on the schedule; a simulation that can't be set up runs nothing.
-                self.report_violation(format!("no machine: {:?} {:?}", settings.err(), disk.err()));
+                // Neither depends on the schedule; without a machine the run ends at once.
+                self.report_violation(format!(
+                    "machine n{number} not created: settings {:?}, disk {:?}",
+                    settings.err(),
+                    disk.err()
+                ));
                 return number;
             }
         };
@@ -93,7 +105,7 @@
             controller: None,
             incarnation: 0,
             clock_offset: 100_000 + random_below(1_000_000),
-            wake: 0,
+            timer_generation: 0,
             frozen_until: None,
             frozen_mid_step: false,
             thaws_in_change_of: None,
@@ -101,65 +113,74 @@
             backlog: Vec::new(),
             pending_write: None,
             disk_fault: None,
-            lost: 0,
-            gone: false,
-            me: MemberId(0),
-            checked: LogIndex(0),
-            applied: LogIndex(0),
+            lost_until: 0,
+            removed: false,
+            member_id: MemberId(0),
+            last_checked: LogIndex(0),
+            last_applied: LogIndex(0),
         });
         number
     }
 
-    /// Starts the controller of a machine on what its disk holds.
+    /// Starts a machine's controller from the state on its disk.
     pub(super) fn start(&mut self, number: usize) {
         let now = self.now;
-        if self.machines[number].gone || self.machines[number].controller.is_some() {
+        if self.machines[number].removed || self.machines[number].controller.is_some() {
             return;
         }
         if !self.machines[number].settings.bootstrap
             && matches!(self.machines[number].disk.load(), Ok(None))
         {
-            // An empty machine is given seeds that are there.
-            let there = |m: &usize| !self.machines[*m].gone && self.machines[*m].lost <= now;
+            // A machine with an empty disk gets seeds that are available.
+            let available =
+                |m: &usize| !self.machines[*m].removed && self.machines[*m].lost_until <= now;
             let all = (0..self.machines.len()).cycle().skip(number + 1).take(self.machines.len());
-            let seeds = all.filter(there).take(3).map(|m| address_of(m, ADMIN_PORT)).collect();
+            let seeds = all.filter(available).take(3).map(|m| address_of(m, ADMIN_PORT)).collect();
             self.machines[number].settings.seed_nodes = seeds;
         }
         let machine = &mut self.machines[number];
         machine.incarnation += 1;
-        let kept = match machine.disk.load() {
-            Ok(Some(kept)) => Ok((kept, true)),
+        let stored = match machine.disk.load() {
+            Ok(Some(stored)) => Ok((stored, true)),
             Ok(None) => {
-                let first =
+                let initial =
                     first_state(&machine.settings, address_of(number, ADMIN_PORT), random_u64);
                 let saved = machine
                     .disk
-                    .save(&WriteBatch::new(&first, &crate::raft::state::UnsavedChanges::all()));
-                saved.map(|()| (first, false)).map_err(|e| e.to_string())
+                    .save(&WriteBatch::new(&initial, &crate::raft::state::UnsavedChanges::all()));
+                saved.map(|()| (initial, false)).map_err(|e| e.to_string())
             }
             Err(e) => Err(e.to_string()),
         };
         let tick = Tick(now + machine.clock_offset);
-        let started = kept.and_then(|(kept, again)| {
-            machine.me = kept.member_id;
-            (machine.checked, machine.applied) =
-                (kept.snapshot.last_included.index, kept.snapshot.last_included.index);
+        let started = stored.and_then(|(stored, restarted)| {
+            machine.member_id = stored.member_id;
+            (machine.last_checked, machine.last_applied) =
+                (stored.snapshot.last_included.index, stored.snapshot.last_included.index);
             let settings = machine.settings.clone();
-            Controller::new(settings, kept, again, random_u64, RecordedEffects::default(), tick)
-                .map_err(|e| e.to_string())
+            Controller::new(
+                settings,
+                stored,
+                restarted,
+                random_u64,
+                RecordedEffects::default(),
+                tick,
+            )
+            .map_err(|e| e.to_string())
         });
         match started {
             Ok(controller) => {
                 machine.controller = Some(controller);
-                // Only the very first start is a bootstrap.
+                // Only the first start bootstraps the cluster.
                 machine.settings.bootstrap = false;
                 self.step(number, None);
             }
-            Err(e) => self.report_violation(format!("n{number} does not start: {e}")),
+            Err(e) => self.report_violation(format!("controller n{number} failed to start: {e}")),
         }
     }
 
-    /// The process ends; with `power` the machine does. A write under direction is kept or lost.
+    /// Stops a machine's controller; `wipe` empties its disk. A pending write is completed or lost
+    /// at random.
     pub(super) fn stop(&mut self, number: usize, wipe: bool) {
         let machine = &mut self.machines[number];
         if machine.controller.take().is_none() {
@@ -169,7 +190,7 @@
         if let Some(batch) = pending_write
             && let Err(e) = machine.disk.save(&batch)
         {
-            self.report_violation(format!("the simulated disk: {e}"));
+            self.report_violation(format!("simulated disk of n{number} failed to save: {e}"));
         }
         let machine = &mut self.machines[number];
         if wipe && let Ok(empty) = RaftStorage::in_memory() {
@@ -177,13 +198,17 @@
         }
         machine.thaw(self.now);
         machine.backlog.clear();
-        let ended: Vec<u64> =
-            self.connections.iter().filter(|(_, (at, _))| *at == number).map(|(c, _)| *c).collect();
-        ended.into_iter().for_each(|conn| self.close(conn));
+        let ended: Vec<u64> = self
+            .connections
+            .iter()
+            .filter(|(_, (machine, _))| *machine == number)
+            .map(|(c, _)| *c)
+            .collect();
+        ended.into_iter().for_each(|connection| self.close(connection));
     }
 
-    /// A machine that stood still goes on, with all that came meanwhile.
-    pub(super) fn wake(&mut self, number: usize) {
+    /// Ends a machine's freeze and delivers the inputs that arrived meanwhile.
+    pub(super) fn resume(&mut self, number: usize) {
         let machine = &mut self.machines[number];
         machine.thaw(self.now);
         for input in std::mem::take(&mut machine.backlog) {
@@ -191,114 +216,129 @@
         }
     }
 
-    /// Hands a controller an input, or only lets it take a turn, and does what it then wants done.
+    /// Passes an input, if any, to a controller, runs its next step, and performs the resulting
+    /// effects.
     pub(super) fn step(&mut self, number: usize, input: Option<Input>) {
         let machine = &mut self.machines[number];
         let frozen_mid_step = std::mem::take(&mut machine.frozen_mid_step);
-        if let Some(thaw) = machine.frozen_until
+        if let Some(until) = machine.frozen_until
             && !frozen_mid_step
         {
-            if self.now < thaw {
+            if self.now < until {
                 machine.backlog.extend(input);
                 return;
             }
-            self.wake(number);
+            self.resume(number);
         }
         let machine = &mut self.machines[number];
-        let held = machine.frozen_until.map_or(0, |thaw| thaw.saturating_sub(self.now));
+        let delay_ms = machine.frozen_until.map_or(0, |until| until.saturating_sub(self.now));
         let Some(controller) = &mut machine.controller else { return };
         let now = Tick(self.now + machine.clock_offset);
         if let Some(input) = input {
             controller.handle_input(input, now);
         }
         if let Err(e) = controller.step(now) {
-            return self.report_violation(format!("n{number} stops: {e}"));
+            return self.report_violation(format!("controller n{number} failed in a step: {e}"));
         }
-        machine.wake += 1;
-        let wake = Event::Wake(number, machine.incarnation, machine.wake);
-        let due = controller.millis_until_step(now).max(1);
-        let mut wanted = std::mem::take(&mut controller.effects);
-        controller.effects.open = std::mem::take(&mut wanted.open);
-        controller.effects.leader_lease = wanted.leader_lease;
-        self.schedule_after(held + due, wake);
+        machine.timer_generation += 1;
+        let timer = Event::Wake(number, machine.incarnation, machine.timer_generation);
+        let due_in_ms = controller.millis_until_step(now).max(1);
+        let mut effects = std::mem::take(&mut controller.effects);
+        controller.effects.open_connections = std::mem::take(&mut effects.open_connections);
+        controller.effects.leader_lease = effects.leader_lease;
+        self.schedule_after(delay_ms + due_in_ms, timer);
         self.check_controller(number);
         self.observe_changes(number);
-        self.carry_out(number, wanted, held);
-        self.collect_responses(number, held);
+        self.perform_effects(number, effects, delay_ms);
+        self.collect_responses(number, delay_ms);
     }
 
-    /// Does what a controller wants done. `held` is how long its machine still stands still.
-    fn carry_out(&mut self, number: usize, wanted: RecordedEffects, held: u64) {
+    /// Performs the effects of a controller's step. Its machine stays frozen for `delay_ms`.
+    fn perform_effects(&mut self, number: usize, effects: RecordedEffects, delay_ms: u64) {
         let incarnation = self.machines[number].incarnation;
-        let from = Party::Controller(number);
-        for (at, to, message) in wanted.raft {
-            if let Some(time) = self.arrival_time(from, Party::Controller(machine_of(at)), held) {
-                self.schedule_at(time, Event::RaftMessage(number, at, to, message));
+        let from = Endpoint::Controller(number);
+        for (address, to, message) in effects.raft_messages {
+            if let Some(time) =
+                self.arrival_time(from, Endpoint::Controller(machine_of(address)), delay_ms)
+            {
+                self.schedule_at(time, Event::RaftMessage(number, address, to, message));
             }
         }
-        if let Some(batch) = wanted.batch {
+        if let Some(batch) = effects.write_batch {
             self.machines[number].pending_write = Some(batch);
             self.schedule_after(1 + random_below(4), Event::WriteDone(number, incarnation));
         }
-        for (at, member, was) in wanted.standing {
-            self.ask_to_join(number, at, member, was, held);
+        for (address, member, previously_joined) in effects.join_requests {
+            self.send_join_request(number, address, member, previously_joined, delay_ms);
         }
-        for (conn, frame) in wanted.frames {
-            self.send_frame(number, conn, &frame, held);
+        for (connection, frame) in effects.frames {
+            self.send_frame(number, connection, &frame, delay_ms);
         }
-        for (service, id, request, attempt) in wanted.asks {
+        for (service, id, request, attempt) in effects.database_requests {
             let event = Event::DatabaseRequest(number, incarnation, service, id, request, attempt);
-            self.schedule_after(held + 1 + random_below(5), event);
+            self.schedule_after(delay_ms + 1 + random_below(5), event);
         }
-        for (service, target, attempt) in wanted.posts {
+        for (service, target, attempt) in effects.promotion_requests {
             let event = Event::PromotionRequest(number, incarnation, service, target, attempt);
-            self.schedule_after(held + 1 + random_below(20), event);
+            self.schedule_after(delay_ms + 1 + random_below(20), event);
         }
     }
 
-    fn send_frame(&mut self, number: usize, conn: u64, frame: &[u8], held: u64) {
-        let Some((_, remote)) = self.connections.get(&conn) else { return };
+    fn send_frame(&mut self, number: usize, connection: u64, frame: &[u8], delay_ms: u64) {
+        let Some((_, remote)) = self.connections.get(&connection) else { return };
         let to = match remote {
-            RemoteEnd::Node(node, _) => Party::Node(*node),
-            RemoteEnd::Join { asker, .. } => Party::Controller(*asker),
+            RemoteEnd::Node(node, _) => Endpoint::Node(*node),
+            RemoteEnd::Join { requester, .. } => Endpoint::Controller(*requester),
         };
-        let arrival = self.arrival_time(Party::Controller(number), to, held);
+        let arrival = self.arrival_time(Endpoint::Controller(number), to, delay_ms);
         if let (Some(time), Ok(frame)) = (arrival, receive(&mut &frame[..])) {
-            self.schedule_at(time, Event::Frame(conn, frame));
-        } else if matches!(to, Party::Node(_)) {
-            // What is lost on the way ends the connection sooner or later.
-            self.close(conn);
+            self.schedule_at(time, Event::Frame(connection, frame));
+        } else if matches!(to, Endpoint::Node(_)) {
+            // A lost frame breaks the connection sooner or later.
+            self.close(connection);
         }
     }
 
-    fn ask_to_join(&mut self, from: usize, at: SocketAddr, member: Member, was: bool, held: u64) {
-        let (to, me, incarnation) = (machine_of(at), member.id, self.machines[from].incarnation);
-        let arrival = self.arrival_time(Party::Controller(from), Party::Controller(to), held);
+    fn send_join_request(
+        &mut self,
+        from: usize,
+        address: SocketAddr,
+        member: Member,
+        previously_joined: bool,
+        delay_ms: u64,
+    ) {
+        let (to, member_id, incarnation) =
+            (machine_of(address), member.id, self.machines[from].incarnation);
+        let arrival =
+            self.arrival_time(Endpoint::Controller(from), Endpoint::Controller(to), delay_ms);
         let up = self.machines.get(to).is_some_and(|m| m.controller.is_some());
         let (Some(time), true) = (arrival, up) else {
-            let after = held + if up { 1_000 } else { 3 };
+            let after = delay_ms + if up { 1_000 } else { 3 };
             return self.schedule_after(
                 after,
                 Event::ControllerInput(
                     from,
                     incarnation,
-                    Input::JoinResponse { requested_id: me, from: at, answer: None },
+                    Input::JoinResponse { requested_id: member_id, from: address, answer: None },
                 ),
             );
         };
         self.last_id += 1;
-        let conn = self.last_id;
-        self.connections.insert(conn, (to, RemoteEnd::Join { asker: from, incarnation, me, at }));
+        let connection = self.last_id;
+        self.connections.insert(
+            connection,
+            (to, RemoteEnd::Join { requester: from, incarnation, member_id, address }),
+        );
         if let Some(controller) = &mut self.machines[to].controller {
-            controller.effects.open.insert(conn);
+            controller.effects.open_connections.insert(connection);
         }
-        let there = self.machines[to].incarnation;
+        let receiver_incarnation = self.machines[to].incarnation;
         self.schedule_at(
             time,
             Event::ControllerInput(
                 to,
-                there,
-                Input::Frame(conn, Frame::Join { member, was_member: was }),
+                receiver_incarnation,
+                Input::Frame(connection, Frame::Join { member, was_member: previously_joined }),
             ),
         );
     }
--- a/src/simulation/nodes.rs
+++ b/src/simulation/nodes.rs
@@ -12,7 +12,7 @@
 use crate::pooler::replica_reads::elapsed_lower_bound_ms;
 use crate::simulation::commits::Commit;
 use crate::simulation::events::Event;
-use crate::simulation::network::{Party, RemoteEnd};
+use crate::simulation::network::{Endpoint, RemoteEnd};
 use crate::simulation::schedule::chance;
 use crate::simulation::world::{SERVICES, World, machine_of};
 use std::collections::BTreeMap;
@@ -28,7 +28,7 @@
 /// A hollow node: it follows the leader as a pooler does and writes at the primaries it is leased.
 pub(super) struct Node {
     pub(super) incarnation: u64,
-    pub(super) conn: Option<(u64, usize)>,
+    pub(super) connection: Option<(u64, usize)>,
     pub(super) welcome: bool,
     pub(super) known: Vec<SocketAddr>,
     pub(super) next: usize,
@@ -110,21 +110,21 @@
 
 impl World {
     pub(super) fn send_to_controller(&mut self, node: usize, message: ToController) {
-        let Some((conn, at)) = self.nodes[node].conn else { return };
+        let Some((connection, at)) = self.nodes[node].connection else { return };
         let incarnation = self.machines[at].incarnation;
-        match self.arrival_time(Party::Node(node), Party::Controller(at), 0) {
+        match self.arrival_time(Endpoint::Node(node), Endpoint::Controller(at), 0) {
             Some(time) => {
                 self.schedule_at(
                     time,
                     Event::ControllerInput(
                         at,
                         incarnation,
-                        Input::Frame(conn, Frame::Pooler(message)),
+                        Input::Frame(connection, Frame::Pooler(message)),
                     ),
                 );
             }
             // Lost on its direction: the connection does not get over it.
-            None => self.close(conn),
+            None => self.close(connection),
         }
     }
 
@@ -136,9 +136,9 @@
         self.schedule_after(40, Event::NodeTurn(number, incarnation));
         let now = self.now;
         let node = &mut self.nodes[number];
-        if let Some((conn, _)) = node.conn {
+        if let Some((connection, _)) = node.connection {
             if now - node.heard > if node.welcome { 1_200 } else { 400 } {
-                self.close(conn);
+                self.close(connection);
             } else if node.welcome && now - node.renewed >= 450 {
                 self.send_renewal(number);
             }
@@ -150,17 +150,17 @@
             let at = machine_of(to);
             if self.machines.get(at).is_some_and(|m| m.controller.is_some()) {
                 self.last_id += 1;
-                let conn = self.last_id;
-                self.connections.insert(conn, (at, RemoteEnd::Node(number, incarnation)));
+                let connection = self.last_id;
+                self.connections.insert(connection, (at, RemoteEnd::Node(number, incarnation)));
                 if let Some(controller) = &mut self.machines[at].controller {
-                    controller.effects.open.insert(conn);
+                    controller.effects.open_connections.insert(connection);
                 }
                 let node = &mut self.nodes[number];
-                (node.conn, node.welcome, node.heard) = (Some((conn, at)), false, now);
+                (node.connection, node.welcome, node.heard) = (Some((connection, at)), false, now);
                 let revision = node.config.as_ref().map_or(Revision(0), |c| c.revision);
                 let now = Tick(now + self.machines[at].clock_offset);
                 if let Some(controller) = &mut self.machines[at].controller {
-                    controller.handle_input(Input::NodeLayout(conn, LAYOUT), now);
+                    controller.handle_input(Input::NodeLayout(connection, LAYOUT), now);
                 }
                 let name = NodeName(format!("node{number}"));
                 let zone = "z".to_owned();
@@ -176,7 +176,8 @@
             if now < lease.asked + LEASE_MS
                 && chance(60)
                 && let Some(to) = to
-                && let Some(time) = self.arrival_time(Party::Node(number), Party::Database(to), 0)
+                && let Some(time) =
+                    self.arrival_time(Endpoint::Node(number), Endpoint::Database(to), 0)
             {
                 self.schedule_at(time, Event::Write(number, to, incarnation, lease.term, now));
             }
@@ -209,7 +210,7 @@
     }
 
     /// A node takes a message of the leader.
-    pub(super) fn handle_node_message(&mut self, number: usize, conn: u64, frame: Frame) {
+    pub(super) fn handle_node_message(&mut self, number: usize, connection: u64, frame: Frame) {
         let now = self.now;
         let node = &mut self.nodes[number];
         node.heard = now;
@@ -228,7 +229,7 @@
             }
             ToPooler::NotLeader(leader) => {
                 node.hint = leader;
-                self.close(conn);
+                self.close(connection);
             }
             ToPooler::RouteTable(route_table) => self.apply_route_table(number, *route_table),
             ToPooler::RouteTableDelta(changed) => {
--- a/src/simulation/recorded_effects.rs
+++ b/src/simulation/recorded_effects.rs
@@ -1,4 +1,4 @@
-//! What a controller wants done, recorded until the world does it.
+//! Records the effects that a controller requests, until the simulation performs them.
 use crate::base::ids::{InstanceId, MemberId, ServiceName};
 use crate::base::time::Tick;
 use crate::controller::effects::Effects;
@@ -10,30 +10,33 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What a controller wants done, until the world does it.
+/// The effects that a controller requested in a step and that the simulation has yet to perform.
 #[derive(Default)]
 pub(super) struct RecordedEffects {
-    pub(super) raft: Vec<(SocketAddr, MemberId, RaftMessage)>,
-    pub(super) batch: Option<WriteBatch>,
-    pub(super) standing: Vec<(SocketAddr, Member, bool)>,
-    pub(super) asks: Vec<(ServiceName, InstanceId, DatabaseRequest, Attempt)>,
-    pub(super) posts: Vec<(ServiceName, InstanceId, Attempt)>,
+    pub(super) raft_messages: Vec<(SocketAddr, MemberId, RaftMessage)>,
+    pub(super) write_batch: Option<WriteBatch>,
+    /// The address to ask, the member that asks, and whether it was a member before.
+    pub(super) join_requests: Vec<(SocketAddr, Member, bool)>,
+    pub(super) database_requests: Vec<(ServiceName, InstanceId, DatabaseRequest, Attempt)>,
+    pub(super) promotion_requests: Vec<(ServiceName, InstanceId, Attempt)>,
+    /// Encoded frames to send, each with its connection.
     pub(super) frames: VecDeque<(u64, Arc<[u8]>)>,
-    pub(super) open: BTreeSet<u64>,
+    /// The connections that are open now; kept from step to step.
+    pub(super) open_connections: BTreeSet<u64>,
     pub(super) leader_lease: Option<LeaderLease>,
 }
 
 impl Effects for RecordedEffects {
     fn send_raft(&mut self, to: MemberId, address: SocketAddr, message: RaftMessage, _: Tick) {
-        self.raft.push((address, to, message));
+        self.raft_messages.push((address, to, message));
     }
     fn retain_peer_links(&mut self, _: &[Member]) {}
     fn start_write(&mut self, batch: WriteBatch) -> bool {
-        self.batch = Some(batch);
+        self.write_batch = Some(batch);
         true
     }
-    fn request_membership(&mut self, at: SocketAddr, member: Member, was: bool) {
-        self.standing.push((at, member, was));
+    fn request_membership(&mut self, address: SocketAddr, member: Member, was_member: bool) {
+        self.join_requests.push((address, member, was_member));
     }
     fn set_leader_lease(&mut self, lease: Option<LeaderLease>) {
         self.leader_lease = lease;
@@ -43,10 +46,10 @@
         service: &ServiceName,
         id: &InstanceId,
         _: SocketAddr,
-        ask: DatabaseRequest,
+        request: DatabaseRequest,
         attempt: Attempt,
     ) -> bool {
-        self.asks.push((service.clone(), id.clone(), ask, attempt));
+        self.database_requests.push((service.clone(), id.clone(), request, attempt));
         true
     }
     fn request_promotion(
@@ -57,21 +60,21 @@
         target: &InstanceId,
         attempt: Attempt,
     ) {
-        self.posts.push((service.clone(), target.clone(), attempt));
+        self.promotion_requests.push((service.clone(), target.clone(), attempt));
     }
-    fn send(&mut self, conn: u64, frame: Arc<[u8]>) {
-        self.frames.push_back((conn, frame));
+    fn send(&mut self, connection: u64, frame: Arc<[u8]>) {
+        self.frames.push_back((connection, frame));
     }
-    fn send_first(&mut self, conn: u64, frame: Arc<[u8]>) {
-        self.frames.push_front((conn, frame));
+    fn send_first(&mut self, connection: u64, frame: Arc<[u8]>) {
+        self.frames.push_front((connection, frame));
     }
-    fn queued_bytes(&self, conn: u64) -> Option<usize> {
-        self.open.contains(&conn).then_some(0)
+    fn queued_bytes(&self, connection: u64) -> Option<usize> {
+        self.open_connections.contains(&connection).then_some(0)
     }
     fn flush(&mut self) -> Vec<u64> {
         Vec::new()
     }
     fn connection_count(&self) -> usize {
-        self.open.len()
+        self.open_connections.len()
     }
 }
--- a/src/simulation/world.rs
+++ b/src/simulation/world.rs
@@ -7,7 +7,7 @@
 use crate::simulation::databases::{Database, Write};
 use crate::simulation::events::Event;
 use crate::simulation::machines::Machine;
-use crate::simulation::network::{Partition, Party, RemoteEnd};
+use crate::simulation::network::{Endpoint, Partition, RemoteEnd};
 use crate::simulation::nodes::Node;
 use crate::simulation::operators::Operator;
 use crate::simulation::runner::{Report, Violation};
@@ -33,7 +33,7 @@
     pub(super) connections: BTreeMap<u64, (usize, RemoteEnd)>,
     /// When the last message between two endpoints arrives, so that the next one does not overtake
     /// it.
-    pub(super) last_arrivals: BTreeMap<(Party, Party), u64>,
+    pub(super) last_arrivals: BTreeMap<(Endpoint, Endpoint), u64>,
     pub(super) operators: Vec<Operator>,
     pub(super) databases: Vec<Database>,
     pub(super) nodes: Vec<Node>,
@@ -154,7 +154,7 @@
     fn add_node(&mut self, number: usize, seeds: &[usize]) {
         self.nodes.push(Node {
             incarnation: 1,
-            conn: None,
+            connection: None,
             welcome: false,
             known: seeds.iter().map(|m| address_of(*m, PEER_PORT)).collect(),
             next: number,
