--- a/src/simulation/callers.rs
+++ b/src/simulation/callers.rs
@@ -1,4 +1,4 @@
-//! Callers of the admin addresses: how they try one controller after the other.
+//! HTTP clients of the controllers' admin addresses: redirects, retries and time-outs.
 use crate::controller::effects::Input;
 use crate::net::http::{Request, Response};
 use crate::simulation::events::Event;
@@ -7,146 +7,162 @@
 use crate::simulation::world::{World, machine_of};
 use std::sync::mpsc::{Receiver, sync_channel};
 
-/// One that calls controllers over HTTP: an operator, or a database with its heartbeats.
+/// The state of an HTTP client of the controllers: an operator, or a database that sends
+/// heartbeats.
 #[derive(Default)]
 pub(super) struct Caller {
+    /// The number of the current attempt; responses to earlier ones are ignored.
     pub(super) attempt: u64,
-    pub(super) sent: u64,
-    /// Where the next try goes.
-    pub(super) next: usize,
+    pub(super) sent_at: u64,
+    /// The machine to which the next attempt is sent.
+    pub(super) next_controller: usize,
+    /// How many redirects the current request has followed.
     pub(super) redirects: u8,
-    pub(super) pause: u64,
-    pub(super) under_way: Option<Request>,
-    pub(super) answer: Option<(usize, u64, Receiver<Response>)>,
+    pub(super) retry_delay_ms: u64,
+    pub(super) pending_request: Option<Request>,
+    /// The machine and incarnation that received the request, and where its response will be.
+    pub(super) pending_response: Option<(usize, u64, Receiver<Response>)>,
 }
 
 impl World {
-    fn caller(&mut self, who: usize) -> &mut Caller {
+    /// The client state of an operator, or of a database if the number is beyond the operators.
+    fn caller(&mut self, caller_number: usize) -> &mut Caller {
         let operators = self.operators.len();
-        match who.checked_sub(operators) {
-            None => &mut self.operators[who].caller,
+        match caller_number.checked_sub(operators) {
+            None => &mut self.operators[caller_number].caller,
             Some(database) => &mut self.databases[database].caller,
         }
     }
 
-    fn endpoint_of(&self, who: usize) -> Endpoint {
-        match who.checked_sub(self.operators.len()) {
-            None => Endpoint::Operator(who),
+    fn endpoint_of(&self, caller_number: usize) -> Endpoint {
+        match caller_number.checked_sub(self.operators.len()) {
+            None => Endpoint::Operator(caller_number),
             Some(database) => Endpoint::Database(database),
         }
     }
 
-    /// Sends a request, or the same one again, to the controller that is next.
-    pub(super) fn send_request(&mut self, who: usize, request: Request) {
+    /// Sends a request, or repeats it, to the caller's next controller.
+    pub(super) fn send_request(&mut self, caller_number: usize, request: Request) {
         let running: Vec<usize> =
             (0..self.machines.len()).filter(|m| !self.machines[*m].removed).collect();
-        let (now, from) = (self.now, self.endpoint_of(who));
-        let caller = self.caller(who);
+        let (now, from) = (self.now, self.endpoint_of(caller_number));
+        let caller = self.caller(caller_number);
         caller.attempt += 1;
-        caller.sent = now;
-        caller.under_way = Some(request.clone());
-        caller.answer = None;
-        let (attempt, next) = (caller.attempt, caller.next);
+        caller.sent_at = now;
+        caller.pending_request = Some(request.clone());
+        caller.pending_response = None;
+        let (attempt, next) = (caller.attempt, caller.next_controller);
         let to = if running.contains(&next) { next } else { running[next % running.len()] };
-        self.caller(who).next = to;
+        self.caller(caller_number).next_controller = to;
         match self.arrival_time(from, Endpoint::Controller(to), 0) {
             Some(time) if self.machines[to].controller.is_some() => {
-                self.schedule_at(time, Event::Request(who, attempt, request));
+                self.schedule_at(time, Event::Request(caller_number, attempt, request));
+            }
+            Some(time) => {
+                return self.schedule_at(time, Event::Response(caller_number, attempt, None));
             }
-            Some(time) => return self.schedule_at(time, Event::Response(who, attempt, None)),
             None => {}
         }
-        self.schedule_after(1_000, Event::Response(who, attempt, None));
+        self.schedule_after(1_000, Event::Response(caller_number, attempt, None));
     }
 
-    /// A request reaches the controller that it was sent to.
-    pub(super) fn deliver_request(&mut self, who: usize, attempt: u64, request: Request) {
-        let caller = self.caller(who);
+    /// Delivers a request to the controller that it was sent to.
+    pub(super) fn deliver_request(&mut self, caller_number: usize, attempt: u64, request: Request) {
+        let caller = self.caller(caller_number);
         if caller.attempt != attempt {
-            // Gave up on it, but what is on its direction arrives all the same.
-            let to = caller.next;
+            // The caller gave up on this attempt, but the request is in flight and arrives all the
+            // same.
+            let to = caller.next_controller;
             let (reply, _) = sync_channel(1);
             return self.step(to, Some(Input::Http(request, reply)));
         }
-        let to = caller.next;
-        let (reply, answer) = sync_channel(1);
+        let to = caller.next_controller;
+        let (reply, receiver) = sync_channel(1);
         let incarnation = self.machines[to].incarnation;
-        self.caller(who).answer = Some((to, incarnation, answer));
+        self.caller(caller_number).pending_response = Some((to, incarnation, receiver));
         self.step(to, Some(Input::Http(request, reply)));
     }
 
-    /// What this controller has answered goes on its direction.
+    /// Sends the responses of a controller back to their callers.
     pub(super) fn collect_responses(&mut self, number: usize, delay_ms: u64) {
         let incarnation = self.machines[number].incarnation;
-        for who in 0..self.operators.len() + self.databases.len() {
-            let caller = self.caller(who);
-            let Some((at, its, answer)) = &caller.answer else { continue };
-            if *at != number || *its != incarnation {
+        for caller_number in 0..self.operators.len() + self.databases.len() {
+            let caller = self.caller(caller_number);
+            let Some((machine, its_incarnation, receiver)) = &caller.pending_response else {
+                continue;
+            };
+            if *machine != number || *its_incarnation != incarnation {
                 continue;
             }
-            let Ok(response) = answer.try_recv() else { continue };
+            let Ok(response) = receiver.try_recv() else { continue };
             let attempt = caller.attempt;
-            caller.answer = None;
-            let to = self.endpoint_of(who);
-            let lost = !self.repaired && chance(3);
+            caller.pending_response = None;
+            let to = self.endpoint_of(caller_number);
+            let response_lost = !self.repaired && chance(3);
             if let Some(time) = self.arrival_time(Endpoint::Controller(number), to, delay_ms)
-                && !lost
+                && !response_lost
             {
-                self.schedule_at(time, Event::Response(who, attempt, Some(response)));
+                self.schedule_at(time, Event::Response(caller_number, attempt, Some(response)));
             }
         }
     }
 
-    /// A response, or the end of the wait for one, reaches its caller, who follows redirects and retries.
-    pub(super) fn handle_response(&mut self, who: usize, attempt: u64, response: Option<Response>) {
+    /// Handles a response, or the time-out of an attempt: the caller follows redirects and retries
+    /// requests that failed.
+    pub(super) fn handle_response(
+        &mut self,
+        caller_number: usize,
+        attempt: u64,
+        response: Option<Response>,
+    ) {
         let machines = self.machines.len();
-        let caller = self.caller(who);
+        let caller = self.caller(caller_number);
         if caller.attempt != attempt {
             return;
         }
-        let Some(request) = caller.under_way.clone() else { return };
+        let Some(request) = caller.pending_request.clone() else { return };
         let response = response.filter(|r| r.status < 500);
         if let Some(Response { status: 307, location: Some(to), .. }) = &response
             && caller.redirects < 2
         {
             caller.redirects += 1;
-            let at = to.trim_start_matches("http://").split('/').next().map(str::parse);
-            if let Some(Ok(at)) = at {
-                caller.next = machine_of(at);
-                return self.send_request(who, request);
+            let address = to.trim_start_matches("http://").split('/').next().map(str::parse);
+            if let Some(Ok(address)) = address {
+                caller.next_controller = machine_of(address);
+                return self.send_request(caller_number, request);
             }
         }
         caller.redirects = 0;
         match response.filter(|r| r.status != 307) {
             Some(response) => {
-                caller.under_way = None;
+                caller.pending_request = None;
                 caller.attempt += 1;
-                caller.pause = 0;
-                let sent = caller.sent;
-                match who.checked_sub(self.operators.len()) {
-                    None => self.handle_operator_response(who, sent, response),
+                caller.retry_delay_ms = 0;
+                let sent_at = caller.sent_at;
+                match caller_number.checked_sub(self.operators.len()) {
+                    None => self.handle_operator_response(caller_number, sent_at, response),
                     Some(database) => self.handle_heartbeat_response(database, &request, &response),
                 }
             }
             None => {
-                caller.next = (caller.next + 1) % machines;
-                caller.pause = (caller.pause * 2).clamp(50, 800);
+                caller.next_controller = (caller.next_controller + 1) % machines;
+                caller.retry_delay_ms = (caller.retry_delay_ms * 2).clamp(50, 800);
                 caller.attempt += 1;
-                let after = caller.pause;
-                self.schedule_after(after, Event::TakeTurn(who));
+                let after = caller.retry_delay_ms;
+                self.schedule_after(after, Event::CallerTurn(caller_number));
             }
         }
     }
 
-    /// A caller sends what it has to say: an operator its read or change, a database its heartbeat.
-    pub(super) fn take_turn(&mut self, who: usize) {
-        if let Some(database) = who.checked_sub(self.operators.len()) {
+    /// Sends a caller's next request: an operator's read or change, or a database's heartbeat.
+    pub(super) fn caller_turn(&mut self, caller_number: usize) {
+        if let Some(database) = caller_number.checked_sub(self.operators.len()) {
             return self.send_heartbeat(database);
         }
-        if let Some(request) = self.caller(who).under_way.clone() {
-            return self.send_request(who, request);
+        if let Some(request) = self.caller(caller_number).pending_request.clone() {
+            return self.send_request(caller_number, request);
         }
-        let request = match self.operators[who].change.clone() {
+        let request = match self.operators[caller_number].change.clone() {
             Some(change) => Request {
                 method: "PUT".into(),
                 path: "/configuration".into(),
@@ -160,6 +176,6 @@
                 body: Vec::new(),
             },
         };
-        self.send_request(who, request);
+        self.send_request(caller_number, request);
     }
 }
--- a/src/simulation/change_faults.rs
+++ b/src/simulation/change_faults.rs
@@ -130,7 +130,7 @@
                 });
                 if let Some(number) = paused {
                     self.databases[number].up = false;
-                    self.schedule_after(random_below(50), Event::DatabaseUp(number));
+                    self.schedule_after(random_below(50), Event::DatabaseRestart(number));
                 }
             }
             ChangeFault::UnlistedReplica => {
@@ -154,7 +154,7 @@
                 && machine.frozen_until.is_some()
             {
                 machine.frozen_until = Some(self.now);
-                self.schedule_after(0, Event::Thaw(number));
+                self.schedule_after(0, Event::ThawMachine(number));
             }
         }
     }
--- a/src/simulation/databases.rs
+++ b/src/simulation/databases.rs
@@ -124,7 +124,7 @@
         self.databases.push(Database {
             id: InstanceId(format!("d{number}")),
             service: service.into(),
-            caller: Caller { next: number, ..Caller::default() },
+            caller: Caller { next_controller: number, ..Caller::default() },
             up: true,
             removed: false,
             primary,
@@ -142,8 +142,8 @@
             reported: None,
             deposed_since: None,
         });
-        let who = self.operators.len() + number;
-        self.schedule_after(after, Event::TakeTurn(who));
+        let caller_number = self.operators.len() + number;
+        self.schedule_after(after, Event::CallerTurn(caller_number));
         self.schedule_after(after, Event::ReplicationTurn(number));
     }
 
@@ -201,7 +201,7 @@
             self.deregistered_databases.insert(id);
             self.databases[number].departed = true;
             let serves_on_ms = self.databases[number].serves_on_ms;
-            return self.schedule_after(serves_on_ms, Event::DatabaseEnds(number));
+            return self.schedule_after(serves_on_ms, Event::DatabaseStop(number));
         }
         if reported.is_some_and(|(_, l)| l == Lifecycle::Draining) {
             self.check_acknowledged(number, AcknowledgedHeartbeat::Draining);
@@ -209,10 +209,10 @@
         let database = &mut self.databases[number];
         let news = reported != Some((database.role(), database.lifecycle()));
         if database.draining && !news && !database.drained {
-            self.schedule_after(3_000, Event::DatabaseLeaves(number));
+            self.schedule_after(3_000, Event::DatabaseDrained(number));
         }
-        let who = self.operators.len() + number;
-        self.schedule_after(if news { 5 } else { 1_000 }, Event::TakeTurn(who));
+        let caller_number = self.operators.len() + number;
+        self.schedule_after(if news { 5 } else { 1_000 }, Event::CallerTurn(caller_number));
     }
 
     /// What a database had acknowledged is known to the controller that leads. If none does at this
@@ -238,7 +238,7 @@
             let why = format!("{id} {said}");
             return self.report_violation(why);
         }
-        self.schedule_after(LEADER_RECHECK_MS, Event::CheckAcknowledged(number, what));
+        self.schedule_after(LEADER_RECHECK_MS, Event::CheckAcknowledgedHeartbeat(number, what));
     }
 
     pub(super) fn remove_database(&mut self, number: usize) {
--- a/src/simulation/events.rs
+++ b/src/simulation/events.rs
@@ -1,4 +1,4 @@
-//! Everything that can happen next, and who handles it.
+//! The events of a run, and their dispatch to the code that handles them.
 use crate::base::ids::{DbTerm, InstanceId, MemberId, ServiceName};
 use crate::base::time::Tick;
 use crate::controller::effects::Input;
@@ -16,76 +16,97 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Something that happens at a set time. A number is a machine, a database, a node or a caller; an
-/// incarnation names the process that it is meant for.
+/// An event that happens at a scheduled time. A number identifies a machine, a database, a node or
+/// a caller; an incarnation identifies the process for which the event is meant.
 pub(super) enum Event {
-    /// A controller's own timer, by machine, incarnation and generation of the timer.
-    Wake(usize, u64, u64),
-    /// A consensus message, by sender's machine, address, member it is for.
+    /// A controller's timer expires, by machine, incarnation and generation of the timer.
+    Timer(usize, u64, u64),
+    /// A Raft message arrives, by the sender's machine, the receiver's address and member id.
     RaftMessage(usize, SocketAddr, MemberId, RaftMessage),
+    /// A controller receives an input, by machine and incarnation.
     ControllerInput(usize, u64, Input),
-    WriteDone(usize, u64),
-    /// A frame for the far end of a connection on a peer port.
+    /// A write to a machine's disk completes or fails, by machine and incarnation.
+    DiskWriteDone(usize, u64),
+    /// A frame arrives at the remote end of a connection to a peer port.
     Frame(u64, Frame),
-    /// A call reaches a controller, by caller and attempt.
+    /// A request reaches a controller, by caller and attempt.
     Request(usize, u64, Request),
-    /// A response, or the time-out of the attempt, reaches the caller.
+    /// A caller receives a response, or none once the attempt has timed out.
     Response(usize, u64, Option<Response>),
-    /// An operator or a database has something to call about.
-    TakeTurn(usize),
+    /// An operator sends its next request, or a database its next heartbeat.
+    CallerTurn(usize),
+    /// A node renews its leases and writes, by node and incarnation.
     NodeTurn(usize, u64),
+    /// A controller's request is sent to a database, by machine and incarnation of the controller.
     DatabaseRequest(usize, u64, ServiceName, InstanceId, DatabaseRequest, Attempt),
+    /// A controller's request is sent to the platform, by machine and incarnation of the
+    /// controller.
     PromotionRequest(usize, u64, ServiceName, InstanceId, Attempt),
+    /// The platform promotes a database of the service.
     Promote(ServiceName, usize),
-    /// A node's statement reaches a database, by node, database, node's incarnation, leased term, time of
-    /// sending.
+    /// A node's statement reaches a database, by node, database, the node's incarnation, the leased
+    /// term and the time at which it was sent.
     Write(usize, usize, u64, DbTerm, u64),
+    /// A replica receives the log of a primary, by primary, replica and term.
     Replicate(usize, usize, DbTerm, Arc<Vec<Write>>),
+    /// A primary receives a replica's acknowledgement: primary, replica, term, log length.
     ReplicaAck(usize, usize, DbTerm, usize),
-    /// The primary acknowledges a commit, to a node and its incarnation.
+    /// A node receives the primary's acknowledgement of a commit, by node and incarnation.
     CommitAck(usize, u64, Commit),
-    /// A node's question reaches the target of a handover, by number of the database.
+    /// A node's query reaches the target of a handover, by number of the database.
     TargetQuestion(usize, TargetQuestion),
-    /// The answer, or the time-out of the question, reaches the node.
+    /// A node receives the response to its query, or none once the query has timed out.
     TargetAnswer(TargetQuestion),
+    /// A primary sends its log to its replicas.
     ReplicationTurn(usize),
+    /// A fault of the schedule begins, by its number there.
     InjectFault(usize),
-    Start(usize),
-    Thaw(usize),
-    DatabaseUp(usize),
-    DatabaseLeaves(usize),
-    /// What a database had acknowledged is looked for again.
-    CheckAcknowledged(usize, AcknowledgedHeartbeat),
-    /// A database that said goodbye ends.
-    DatabaseEnds(usize),
+    /// A machine's controller starts unless it is running.
+    StartController(usize),
+    /// A machine's freeze ends.
+    ThawMachine(usize),
+    /// A crashed database starts again.
+    DatabaseRestart(usize),
+    /// A draining database has no more clients and will deregister.
+    DatabaseDrained(usize),
+    /// The leader is checked once more for the content of an acknowledged heartbeat.
+    CheckAcknowledgedHeartbeat(usize, AcknowledgedHeartbeat),
+    /// A deregistered database stops.
+    DatabaseStop(usize),
 }
 
 impl World {
-    /// Hands an event to whom it concerns.
+    /// Passes an event to the code that handles it.
     pub(super) fn dispatch(&mut self, event: Event) {
         match event {
-            Event::Wake(number, incarnation, generation) => {
+            Event::Timer(number, incarnation, generation) => {
                 let machine = &self.machines[number];
                 if machine.incarnation == incarnation && machine.timer_generation == generation {
                     self.step(number, None);
                 }
             }
-            Event::RaftMessage(from, at, to, message) => {
-                self.deliver_raft_message(from, at, to, message);
+            Event::RaftMessage(from, address, to, message) => {
+                self.deliver_raft_message(from, address, to, message);
             }
             Event::ControllerInput(number, incarnation, input) => {
                 if self.machines[number].incarnation == incarnation {
                     self.step(number, Some(input));
                 }
             }
-            Event::WriteDone(number, incarnation) => self.finish_write(number, incarnation),
+            Event::DiskWriteDone(number, incarnation) => {
+                self.finish_disk_write(number, incarnation)
+            }
             Event::Frame(connection, frame) => self.deliver_frame(connection, frame),
-            Event::Request(who, attempt, request) => self.deliver_request(who, attempt, request),
-            Event::Response(who, attempt, response) => self.handle_response(who, attempt, response),
-            Event::TakeTurn(who) => self.take_turn(who),
+            Event::Request(caller, attempt, request) => {
+                self.deliver_request(caller, attempt, request)
+            }
+            Event::Response(caller, attempt, response) => {
+                self.handle_response(caller, attempt, response)
+            }
+            Event::CallerTurn(caller) => self.caller_turn(caller),
             Event::NodeTurn(number, incarnation) => self.node_turn(number, incarnation),
-            Event::DatabaseRequest(from, incarnation, service, id, ask, attempt) => {
-                self.handle_database_request((from, incarnation), service, id, ask, attempt);
+            Event::DatabaseRequest(from, incarnation, service, id, request, attempt) => {
+                self.handle_database_request((from, incarnation), service, id, request, attempt);
             }
             Event::PromotionRequest(from, incarnation, service, target, attempt) => {
                 self.handle_promotion_request((from, incarnation), service, target, attempt);
@@ -95,8 +116,8 @@
                 self.append_write(node, to, incarnation, term, sent_at);
             }
             Event::Replicate(from, to, term, log) => self.receive_log(from, to, term, &log),
-            Event::ReplicaAck(number, by, term, has) => {
-                self.handle_replica_ack(number, by, term, has);
+            Event::ReplicaAck(number, replica, term, length) => {
+                self.handle_replica_ack(number, replica, term, length);
             }
             Event::CommitAck(node, incarnation, commit) => {
                 self.handle_commit_ack(node, incarnation, commit);
@@ -107,27 +128,29 @@
             Event::TargetAnswer(question) => self.handle_target_answer(question),
             Event::ReplicationTurn(number) => self.replicate(number),
             Event::InjectFault(number) => self.inject(number),
-            Event::Start(number) => self.start(number),
-            Event::Thaw(number) => self.thaw(number),
-            Event::DatabaseUp(number) => self.restart_database(number),
-            Event::DatabaseLeaves(number) => self.databases[number].drained = true,
-            Event::CheckAcknowledged(number, what) => self.check_acknowledged(number, what),
-            Event::DatabaseEnds(number) => self.remove_database(number),
+            Event::StartController(number) => self.start(number),
+            Event::ThawMachine(number) => self.thaw(number),
+            Event::DatabaseRestart(number) => self.restart_database(number),
+            Event::DatabaseDrained(number) => self.databases[number].drained = true,
+            Event::CheckAcknowledgedHeartbeat(number, heartbeat) => {
+                self.check_acknowledged(number, heartbeat)
+            }
+            Event::DatabaseStop(number) => self.remove_database(number),
         }
     }
 
     fn deliver_raft_message(
         &mut self,
         from: usize,
-        at: SocketAddr,
+        address: SocketAddr,
         to: MemberId,
         message: RaftMessage,
     ) {
-        let number = machine_of(at);
+        let number = machine_of(address);
         if !self.can_reach(Endpoint::Controller(from), Endpoint::Controller(number)) {
             return;
         }
-        // The sender's layout counts only once its message reaches a running process.
+        // The sender's message layout is known only once its message reaches a running process.
         let machine = &mut self.machines[number];
         let now = Tick(self.now + machine.clock_offset);
         if let Some(controller) = &mut machine.controller {
@@ -137,7 +160,7 @@
         self.step(number, Some(Input::Frame(0, frame)));
     }
 
-    fn finish_write(&mut self, number: usize, incarnation: u64) {
+    fn finish_disk_write(&mut self, number: usize, incarnation: u64) {
         let now = self.now;
         let machine = &mut self.machines[number];
         if machine.incarnation != incarnation {
@@ -145,11 +168,12 @@
         }
         match machine.disk_fault.filter(|fault| now < fault.until) {
             Some(DiskFault { until, full: false }) => {
-                return self.schedule_at(until, Event::WriteDone(number, incarnation));
+                return self.schedule_at(until, Event::DiskWriteDone(number, incarnation));
             }
             Some(DiskFault { full: true, .. }) => {
                 machine.pending_write = None;
-                let failed = Input::Saved(Err(StorageError::Io(io::Error::other("full"))));
+                let failed =
+                    Input::Saved(Err(StorageError::Io(io::Error::other("simulated disk is full"))));
                 return self.step(number, Some(failed));
             }
             None => {}
@@ -193,7 +217,7 @@
 
     fn thaw(&mut self, number: usize) {
         let machine = &self.machines[number];
-        if machine.frozen_until.is_some_and(|t| t <= self.now) {
+        if machine.frozen_until.is_some_and(|until| until <= self.now) {
             self.resume(number);
             self.step(number, None);
         }
@@ -209,10 +233,10 @@
         let (service, term) = (database.service.clone(), database.term);
         let newest = self.newest_primary(&service).map(|p| self.databases[p].term);
         let database = &mut self.databases[number];
-        if database.primary && newest.is_some_and(|t| t > term) {
+        if database.primary && newest.is_some_and(|newest| newest > term) {
             database.primary = false;
         }
-        let who = self.operators.len() + number;
-        self.schedule_after(5, Event::TakeTurn(who));
+        let caller = self.operators.len() + number;
+        self.schedule_after(5, Event::CallerTurn(caller));
     }
 }
--- a/src/simulation/faults.rs
+++ b/src/simulation/faults.rs
@@ -132,13 +132,13 @@
     pub(super) fn freeze(&mut self, number: usize, until: u64) {
         let machine = &mut self.machines[number];
         (machine.frozen_until, machine.frozen_mid_step) = (Some(until), chance(60));
-        self.schedule_at(until, Event::Thaw(number));
+        self.schedule_at(until, Event::ThawMachine(number));
     }
 
     fn inject_stop(&mut self, target: FaultTarget, duration_ms: u64, disk_lost: bool) {
         if let Some(number) = self.reserve_loss(target, duration_ms) {
             self.stop(number, disk_lost);
-            self.schedule_at(self.now + duration_ms, Event::Start(number));
+            self.schedule_at(self.now + duration_ms, Event::StartController(number));
         }
     }
 
@@ -152,7 +152,7 @@
         let start = random_below(seeds.len() as u64) as usize;
         let seeds: Vec<usize> = seeds.iter().cycle().skip(start).take(3).copied().collect();
         let new = self.add_machine(&seeds, false);
-        self.schedule_at(self.now + duration_ms, Event::Start(new));
+        self.schedule_at(self.now + duration_ms, Event::StartController(new));
     }
 
     /// Stops all machines; as many disks are lost as may still be lost.
@@ -169,7 +169,7 @@
             }
             self.stop(number, wipe);
             let back = duration_ms.min(LONGEST_STOP_OF_ALL_MS) + random_below(300);
-            self.schedule_after(back, Event::Start(number));
+            self.schedule_after(back, Event::StartController(number));
         }
     }
 
@@ -188,7 +188,7 @@
     fn inject_database_crash(&mut self, primary: bool, number: u8, until: u64) {
         if let Some(number) = self.pick_database(primary, number) {
             self.databases[number].up = false;
-            self.schedule_at(until, Event::DatabaseUp(number));
+            self.schedule_at(until, Event::DatabaseRestart(number));
         }
     }
 
@@ -252,16 +252,16 @@
         for number in 0..self.machines.len() {
             self.machines[number].disk_fault = None;
             // What a stalled disk was given is written now, not when the stall would have ended.
-            self.schedule_after(2, Event::WriteDone(number, self.machines[number].incarnation));
+            self.schedule_after(2, Event::DiskWriteDone(number, self.machines[number].incarnation));
             if self.machines[number].frozen_until.is_some() {
                 self.machines[number].frozen_until = Some(self.now);
-                self.schedule_after(0, Event::Thaw(number));
+                self.schedule_after(0, Event::ThawMachine(number));
             }
-            self.schedule_after(1, Event::Start(number));
+            self.schedule_after(1, Event::StartController(number));
         }
         for number in 0..self.databases.len() {
             self.databases[number].stalled_until = 0;
-            self.schedule_after(1, Event::DatabaseUp(number));
+            self.schedule_after(1, Event::DatabaseRestart(number));
         }
     }
 }
--- a/src/simulation/machines.rs
+++ b/src/simulation/machines.rs
@@ -241,7 +241,7 @@
             return self.report_violation(format!("controller n{number} failed in a step: {e}"));
         }
         machine.timer_generation += 1;
-        let timer = Event::Wake(number, machine.incarnation, machine.timer_generation);
+        let timer = Event::Timer(number, machine.incarnation, machine.timer_generation);
         let due_in_ms = controller.millis_until_step(now).max(1);
         let mut effects = std::mem::take(&mut controller.effects);
         controller.effects.open_connections = std::mem::take(&mut effects.open_connections);
@@ -266,7 +266,7 @@
         }
         if let Some(batch) = effects.write_batch {
             self.machines[number].pending_write = Some(batch);
-            self.schedule_after(1 + random_below(4), Event::WriteDone(number, incarnation));
+            self.schedule_after(1 + random_below(4), Event::DiskWriteDone(number, incarnation));
         }
         for (address, member, previously_joined) in effects.join_requests {
             self.send_join_request(number, address, member, previously_joined, delay_ms);
--- a/src/simulation/world.rs
+++ b/src/simulation/world.rs
@@ -130,12 +130,12 @@
         let seeds: Vec<usize> = (0..schedule.controllers.min(3)).collect();
         for machine in 0..schedule.controllers {
             world.add_machine(&seeds, true);
-            world.schedule_at(random_below(300), Event::Start(machine));
+            world.schedule_at(random_below(300), Event::StartController(machine));
         }
         for number in 0..schedule.operators {
-            let caller = Caller { next: number, ..Caller::default() };
-            world.operators.push(Operator { caller, change: None, made: 0 });
-            world.schedule_at(500 + random_below(500), Event::TakeTurn(number));
+            let caller = Caller { next_controller: number, ..Caller::default() };
+            world.operators.push(Operator { caller, change: None, changes_made: 0 });
+            world.schedule_at(500 + random_below(500), Event::CallerTurn(number));
         }
         for service in SERVICES {
             for number in 0..3 {
