--- a/src/simulation/change_faults.rs
+++ b/src/simulation/change_faults.rs
@@ -165,7 +165,7 @@
             && !self.databases[number].drained
         {
             let database = &mut self.databases[number];
-            (database.drained, database.serves_on_ms) = (true, SERVES_ON_MS);
+            (database.drained, database.serve_after_deregistration_ms) = (true, SERVES_ON_MS);
         }
     }
 
@@ -175,7 +175,7 @@
             self.nodes[number].leases.iter().map(|(s, l)| (s.clone(), l.term)).collect();
         for (service, term) in leases {
             self.nodes[number].leases.remove(&service);
-            let highest = self.nodes[number].highest.get(&service).copied();
+            let highest = self.nodes[number].highest_positions.get(&service).copied();
             let message = ToController::RevokeAck { service, term, highest };
             self.send_to_controller(number, message);
         }
--- a/src/simulation/checker.rs
+++ b/src/simulation/checker.rs
@@ -114,7 +114,7 @@
             let now = self.now;
             let held = self.nodes.iter().filter_map(|n| n.leases.get(&service));
             let terms: BTreeSet<DbTerm> =
-                held.filter(|l| now < l.asked + LEASE_MS).map(|l| l.term).collect();
+                held.filter(|l| now < l.requested_at + LEASE_MS).map(|l| l.term).collect();
             if terms.len() > 1 && self.clocks_run() {
                 self.report_violation(format!("{service} is leased in two terms at once"));
             }
@@ -146,7 +146,7 @@
             .iter()
             .position(|m| m.controller.as_ref().is_some_and(|s| s.applied().0 + 40 < applied.0));
         let late = self.nodes.iter().position(|n| {
-            let newest = n.config.as_ref().map(|c| c.revision);
+            let newest = n.route_table.as_ref().map(|c| c.revision);
             let old = self.committed_configurations.iter().rev().find(|f| f.at + 3_000 < self.now);
             newest < old.map(|f| f.revision)
         });
--- a/src/simulation/commits.rs
+++ b/src/simulation/commits.rs
@@ -43,7 +43,7 @@
         if node.incarnation != incarnation || !node.holds_lease(&commit, self.now) {
             return;
         }
-        let verdict = match node.confirmations.get_mut(&commit.service) {
+        let verdict = match node.commit_confirmations.get_mut(&commit.service) {
             Some(confirmation) => confirmation.decide(commit.write.term, Some(commit.position)),
             None => CommitDecision::Forward,
         };
@@ -98,7 +98,7 @@
         let TargetQuestion { node: number, incarnation, commit, target, answer } = question;
         let node = &mut self.nodes[number];
         if node.incarnation == incarnation
-            && let Some(confirmation) = node.confirmations.get_mut(&commit.service)
+            && let Some(confirmation) = node.commit_confirmations.get_mut(&commit.service)
             && *confirmation.target() == target
         {
             confirmation.record_description(answer.as_ref());
@@ -111,10 +111,10 @@
         let Commit { service, write, position, sent_at } = commit;
         let now = self.now;
         let node = &mut self.nodes[number];
-        let highest = node.highest.entry(service.clone()).or_insert(position);
+        let highest = node.highest_positions.entry(service.clone()).or_insert(position);
         *highest = position.max(*highest);
         let observed = ObservedCommit { term: write.term, position, sent_at };
-        node.unreported.insert(service.clone(), observed);
+        node.unreported_commits.insert(service.clone(), observed);
         self.report.acknowledged_commits += 1;
         let newer = self.promotions.get(&service).into_iter().flatten();
         let lacks =
--- a/src/simulation/databases.rs
+++ b/src/simulation/databases.rs
@@ -1,4 +1,5 @@
-//! The databases of each service: replication, commits, and the platform that promotes.
+//! The simulated databases of each service: heartbeats, replication and commits, and the platform
+//! that promotes them.
 use crate::base::ids::{DbTerm, InstanceId, Position, ServiceName};
 use crate::base::time::Tick;
 use crate::config::directory::{Lifecycle, Role};
@@ -17,73 +18,83 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A commit whose node waits until one replica has the log up to it.
+/// A commit that the primary acknowledges to its node once a replica has the log up to it.
 #[derive(Clone, Copy)]
 pub(super) struct PendingCommit {
     pub(super) node: usize,
     pub(super) incarnation: u64,
     /// When the node sent its statement.
     pub(super) sent_at: u64,
-    /// Length of the log up to and with this commit.
+    /// The length of the log up to and including this commit.
     pub(super) length: usize,
     pub(super) id: u64,
 }
 
-/// A heartbeat that has to be known once it was acknowledged.
+/// A heartbeat whose content the controllers must know once they have acknowledged it.
 #[derive(Clone, Copy)]
 pub(super) enum AcknowledgedHeartbeat {
+    /// The database reported that it is draining.
     Draining,
-    Goodbye,
+    /// The database deregistered.
+    Deregistration,
 }
 
-/// While nobody leads, what was acknowledged is looked for again after so many ms.
+/// While there is no leader, an acknowledged heartbeat is checked again after this time, in ms.
 const LEADER_RECHECK_MS: u64 = 100;
 
-/// What becomes of a controller's call when it has connected.
+/// Whether a controller's call is sent once its connection is established.
 enum OutgoingCall {
-    Leaves,
-    /// Its machine is frozen, and the thread that calls with it.
-    StandsStill {
-        until: u64,
-    },
-    /// The controller does not lead any more, or its process has ended.
-    GivenUp,
+    /// The call is sent now.
+    Sent,
+    /// The machine is frozen, and with it the thread that makes the call.
+    Frozen { until: u64 },
+    /// The controller holds no leader lease for the call's term any more, or its process has ended.
+    Abandoned,
 }
 
+/// A simulated database: its log, its replication state, and its registration with the controllers.
 pub(super) struct Database {
     pub(super) id: InstanceId,
     pub(super) service: ServiceName,
     pub(super) caller: Caller,
     pub(super) up: bool,
+    /// Whether it has stopped for good.
     pub(super) removed: bool,
     pub(super) primary: bool,
     pub(super) term: DbTerm,
     pub(super) log: Vec<Write>,
+    /// Whether a controller has paused its replication.
     pub(super) paused: bool,
+    /// It receives no log entries until this time.
     pub(super) stalled_until: u64,
+    /// Whether its heartbeats report that it is draining.
     pub(super) draining: bool,
+    /// Whether it deregisters next instead of sending another heartbeat.
     pub(super) drained: bool,
-    /// It serves on for so long after its goodbye.
-    pub(super) serves_on_ms: u64,
-    /// It is no longer listed, and serves on.
-    pub(super) departed: bool,
+    /// How long it keeps serving after its deregistration.
+    pub(super) serve_after_deregistration_ms: u64,
+    /// Whether its deregistration was acknowledged; it may still serve.
+    pub(super) deregistered: bool,
+    /// The sequence number of its last heartbeat.
     pub(super) sequence: u64,
-    /// How much of its log each other one has.
-    pub(super) received: BTreeMap<usize, usize>,
+    /// How much of its log each replica has acknowledged, as a primary.
+    pub(super) replica_log_lengths: BTreeMap<usize, usize>,
     /// Commits that no replica has acknowledged yet.
     pub(super) pending_commits: Vec<PendingCommit>,
-    pub(super) reported: Option<(Role, Lifecycle)>,
-    /// Since when it could reach a newer primary.
+    /// The role and lifecycle state in its last heartbeat.
+    pub(super) reported_state: Option<(Role, Lifecycle)>,
+    /// Since when, as an old primary, it has been able to reach a newer one.
     pub(super) deposed_since: Option<u64>,
 }
 
 impl Database {
+    /// The position of the end of its log.
     pub(super) fn position(&self) -> Position {
         let term = self.log.last().map_or(DbTerm(1), |w| w.term);
         Position { term, number: self.log.len() as u64 }
     }
-    /// What it answers a controller's request, and does.
-    fn answer(&mut self, request: DatabaseRequest) -> DatabaseResponse {
+    /// Carries out a controller's request and returns the response.
+    fn handle_request(&mut self, request: DatabaseRequest) -> DatabaseResponse {
         match request {
             DatabaseRequest::Describe => {}
             DatabaseRequest::Pause(term) if !self.primary && term > self.term => self.paused = true,
@@ -98,20 +109,22 @@
         DatabaseResponse::Description(self.description())
     }
 
-    /// How it describes itself.
+    /// The description that it returns to controllers and nodes.
     pub(super) fn description(&self) -> ServerDescription {
         ServerDescription { primary: self.primary, term: self.term, received: self.position() }
     }
 
-    /// The role that its heartbeats tell.
+    /// The role that its heartbeats report.
     pub(super) fn role(&self) -> Role {
         if self.primary { Role::Primary } else { Role::Replica }
     }
+    /// The lifecycle state that its heartbeats report.
     pub(super) fn lifecycle(&self) -> Lifecycle {
         if self.draining { Lifecycle::Draining } else { Lifecycle::Available }
     }
 }
 
+/// A write in a database's log, with the term of the lease or primary that it was made in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Write {
     pub(super) term: DbTerm,
@@ -134,12 +147,12 @@
             stalled_until: 0,
             draining: false,
             drained: false,
-            serves_on_ms: 0,
-            departed: false,
+            serve_after_deregistration_ms: 0,
+            deregistered: false,
             sequence: 0,
-            received: BTreeMap::new(),
+            replica_log_lengths: BTreeMap::new(),
             pending_commits: Vec::new(),
-            reported: None,
+            reported_state: None,
             deposed_since: None,
         });
         let caller_number = self.operators.len() + number;
@@ -147,23 +160,23 @@
         self.schedule_after(after, Event::ReplicationTurn(number));
     }
 
-    /// The databases of a service that are not gone, by number.
+    /// The numbers of a service's databases that were not removed.
     pub(super) fn databases_of(&self, service: &ServiceName) -> Vec<usize> {
         (0..self.databases.len())
             .filter(|d| self.databases[*d].service == *service && !self.databases[*d].removed)
             .collect()
     }
 
-    /// The primary of the newest term, running or not.
+    /// The primary of the highest term, whether it is running or not.
     pub(super) fn newest_primary(&self, service: &ServiceName) -> Option<usize> {
         let all = self.databases_of(service).into_iter().filter(|d| self.databases[*d].primary);
         all.max_by_key(|d| self.databases[*d].term)
     }
 
-    /// Sends a heartbeat, or the goodbye of a database that has drained.
+    /// Sends a heartbeat, or the deregistration of a database that has drained.
     pub(super) fn send_heartbeat(&mut self, number: usize) {
         let database = &mut self.databases[number];
-        if !database.up || database.removed || database.departed {
+        if !database.up || database.removed || database.deregistered {
             return;
         }
         database.sequence += 1;
@@ -179,13 +192,13 @@
                 "sequence": database.sequence,
             });
             let body = body.to_string().into_bytes();
-            database.reported = Some((database.role(), database.lifecycle()));
+            database.reported_state = Some((database.role(), database.lifecycle()));
             Request { method: "PUT".into(), path, if_match: None, body }
         };
         self.send_request(self.operators.len() + number, request);
     }
 
-    /// Checks that what was acknowledged is known, and goes on with the next heartbeat.
+    /// Checks that the controllers know what they acknowledged, and schedules the next heartbeat.
     pub(super) fn handle_heartbeat_response(
         &mut self,
         number: usize,
@@ -193,52 +206,61 @@
         response: &Response,
     ) {
         if response.status != 200 {
-            return self.report_violation(format!("a beat was answered {}", response.status));
+            return self.report_violation(format!(
+                "heartbeat of {} answered with status {}",
+                self.databases[number].id, response.status
+            ));
         }
-        let (id, reported) = (self.databases[number].id.clone(), self.databases[number].reported);
+        let (id, reported) =
+            (self.databases[number].id.clone(), self.databases[number].reported_state);
         if request.method == "DELETE" {
-            self.check_acknowledged(number, AcknowledgedHeartbeat::Goodbye);
+            self.check_acknowledged(number, AcknowledgedHeartbeat::Deregistration);
             self.deregistered_databases.insert(id);
-            self.databases[number].departed = true;
-            let serves_on_ms = self.databases[number].serves_on_ms;
-            return self.schedule_after(serves_on_ms, Event::DatabaseStop(number));
+            self.databases[number].deregistered = true;
+            let serve_after_deregistration_ms =
+                self.databases[number].serve_after_deregistration_ms;
+            return self.schedule_after(serve_after_deregistration_ms, Event::DatabaseStop(number));
         }
         if reported.is_some_and(|(_, l)| l == Lifecycle::Draining) {
             self.check_acknowledged(number, AcknowledgedHeartbeat::Draining);
         }
         let database = &mut self.databases[number];
-        let news = reported != Some((database.role(), database.lifecycle()));
-        if database.draining && !news && !database.drained {
+        let changed = reported != Some((database.role(), database.lifecycle()));
+        if database.draining && !changed && !database.drained {
             self.schedule_after(3_000, Event::DatabaseDrained(number));
         }
         let caller_number = self.operators.len() + number;
-        self.schedule_after(if news { 5 } else { 1_000 }, Event::CallerTurn(caller_number));
+        self.schedule_after(if changed { 5 } else { 1_000 }, Event::CallerTurn(caller_number));
     }
 
-    /// What a database had acknowledged is known to the controller that leads. If none does at this
-    /// moment, the others may have it in their logs only, and the next leader is looked at.
-    pub(super) fn check_acknowledged(&mut self, number: usize, what: AcknowledgedHeartbeat) {
+    /// Checks that the leader knows the content of an acknowledged heartbeat. While there is no
+    /// leader, the others may have it only in their logs, and the check is repeated later.
+    pub(super) fn check_acknowledged(&mut self, number: usize, heartbeat: AcknowledgedHeartbeat) {
         let id = &self.databases[number].id;
-        let best = self.machines.iter().filter_map(|m| m.controller.as_ref());
-        let best = best.max_by_key(|s| s.applied()).map(|s| s.state_machine());
-        let listed = best.and_then(|a| a.instances().get(id)).map(|r| r.instance.lifecycle_state);
-        let (known, said) = match what {
+        let most_advanced = self.machines.iter().filter_map(|m| m.controller.as_ref());
+        let most_advanced = most_advanced.max_by_key(|s| s.applied()).map(|s| s.state_machine());
+        let listed =
+            most_advanced.and_then(|a| a.instances().get(id)).map(|r| r.instance.lifecycle_state);
+        let (known, problem) = match heartbeat {
             AcknowledgedHeartbeat::Draining => (
                 listed != Some(Lifecycle::Available),
-                "is draining, acknowledged and not known to be",
+                "is listed as available after its draining heartbeat was acknowledged",
             ),
-            AcknowledgedHeartbeat::Goodbye => {
-                (listed.is_none(), "said goodbye and is still listed")
+            AcknowledgedHeartbeat::Deregistration => {
+                (listed.is_none(), "is still listed after its deregistration was acknowledged")
             }
         };
         if known {
             return;
         }
         if self.pick_machine(FaultTarget::Leader).is_some() {
-            let why = format!("{id} {said}");
-            return self.report_violation(why);
+            let description = format!("{id} {problem}");
+            return self.report_violation(description);
         }
-        self.schedule_after(LEADER_RECHECK_MS, Event::CheckAcknowledgedHeartbeat(number, what));
+        self.schedule_after(
+            LEADER_RECHECK_MS,
+            Event::CheckAcknowledgedHeartbeat(number, heartbeat),
+        );
     }
 
     pub(super) fn remove_database(&mut self, number: usize) {
@@ -246,7 +268,8 @@
         (database.up, database.removed, database.primary) = (false, true, false);
     }
 
-    /// A primary brings its replicas on, and one that was replaced gives direction in the end.
+    /// Sends a primary's log to the replicas that lack a part of it. An old primary steps down once
+    /// it has been able to reach a newer one for a while.
     pub(super) fn replicate(&mut self, number: usize) {
         if self.databases[number].removed {
             return;
@@ -276,8 +299,10 @@
         }
         let log = Arc::new(self.databases[number].log.clone());
         for replica in self.databases_of(&service) {
-            let behind =
-                self.databases[number].received.get(&replica).is_none_or(|n| *n < log.len());
+            let behind = self.databases[number]
+                .replica_log_lengths
+                .get(&replica)
+                .is_none_or(|n| *n < log.len());
             if replica != number
                 && behind
                 && let Some(time) = self.arrival_time(
@@ -291,43 +316,48 @@
         }
     }
 
-    /// A replica takes the log of a primary of its term or a newer one.
+    /// A replica adopts the log of a primary of its own term or a newer one, and acknowledges it.
     pub(super) fn receive_log(&mut self, from: usize, to: usize, term: DbTerm, log: &[Write]) {
         let now = self.now;
         let database = &mut self.databases[to];
-        let takes =
+        let accepts =
             database.up && !database.primary && !database.paused && now >= database.stalled_until;
-        if !takes || database.term > term {
+        if !accepts || database.term > term {
             return;
         }
         if term > database.term || log.len() > database.log.len() {
             database.log = log.to_vec();
         }
         database.term = term;
-        let has = database.log.len().min(log.len());
+        let received_length = database.log.len().min(log.len());
         if let Some(time) = self.arrival_time(Endpoint::Database(to), Endpoint::Database(from), 0) {
-            self.schedule_at(time, Event::ReplicaAck(from, to, term, has));
+            self.schedule_at(time, Event::ReplicaAck(from, to, term, received_length));
         }
     }
 
-    /// A primary learns how far a replica is, and acknowledges the commits that one replica has.
+    /// A primary records how much of its log a replica has, and acknowledges the commits up to
+    /// there.
     pub(super) fn handle_replica_ack(
         &mut self,
         number: usize,
-        by: usize,
+        replica: usize,
         term: DbTerm,
-        has: usize,
+        received_length: usize,
     ) {
         let database = &mut self.databases[number];
         if !database.up || !database.primary || database.term != term {
             return;
         }
-        let most = database.received.entry(by).or_default();
-        *most = (*most).max(has);
+        let longest = database.replica_log_lengths.entry(replica).or_default();
+        *longest = (*longest).max(received_length);
         let (service, log) = (database.service.clone(), &database.log);
-        let due: Vec<_> =
-            database.pending_commits.iter().filter(|c| c.length <= has).copied().collect();
-        database.pending_commits.retain(|c| c.length > has);
+        let due: Vec<_> = database
+            .pending_commits
+            .iter()
+            .filter(|c| c.length <= received_length)
+            .copied()
+            .collect();
+        database.pending_commits.retain(|c| c.length > received_length);
         let acknowledgements: Vec<_> = due
             .into_iter()
             .map(|PendingCommit { node, incarnation, sent_at, length, id }| {
@@ -350,7 +380,8 @@
         }
     }
 
-    /// A primary appends a node's commit, which waits for one replica.
+    /// A primary appends a node's write to its log; the commit is acknowledged once one replica has
+    /// it.
     pub(super) fn append_write(
         &mut self,
         node: usize,
@@ -370,22 +401,22 @@
         }
     }
 
-    /// Whether a call that a controller wanted to make, and has connected for, leaves it now.
-    fn outgoing_call(&self, from: usize, incarnation: u64, attempt: Attempt) -> OutgoingCall {
+    /// Decides whether a controller that has connected for a call sends it now.
+    fn check_outgoing_call(&self, from: usize, incarnation: u64, attempt: Attempt) -> OutgoingCall {
         let machine = &self.machines[from];
         if let Some(until) = machine.frozen_until.filter(|until| *until > self.now) {
-            return OutgoingCall::StandsStill { until };
+            return OutgoingCall::Frozen { until };
         }
         let now = Tick(self.now + machine.clock_offset);
         let controller = machine.controller.as_ref().filter(|_| machine.incarnation == incarnation);
         let lease = controller.and_then(|controller| controller.effects.leader_lease);
         match lease.is_some_and(|lease| lease.covers(attempt.raft_term, now)) {
-            true => OutgoingCall::Leaves,
-            false => OutgoingCall::GivenUp,
+            true => OutgoingCall::Sent,
+            false => OutgoingCall::Abandoned,
         }
     }
 
-    /// Answers a controller's request to a database, at once, late or never.
+    /// Answers a controller's request to a database: at once, late, or not at all.
     pub(super) fn handle_database_request(
         &mut self,
         (from, incarnation): (usize, u64),
@@ -394,14 +425,14 @@
         request: DatabaseRequest,
         attempt: Attempt,
     ) {
-        let again =
+        let delayed =
             |service, id| Event::DatabaseRequest(from, incarnation, service, id, request, attempt);
-        match self.outgoing_call(from, incarnation, attempt) {
-            OutgoingCall::Leaves => {}
-            OutgoingCall::StandsStill { until } => {
-                return self.schedule_at(until, again(service, id));
+        match self.check_outgoing_call(from, incarnation, attempt) {
+            OutgoingCall::Sent => {}
+            OutgoingCall::Frozen { until } => {
+                return self.schedule_at(until, delayed(service, id));
             }
-            OutgoingCall::GivenUp => {
+            OutgoingCall::Abandoned => {
                 let response = DatabaseResponse::NotSent;
                 let input =
                     Input::DatabaseResponse { service, instance: id, request, attempt, response };
@@ -417,17 +448,17 @@
             None => (DatabaseResponse::TimedOut, 1_000),
             Some(n) if !self.databases[n].up => (DatabaseResponse::Unavailable, 2),
             Some(n) => {
-                let response = self.databases[n].answer(request);
-                let late =
+                let response = self.databases[n].handle_request(request);
+                let extra_delay_ms =
                     if !self.repaired && chance(3) { random_below(1_200) } else { random_below(5) };
-                (response, 1 + late)
+                (response, 1 + extra_delay_ms)
             }
         };
         let input = Input::DatabaseResponse { service, instance: id, request, attempt, response };
         self.schedule_after(after, Event::ControllerInput(from, incarnation, input));
     }
 
-    /// The platform takes a controller's call to promote a database.
+    /// Handles a controller's request to the platform to promote a database.
     pub(super) fn handle_promotion_request(
         &mut self,
         (from, incarnation): (usize, u64),
@@ -435,13 +466,13 @@
         target: InstanceId,
         attempt: Attempt,
     ) {
-        match self.outgoing_call(from, incarnation, attempt) {
-            OutgoingCall::Leaves => {}
-            OutgoingCall::StandsStill { until } => {
-                let again = Event::PromotionRequest(from, incarnation, service, target, attempt);
-                return self.schedule_at(until, again);
+        match self.check_outgoing_call(from, incarnation, attempt) {
+            OutgoingCall::Sent => {}
+            OutgoingCall::Frozen { until } => {
+                let delayed = Event::PromotionRequest(from, incarnation, service, target, attempt);
+                return self.schedule_at(until, delayed);
             }
-            OutgoingCall::GivenUp => {
+            OutgoingCall::Abandoned => {
                 let response = PromotionResponse::NotAttempted;
                 let input = Input::PromotionResponse { service, target, attempt, response };
                 return self.schedule_after(1, Event::ControllerInput(from, incarnation, input));
@@ -455,10 +486,10 @@
         *highest = fence.max(*highest);
         if lower && self.clocks_run() {
             return self.report_violation(format!(
-                "{service}: the platform was called with fence {fence} after a higher one"
+                "{service}: the platform received fencing token {fence} after a higher one"
             ));
         }
-        let (mut posted, mut after) = match running {
+        let (mut promotion_response, mut after) = match running {
             Some(_) => (PromotionResponse::Accepted, 20),
             None => (PromotionResponse::NotRunning, 20),
         };
@@ -466,19 +497,20 @@
             self.schedule_after(100 + random_below(300), Event::Promote(service.clone(), n));
         }
         if !self.repaired && chance(10) {
-            (posted, after) = (PromotionResponse::Unknown, 1_000);
+            (promotion_response, after) = (PromotionResponse::Unknown, 1_000);
         }
         self.schedule_after(
             after,
             Event::ControllerInput(
                 from,
                 incarnation,
-                Input::PromotionResponse { service, target, attempt, response: posted },
+                Input::PromotionResponse { service, target, attempt, response: promotion_response },
             ),
         );
     }
 
-    /// The platform makes a database the primary of the next term; no acknowledged commit may be missing.
+    /// The platform promotes a database to primary of the next term. Checks that it has every
+    /// acknowledged commit.
     pub(super) fn promote(&mut self, service: &ServiceName, target: usize) {
         let newest = self.databases_of(service).into_iter().map(|d| self.databases[d].term).max();
         let Some(newest) = newest else { return };
@@ -488,27 +520,28 @@
         }
         let log = &self.databases[target].log;
         let acknowledged_commits = self.acknowledged_commits.get(service).into_iter().flatten();
-        let missing = acknowledged_commits.copied().find(|p| !log.contains(&p.write));
+        let missing = acknowledged_commits.copied().find(|commit| !log.contains(&commit.write));
         let log = log.clone();
         let term = DbTerm(newest.0 + 1);
         if let Some(AcknowledgedCommit { write, node, at }) = missing
             && self.clocks_run()
         {
-            let (name, of) = (&self.databases[target].id, write.term);
+            let (name, commit_term) = (&self.databases[target].id, write.term);
             return self.report_violation(format!(
-                "{name} leads {service} in {term} without a commit of {of}, passed on by node{node} at {at}"
+                "{name} promoted for {service} in {term} without a commit of \
+                 {commit_term}, acknowledged by node{node} at {at} ms"
             ));
         }
         self.promotions.entry(service.clone()).or_default().push((term, log));
         self.report.promotions += 1;
         let database = &mut self.databases[target];
         (database.primary, database.term, database.paused) = (true, term, false);
-        database.received.clear();
+        database.replica_log_lengths.clear();
         database.pending_commits.clear();
         for other in self.databases_of(service) {
-            let hears = self.can_reach(Endpoint::Database(target), Endpoint::Database(other));
+            let reachable = self.can_reach(Endpoint::Database(target), Endpoint::Database(other));
             let database = &mut self.databases[other];
-            if other != target && hears && database.up && !database.primary {
+            if other != target && reachable && database.up && !database.primary {
                 database.term = term;
             }
         }
--- a/src/simulation/faults.rs
+++ b/src/simulation/faults.rs
@@ -209,14 +209,14 @@
         }
         let node = &mut self.nodes[number];
         node.incarnation += 1;
-        (node.config, node.hint) = (None, None);
+        (node.route_table, node.leader_hint) = (None, None);
         node.leases.clear();
         node.revoked.clear();
-        node.highest.clear();
-        node.confirmations.clear();
-        node.sent.clear();
-        node.unreported.clear();
-        node.last_answer = None;
+        node.highest_positions.clear();
+        node.commit_confirmations.clear();
+        node.renewals_sent.clear();
+        node.unreported_commits.clear();
+        node.last_grant = None;
         let incarnation = node.incarnation;
         self.schedule_after(after, Event::NodeTurn(number, incarnation));
     }
--- a/src/simulation/nodes.rs
+++ b/src/simulation/nodes.rs
@@ -1,4 +1,5 @@
-//! Nodes that follow the leader as a pooler does, and write at the primaries they are leased.
+//! Simulated nodes: they subscribe to the leader as a pooler does, and write to the primaries for
+//! which they hold leases.
 use crate::base::ids::{DbTerm, InstanceId, NodeName, Position, Revision, ServiceName};
 use crate::base::time::Tick;
 use crate::config::route_table::RouteTable;
@@ -18,39 +19,50 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
+/// A node's lease on a service.
 #[derive(Clone)]
 pub(super) struct Lease {
     pub(super) term: DbTerm,
     pub(super) primary: InstanceId,
-    pub(super) asked: u64,
+    /// When the node requested it; the lease time counts from here.
+    pub(super) requested_at: u64,
 }
 
-/// A hollow node: it follows the leader as a pooler does and writes at the primaries it is leased.
+/// A simulated node. It holds no client sessions; it makes its writes itself.
 pub(super) struct Node {
     pub(super) incarnation: u64,
+    /// Its connection to a controller, and the machine of that controller.
     pub(super) connection: Option<(u64, usize)>,
-    pub(super) welcome: bool,
-    pub(super) known: Vec<SocketAddr>,
-    pub(super) next: usize,
-    pub(super) hint: Option<SocketAddr>,
-    pub(super) heard: u64,
-    pub(super) renewed: u64,
-    pub(super) seq: u64,
-    pub(super) sent: BTreeMap<u64, u64>,
-    pub(super) config: Option<RouteTable>,
+    /// Whether the controller has welcomed it on this connection.
+    pub(super) welcomed: bool,
+    /// The peer addresses of the controllers that it knows.
+    pub(super) controllers: Vec<SocketAddr>,
+    pub(super) next_controller: usize,
+    /// The leader's address as reported by a controller that does not lead.
+    pub(super) leader_hint: Option<SocketAddr>,
+    pub(super) last_message_at: u64,
+    pub(super) last_renewal_at: u64,
+    pub(super) last_renewal_seq: u64,
+    /// When each unanswered renewal was sent, by its sequence number.
+    pub(super) renewals_sent: BTreeMap<u64, u64>,
+    pub(super) route_table: Option<RouteTable>,
     pub(super) leases: BTreeMap<ServiceName, Lease>,
+    /// The last revoked term of each service, and the last renewal sent before the revocation.
     pub(super) revoked: BTreeMap<ServiceName, (DbTerm, u64)>,
-    pub(super) highest: BTreeMap<ServiceName, Position>,
-    pub(super) confirmations: BTreeMap<ServiceName, CommitConfirmation>,
-    /// It stops in order once its next commit was passed on.
+    /// The highest position that it has observed of each service.
+    pub(super) highest_positions: BTreeMap<ServiceName, Position>,
+    /// How commits are confirmed during the handover of each service.
+    pub(super) commit_confirmations: BTreeMap<ServiceName, CommitConfirmation>,
+    /// Whether it shuts down gracefully after it has acknowledged its next commit.
     pub(super) stops_after_commit: bool,
-    /// The last commits that the leader was not told of.
-    pub(super) unreported: BTreeMap<ServiceName, ObservedCommit>,
-    /// The last answer to a renewal on this connection, and when it arrived.
-    pub(super) last_answer: Option<(u64, u64)>,
+    /// The last commit of each service that was not reported to the leader.
+    pub(super) unreported_commits: BTreeMap<ServiceName, ObservedCommit>,
+    /// The sequence number of the last answered renewal on this connection, and when the answer
+    /// arrived.
+    pub(super) last_grant: Option<(u64, u64)>,
 }
 
-/// A commit's position, which tells how far the primary was after its statement was sent.
+/// The position of a commit. The primary reached it after the statement was sent.
 #[derive(Clone, Copy)]
 pub(super) struct ObservedCommit {
     pub(super) term: DbTerm,
@@ -59,11 +71,11 @@
 }
 
 impl Node {
-    /// What a renewal reports: the positions that were observed after the last answer of the leader,
-    /// from which the leader counts the time.
+    /// Takes the observed positions for a renewal. Their times are relative to the leader's last
+    /// answer; positions whose statement was sent before it are left out.
     fn take_observed(&mut self) -> Vec<ObservedPosition> {
-        let Some((_, arrived_at)) = self.last_answer else { return Vec::new() };
-        let unreported = std::mem::take(&mut self.unreported).into_iter();
+        let Some((_, arrived_at)) = self.last_grant else { return Vec::new() };
+        let unreported = std::mem::take(&mut self.unreported_commits).into_iter();
         let reported = unreported.filter_map(|(service, observed)| {
             let ObservedCommit { term, position, sent_at } = observed;
             let sent_after_ms = elapsed_lower_bound_ms(Tick(arrived_at), Tick(sent_at))?;
@@ -74,20 +86,27 @@
 }
 
 impl Node {
+    /// Whether its lease is valid for the term of a commit.
     pub(super) fn holds_lease(&self, commit: &Commit, now: u64) -> bool {
         let lease = self.leases.get(&commit.service);
-        lease.is_some_and(|l| l.term == commit.write.term && now < l.asked + LEASE_MS)
+        lease.is_some_and(|l| l.term == commit.write.term && now < l.requested_at + LEASE_MS)
     }
 
+    /// Starts the confirmation of commits for a handover. Returns the acknowledgement.
     fn begin_handover(&mut self, service: ServiceName, handover: Handover) -> ToController {
-        let highest = self.highest.get(&service).copied();
+        let highest = self.highest_positions.get(&service).copied();
         let number = handover.number;
-        self.confirmations.insert(service.clone(), CommitConfirmation::new(handover));
+        self.commit_confirmations.insert(service.clone(), CommitConfirmation::new(handover));
         ToController::HandOverAck { service, handover: number, highest }
     }
 
-    /// Puts a grant in force. Returns the acknowledgement of a handover.
-    fn apply_grant(&mut self, grant: LeaseGrant, seq: u64, asked: u64) -> Option<ToController> {
+    /// Applies a lease grant. Returns the acknowledgement of a handover, if the grant contains one.
+    fn apply_grant(
+        &mut self,
+        grant: LeaseGrant,
+        seq: u64,
+        requested_at: u64,
+    ) -> Option<ToController> {
         let service = grant.service;
         let (term, primary, handover) = match grant.status {
             PrimaryStatus::Active { term, primary } => (term, primary, None),
@@ -99,10 +118,11 @@
                 return None;
             }
         };
-        self.confirmations.remove(&service);
+        self.commit_confirmations.remove(&service);
         let last = self.revoked.get(&service);
-        if last.is_none_or(|(last, upto)| term > *last || seq > *upto) {
-            self.leases.insert(service.clone(), Lease { term, primary, asked });
+        if last.is_none_or(|(revoked_term, revoked_seq)| term > *revoked_term || seq > *revoked_seq)
+        {
+            self.leases.insert(service.clone(), Lease { term, primary, requested_at });
         }
         handover.map(|handover| self.begin_handover(service, handover))
     }
@@ -110,25 +130,26 @@
 
 impl World {
     pub(super) fn send_to_controller(&mut self, node: usize, message: ToController) {
-        let Some((connection, at)) = self.nodes[node].connection else { return };
-        let incarnation = self.machines[at].incarnation;
-        match self.arrival_time(Endpoint::Node(node), Endpoint::Controller(at), 0) {
+        let Some((connection, machine)) = self.nodes[node].connection else { return };
+        let incarnation = self.machines[machine].incarnation;
+        match self.arrival_time(Endpoint::Node(node), Endpoint::Controller(machine), 0) {
             Some(time) => {
                 self.schedule_at(
                     time,
                     Event::ControllerInput(
-                        at,
+                        machine,
                         incarnation,
                         Input::Frame(connection, Frame::Pooler(message)),
                     ),
                 );
             }
-            // Lost on its direction: the connection does not get over it.
+            // A lost message breaks the connection.
             None => self.close(connection),
         }
     }
 
-    /// A node finds a leader, renews its leases, and writes at the primaries it is leased.
+    /// A node connects to the leader, renews its leases, and writes to the primaries for which it
+    /// holds leases.
     pub(super) fn node_turn(&mut self, number: usize, incarnation: u64) {
         if self.nodes[number].incarnation != incarnation {
             return;
@@ -137,29 +158,31 @@
         let now = self.now;
         let node = &mut self.nodes[number];
         if let Some((connection, _)) = node.connection {
-            if now - node.heard > if node.welcome { 1_200 } else { 400 } {
+            if now - node.last_message_at > if node.welcomed { 1_200 } else { 400 } {
                 self.close(connection);
-            } else if node.welcome && now - node.renewed >= 450 {
+            } else if node.welcomed && now - node.last_renewal_at >= 450 {
                 self.send_renewal(number);
             }
         } else {
-            let to = node.hint.take().unwrap_or_else(|| {
-                node.next += 1;
-                node.known[node.next % node.known.len()]
+            let to = node.leader_hint.take().unwrap_or_else(|| {
+                node.next_controller += 1;
+                node.controllers[node.next_controller % node.controllers.len()]
             });
-            let at = machine_of(to);
-            if self.machines.get(at).is_some_and(|m| m.controller.is_some()) {
+            let machine = machine_of(to);
+            if self.machines.get(machine).is_some_and(|m| m.controller.is_some()) {
                 self.last_id += 1;
                 let connection = self.last_id;
-                self.connections.insert(connection, (at, RemoteEnd::Node(number, incarnation)));
-                if let Some(controller) = &mut self.machines[at].controller {
+                self.connections
+                    .insert(connection, (machine, RemoteEnd::Node(number, incarnation)));
+                if let Some(controller) = &mut self.machines[machine].controller {
                     controller.effects.open_connections.insert(connection);
                 }
                 let node = &mut self.nodes[number];
-                (node.connection, node.welcome, node.heard) = (Some((connection, at)), false, now);
-                let revision = node.config.as_ref().map_or(Revision(0), |c| c.revision);
-                let now = Tick(now + self.machines[at].clock_offset);
-                if let Some(controller) = &mut self.machines[at].controller {
+                (node.connection, node.welcomed, node.last_message_at) =
+                    (Some((connection, machine)), false, now);
+                let revision = node.route_table.as_ref().map_or(Revision(0), |c| c.revision);
+                let now = Tick(now + self.machines[machine].clock_offset);
+                if let Some(controller) = &mut self.machines[machine].controller {
                     controller.handle_input(Input::NodeLayout(connection, LAYOUT), now);
                 }
                 let name = NodeName(format!("node{number}"));
@@ -173,7 +196,7 @@
         for service in SERVICES.map(ServiceName::from) {
             let Some(lease) = self.nodes[number].leases.get(&service).cloned() else { continue };
             let to = self.databases.iter().position(|d| d.id == lease.primary);
-            if now < lease.asked + LEASE_MS
+            if now < lease.requested_at + LEASE_MS
                 && chance(60)
                 && let Some(to) = to
                 && let Some(time) =
@@ -187,15 +210,15 @@
     fn send_renewal(&mut self, number: usize) {
         let now = self.now;
         let node = &mut self.nodes[number];
-        node.renewed = now;
-        node.seq += 1;
-        let seq = node.seq;
-        node.sent.insert(seq, now);
-        if node.sent.len() > 16 {
-            node.sent.pop_first();
+        node.last_renewal_at = now;
+        node.last_renewal_seq += 1;
+        let seq = node.last_renewal_seq;
+        node.renewals_sent.insert(seq, now);
+        if node.renewals_sent.len() > 16 {
+            node.renewals_sent.pop_first();
         }
         let observed = node.take_observed();
-        let last_grant_seq = node.last_answer.map_or(0, |(seq, _)| seq);
+        let last_grant_seq = node.last_grant.map_or(0, |(seq, _)| seq);
         let (quotas, demand, bounds_requested) = (Vec::new(), Vec::new(), Vec::new());
         let renewal = ToController::RenewLeases {
             seq,
@@ -209,48 +232,51 @@
         self.send_to_controller(number, renewal);
     }
 
-    /// A node takes a message of the leader.
+    /// Handles a message from a controller to a node.
     pub(super) fn handle_node_message(&mut self, number: usize, connection: u64, frame: Frame) {
         let now = self.now;
         let node = &mut self.nodes[number];
-        node.heard = now;
+        node.last_message_at = now;
         let Frame::Controller(message) = frame else {
-            return self.report_violation("a node was sent what is not for it".into());
+            return self
+                .report_violation(format!("node{number} received a frame that is not for nodes"));
         };
         match message {
             ToPooler::Welcome { controllers } => {
                 if !controllers.is_empty() {
-                    node.known = controllers;
+                    node.controllers = controllers;
                 }
-                if !std::mem::replace(&mut node.welcome, true) {
-                    node.last_answer = None;
+                if !std::mem::replace(&mut node.welcomed, true) {
+                    node.last_grant = None;
                     self.send_renewal(number);
                 }
             }
             ToPooler::NotLeader(leader) => {
-                node.hint = leader;
+                node.leader_hint = leader;
                 self.close(connection);
             }
             ToPooler::RouteTable(route_table) => self.apply_route_table(number, *route_table),
-            ToPooler::RouteTableDelta(changed) => {
-                match node.config.as_ref().and_then(|c| c.apply(&changed)) {
+            ToPooler::RouteTableDelta(delta) => {
+                match node.route_table.as_ref().and_then(|c| c.apply(&delta)) {
                     Some(route_table) => self.apply_route_table(number, route_table),
                     None => self.send_to_controller(number, ToController::RequestFullTable),
                 }
             }
             ToPooler::Directory(_) | ToPooler::DirectoryDelta { .. } => {}
             ToPooler::LeaseGrants { seq, complete, grants, .. } => {
-                let Some(asked) = node.sent.get(&seq).copied() else { return };
-                node.sent.retain(|s, _| *s >= seq);
-                node.last_answer = Some((seq, now));
+                let Some(requested_at) = node.renewals_sent.get(&seq).copied() else { return };
+                node.renewals_sent.retain(|s, _| *s >= seq);
+                node.last_grant = Some((seq, now));
                 if complete {
                     node.leases.clear();
                 }
                 let mut acknowledgements = Vec::new();
                 for grant in grants {
-                    acknowledgements.extend(node.apply_grant(grant, seq, asked));
+                    acknowledgements.extend(node.apply_grant(grant, seq, requested_at));
                 }
-                node.leases.values_mut().for_each(|l| l.asked = l.asked.max(asked));
+                node.leases
+                    .values_mut()
+                    .for_each(|l| l.requested_at = l.requested_at.max(requested_at));
                 for message in acknowledgements {
                     self.send_to_controller(number, message);
                 }
@@ -261,11 +287,11 @@
                 self.send_to_controller(number, message);
             }
             ToPooler::Revoke { service, term } => {
-                node.revoked.insert(service.clone(), (term, node.seq));
+                node.revoked.insert(service.clone(), (term, node.last_renewal_seq));
                 if node.leases.get(&service).is_some_and(|l| l.term <= term) {
                     node.leases.remove(&service);
                 }
-                let highest = node.highest.get(&service).copied();
+                let highest = node.highest_positions.get(&service).copied();
                 self.send_to_controller(number, ToController::RevokeAck { service, term, highest });
             }
             ToPooler::RenewNow => self.send_renewal(number),
@@ -273,13 +299,19 @@
     }
 
     fn apply_route_table(&mut self, number: usize, route_table: RouteTable) {
-        if !self.committed_configurations.iter().any(|f| f.revision == route_table.revision) {
-            return self
-                .report_violation(format!("a node has {}, never in force", route_table.revision));
+        if !self
+            .committed_configurations
+            .iter()
+            .any(|committed| committed.revision == route_table.revision)
+        {
+            return self.report_violation(format!(
+                "node{number} received {}, which was never committed",
+                route_table.revision
+            ));
         }
         let node = &mut self.nodes[number];
-        if node.config.as_ref().is_none_or(|c| c.revision < route_table.revision) {
-            node.config = Some(route_table);
+        if node.route_table.as_ref().is_none_or(|c| c.revision < route_table.revision) {
+            node.route_table = Some(route_table);
         }
     }
 }
--- a/src/simulation/operators.rs
+++ b/src/simulation/operators.rs
@@ -177,8 +177,8 @@
                 "timeout_ms": 1000, "target_service": SERVICES[0] })
         };
         let service = |name: &str| {
-            serde_json::json!({
-            "name": name, "max_connections": 64, "sync_replicas": 1 })
+            serde_json::json!({ "name": name, "max_connections": 64,
+                "sync_replicas": 1 })
         };
         let route_count = 1 + if chance(20) { self.extra_routes_hundreds * 100 } else { 0 };
         let routes: Vec<_> = (0..route_count).map(route).collect();
