--- a/src/simulation/change_faults.rs
+++ b/src/simulation/change_faults.rs
@@ -1,78 +1,85 @@
-//! Faults that strike while the primary of a service changes: what was true when a controller asked is
-//! no longer true when it acts. They wait for their moment, which random times would seldom meet.
+//! Faults that are injected while the primary of a service changes, so that what a controller
+//! learned before a step is no longer true when it acts. Each waits for a step of the change,
+//! because faults at random times would seldom coincide with it.
 use crate::base::ids::{DbTerm, InstanceId, ServiceName};
 use crate::net::rpc::pooler_messages::ToController;
 use crate::simulation::events::Event;
 use crate::simulation::schedule::{FaultTarget, random_below};
 use crate::simulation::world::{SERVICES, World};
 
-/// What strikes.
+/// The fault to inject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeFault {
-    /// The replica that was chosen receives nothing.
-    TargetDeaf,
-    /// A paused replica restarts, which ends its pause.
-    PausedReplicaRestarts,
-    /// A new replica receives, and counts, seconds before its first heartbeat.
-    UnlistedReplica,
-    /// The leader stands still when a change has ended, and goes on in the middle of the next.
-    LeaderThaws,
+    /// The replica chosen for promotion receives no log entries.
+    TargetReplicationStall,
+    /// A paused replica restarts, which ends the pause of its replication.
+    PausedReplicaRestart,
+    /// A new replica receives and acknowledges log entries for seconds before its first heartbeat.
+    UnregisteredReplica,
+    /// The leader freezes when a change has completed, and resumes in the middle of the next one.
+    LeaderThaw,
 }
 
-/// The moments of a change that faults wait for.
+/// The steps of a change that faults wait for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Moment {
+enum ChangeStep {
     /// The intent to promote a replica was committed.
     IntentCommitted,
-    /// The next primary was recorded.
+    /// The new primary was recorded.
     Completed,
 }
 
 impl ChangeFault {
-    fn moment(self) -> Moment {
+    fn step(self) -> ChangeStep {
         match self {
-            ChangeFault::LeaderThaws => Moment::Completed,
-            _ => Moment::IntentCommitted,
+            ChangeFault::LeaderThaw => ChangeStep::Completed,
+            _ => ChangeStep::IntentCommitted,
         }
     }
 }
 
-/// A fault that waits for the next change of a service.
+/// A fault that waits for the next change of a service's primary.
 pub(super) struct PendingChangeFault {
     service: ServiceName,
     fault: ChangeFault,
     duration_ms: u64,
 }
 
-/// What is known of the change of a service's primary.
+/// The last observed state of the change of a service's primary.
 #[derive(Clone, Default, PartialEq)]
 pub(super) struct ObservedChange {
     term: DbTerm,
     intent: Option<InstanceId>,
 }
 
-/// The heartbeat of an unlisted replica comes so many ms after it began to receive.
-const LATE_HEARTBEAT_MS: u64 = 3_000;
-/// A leader that is to go on in the middle of a change stands still no longer than this, in ms.
-const LONGEST_WAIT_FOR_CHANGE_MS: u64 = 6_000;
-/// A database that left by its goodbye serves on for so many ms.
-const SERVES_ON_MS: u64 = 10_000;
-/// A node that stops in order is back after so many ms.
-const NODE_STOP_MS: u64 = 1_000;
+/// The time in ms from the start of an unregistered replica to its first heartbeat.
+const FIRST_HEARTBEAT_DELAY_MS: u64 = 3_000;
+/// The longest freeze of a leader that waits for the next change, in ms.
+const MAX_LEADER_FREEZE_MS: u64 = 6_000;
+/// How long an early deregistered database keeps serving, in ms.
+const SERVE_AFTER_DEREGISTRATION_MS: u64 = 10_000;
+/// The time in ms after which a node that shut down starts again.
+const NODE_SHUTDOWN_MS: u64 = 1_000;
 
-/// The service that a drawn number stands for.
+/// The service that a random number selects.
 fn service_of(number: u8) -> ServiceName {
     ServiceName::from(SERVICES[usize::from(number) % SERVICES.len()])
 }
 
 impl World {
-    /// Has a fault strike in the next change of a service.
-    pub(super) fn await_change(&mut self, fault: ChangeFault, number: u8, duration_ms: u64) {
+    /// Adds a fault that waits for the next change of a service's primary.
+    pub(super) fn add_pending_change_fault(
+        &mut self,
+        fault: ChangeFault,
+        number: u8,
+        duration_ms: u64,
+    ) {
         let service = service_of(number);
         self.pending_change_faults.push(PendingChangeFault { service, fault, duration_ms });
     }
 
-    /// Looks what a controller has applied, and has the faults strike that wait for it.
+    /// Compares the state that a controller has applied with the last observed one, and injects the
+    /// faults that wait for the step in between.
     pub(super) fn observe_changes(&mut self, number: usize) {
         for service in SERVICES.map(ServiceName::from) {
             let Some(controller) = &self.machines[number].controller else { return };
@@ -81,37 +88,46 @@
             };
             let seen = ObservedChange { term: record.term, intent: record.intent.clone() };
             let before = self.observed_changes.entry(service.clone()).or_default();
-            // Another controller may be behind.
+            // This controller may be behind another one.
             if seen.term < before.term || (seen.term == before.term && seen.intent.is_none()) {
                 continue;
             }
             let before = std::mem::replace(before, seen.clone());
             if let Some(target) = seen.intent.filter(|_| before.intent.is_none()) {
-                self.strike_change(&service, Moment::IntentCommitted, &target);
+                self.inject_pending_change_faults(&service, ChangeStep::IntentCommitted, &target);
             } else if seen.term > before.term && before.term.0 > 0 {
-                self.strike_change(&service, Moment::Completed, &InstanceId::from(""));
+                self.inject_pending_change_faults(
+                    &service,
+                    ChangeStep::Completed,
+                    &InstanceId::from(""),
+                );
             }
         }
     }
 
-    fn strike_change(&mut self, service: &ServiceName, moment: Moment, target: &InstanceId) {
+    fn inject_pending_change_faults(
+        &mut self,
+        service: &ServiceName,
+        step: ChangeStep,
+        target: &InstanceId,
+    ) {
         if self.repaired {
             return;
         }
-        if moment == Moment::IntentCommitted {
+        if step == ChangeStep::IntentCommitted {
             self.thaw_for_change(service);
         }
         let pending = std::mem::take(&mut self.pending_change_faults);
         let (due, rest) = pending
             .into_iter()
-            .partition(|pending| pending.service == *service && pending.fault.moment() == moment);
+            .partition(|pending| pending.service == *service && pending.fault.step() == step);
         self.pending_change_faults = rest;
         for PendingChangeFault { fault, duration_ms, .. } in due {
-            self.strike(fault, service, target, duration_ms);
+            self.inject_change_fault(fault, service, target, duration_ms);
         }
     }
 
-    fn strike(
+    fn inject_change_fault(
         &mut self,
         fault: ChangeFault,
         service: &ServiceName,
@@ -119,12 +135,12 @@
         duration_ms: u64,
     ) {
         match fault {
-            ChangeFault::TargetDeaf => {
+            ChangeFault::TargetReplicationStall => {
                 let until = self.now + duration_ms;
                 let target = self.databases.iter_mut().find(|d| d.id == *target);
                 target.into_iter().for_each(|target| target.stalled_until = until);
             }
-            ChangeFault::PausedReplicaRestarts => {
+            ChangeFault::PausedReplicaRestart => {
                 let paused = self.databases.iter().position(|d| {
                     d.service == *service && d.id != *target && d.paused && d.up && !d.removed
                 });
@@ -133,11 +149,11 @@
                     self.schedule_after(random_below(50), Event::DatabaseRestart(number));
                 }
             }
-            ChangeFault::UnlistedReplica => {
-                self.add_database(&service.0, false, LATE_HEARTBEAT_MS);
+            ChangeFault::UnregisteredReplica => {
+                self.add_database(&service.0, false, FIRST_HEARTBEAT_DELAY_MS);
             }
-            ChangeFault::LeaderThaws => {
-                let duration_ms = LONGEST_WAIT_FOR_CHANGE_MS;
+            ChangeFault::LeaderThaw => {
+                let duration_ms = MAX_LEADER_FREEZE_MS;
                 if let Some(number) = self.reserve_loss(FaultTarget::Leader, duration_ms) {
                     self.freeze(number, self.now + duration_ms);
                     self.machines[number].thaws_in_change_of = Some(service.clone());
@@ -146,11 +162,11 @@
         }
     }
 
-    /// Machines that wait for a change of this service go on.
+    /// Resumes the frozen machines that wait for a change of this service.
     fn thaw_for_change(&mut self, service: &ServiceName) {
         for number in 0..self.machines.len() {
             let machine = &mut self.machines[number];
-            if machine.thaws_in_change_of.take_if(|of| of == service).is_some()
+            if machine.thaws_in_change_of.take_if(|awaited| awaited == service).is_some()
                 && machine.frozen_until.is_some()
             {
                 machine.frozen_until = Some(self.now);
@@ -159,18 +175,20 @@
         }
     }
 
-    /// A replica says goodbye first and serves on. Another one comes.
-    pub(super) fn inject_goodbye_first(&mut self, number: u8) {
+    /// A replica deregisters first and keeps serving for a while.
+    pub(super) fn inject_early_deregistration(&mut self, number: u8) {
         if let Some(number) = self.pick_database(false, number)
             && !self.databases[number].drained
         {
             let database = &mut self.databases[number];
-            (database.drained, database.serve_after_deregistration_ms) = (true, SERVES_ON_MS);
+            (database.drained, database.serve_after_deregistration_ms) =
+                (true, SERVE_AFTER_DEREGISTRATION_MS);
         }
     }
 
-    /// A node stops in order once its next commit was passed on: it gives its leases back and says goodbye.
-    pub(super) fn stop_node(&mut self, number: usize) {
+    /// Shuts a node down gracefully: it returns its leases, says goodbye to the leader, and starts
+    /// again later.
+    pub(super) fn shut_down_node(&mut self, number: usize) {
         let leases: Vec<(ServiceName, DbTerm)> =
             self.nodes[number].leases.iter().map(|(s, l)| (s.clone(), l.term)).collect();
         for (service, term) in leases {
@@ -180,6 +198,6 @@
             self.send_to_controller(number, message);
         }
         self.send_to_controller(number, ToController::Goodbye);
-        self.restart_node(number, NODE_STOP_MS);
+        self.restart_node(number, NODE_SHUTDOWN_MS);
     }
 }
--- a/src/simulation/checker.rs
+++ b/src/simulation/checker.rs
@@ -1,4 +1,4 @@
-//! What must hold: the history of all that was seen, and the checks against it.
+//! Checks the guarantees of the control plane against the recorded history of a run.
 use crate::base::ids::{DbTerm, LogIndex, Revision, ServiceName};
 use crate::base::time::Tick;
 use crate::leases::lease_table::LEASE_MS;
@@ -10,41 +10,43 @@
 use std::collections::BTreeSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// A commit that a node passed on to its client, and when.
+/// A commit that a node acknowledged to its client, and when.
 #[derive(Clone, Copy)]
 pub(super) struct AcknowledgedCommit {
     pub(super) write: Write,
     pub(super) node: usize,
-    pub(super) at: u64,
+    pub(super) forwarded_at: u64,
 }
 
-/// A configuration that is known to have come into force, in the order in which they did.
+/// A committed configuration, and the revision that it replaced. The history has them in the order
+/// of their commits.
 pub(super) struct CommittedConfiguration {
     pub(super) revision: Revision,
     pub(super) base: Revision,
     pub(super) body: Vec<u8>,
-    pub(super) at: u64,
+    pub(super) committed_at: u64,
 }
 
 impl World {
-    /// Whether all steady clocks run on, which leases rest on.
-    pub(super) fn clocks_run(&self) -> bool {
-        !self.schedule.faults.iter().any(|t| matches!(t.kind, FaultKind::Suspend(_)))
+    /// Whether no monotonic clock is ever suspended in this schedule; leases depend on that.
+    pub(super) fn clocks_reliable(&self) -> bool {
+        !self.schedule.faults.iter().any(|fault| matches!(fault.kind, FaultKind::Suspend(_)))
     }
 
-    /// What does not hold now.
-    pub(super) fn violated(&self, description: String) -> Violation {
+    /// A violation that is detected now.
+    pub(super) fn violation_now(&self, description: String) -> Violation {
         Violation { at_ms: self.now, description }
     }
 
-    /// Notes what did not hold; the first one ends the run.
-    pub(super) fn report_violation(&mut self, what: String) {
+    /// Records a violation; the first one ends the run.
+    pub(super) fn report_violation(&mut self, description: String) {
         if self.violation.is_none() {
-            self.violation = Some(self.violated(what));
+            self.violation = Some(self.violation_now(description));
         }
     }
 
-    /// Checks what this controller holds against what any other ever held.
+    /// Compares a controller's term, log and state with those that any controller had before: there
+    /// is one leader a term, and all have the same entries and the same state after each entry.
     pub(super) fn check_controller(&mut self, number: usize) {
         let machine = &mut self.machines[number];
         let Some(controller) = &machine.controller else { return };
@@ -53,19 +55,22 @@
             machine.member_id = raft.state.member_id;
             (machine.last_checked, machine.last_applied) = (LogIndex(0), LogIndex(0));
         }
-        let mut wrong = None;
+        let mut problem = None;
         if raft.is_leader() {
             let (raft_term, member_id) = (raft.state.term, raft.state.member_id);
             let first = *self.leaders.entry(raft_term).or_insert(member_id);
             if first != member_id {
-                wrong = Some(format!("two led term {raft_term}: {first} and {member_id}"));
+                problem = Some(format!("two leaders in term {raft_term}: {first} and {member_id}"));
             }
         }
         for entry in raft.committed_entries_after(machine.last_checked) {
             machine.last_checked = entry.index;
             let first = self.committed_entries.entry(entry.index).or_insert_with(|| entry.clone());
             if *first != entry {
-                wrong = Some(format!("entry {} differs at n{number}", entry.index));
+                problem = Some(format!(
+                    "committed entry {} of n{number} differs from other controllers",
+                    entry.index
+                ));
             }
         }
         let applied = controller.applied();
@@ -75,63 +80,69 @@
             pack(state_machine).hash(&mut hasher);
             let state = hasher.finish();
             if *self.state_hashes.entry(applied).or_insert(state) != state {
-                wrong = Some(format!("the state at entry {applied} differs at n{number}"));
+                problem = Some(format!(
+                    "state of n{number} at entry {applied} differs from other controllers"
+                ));
             }
             let newest = self.committed_configurations.last().map_or(Revision(0), |f| f.revision);
             if state_machine.revision() > newest {
                 let body = state_machine.configuration_body().to_vec();
-                let (revision, at) = (state_machine.revision(), self.now);
+                let (revision, committed_at) = (state_machine.revision(), self.now);
                 self.committed_configurations.push(CommittedConfiguration {
                     revision,
                     base: newest,
                     body,
-                    at,
+                    committed_at,
                 });
             }
         }
-        if let Some(why) = wrong {
-            self.report_violation(why);
+        if let Some(description) = problem {
+            self.report_violation(description);
         }
     }
 
-    /// How far in `forced` a read that began at `sent` must have come.
-    pub(super) fn read_floor(&self, sent: u64) -> usize {
-        let before = self.read_floors.iter().filter(|(at, _)| *at <= sent);
+    /// The lowest place in `committed_configurations` that a read sent at this time may return.
+    pub(super) fn read_floor(&self, sent_at: u64) -> usize {
+        let before = self.read_floors.iter().filter(|(at, _)| *at <= sent_at);
         before.map(|(_, place)| *place).max().unwrap_or(0)
     }
 
-    /// The place of a configuration among those that came into force, counted from 1.
+    /// The place of a configuration in `committed_configurations`, counted from 1.
     pub(super) fn committed_place(&self, revision: Revision, body: &[u8]) -> Option<usize> {
         self.committed_configurations
             .iter()
             .position(|f| f.revision == revision && f.body == body)
-            .map(|at| at + 1)
+            .map(|index| index + 1)
     }
 
-    /// At any time all valid leases on a service are on one term.
-    pub(super) fn check_one_leased_term(&mut self) {
+    /// Checks that all leases on a service that are valid now are for the same term.
+    pub(super) fn check_single_leased_term(&mut self) {
         for service in SERVICES.map(ServiceName::from) {
             let now = self.now;
             let held = self.nodes.iter().filter_map(|n| n.leases.get(&service));
             let terms: BTreeSet<DbTerm> =
                 held.filter(|l| now < l.requested_at + LEASE_MS).map(|l| l.term).collect();
-            if terms.len() > 1 && self.clocks_run() {
-                self.report_violation(format!("{service} is leased in two terms at once"));
+            if terms.len() > 1 && self.clocks_reliable() {
+                self.report_violation(format!("{service}: valid leases for more than one term"));
             }
         }
     }
 
-    /// With everything well for long, all must agree and be served.
+    /// Checks the state at the end of the run, after the cluster had time to recover: there is one
+    /// leader, and all controllers and nodes are up to date.
     pub(super) fn check_final_state(&mut self) {
-        let leading: Vec<usize> = (0..self.machines.len())
+        let leaders: Vec<usize> = (0..self.machines.len())
             .filter(|m| {
                 let machine = &self.machines[*m];
                 let now = Tick(self.now + machine.clock_offset);
                 machine.controller.as_ref().is_some_and(|s| s.raft().holds_leader_lease(now))
             })
             .collect();
-        let [leader] = leading[..] else {
-            return self.report_violation(format!("in the end {} lead", leading.len()));
+        let [leader] = leaders[..] else {
+            return self.report_violation(format!(
+                "{} leaders at the end of the run, expected 1",
+                leaders.len()
+            ));
         };
         let Some(controller) = &self.machines[leader].controller else { return };
         let (revision, applied) = (controller.state_machine().revision(), controller.applied());
@@ -145,29 +156,36 @@
             .machines
             .iter()
             .position(|m| m.controller.as_ref().is_some_and(|s| s.applied().0 + 40 < applied.0));
-        let late = self.nodes.iter().position(|n| {
+        let outdated = self.nodes.iter().position(|n| {
             let newest = n.route_table.as_ref().map(|c| c.revision);
-            let old = self.committed_configurations.iter().rev().find(|f| f.at + 3_000 < self.now);
+            let old = self
+                .committed_configurations
+                .iter()
+                .rev()
+                .find(|f| f.committed_at + 3_000 < self.now);
             newest < old.map(|f| f.revision)
         });
-        let wrong = if self.committed_configurations.last().map(|f| f.revision) != Some(revision) {
-            Some("in the end not all that was in force is".to_owned())
+        let problem = if self.committed_configurations.last().map(|f| f.revision) != Some(revision)
+        {
+            Some(
+                "the last committed configuration is not in force at the end of the run".to_owned(),
+            )
         } else if let Some(number) = behind {
-            Some(format!("n{number} never caught up"))
+            Some(format!("n{number} did not catch up with the leader's log"))
         } else if let Some(id) = listed {
-            Some(format!("{id} said goodbye and is listed again"))
-        } else if let Some(number) = late {
-            Some(format!("node{number} has an old configuration"))
+            Some(format!("{id} is listed again after its deregistration was acknowledged"))
+        } else if let Some(number) = outdated {
+            Some(format!("node{number} has an old configuration at the end of the run"))
         } else if voters < 2 * self.schedule.tolerated_losses + 1 {
-            Some(format!("in the end {voters} vote"))
+            Some(format!("{voters} voters at the end of the run, too few for the tolerated losses"))
         } else if self.report.acknowledged == 0 {
-            Some("no order was ever acknowledged".to_owned())
+            Some("no configuration change was acknowledged".to_owned())
         } else {
             None
         };
         self.report.raft_terms = self.leaders.len() as u64;
-        if let Some(why) = wrong {
-            self.report_violation(why);
+        if let Some(description) = problem {
+            self.report_violation(description);
         }
     }
 }
--- a/src/simulation/commits.rs
+++ b/src/simulation/commits.rs
@@ -1,5 +1,5 @@
-//! Commits on their way to clients: a node passes one on if its lease holds, and during a handover once
-//! the target has it.
+//! Commit acknowledgements to clients: a node forwards one if its lease is valid, and during a
+//! handover once the target of the handover has the commit.
 use crate::base::ids::{DbTerm, InstanceId, Position, ServiceName};
 use crate::net::statement_protocol::ServerDescription;
 use crate::pooler::handover::CommitDecision;
@@ -11,10 +11,10 @@
 use crate::simulation::schedule::random_below;
 use crate::simulation::world::World;
 
-/// The pause in ms before a commit is judged again.
-const RETRY_MS: u64 = 10;
-/// A question to the target of a handover that gets no answer is given up after this time, in ms.
-const QUESTION_MS: u64 = 300;
+/// The delay in ms before a node decides again whether to forward a commit.
+const COMMIT_RETRY_MS: u64 = 10;
+/// The time in ms after which a query to the target of a handover that gets no answer times out.
+const TARGET_QUERY_TIMEOUT_MS: u64 = 300;
 
 /// A commit that the primary acknowledged to a node.
 #[derive(Clone)]
@@ -26,8 +26,8 @@
     pub(super) sent_at: u64,
 }
 
-/// A node's question to the target of a handover, and the answer once there is one.
-pub(super) struct TargetQuestion {
+/// A node's query to the target of a handover, and the answer if there was one.
+pub(super) struct TargetQuery {
     node: usize,
     incarnation: u64,
     commit: Commit,
@@ -36,29 +36,29 @@
 }
 
 impl World {
-    /// The primary acknowledged a commit of a node, which passes it on if its lease still holds. During
-    /// a handover it first asks the target whether that has the commit.
+    /// Handles the primary's acknowledgement of a commit: the node forwards it if its lease is
+    /// still valid. During a handover the node first asks the target whether it has the commit.
     pub(super) fn handle_commit_ack(&mut self, number: usize, incarnation: u64, commit: Commit) {
         let node = &mut self.nodes[number];
         if node.incarnation != incarnation || !node.holds_lease(&commit, self.now) {
             return;
         }
-        let verdict = match node.commit_confirmations.get_mut(&commit.service) {
+        let decision = match node.commit_confirmations.get_mut(&commit.service) {
             Some(confirmation) => confirmation.decide(commit.write.term, Some(commit.position)),
             None => CommitDecision::Forward,
         };
-        match verdict {
-            CommitDecision::Forward => self.pass_on_commit(number, commit),
+        match decision {
+            CommitDecision::Forward => self.forward_commit(number, commit),
             CommitDecision::QueryTarget(target) => {
-                self.ask_handover_target(number, incarnation, target, commit);
+                self.query_handover_target(number, incarnation, target, commit);
             }
             CommitDecision::AwaitQuery => {
-                self.schedule_after(RETRY_MS, Event::CommitAck(number, incarnation, commit));
+                self.schedule_after(COMMIT_RETRY_MS, Event::CommitAck(number, incarnation, commit));
             }
         }
     }
 
-    fn ask_handover_target(
+    fn query_handover_target(
         &mut self,
         number: usize,
         incarnation: u64,
@@ -66,36 +66,36 @@
         commit: Commit,
     ) {
         let to = self.databases.iter().position(|database| database.id == target);
-        let question =
-            |answer| TargetQuestion { node: number, incarnation, commit, target, answer };
+        let query = |answer| TargetQuery { node: number, incarnation, commit, target, answer };
         let arrival = to.and_then(|to| {
             self.arrival_time(Endpoint::Node(number), Endpoint::Database(to), random_below(5))
         });
         match (arrival, to) {
             (Some(time), Some(to)) => {
-                self.schedule_at(time, Event::TargetQuestion(to, question(None)));
+                self.schedule_at(time, Event::TargetQuery(to, query(None)));
             }
-            _ => self.schedule_after(QUESTION_MS, Event::TargetAnswer(question(None))),
+            _ => self.schedule_after(TARGET_QUERY_TIMEOUT_MS, Event::TargetResponse(query(None))),
         }
     }
 
-    /// The target of a handover is asked how far it is.
-    pub(super) fn answer_target_question(&mut self, number: usize, question: TargetQuestion) {
+    /// Answers a node's query with the description of the handover's target.
+    pub(super) fn handle_target_query(&mut self, number: usize, query: TargetQuery) {
         let database = &self.databases[number];
         let description = database.up.then(|| database.description());
-        let back = self.arrival_time(Endpoint::Database(number), Endpoint::Node(question.node), 0);
+        let back = self.arrival_time(Endpoint::Database(number), Endpoint::Node(query.node), 0);
         match (back, description) {
             (Some(time), Some(description)) => {
-                let answer = TargetQuestion { answer: Some(description), ..question };
-                self.schedule_at(time, Event::TargetAnswer(answer));
+                let answer = TargetQuery { answer: Some(description), ..query };
+                self.schedule_at(time, Event::TargetResponse(answer));
             }
-            _ => self.schedule_after(QUESTION_MS, Event::TargetAnswer(question)),
+            _ => self.schedule_after(TARGET_QUERY_TIMEOUT_MS, Event::TargetResponse(query)),
         }
     }
 
-    /// A node takes the answer of a handover's target, or goes without, and judges its commit again.
-    pub(super) fn handle_target_answer(&mut self, question: TargetQuestion) {
-        let TargetQuestion { node: number, incarnation, commit, target, answer } = question;
+    /// Handles the response of a handover's target, or the time-out of the query, and schedules
+    /// another decision about the commit.
+    pub(super) fn handle_target_response(&mut self, query: TargetQuery) {
+        let TargetQuery { node: number, incarnation, commit, target, answer } = query;
         let node = &mut self.nodes[number];
         if node.incarnation == incarnation
             && let Some(confirmation) = node.commit_confirmations.get_mut(&commit.service)
@@ -103,11 +103,11 @@
         {
             confirmation.record_description(answer.as_ref());
         }
-        self.schedule_after(RETRY_MS, Event::CommitAck(number, incarnation, commit));
+        self.schedule_after(COMMIT_RETRY_MS, Event::CommitAck(number, incarnation, commit));
     }
 
-    /// A node passes a commit on to its client; no later primary may lack it.
-    fn pass_on_commit(&mut self, number: usize, commit: Commit) {
+    /// A node acknowledges a commit to its client. Checks that no primary of a later term lacks it.
+    fn forward_commit(&mut self, number: usize, commit: Commit) {
         let Commit { service, write, position, sent_at } = commit;
         let now = self.now;
         let node = &mut self.nodes[number];
@@ -117,22 +117,25 @@
         node.unreported_commits.insert(service.clone(), observed);
         self.report.acknowledged_commits += 1;
         let newer = self.promotions.get(&service).into_iter().flatten();
-        let lacks =
+        let lacks_commit =
             |(term, log): &&(DbTerm, Vec<Write>)| *term > write.term && !log.contains(&write);
-        if let Some((term, _)) = newer.clone().find(lacks)
-            && self.clocks_run()
+        if let Some((term, _)) = newer.clone().find(lacks_commit)
+            && self.clocks_reliable()
         {
-            let why =
-                format!("{service} has a commit of {} passed on that {term} lacks", write.term);
-            return self.report_violation(why);
+            let description = format!(
+                "{service}: commit of term {} acknowledged to a client, \
+                 but the primary of term {term} lacks it",
+                write.term
+            );
+            return self.report_violation(description);
         }
         self.acknowledged_commits.entry(service).or_default().push(AcknowledgedCommit {
             write,
             node: number,
-            at: now,
+            forwarded_at: now,
         });
-        if std::mem::take(&mut self.nodes[number].stops_after_commit) {
-            self.stop_node(number);
+        if std::mem::take(&mut self.nodes[number].shuts_down_after_commit) {
+            self.shut_down_node(number);
         }
     }
 }
--- a/src/simulation/databases.rs
+++ b/src/simulation/databases.rs
@@ -484,7 +484,7 @@
         let fence = attempt.fencing_token();
         let lower = fence < *highest;
         *highest = fence.max(*highest);
-        if lower && self.clocks_run() {
+        if lower && self.clocks_reliable() {
             return self.report_violation(format!(
                 "{service}: the platform received fencing token {fence} after a higher one"
             ));
@@ -523,13 +523,13 @@
         let missing = acknowledged_commits.copied().find(|commit| !log.contains(&commit.write));
         let log = log.clone();
         let term = DbTerm(newest.0 + 1);
-        if let Some(AcknowledgedCommit { write, node, at }) = missing
-            && self.clocks_run()
+        if let Some(AcknowledgedCommit { write, node, forwarded_at }) = missing
+            && self.clocks_reliable()
         {
             let (name, commit_term) = (&self.databases[target].id, write.term);
             return self.report_violation(format!(
-                "{name} promoted for {service} in {term} without a commit of \
-                 {commit_term}, acknowledged by node{node} at {at} ms"
+                "{name} promoted for {service} in term {term} without a commit of \
+                 term {commit_term}, acknowledged by node{node} at {forwarded_at} ms"
             ));
         }
         self.promotions.entry(service.clone()).or_default().push((term, log));
--- a/src/simulation/events.rs
+++ b/src/simulation/events.rs
@@ -7,7 +7,7 @@
 use crate::net::rpc::raft_messages::RaftMessage;
 use crate::net::rpc::{Frame, LAYOUT};
 use crate::raft::storage::StorageError;
-use crate::simulation::commits::{Commit, TargetQuestion};
+use crate::simulation::commits::{Commit, TargetQuery};
 use crate::simulation::databases::{AcknowledgedHeartbeat, Write};
 use crate::simulation::machines::DiskFault;
 use crate::simulation::network::{Endpoint, RemoteEnd};
@@ -54,9 +54,9 @@
     /// A node receives the primary's acknowledgement of a commit, by node and incarnation.
     CommitAck(usize, u64, Commit),
     /// A node's query reaches the target of a handover, by number of the database.
-    TargetQuestion(usize, TargetQuestion),
+    TargetQuery(usize, TargetQuery),
     /// A node receives the response to its query, or none once the query has timed out.
-    TargetAnswer(TargetQuestion),
+    TargetResponse(TargetQuery),
     /// A primary sends its log to its replicas.
     ReplicationTurn(usize),
     /// A fault of the schedule begins, by its number there.
@@ -122,10 +122,10 @@
             Event::CommitAck(node, incarnation, commit) => {
                 self.handle_commit_ack(node, incarnation, commit);
             }
-            Event::TargetQuestion(number, question) => {
-                self.answer_target_question(number, question);
+            Event::TargetQuery(number, query) => {
+                self.handle_target_query(number, query);
             }
-            Event::TargetAnswer(question) => self.handle_target_answer(question),
+            Event::TargetResponse(query) => self.handle_target_response(query),
             Event::ReplicationTurn(number) => self.replicate(number),
             Event::InjectFault(number) => self.inject(number),
             Event::StartController(number) => self.start(number),
--- a/src/simulation/faults.rs
+++ b/src/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! Injects the faults of a schedule, and repairs everything at its end.
+//! Injects the faults of a schedule, and repairs everything when fault injection ends.
 use crate::base::ids::ServiceName;
 use crate::base::time::Tick;
 use crate::simulation::events::Event;
@@ -9,27 +9,29 @@
 };
 use crate::simulation::world::{JOIN_SYNC_MS, PEER_PARTITION_EXTRA_MS, SERVICES, World};
 
-/// All machines stop no longer than this, so that the run has time left with them.
-const LONGEST_STOP_OF_ALL_MS: u64 = 3_000;
-/// A node is away no longer than this.
-const LONGEST_NODE_RESTART_MS: u64 = 4_000;
+/// The longest stop of all machines, in ms, so that they run for most of the schedule.
+const MAX_STOP_OF_ALL_MS: u64 = 3_000;
+/// The longest time in ms before a restarted node is back.
+const MAX_NODE_RESTART_MS: u64 = 4_000;
 
 impl World {
+    /// The machine that a target denotes now, if there is one.
     pub(super) fn pick_machine(&self, target: FaultTarget) -> Option<usize> {
-        let here = |m: &Machine| !m.removed && m.controller.is_some();
+        let running = |m: &Machine| !m.removed && m.controller.is_some();
         let leads = |m: &Machine| {
             let now = Tick(self.now + m.clock_offset);
             m.controller.as_ref().is_some_and(|s| s.raft().holds_leader_lease(now))
         };
         let all: Vec<usize> =
-            (0..self.machines.len()).filter(|m| here(&self.machines[*m])).collect();
+            (0..self.machines.len()).filter(|m| running(&self.machines[*m])).collect();
         match target {
             FaultTarget::Leader => all.into_iter().find(|m| leads(&self.machines[*m])),
             FaultTarget::Number(n) => all.get(usize::from(n) % all.len().max(1)).copied(),
         }
     }
 
-    /// Whether a controller may be lost now for so long; it then counts as lost.
+    /// The target's machine, if one more may be lost now; it then counts as lost until the end of
+    /// the fault and the time it needs to rejoin.
     pub(super) fn reserve_loss(&mut self, target: FaultTarget, duration_ms: u64) -> Option<usize> {
         let number = self.pick_machine(target)?;
         let now = self.now;
@@ -46,7 +48,7 @@
         Some(number)
     }
 
-    /// Brings about a fault of the schedule by its number, unless everything is repaired already.
+    /// Injects a fault of the schedule, by its number, unless fault injection has ended.
     pub(super) fn inject(&mut self, number: usize) {
         if self.repaired {
             return;
@@ -80,23 +82,23 @@
                 }
             }
             FaultKind::DatabaseReplacement { primary, number } => {
-                self.inject_database_leave(primary, number);
+                self.inject_database_replacement(primary, number);
             }
             FaultKind::LargeConfigurations(hundreds) => {
                 self.extra_routes_hundreds = u64::from(hundreds)
             }
             FaultKind::NodeRestart(number) => {
                 let number = usize::from(number) % self.nodes.len();
-                self.restart_node(number, duration_ms.min(LONGEST_NODE_RESTART_MS));
+                self.restart_node(number, duration_ms.min(MAX_NODE_RESTART_MS));
             }
             FaultKind::DuringPrimaryChange { fault, number } => {
-                self.await_change(fault, number, duration_ms);
+                self.add_pending_change_fault(fault, number, duration_ms);
             }
             FaultKind::NodeShutdown(number) => {
                 let number = usize::from(number) % self.nodes.len();
-                self.nodes[number].stops_after_commit = true;
+                self.nodes[number].shuts_down_after_commit = true;
             }
-            FaultKind::EarlyDeregistration(number) => self.inject_goodbye_first(number),
+            FaultKind::EarlyDeregistration(number) => self.inject_early_deregistration(number),
         }
     }
 
@@ -115,7 +117,7 @@
     fn inject_freeze(&mut self, target: FaultTarget, duration_ms: u64) {
         if let Some(number) = self.reserve_loss(target, duration_ms) {
             if chance(40) {
-                self.partition_past(number, self.now + duration_ms);
+                self.partition_beyond_freeze(number, self.now + duration_ms);
             }
             self.freeze(number, self.now + duration_ms);
         }
@@ -123,12 +125,13 @@
 
     fn inject_suspension(&mut self, target: FaultTarget, duration_ms: u64) {
         if let Some(number) = self.reserve_loss(target, duration_ms) {
-            self.partition_past(number, self.now + duration_ms);
+            self.partition_beyond_freeze(number, self.now + duration_ms);
             self.freeze(number, self.now + duration_ms);
             self.machines[number].suspended_since.get_or_insert(self.now);
         }
     }
 
+    /// Freezes a machine until a time, some of them in the middle of the next step.
     pub(super) fn freeze(&mut self, number: usize, until: u64) {
         let machine = &mut self.machines[number];
         (machine.frozen_until, machine.frozen_mid_step) = (Some(until), chance(60));
@@ -142,7 +145,8 @@
         }
     }
 
-    /// The machine is gone for good; an empty one starts in its place, with seeds that are there.
+    /// Removes a machine for good; one with an empty disk starts in its place, with existing
+    /// machines as seeds.
     fn inject_replacement(&mut self, target: FaultTarget, duration_ms: u64) {
         let Some(number) = self.reserve_loss(target, duration_ms) else { return };
         self.stop(number, true);
@@ -155,21 +159,21 @@
         self.schedule_at(self.now + duration_ms, Event::StartController(new));
     }
 
-    /// Stops all machines; as many disks are lost as may still be lost.
+    /// Stops all machines. Disks are lost up to the number of losses still tolerated.
     fn inject_stop_of_all(&mut self, disks_lost: u8, duration_ms: u64) {
         let now = self.now;
         let lost = self.machines.iter().filter(|m| m.lost_until > now).count();
-        let mut wipes =
+        let mut disks_to_wipe =
             usize::from(disks_lost).min(self.schedule.tolerated_losses.saturating_sub(lost));
         for number in 0..self.machines.len() {
-            let wipe = wipes > 0 && self.machines[number].controller.is_some();
-            wipes -= usize::from(wipe);
+            let wipe = disks_to_wipe > 0 && self.machines[number].controller.is_some();
+            disks_to_wipe -= usize::from(wipe);
             if wipe {
                 self.machines[number].lost_until = now + duration_ms + JOIN_SYNC_MS;
             }
             self.stop(number, wipe);
-            let back = duration_ms.min(LONGEST_STOP_OF_ALL_MS) + random_below(300);
-            self.schedule_after(back, Event::StartController(number));
+            let restart_delay_ms = duration_ms.min(MAX_STOP_OF_ALL_MS) + random_below(300);
+            self.schedule_after(restart_delay_ms, Event::StartController(number));
         }
     }
 
@@ -192,7 +196,7 @@
         }
     }
 
-    fn inject_database_leave(&mut self, primary: bool, number: u8) {
+    fn inject_database_replacement(&mut self, primary: bool, number: u8) {
         if let Some(number) = self.pick_database(primary, number)
             && !self.databases[number].draining
         {
@@ -202,7 +206,7 @@
         }
     }
 
-    /// A node forgets everything and is back after so many ms.
+    /// Restarts a node without its in-memory state; it is back after this many milliseconds.
     pub(super) fn restart_node(&mut self, number: usize, after: u64) {
         if let Some((connection, _)) = self.nodes[number].connection {
             self.close(connection);
@@ -221,18 +225,20 @@
         self.schedule_after(after, Event::NodeTurn(number, incarnation));
     }
 
-    /// Partitions a controller from the others for longer than it stands still: its callers may reach
-    /// it before the others do.
-    fn partition_past(&mut self, controller: usize, than: u64) {
+    /// Partitions a controller from the others for longer than it is frozen, so that its clients
+    /// may reach it before the other controllers do.
+    fn partition_beyond_freeze(&mut self, controller: usize, frozen_until: u64) {
         let (direction, salt) = (PartitionDirection::Both, random_u64());
         self.partitions.push(Partition {
             controller,
             direction,
-            until: than + PEER_PARTITION_EXTRA_MS,
+            until: frozen_until + PEER_PARTITION_EXTRA_MS,
             salt,
         });
     }
 
+    /// A running database of the service that the number selects: its primary, or one of its
+    /// replicas.
     pub(super) fn pick_database(&self, primary: bool, number: u8) -> Option<usize> {
         let service = ServiceName::from(SERVICES[usize::from(number) % SERVICES.len()]);
         let newest = self.newest_primary(&service);
@@ -244,14 +250,14 @@
         replicas.get(usize::from(number) % replicas.len().max(1)).copied()
     }
 
-    /// Repairs everything: from here on there are no faults.
+    /// Ends fault injection and repairs everything.
     pub(super) fn repair_all(&mut self) {
         self.repaired = true;
         self.partitions.clear();
         self.packet_loss = (0, 0);
         for number in 0..self.machines.len() {
             self.machines[number].disk_fault = None;
-            // What a stalled disk was given is written now, not when the stall would have ended.
+            // A stalled write completes now instead of when the stall would have ended.
             self.schedule_after(2, Event::DiskWriteDone(number, self.machines[number].incarnation));
             if self.machines[number].frozen_until.is_some() {
                 self.machines[number].frozen_until = Some(self.now);
--- a/src/simulation/nodes.rs
+++ b/src/simulation/nodes.rs
@@ -54,7 +54,7 @@
     /// How commits are confirmed during the handover of each service.
     pub(super) commit_confirmations: BTreeMap<ServiceName, CommitConfirmation>,
     /// Whether it shuts down gracefully after it has acknowledged its next commit.
-    pub(super) stops_after_commit: bool,
+    pub(super) shuts_down_after_commit: bool,
     /// The last commit of each service that was not reported to the leader.
     pub(super) unreported_commits: BTreeMap<ServiceName, ObservedCommit>,
     /// The sequence number of the last answered renewal on this connection, and when the answer
@@ -280,7 +280,7 @@
                 for message in acknowledgements {
                     self.send_to_controller(number, message);
                 }
-                self.check_one_leased_term();
+                self.check_single_leased_term();
             }
             ToPooler::HandOver { service, handover } => {
                 let message = node.begin_handover(service, handover);
@@ -305,7 +305,7 @@
             .any(|committed| committed.revision == route_table.revision)
         {
             return self.report_violation(format!(
-                "node{number} received {}, which was never committed",
+                "node{number} received revision {}, which was never committed",
                 route_table.revision
             ));
         }
--- a/src/simulation/operators.rs
+++ b/src/simulation/operators.rs
@@ -61,21 +61,24 @@
         let revision = match (response.status, read) {
             (200, Ok(revision)) => match self.committed_place(revision, &response.body) {
                 Some(place) if place < floor => {
-                    return Err(
-                        self.violated(format!("stale read of {revision}, a newer one was known"))
-                    );
+                    return Err(self.violation_now(format!(
+                        "stale read of revision {revision}, a newer one was known"
+                    )));
                 }
                 Some(place) => {
                     self.read_floors.push((self.now, place));
                     revision
                 }
                 None => {
-                    return Err(self
-                        .violated(format!("read returned {revision}, which was never committed")));
+                    return Err(self.violation_now(format!(
+                        "read returned revision {revision}, which was never committed"
+                    )));
                 }
             },
             (404, _) if floor == 0 => Revision(0),
-            (status, _) => return Err(self.violated(format!("read failed with status {status}"))),
+            (status, _) => {
+                return Err(self.violation_now(format!("read failed with status {status}")));
+            }
         };
         self.report.reads += 1;
         self.operators[operator].change = Some(self.random_change(operator, revision));
@@ -93,19 +96,21 @@
             (200, Some(place)) => self.handle_acknowledgement(operator, change, place),
             (200, None) => {
                 let (base, number) = (change.base, change.revision);
-                Err(self.violated(format!(
-                    "change to {number} on base {base} acknowledged, but not committed"
+                Err(self.violation_now(format!(
+                    "change to revision {number} on base {base} acknowledged, but not committed"
                 )))
             }
             (status, Some(_)) => {
                 let number = change.revision;
-                Err(self.violated(format!(
-                    "change to {number} committed, but answered with status {status}"
+                Err(self.violation_now(format!(
+                    "change to revision {number} committed, but answered with status {status}"
                 )))
             }
             (412, None) => self.handle_rejection(&change),
-            (status, None) => Err(self
-                .violated(format!("change to {} answered with status {status}", change.revision))),
+            (status, None) => Err(self.violation_now(format!(
+                "change to revision {} answered with status {status}",
+                change.revision
+            ))),
         }
     }
 
@@ -119,8 +124,8 @@
     ) -> Result<(), Violation> {
         let on_base = self.committed_configurations[place - 1].base == change.base;
         if change.expected_accepted == Some(false) || !on_base {
-            return Err(self.violated(format!(
-                "change to {} acknowledged, but its base was not the current revision",
+            return Err(self.violation_now(format!(
+                "change to revision {} acknowledged, but its base was not the current revision",
                 change.revision
             )));
         }
@@ -141,7 +146,7 @@
         if change.base == current {
             let description =
                 format!("change on base {} rejected, although it is current", change.base);
-            return Err(self.violated(description));
+            return Err(self.violation_now(description));
         }
         self.report.refused += 1;
         Ok(())
--- a/src/simulation/world.rs
+++ b/src/simulation/world.rs
@@ -168,7 +168,7 @@
             revoked: BTreeMap::new(),
             highest_positions: BTreeMap::new(),
             commit_confirmations: BTreeMap::new(),
-            stops_after_commit: false,
+            shuts_down_after_commit: false,
             unreported_commits: BTreeMap::new(),
             last_grant: None,
         });
--- a/tests/simulation.rs
+++ b/tests/simulation.rs
@@ -17,10 +17,10 @@
 }
 fn change_fault() -> impl Strategy<Value = ChangeFault> {
     prop_oneof![
-        Just(ChangeFault::TargetDeaf),
-        Just(ChangeFault::PausedReplicaRestarts),
-        Just(ChangeFault::UnlistedReplica),
-        Just(ChangeFault::LeaderThaws)
+        Just(ChangeFault::TargetReplicationStall),
+        Just(ChangeFault::PausedReplicaRestart),
+        Just(ChangeFault::UnregisteredReplica),
+        Just(ChangeFault::LeaderThaw)
     ]
 }
 fn kind() -> impl Strategy<Value = FaultKind> {
