--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -4,7 +4,7 @@
 
 /// A test that exists, and one of another file.
 const TEST: &str = "tests/known_red.rs::a_line_passes_over_exactly_the_test_that_it_names";
-const OTHER: &str = "tests/simulation.rs::the_same_schedule_plays_the_same_way";
+const OTHER: &str = "tests/simulation.rs::the_same_schedule_runs_the_same_way";
 
 /// What the script makes of a list.
 fn read(name: &str, list: &str) -> Output {
@@ -20,7 +20,7 @@
 #[test]
 fn a_line_passes_over_exactly_the_test_that_it_names() {
     let name = "a_line_passes_over_exactly_the_test_that_it_names";
-    let other = "the_same_schedule_plays_the_same_way";
+    let other = "the_same_schedule_runs_the_same_way";
     // (a list, the options)
     let cases = [
         (String::new(), String::new()),
@@ -50,11 +50,11 @@
         (" ", "no cause"),
         (", seen, issue 1", "neither"),
         (" , seen", "neither"),
-        ("tests/simulation.rs::the_same_schedule_plays_the_same_way", "no cause"),
-        ("the_same_schedule_plays_the_same_way, seen", "neither"),
+        ("tests/simulation.rs::the_same_schedule_runs_the_same_way", "no cause"),
+        ("the_same_schedule_runs_the_same_way, seen", "neither"),
         ("tests/simulation.rs::, seen", "no name of a test"),
         ("tests/simulation.rs::the_same, seen", "has no test"),
-        ("tests/simulation.rs::what.*, seen", "no name of a test"),
+        ("tests/simulation.rs::the_same.*, seen", "no name of a test"),
         ("tests/simulation.rs::no_such_test, seen", "has no test"),
         ("tests/no_such_file.rs::no_such_test, seen", "does not exist"),
         ("review/no_such_case, seen", "does not exist"),
--- a/tests/simulation.rs
+++ b/tests/simulation.rs
@@ -1,6 +1,8 @@
-//! The control plane in virtual time: schedules that once broke a promise, and drawn ones that are shrunk.
+//! The control plane in virtual time: schedules that violated a guarantee once, and random ones,
+//! which are shrunk if they fail.
 //!
-//! More of them, with other luck: `PROPTEST_CASES=5000 PROPTEST_RNG_SEED=7 cargo test --release --test simulation`.
+//! More schedules, from another seed:
+//! `PROPTEST_CASES=5000 PROPTEST_RNG_SEED=7 cargo test --release --test simulation`.
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed, TestRunner};
 use silvertack::simulation::change_faults::ChangeFault;
@@ -9,7 +11,7 @@
     Fault, FaultKind, FaultTarget, PartitionDirection, Schedule,
 };
 
-/// Threads that draw and play, each with its own luck.
+/// Threads that generate and run schedules, each from its own seed.
 const RUNNERS: u64 = 8;
 
 fn fault_target() -> impl Strategy<Value = FaultTarget> {
@@ -23,14 +25,14 @@
         Just(ChangeFault::LeaderThaw)
     ]
 }
-fn kind() -> impl Strategy<Value = FaultKind> {
-    let way = prop_oneof![
+fn fault_kind() -> impl Strategy<Value = FaultKind> {
+    let direction = prop_oneof![
         Just(PartitionDirection::Both),
         Just(PartitionDirection::Outbound),
         Just(PartitionDirection::Inbound)
     ];
     prop_oneof![
-        3 => (fault_target(), way).prop_map(|(target, way)| FaultKind::Partition(target, way)),
+        3 => (fault_target(), direction).prop_map(|(target, direction)| FaultKind::Partition(target, direction)),
         2 => fault_target().prop_map(FaultKind::Freeze),
         1 => fault_target().prop_map(FaultKind::Kill),
         1 => fault_target().prop_map(FaultKind::PowerLoss),
@@ -53,14 +55,14 @@
 }
 fn schedule() -> impl Strategy<Value = Schedule> {
     let duration_ms = prop::sample::select(vec![100, 500, 800, 1_500, 5_000, 12_000, 20_000]);
-    let fault = (4_000..30_000u64, duration_ms, kind())
+    let fault = (4_000..30_000u64, duration_ms, fault_kind())
         .prop_map(|(start_ms, duration_ms, kind)| Fault { start_ms, duration_ms, kind });
     let size = prop::sample::select(vec![(3, 1), (4, 1), (5, 2), (6, 2), (7, 2)]);
     let suspends = prop::bool::weighted(0.15);
     (any::<u64>(), size, 2..9usize, prop::collection::vec(fault, 0..10), suspends).prop_map(
         |(seed, (controllers, tolerated_losses), operators, mut faults, suspends)| {
             let length_ms = 20_000;
-            // Nothing is promised of leases then, so most schedules are without.
+            // Leases are not checked in schedules with suspensions, so most schedules have none.
             for fault in faults.iter_mut().filter(|_| suspends) {
                 if let FaultKind::Freeze(target) = fault.kind {
                     fault.kind = FaultKind::Suspend(target);
@@ -72,58 +74,60 @@
 }
 
 #[test]
-fn what_was_promised_holds_under_drawn_troubles() {
-    let asked = std::env::var("PROPTEST_RNG_SEED").ok().and_then(|seed| seed.parse().ok());
-    let first: u64 = asked.unwrap_or(1_202);
+fn guarantees_hold_under_random_faults() {
+    let requested_seed = std::env::var("PROPTEST_RNG_SEED").ok().and_then(|seed| seed.parse().ok());
+    let first_seed: u64 = requested_seed.unwrap_or(1_202);
     let cases = Config::default().cases / RUNNERS as u32;
     let run = |number: u64| {
-        let rng_seed = RngSeed::Fixed(first.wrapping_mul(RUNNERS).wrapping_add(number));
-        let cases = if asked.is_none() { cases.min(12) } else { cases };
+        let rng_seed = RngSeed::Fixed(first_seed.wrapping_mul(RUNNERS).wrapping_add(number));
+        let cases = if requested_seed.is_none() { cases.min(12) } else { cases };
         let config = Config { failure_persistence: None, rng_seed, cases, ..Config::default() };
-        let held = |schedule| {
-            let run = run_schedule(&schedule).map(drop);
-            run.map_err(|violation| TestCaseError::fail(violation.to_string()))
+        let check = |schedule| {
+            let outcome = run_schedule(&schedule).map(drop);
+            outcome.map_err(|violation| TestCaseError::fail(violation.to_string()))
         };
-        TestRunner::new(config).run(&schedule(), held).map_err(|why| why.to_string())
+        TestRunner::new(config).run(&schedule(), check).map_err(|error| error.to_string())
     };
-    let played: Vec<Result<(), String>> = std::thread::scope(|threads| {
+    let outcomes: Vec<Result<(), String>> = std::thread::scope(|threads| {
         let runners: Vec<_> = (0..RUNNERS).map(|n| threads.spawn(move || run(n))).collect();
-        runners.into_iter().map(|r| r.join().expect("played")).collect()
+        runners.into_iter().map(|runner| runner.join().expect("a runner panicked")).collect()
     });
-    assert_eq!(played, vec![Ok(()); RUNNERS as usize]);
+    assert_eq!(outcomes, vec![Ok(()); RUNNERS as usize]);
 }
 
 #[test]
-fn what_planted_faults_break_holds() {
-    // (a schedule by its seed, what it found when it was planted: docs/control.md, "The simulation")
+fn guarantees_hold_under_schedules_that_found_faults() {
+    // The seed of a schedule, and the fault that it found when that was put into the code on
+    // purpose (docs/control.md, "The simulation").
     let cases = [
-        (1, "an order was judged by its number alone; by its place alone; answered with another's"),
-        (13, "a snapshot's state was not taken"),
-        (63, "leases counted as gone at once"),
-        (146, "a read was answered without a quorum asked"),
-        (1121, "one replica less was enough to choose by"),
-        // These broke with an earlier drawing, which they no longer show: lost poolers forgotten, and
-        // a controller that began anew with seeds that had all been replaced.
-        (4, "drawn"),
-        (43, "drawn"),
-        (129, "drawn"),
-        (90, "drawn"),
+        (1, "a change was matched by revision alone; by position alone; got another's answer"),
+        (13, "the state of a snapshot was not adopted"),
+        (63, "leases were taken as expired at once"),
+        (146, "a read was answered without asking a quorum"),
+        (1121, "a primary was chosen with one replica too few"),
+        // These failed with an earlier generator of schedules and no longer show the faults: lost
+        // poolers were forgotten, and a controller started again with seeds that had all been
+        // replaced.
+        (4, "random schedule"),
+        (43, "random schedule"),
+        (129, "random schedule"),
+        (90, "random schedule"),
     ];
-    for (seed, what) in cases {
-        if let Err(why) = run_schedule(&Schedule::from_seed_without_change_faults(seed)) {
-            panic!("{what}: {why}");
+    for (seed, fault) in cases {
+        if let Err(violation) = run_schedule(&Schedule::from_seed_without_change_faults(seed)) {
+            panic!("seed {seed} ({fault}): {violation}");
         }
     }
 }
 
 #[test]
-fn the_same_schedule_plays_the_same_way() {
+fn the_same_schedule_runs_the_same_way() {
     for seed in [2, 3] {
         for schedule in [Schedule::from_seed(seed), Schedule::from_seed_without_change_faults(seed)]
         {
             let (first, second) = (run_schedule(&schedule), run_schedule(&schedule));
             assert_eq!(first, second);
-            let report = first.expect("nothing breaks");
+            let report = first.expect("no violation");
             assert!(
                 report.acknowledged > 5 && report.reads > 5 && report.acknowledged_commits > 50,
                 "{report:?}"
@@ -132,12 +136,13 @@
     }
 }
 
-/// Guards against a promotion that lacks commits which only a replica unknown to the controllers has.
+/// Guards against the promotion of a replica that lacks commits which only a replica unknown to the
+/// controllers has.
 #[test]
 fn a_replica_that_counts_before_the_controllers_know_it_keeps_its_commits() {
-    // Schedules in which a new replica is the only one that has a commit before its first heartbeat is
-    // taken, while a planned change is under way.
-    let played = [10_588, 10_856, 11_529]
+    // In these schedules a new replica is the only one that has a commit before its first heartbeat
+    // is accepted, during a planned change of the primary.
+    let outcomes = [10_588, 10_856, 11_529]
         .map(|seed| run_schedule(&Schedule::from_seed_without_change_faults(seed)).map(drop));
-    assert_eq!(played, [Ok(()), Ok(()), Ok(())]);
+    assert_eq!(outcomes, [Ok(()), Ok(()), Ok(())]);
 }
