--- a/src/simulation/nodes.rs
+++ b/src/simulation/nodes.rs
@@ -238,8 +238,7 @@
         let node = &mut self.nodes[number];
         node.last_message_at = now;
         let Frame::Controller(message) = frame else {
-            return self
-                .report_violation(format!("node{number} received a frame that is not for nodes"));
+            return self.report_violation(format!("node{number} got a frame not meant for nodes"));
         };
         match message {
             ToPooler::Welcome { controllers } => {
@@ -264,7 +263,7 @@
             }
             ToPooler::Directory(_) | ToPooler::DirectoryDelta { .. } => {}
             ToPooler::LeaseGrants { seq, complete, grants, .. } => {
-                let Some(requested_at) = node.renewals_sent.get(&seq).copied() else { return };
+                let Some(sent_at) = node.renewals_sent.get(&seq).copied() else { return };
                 node.renewals_sent.retain(|s, _| *s >= seq);
                 node.last_grant = Some((seq, now));
                 if complete {
@@ -272,11 +271,9 @@
                 }
                 let mut acknowledgements = Vec::new();
                 for grant in grants {
-                    acknowledgements.extend(node.apply_grant(grant, seq, requested_at));
+                    acknowledgements.extend(node.apply_grant(grant, seq, sent_at));
                 }
-                node.leases
-                    .values_mut()
-                    .for_each(|l| l.requested_at = l.requested_at.max(requested_at));
+                node.leases.values_mut().for_each(|l| l.requested_at = l.requested_at.max(sent_at));
                 for message in acknowledgements {
                     self.send_to_controller(number, message);
                 }
