--- a/tests/simulation.rs
+++ b/tests/simulation.rs
@@ -32,23 +32,28 @@
         Just(PartitionDirection::Inbound)
     ];
     prop_oneof![
-        3 => (fault_target(), direction).prop_map(|(target, direction)| FaultKind::Partition(target, direction)),
+        3 => (fault_target(), direction)
+            .prop_map(|(target, direction)| FaultKind::Partition(target, direction)),
         2 => fault_target().prop_map(FaultKind::Freeze),
         1 => fault_target().prop_map(FaultKind::Kill),
         1 => fault_target().prop_map(FaultKind::PowerLoss),
         1 => fault_target().prop_map(FaultKind::DiskLoss),
         1 => fault_target().prop_map(FaultKind::Replace),
-        1 => (any::<bool>(), 0..3u8).prop_map(|(power_loss, disks_lost)| FaultKind::StopAllMachines { power_loss, disks_lost }),
+        1 => (any::<bool>(), 0..3u8)
+            .prop_map(|(power_loss, disks_lost)| FaultKind::StopAllMachines { power_loss, disks_lost }),
         1 => fault_target().prop_map(FaultKind::DiskFull),
         1 => fault_target().prop_map(FaultKind::DiskStall),
         1 => Just(FaultKind::ConnectionReset),
         1 => (3..13u8).prop_map(FaultKind::PacketLoss),
-        1 => (any::<bool>(), 0..3u8).prop_map(|(primary, number)| FaultKind::DatabaseCrash { primary, number }),
+        1 => (any::<bool>(), 0..3u8)
+            .prop_map(|(primary, number)| FaultKind::DatabaseCrash { primary, number }),
         1 => (0..3u8).prop_map(FaultKind::ReplicationStall),
-        1 => (any::<bool>(), 0..3u8).prop_map(|(primary, number)| FaultKind::DatabaseReplacement { primary, number }),
+        1 => (any::<bool>(), 0..3u8)
+            .prop_map(|(primary, number)| FaultKind::DatabaseReplacement { primary, number }),
         1 => (1..10u8).prop_map(FaultKind::LargeConfigurations),
         1 => (0..3u8).prop_map(FaultKind::NodeRestart),
-        2 => (change_fault(), 0..3u8).prop_map(|(fault, number)| FaultKind::DuringPrimaryChange { fault, number }),
+        2 => (change_fault(), 0..3u8)
+            .prop_map(|(fault, number)| FaultKind::DuringPrimaryChange { fault, number }),
         1 => (0..3u8).prop_map(FaultKind::NodeShutdown),
         1 => (0..3u8).prop_map(FaultKind::EarlyDeregistration),
     ]
