--- a/src/simulation/faults.rs
+++ b/src/simulation/faults.rs
@@ -1,72 +1,76 @@
-//! Injects the faults of a schedule, and repairs everything at its end.
+//! Injects the faults of a schedule, and repairs everything when fault injection ends.
 use crate::base::ids::ServiceName;
 use crate::base::time::Tick;
 use crate::simulation::events::Event;
 use crate::simulation::machines::{DiskFault, Machine};
 use crate::simulation::network::Partition;
 use crate::simulation::schedule::{
-    CutDirection, Fault, FaultKind, FaultTarget, chance, draw, draw_below,
+    Fault, FaultKind, FaultTarget, PartitionDirection, chance, random_below, random_u64,
 };
-use crate::simulation::world::{JOIN_SYNC_MS, LATER_HEARD_MS, SERVICES, World};
+use crate::simulation::world::{JOIN_SYNC_MS, PEER_PARTITION_EXTRA_MS, SERVICES, World};
 
-/// All machines stop no longer than this, so that the run has time left with them.
-const LONGEST_STOP_OF_ALL_MS: u64 = 3_000;
-/// A node is away no longer than this.
-const LONGEST_NODE_RESTART_MS: u64 = 4_000;
+/// The longest stop of all machines, in ms, so that they run for most of the schedule.
+const MAX_STOP_OF_ALL_MS: u64 = 3_000;
+/// The longest time in ms before a restarted node is back.
+const MAX_NODE_RESTART_MS: u64 = 4_000;
 
 impl World {
+    /// The machine that a target denotes now, if there is one.
     pub(super) fn pick_machine(&self, target: FaultTarget) -> Option<usize> {
-        let here = |m: &Machine| !m.gone && m.controller.is_some();
+        let running = |m: &Machine| !m.removed && m.controller.is_some();
         let leads = |m: &Machine| {
             let now = Tick(self.now + m.clock_offset);
             m.controller.as_ref().is_some_and(|s| s.raft().holds_leader_lease(now))
         };
         let all: Vec<usize> =
-            (0..self.machines.len()).filter(|m| here(&self.machines[*m])).collect();
+            (0..self.machines.len()).filter(|m| running(&self.machines[*m])).collect();
         match target {
             FaultTarget::Leader => all.into_iter().find(|m| leads(&self.machines[*m])),
             FaultTarget::Number(n) => all.get(usize::from(n) % all.len().max(1)).copied(),
         }
     }
 
-    /// Whether a controller may be lost now for so long; it then counts as lost.
-    pub(super) fn reserve_loss(&mut self, target: FaultTarget, lasts_ms: u64) -> Option<usize> {
+    /// The target's machine, if one more may be lost now; it then counts as lost until the end of
+    /// the fault and the time it needs to rejoin.
+    pub(super) fn reserve_loss(&mut self, target: FaultTarget, duration_ms: u64) -> Option<usize> {
         let number = self.pick_machine(target)?;
         let now = self.now;
-        let lost = (0..self.machines.len())
-            .filter(|m| *m != number && !self.machines[*m].gone && self.machines[*m].lost > now);
-        let replaced = self.machines.iter().filter(|m| m.gone && m.lost > now).count();
-        if lost.count() + replaced >= self.schedule.tolerated {
+        let lost = (0..self.machines.len()).filter(|m| {
+            *m != number && !self.machines[*m].removed && self.machines[*m].lost_until > now
+        });
+        let replaced = self.machines.iter().filter(|m| m.removed && m.lost_until > now).count();
+        if lost.count() + replaced >= self.schedule.tolerated_losses {
             return None;
         }
         let machine = &mut self.machines[number];
-        machine.lost = machine.lost.max(now + lasts_ms + LATER_HEARD_MS + JOIN_SYNC_MS);
+        machine.lost_until =
+            machine.lost_until.max(now + duration_ms + PEER_PARTITION_EXTRA_MS + JOIN_SYNC_MS);
         Some(number)
     }
 
-    /// Brings about a fault of the schedule by its number, unless everything is repaired already.
+    /// Injects a fault of the schedule, by its number, unless fault injection has ended.
     pub(super) fn inject(&mut self, number: usize) {
         if self.repaired {
             return;
         }
-        let Fault { lasts_ms, kind, .. } = self.schedule.faults[number].clone();
-        let until = self.now + lasts_ms;
+        let Fault { duration_ms, kind, .. } = self.schedule.faults[number].clone();
+        let until = self.now + duration_ms;
         match kind {
             FaultKind::Partition(target, direction) => {
-                self.inject_partition(target, direction, lasts_ms);
+                self.inject_partition(target, direction, duration_ms);
             }
-            FaultKind::Freeze(target) => self.inject_freeze(target, lasts_ms),
-            FaultKind::Suspend(target) => self.inject_suspension(target, lasts_ms),
+            FaultKind::Freeze(target) => self.inject_freeze(target, duration_ms),
+            FaultKind::Suspend(target) => self.inject_suspension(target, duration_ms),
             FaultKind::Kill(target) | FaultKind::PowerLoss(target) => {
-                self.inject_stop(target, lasts_ms, false);
+                self.inject_stop(target, duration_ms, false);
             }
-            FaultKind::DiskLoss(target) => self.inject_stop(target, lasts_ms, true),
-            FaultKind::Replace(target) => self.inject_replacement(target, lasts_ms),
-            FaultKind::AllMachines { disks_lost, .. } => {
-                self.inject_stop_of_all(disks_lost, lasts_ms);
+            FaultKind::DiskLoss(target) => self.inject_stop(target, duration_ms, true),
+            FaultKind::Replace(target) => self.inject_replacement(target, duration_ms),
+            FaultKind::StopAllMachines { disks_lost, .. } => {
+                self.inject_stop_of_all(disks_lost, duration_ms);
             }
-            FaultKind::DiskFull(target) => self.inject_disk_fault(target, lasts_ms, true),
-            FaultKind::DiskStall(target) => self.inject_disk_fault(target, lasts_ms, false),
+            FaultKind::DiskFull(target) => self.inject_disk_fault(target, duration_ms, true),
+            FaultKind::DiskStall(target) => self.inject_disk_fault(target, duration_ms, false),
             FaultKind::ConnectionReset => self.inject_connection_reset(),
             FaultKind::PacketLoss(percent) => self.packet_loss = (until, u64::from(percent)),
             FaultKind::DatabaseCrash { primary, number } => {
@@ -77,112 +81,122 @@
                     self.databases[number].stalled_until = until;
                 }
             }
-            FaultKind::DatabaseLeave { primary, number } => {
-                self.inject_database_leave(primary, number);
+            FaultKind::DatabaseReplacement { primary, number } => {
+                self.inject_database_replacement(primary, number);
+            }
+            FaultKind::LargeConfigurations(hundreds) => {
+                self.extra_routes_hundreds = u64::from(hundreds)
             }
-            FaultKind::LargeConfigurations(hundreds) => self.large = u64::from(hundreds),
             FaultKind::NodeRestart(number) => {
                 let number = usize::from(number) % self.nodes.len();
-                self.restart_node(number, lasts_ms.min(LONGEST_NODE_RESTART_MS));
+                self.restart_node(number, duration_ms.min(MAX_NODE_RESTART_MS));
             }
-            FaultKind::InNextChange { fault, number } => {
-                self.await_change(fault, number, lasts_ms);
+            FaultKind::DuringPrimaryChange { fault, number } => {
+                self.add_pending_change_fault(fault, number, duration_ms);
             }
-            FaultKind::NodeStop(number) => {
+            FaultKind::NodeShutdown(number) => {
                 let number = usize::from(number) % self.nodes.len();
-                self.nodes[number].stops_after_commit = true;
+                self.nodes[number].shuts_down_after_commit = true;
             }
-            FaultKind::GoodbyeFirst(number) => self.inject_goodbye_first(number),
+            FaultKind::EarlyDeregistration(number) => self.inject_early_deregistration(number),
         }
     }
 
-    fn inject_partition(&mut self, target: FaultTarget, direction: CutDirection, lasts_ms: u64) {
-        let until = self.now + lasts_ms;
-        if let Some(controller) = self.reserve_loss(target, lasts_ms) {
-            self.partitions.push(Partition { controller, direction, until, salt: draw() });
+    fn inject_partition(
+        &mut self,
+        target: FaultTarget,
+        direction: PartitionDirection,
+        duration_ms: u64,
+    ) {
+        let until = self.now + duration_ms;
+        if let Some(controller) = self.reserve_loss(target, duration_ms) {
+            self.partitions.push(Partition { controller, direction, until, salt: random_u64() });
         }
     }
 
-    fn inject_freeze(&mut self, target: FaultTarget, lasts_ms: u64) {
-        if let Some(number) = self.reserve_loss(target, lasts_ms) {
+    fn inject_freeze(&mut self, target: FaultTarget, duration_ms: u64) {
+        if let Some(number) = self.reserve_loss(target, duration_ms) {
             if chance(40) {
-                self.partition_past(number, self.now + lasts_ms);
+                self.partition_beyond_freeze(number, self.now + duration_ms);
             }
-            self.freeze(number, self.now + lasts_ms);
+            self.freeze(number, self.now + duration_ms);
         }
     }
 
-    fn inject_suspension(&mut self, target: FaultTarget, lasts_ms: u64) {
-        if let Some(number) = self.reserve_loss(target, lasts_ms) {
-            self.partition_past(number, self.now + lasts_ms);
-            self.freeze(number, self.now + lasts_ms);
+    fn inject_suspension(&mut self, target: FaultTarget, duration_ms: u64) {
+        if let Some(number) = self.reserve_loss(target, duration_ms) {
+            self.partition_beyond_freeze(number, self.now + duration_ms);
+            self.freeze(number, self.now + duration_ms);
             self.machines[number].suspended_since.get_or_insert(self.now);
         }
     }
 
+    /// Freezes a machine until a time, some of them in the middle of the next step.
     pub(super) fn freeze(&mut self, number: usize, until: u64) {
         let machine = &mut self.machines[number];
         (machine.frozen_until, machine.frozen_mid_step) = (Some(until), chance(60));
-        self.schedule_at(until, Event::Thaw(number));
+        self.schedule_at(until, Event::ThawMachine(number));
     }
 
-    fn inject_stop(&mut self, target: FaultTarget, lasts_ms: u64, disk_lost: bool) {
-        if let Some(number) = self.reserve_loss(target, lasts_ms) {
+    fn inject_stop(&mut self, target: FaultTarget, duration_ms: u64, disk_lost: bool) {
+        if let Some(number) = self.reserve_loss(target, duration_ms) {
             self.stop(number, disk_lost);
-            self.schedule_at(self.now + lasts_ms, Event::Start(number));
+            self.schedule_at(self.now + duration_ms, Event::StartController(number));
         }
     }
 
-    /// The machine is gone for good; an empty one starts in its place, with seeds that are there.
-    fn inject_replacement(&mut self, target: FaultTarget, lasts_ms: u64) {
-        let Some(number) = self.reserve_loss(target, lasts_ms) else { return };
+    /// Removes a machine for good; one with an empty disk starts in its place, with existing
+    /// machines as seeds.
+    fn inject_replacement(&mut self, target: FaultTarget, duration_ms: u64) {
+        let Some(number) = self.reserve_loss(target, duration_ms) else { return };
         self.stop(number, true);
-        self.machines[number].gone = true;
+        self.machines[number].removed = true;
         let seeds: Vec<usize> =
-            (0..self.machines.len()).filter(|m| !self.machines[*m].gone).collect();
-        let start = draw_below(seeds.len() as u64) as usize;
+            (0..self.machines.len()).filter(|m| !self.machines[*m].removed).collect();
+        let start = random_below(seeds.len() as u64) as usize;
         let seeds: Vec<usize> = seeds.iter().cycle().skip(start).take(3).copied().collect();
         let new = self.add_machine(&seeds, false);
-        self.schedule_at(self.now + lasts_ms, Event::Start(new));
+        self.schedule_at(self.now + duration_ms, Event::StartController(new));
     }
 
-    /// Stops all machines; as many disks are lost as may still be lost.
-    fn inject_stop_of_all(&mut self, disks_lost: u8, lasts_ms: u64) {
+    /// Stops all machines. Disks are lost up to the number of losses still tolerated.
+    fn inject_stop_of_all(&mut self, disks_lost: u8, duration_ms: u64) {
         let now = self.now;
-        let lost = self.machines.iter().filter(|m| m.lost > now).count();
-        let mut wipes = usize::from(disks_lost).min(self.schedule.tolerated.saturating_sub(lost));
+        let lost = self.machines.iter().filter(|m| m.lost_until > now).count();
+        let mut disks_to_wipe =
+            usize::from(disks_lost).min(self.schedule.tolerated_losses.saturating_sub(lost));
         for number in 0..self.machines.len() {
-            let wipe = wipes > 0 && self.machines[number].controller.is_some();
-            wipes -= usize::from(wipe);
+            let wipe = disks_to_wipe > 0 && self.machines[number].controller.is_some();
+            disks_to_wipe -= usize::from(wipe);
             if wipe {
-                self.machines[number].lost = now + lasts_ms + JOIN_SYNC_MS;
+                self.machines[number].lost_until = now + duration_ms + JOIN_SYNC_MS;
             }
             self.stop(number, wipe);
-            let back = lasts_ms.min(LONGEST_STOP_OF_ALL_MS) + draw_below(300);
-            self.schedule_after(back, Event::Start(number));
+            let restart_delay_ms = duration_ms.min(MAX_STOP_OF_ALL_MS) + random_below(300);
+            self.schedule_after(restart_delay_ms, Event::StartController(number));
         }
     }
 
-    fn inject_disk_fault(&mut self, target: FaultTarget, lasts_ms: u64, full: bool) {
-        let until = self.now + lasts_ms;
-        if let Some(number) = self.reserve_loss(target, lasts_ms) {
+    fn inject_disk_fault(&mut self, target: FaultTarget, duration_ms: u64, full: bool) {
+        let until = self.now + duration_ms;
+        if let Some(number) = self.reserve_loss(target, duration_ms) {
             self.machines[number].disk_fault = Some(DiskFault { until, full });
         }
     }
 
     fn inject_connection_reset(&mut self) {
         let all: Vec<u64> = self.connections.keys().copied().collect();
-        all.into_iter().for_each(|conn| self.close(conn));
+        all.into_iter().for_each(|connection| self.close(connection));
     }
 
     fn inject_database_crash(&mut self, primary: bool, number: u8, until: u64) {
         if let Some(number) = self.pick_database(primary, number) {
             self.databases[number].up = false;
-            self.schedule_at(until, Event::DatabaseUp(number));
+            self.schedule_at(until, Event::DatabaseRestart(number));
         }
     }
 
-    fn inject_database_leave(&mut self, primary: bool, number: u8) {
+    fn inject_database_replacement(&mut self, primary: bool, number: u8) {
         if let Some(number) = self.pick_database(primary, number)
             && !self.databases[number].draining
         {
@@ -192,37 +206,39 @@
         }
     }
 
-    /// A node forgets everything and is back after so many ms.
+    /// Restarts a node without its in-memory state; it is back after this many milliseconds.
     pub(super) fn restart_node(&mut self, number: usize, after: u64) {
-        if let Some((conn, _)) = self.nodes[number].conn {
-            self.close(conn);
+        if let Some((connection, _)) = self.nodes[number].connection {
+            self.close(connection);
         }
         let node = &mut self.nodes[number];
         node.incarnation += 1;
-        (node.config, node.hint) = (None, None);
+        (node.route_table, node.leader_hint) = (None, None);
         node.leases.clear();
         node.revoked.clear();
-        node.highest.clear();
-        node.confirmations.clear();
-        node.sent.clear();
-        node.unreported.clear();
-        node.last_answer = None;
+        node.highest_positions.clear();
+        node.commit_confirmations.clear();
+        node.renewals_sent.clear();
+        node.unreported_commits.clear();
+        node.last_grant = None;
         let incarnation = node.incarnation;
         self.schedule_after(after, Event::NodeTurn(number, incarnation));
     }
 
-    /// Partitions a controller from the others for longer than it stands still: its callers may reach
-    /// it before the others do.
-    fn partition_past(&mut self, controller: usize, than: u64) {
-        let (direction, salt) = (CutDirection::Both, draw());
+    /// Partitions a controller from the others for longer than it is frozen, so that its clients
+    /// may reach it before the other controllers do.
+    fn partition_beyond_freeze(&mut self, controller: usize, frozen_until: u64) {
+        let (direction, salt) = (PartitionDirection::Both, random_u64());
         self.partitions.push(Partition {
             controller,
             direction,
-            until: than + LATER_HEARD_MS,
+            until: frozen_until + PEER_PARTITION_EXTRA_MS,
             salt,
         });
     }
 
+    /// A running database of the service that the number selects: its primary, or one of its
+    /// replicas.
     pub(super) fn pick_database(&self, primary: bool, number: u8) -> Option<usize> {
         let service = ServiceName::from(SERVICES[usize::from(number) % SERVICES.len()]);
         let newest = self.newest_primary(&service);
@@ -234,24 +250,24 @@
         replicas.get(usize::from(number) % replicas.len().max(1)).copied()
     }
 
-    /// Repairs everything: from here on there are no faults.
+    /// Ends fault injection and repairs everything.
     pub(super) fn repair_all(&mut self) {
         self.repaired = true;
         self.partitions.clear();
         self.packet_loss = (0, 0);
         for number in 0..self.machines.len() {
             self.machines[number].disk_fault = None;
-            // What a stalled disk was given is written now, not when the stall would have ended.
-            self.schedule_after(2, Event::WriteDone(number, self.machines[number].incarnation));
+            // A stalled write completes now instead of when the stall would have ended.
+            self.schedule_after(2, Event::DiskWriteDone(number, self.machines[number].incarnation));
             if self.machines[number].frozen_until.is_some() {
                 self.machines[number].frozen_until = Some(self.now);
-                self.schedule_after(0, Event::Thaw(number));
+                self.schedule_after(0, Event::ThawMachine(number));
             }
-            self.schedule_after(1, Event::Start(number));
+            self.schedule_after(1, Event::StartController(number));
         }
         for number in 0..self.databases.len() {
             self.databases[number].stalled_until = 0;
-            self.schedule_after(1, Event::DatabaseUp(number));
+            self.schedule_after(1, Event::DatabaseRestart(number));
         }
     }
 }
