--- a/src/simulation/change_faults.rs
+++ b/src/simulation/change_faults.rs
@@ -186,8 +186,8 @@
         }
     }
 
-    /// Shuts a node down gracefully: it returns its leases, says goodbye to the leader, and starts
-    /// again later.
+    /// Shuts a node down gracefully: it returns its leases, sends `Goodbye`, and starts again
+    /// later.
     pub(super) fn shut_down_node(&mut self, number: usize) {
         let leases: Vec<(ServiceName, DbTerm)> =
             self.nodes[number].leases.iter().map(|(s, l)| (s.clone(), l.term)).collect();
--- a/src/simulation/faults.rs
+++ b/src/simulation/faults.rs
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Freezes a machine until a time, some of them in the middle of the next step.
+    /// Freezes a machine until a time; at random the freeze begins in the middle of its next step.
     pub(super) fn freeze(&mut self, number: usize, until: u64) {
         let machine = &mut self.machines[number];
         (machine.frozen_until, machine.frozen_mid_step) = (Some(until), chance(60));
--- a/src/simulation/nodes.rs
+++ b/src/simulation/nodes.rs
@@ -43,7 +43,7 @@
     pub(super) last_message_at: u64,
     pub(super) last_renewal_at: u64,
     pub(super) last_renewal_seq: u64,
-    /// When each unanswered renewal was sent, by its sequence number.
+    /// When each recent renewal was sent, by its sequence number.
     pub(super) renewals_sent: BTreeMap<u64, u64>,
     pub(super) route_table: Option<RouteTable>,
     pub(super) leases: BTreeMap<ServiceName, Lease>,
