--- a/tests/support/processes.rs
+++ b/tests/support/processes.rs
@@ -20,9 +20,23 @@
         command.args([role, "--settings"]).arg(settings).stderr(Stdio::null());
         Self(command.spawn().expect(role))
     }
+    /// Sends a signal to the process. After `-STOP` it waits until every thread has stopped: the
+    /// kernel stops them after `kill` has returned, and until then they go on executing.
     pub(crate) fn signal(&self, name: &str) {
         let pid = self.0.id().to_string();
         assert!(Command::new("kill").args([name, &pid]).status().expect("kill").success());
+        if name == "-STOP" {
+            eventually("a stopped process", || self.is_stopped());
+        }
+    }
+    /// Whether every thread of the process is stopped, by the state field in `/proc/PID/task/*/stat`.
+    fn is_stopped(&self) -> bool {
+        let tasks = std::fs::read_dir(format!("/proc/{}/task", self.0.id())).expect("threads");
+        tasks.map(|task| task.expect("a thread").path().join("stat")).all(|stat| {
+            // The state follows the thread's name, which is in parentheses.
+            let stat = std::fs::read_to_string(stat).unwrap_or_default();
+            stat.rsplit(") ").next().is_some_and(|fields| fields.starts_with('T'))
+        })
     }
 }
 
