--- a/src/controller/committed_entries.rs
+++ b/src/controller/committed_entries.rs
@@ -78,9 +78,9 @@
         info!(target: "raft", "members: {}", descriptions.join(", "));
     }
 
-    /// Activates the configuration in the state machine and sends its route table to subscribers.
+    /// Puts the configuration in the state machine in force and sends its route table to all nodes.
     fn activate_configuration(&mut self, now: Tick) -> Result<(), StateError> {
-        info!(target: "state", "configuration {} is active", self.state_machine.revision());
+        info!(target: "state", "configuration {} is in force", self.state_machine.revision());
         let config = self.state_machine.configuration()?;
         self.set_configuration(config);
         self.route_tables.extend(self.config.as_ref().map(RouteTable::of));
@@ -148,7 +148,7 @@
             | Command::PrimaryReturned { .. } => {
                 self.handle_primary_change(command, previous_primary, now);
             }
-            // The configuration is activated after all committed entries have been applied.
+            // The configuration is put in force after all committed entries have been applied.
             Command::PutConfiguration { .. } | Command::ForgetDeparted { .. } => {}
         }
     }
@@ -193,7 +193,7 @@
 
 fn log_applied(command: &Command) {
     match command {
-        // Logged when the configuration is activated.
+        // Logged when the configuration is put in force.
         Command::PutConfiguration { .. } => {}
         Command::Heartbeat { id, instance, .. } => {
             info!(target: "state", "heartbeat of {id} for {}: {:?}, {:?}", instance.target_service,
--- a/src/controller/core.rs
+++ b/src/controller/core.rs
@@ -15,7 +15,7 @@
 use crate::controller::linearizable_reads::{LinearizableReads, PendingProposals};
 use crate::controller::membership::JoinState;
 use crate::controller::pooler_subscriptions::{
-    DIRECTORY_BATCH_MS, DirectoryUpdates, SubscribeRequest, Subscriber,
+    DIRECTORY_BATCH_MS, DirectoryUpdates, Hello, Subscriber,
 };
 use crate::net::http::Response;
 use crate::net::rpc::raft_messages::{EntryPayload, RaftMessage, RaftMessageKind};
@@ -61,11 +61,11 @@
     pub(super) directory_frame: Option<Arc<[u8]>>,
     /// The newest frame layout that the node on each connection can read.
     pub(super) node_layouts: HashMap<u64, u8>,
-    /// The poolers and gateways subscribed to this leader, by connection.
+    /// The nodes (poolers and gateways) subscribed to this leader, by connection.
     pub(super) subscribers: BTreeMap<u64, Subscriber>,
-    /// Subscribe requests received before this leader had applied all committed entries.
-    pub(super) deferred_subscribe_requests: Vec<SubscribeRequest>,
-    /// Changes batched for the next broadcast to all subscribers.
+    /// The `Hello` messages received before this leader had applied all committed entries.
+    pub(super) deferred_hellos: Vec<Hello>,
+    /// Changes batched for the next broadcast to all nodes.
     pub(super) directory_updates: DirectoryUpdates,
     /// This controller's own join requests and the ones it received.
     pub(super) join: JoinState,
@@ -128,7 +128,7 @@
             directory_frame: None,
             node_layouts: HashMap::new(),
             subscribers: BTreeMap::new(),
-            deferred_subscribe_requests: Vec::new(),
+            deferred_hellos: Vec::new(),
             directory_updates: DirectoryUpdates::default(),
             join: JoinState::new(now),
             leader_state: None,
@@ -156,7 +156,7 @@
     }
 
     /// Performs all work that is due: persists, sends and applies Raft entries, runs the leader's
-    /// periodic work and sends updates to subscribers. Call it after each batch of inputs.
+    /// periodic work and sends updates to nodes. Call it after each batch of inputs.
     ///
     /// # Errors
     /// `Fatal::State` if committed data can't be decoded. The process must exit.
@@ -187,7 +187,9 @@
             (Some(error), _) => {
                 Err(Fatal::State(format!("committed state is left unchanged: {error}")))
             }
-            (_, Some(error)) => Err(Fatal::State(format!("not taken from the leader: {error}"))),
+            (_, Some(error)) => {
+                Err(Fatal::State(format!("a message of the leader was not applied: {error}")))
+            }
             _ => Ok(()),
         }
     }
--- a/src/controller/effects.rs
+++ b/src/controller/effects.rs
@@ -21,8 +21,7 @@
     /// The newest frame layout that a controller can read. Precedes each frame that names the
     /// controller.
     PeerLayout(MemberId, u8),
-    /// The newest frame layout that the node on this connection can read. Precedes its
-    /// subscribe request.
+    /// The newest frame layout that the node on this connection can read. Precedes its `Hello`.
     NodeLayout(u64, u8),
     /// A connection on the peer port was closed.
     Closed(u64),
@@ -49,7 +48,7 @@
         target: InstanceId,
         /// The failover attempt that made the request.
         attempt: Attempt,
-        /// The infrastructure provider's response, or the reason why there is none.
+        /// The platform's response, or the reason why there is none.
         response: PromotionResponse,
     },
     /// The result of `Effects::request_membership`.
@@ -90,11 +89,11 @@
         request: DatabaseRequest,
         attempt: Attempt,
     ) -> bool;
-    /// Requests the infrastructure provider at `provider` to promote `target`, on behalf of the
-    /// leader `leader_name`. `Input::PromotionResponse` follows.
+    /// Requests the platform to promote `target`, on behalf of the leader `leader_name`.
+    /// `Input::PromotionResponse` follows.
     fn request_promotion(
         &mut self,
-        provider: SocketAddr,
+        platform: SocketAddr,
         leader_name: &str,
         service: &ServiceName,
         target: &InstanceId,
--- a/src/controller/failover_driver.rs
+++ b/src/controller/failover_driver.rs
@@ -215,21 +215,21 @@
                 self.send_database_requests();
             }
             FailoverAction::Promote(target) => {
-                let Some(provider) = &self.settings.provider else {
+                let Some(platform) = &self.settings.provider else {
                     warn!(
                         target: "failover",
-                        "{service}: cannot promote {target}: no provider is configured"
+                        "{service}: cannot promote {target}: no platform is configured ([provider])"
                     );
                     return;
                 };
-                let (address, leader_name) = (provider.address, &self.settings.node_name);
+                let (address, leader_name) = (platform.address, &self.settings.node_name);
                 self.effects.request_promotion(address, leader_name, service, &target, attempt);
             }
         }
     }
 
-    /// Notifies all subscribers that a handover of the service has begun. The lease of a subscriber
-    /// that doesn't support handovers is revoked for the duration of the handover.
+    /// Notifies all nodes that a handover of the service has begun. The lease of a node that
+    /// doesn't support handovers is revoked for the duration of the handover.
     fn announce_handover(&mut self, service: &ServiceName, handover: Handover, now: Tick) {
         let Some(leader_state) = &mut self.leader_state else { return };
         let revoke = revocation_frame(service, handover.term);
@@ -289,7 +289,7 @@
         });
     }
 
-    /// Handles the infrastructure provider's response to a promotion request.
+    /// Handles the platform's response to a promotion request.
     pub(super) fn handle_promotion_response(
         &mut self,
         service: &ServiceName,
--- a/src/controller/leader_lease.rs
+++ b/src/controller/leader_lease.rs
@@ -1,9 +1,9 @@
 //! The leader lease, shared with the threads that send requests on the leader's behalf.
 //!
-//! A request to a database or to the infrastructure provider connects and waits on its own thread.
-//! The machine may freeze meanwhile, and another controller may be the leader when it resumes. So
-//! right before sending a request, the thread checks here whether the lease still covers the term
-//! in which the request was made.
+//! A request to a database or to the platform connects and waits on its own thread. The machine may
+//! freeze meanwhile, and another controller may be the leader when it resumes. So right before
+//! sending a request, the thread checks here whether the lease still covers the term in which the
+//! request was made.
 use crate::base::ids::Term;
 use crate::base::sync::lock;
 use crate::base::time::Tick;
--- a/src/controller/leader_state.rs
+++ b/src/controller/leader_state.rs
@@ -66,7 +66,7 @@
     }
 
     /// Rebalances the endpoint subsets and drops expired leases. If that frees connection quota,
-    /// the next response to each subscriber includes all services.
+    /// the next response to each node includes all services.
     fn refresh_leases(&mut self, now: Tick) {
         self.last_sweep_at = now;
         self.subset_assignments.rebalance(|node| self.leases.poolers.contains_key(node), now);
@@ -135,13 +135,13 @@
         self.raft.members().iter().find(|m| m.id == id)
     }
 
-    /// Performs the periodic work: answers confirmed reads and deferred subscribe requests and
+    /// Performs the periodic work: answers confirmed reads and deferred `Hello` messages and
     /// joins the Raft group. The leader also changes the membership and checks services and
     /// instances.
     pub(super) fn run_periodic_work(&mut self, now: Tick) {
         self.answer_confirmed_reads(now);
         self.request_membership(now);
-        self.handle_deferred_subscribe_requests(now);
+        self.handle_deferred_hellos(now);
         if !self.raft.holds_leader_lease(now) {
             return;
         }
--- a/src/controller/membership.rs
+++ b/src/controller/membership.rs
@@ -1,4 +1,4 @@
-//! Membership of the Raft cluster: how a controller joins, bootstraps or is removed from it.
+//! Membership of the Raft group: how a controller joins, bootstraps or is removed from it.
 //! `Controller` calls this module for join requests, their responses and once in each step. Nothing
 //! here blocks.
 use crate::base::ids::{LogIndex, MemberId};
@@ -26,7 +26,7 @@
 const LEADER_TIMEOUT_MS: u64 = 1_200;
 
 /// Milliseconds for which a seed without a disk collects join requests before it nominates the
-/// founder, the controller that bootstraps the cluster.
+/// founder, the controller that bootstraps the Raft group.
 const NOMINATION_DELAY_MS: u64 = 500;
 
 /// The join request of another controller.
@@ -36,7 +36,7 @@
     received_at: Tick,
 }
 
-/// The state of joining the cluster: this controller's own requests and the ones it received.
+/// The state of joining the Raft group: this controller's own requests and the ones it received.
 pub(super) struct JoinState {
     /// The join requests of other controllers, by member id.
     received_requests: BTreeMap<MemberId, JoinRequest>,
@@ -47,7 +47,8 @@
     /// Address of the leader that accepted this controller. Used for Raft messages to the leader
     /// while the leader is missing from this controller's member list.
     pub(super) accepted_by: Option<SocketAddr>,
-    /// The founder nominated by this process, if it has no disk itself.
+    /// The founder nominated by this process. Only the first seed nominates one, and only if it has
+    /// no disk; with a disk it bootstraps the group itself.
     nominated: Option<MemberId>,
     /// Peer address of the leader, tracked only by a controller without a disk. Such a controller
     /// is never a member and redirects callers to the leader.
@@ -188,7 +189,7 @@
         }
     }
 
-    /// Bootstraps a Raft cluster with this controller as its only voter.
+    /// Bootstraps a Raft group with this controller as its only voter.
     fn bootstrap_cluster(&mut self, now: Tick) {
         let Some(admin) = self.settings.listeners.admin else {
             return;
--- a/src/controller/outgoing_calls.rs
+++ b/src/controller/outgoing_calls.rs
@@ -1,5 +1,5 @@
-//! Blocking calls of a controller to databases, to the infrastructure provider, and to other
-//! controllers in order to join.
+//! Blocking calls of a controller to databases, to the platform that carries out promotions, and to
+//! other controllers in order to join.
 //!
 //! [`SocketTransport`](crate::controller::transport::SocketTransport) runs each call on a thread of
 //! the worker pool and sends the result to the controller's event queue. Every call has a time-out.
@@ -26,8 +26,8 @@
 /// Time-out for each read of a database's response.
 const DATABASE_READ_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time-out for the infrastructure provider's complete response to a promotion request.
-const PROVIDER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time-out for the platform's complete response to a promotion request.
+const PLATFORM_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Time-out for another controller's response to a join request.
 const JOIN_TIMEOUT: Duration = Duration::from_secs(1);
@@ -35,7 +35,7 @@
 /// Time after which TCP drops a connection with unacknowledged data.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Requests the controller at `address` to add `member` to the Raft cluster. With `was_member` it
+/// Requests the controller at `address` to add `member` to the Raft group. With `was_member` it
 /// asks whether `member` is still a member.
 pub(super) fn request_join(
     address: SocketAddr,
@@ -154,26 +154,26 @@
     }
 }
 
-/// A call to the infrastructure provider.
+/// A call to the platform, which carries out the promotion.
 pub(super) struct PromotionCall<'a> {
-    /// The provider's address.
-    pub(super) provider: SocketAddr,
+    /// The platform's address.
+    pub(super) platform: SocketAddr,
     /// The node name of the leader that makes the call.
     pub(super) leader_name: &'a str,
-    /// The leader's fencing token. The provider refuses a token lower than one that it has seen.
+    /// The leader's fencing token. The platform refuses a token lower than one that it has seen.
     pub(super) fencing_token: u64,
 }
 
-/// Requests the infrastructure provider to promote the instance `target` of `service`. `leads` is
-/// called right before the request is sent: if it returns false, because the leadership in which
-/// the call was made has ended, the request is not sent.
+/// Requests the platform to promote the instance `target` of `service`. `leads` is called right
+/// before the request is sent: if it returns false, because the leadership in which the call was
+/// made has ended, the request is not sent.
 pub(super) fn request_promotion(
     call: &PromotionCall<'_>,
     service: &ServiceName,
     target: &InstanceId,
     leads: impl Fn() -> bool,
 ) -> PromotionResponse {
-    let PromotionCall { provider, leader_name, fencing_token } = *call;
+    let PromotionCall { platform, leader_name, fencing_token } = *call;
     let body = serde_json::json!({ "target_service": service, "instance_id": target }).to_string();
     let headers =
         [("Duty-Holder", leader_name.to_owned()), ("Fence-Token", fencing_token.to_string())];
@@ -183,20 +183,20 @@
         headers: &headers,
         body: body.as_bytes(),
     };
-    match http::call_while(provider, &request, PROVIDER_TIMEOUT, leads) {
+    match http::call_while(platform, &request, PLATFORM_TIMEOUT, leads) {
         Ok(Response { status: 200..=299, .. }) => PromotionResponse::Accepted,
         Ok(Response { status: 409, .. }) => PromotionResponse::NotRunning,
         Ok(Response { status: 429, .. }) => PromotionResponse::NotAttempted,
         Ok(Response { status, body, .. }) => {
             let body = String::from_utf8_lossy(&body);
-            warn!(target: "failover", "{service}: provider {provider} answered the promotion of \
+            warn!(target: "failover", "{service}: platform {platform} answered the promotion of \
                 {target} with status {status}: {body}");
             PromotionResponse::Unknown
         }
         // Nothing was sent.
         Err(http::CallError::NotSent) => PromotionResponse::NotAttempted,
         Err(http::CallError::Io(e)) => {
-            warn!(target: "failover", "{service}: promotion of {target} by provider {provider} \
+            warn!(target: "failover", "{service}: promotion of {target} by platform {platform} \
                 failed: {e}");
             PromotionResponse::Unknown
         }
--- a/src/controller/pending_updates.rs
+++ b/src/controller/pending_updates.rs
@@ -1,6 +1,6 @@
-//! Tracks which services have changed since the last response to each subscriber.
+//! Tracks which services have changed since the last response to each node.
 //!
-//! The leader keeps one change log for all subscribers, and each subscription stores the number of
+//! The leader keeps one change log for all nodes, and each node's subscription stores the number of
 //! the last change that was sent. This type uses neither a clock nor connections.
 use crate::base::ids::ServiceName;
 use std::collections::BTreeMap;
--- a/src/controller/pooler_subscriptions.rs
+++ b/src/controller/pooler_subscriptions.rs
@@ -1,6 +1,6 @@
-//! Subscriptions of poolers and gateways (nodes) to the leader: subscribe requests, and the updates
-//! sent when the controller addresses, the directory or the route table change. Lease renewals are
-//! in `lease_renewals`.
+//! Subscriptions of poolers and gateways (nodes) to the leader: their `Hello` messages, and the
+//! updates sent when the controller addresses, the directory or the route table change. Lease
+//! renewals are in `lease_renewals`.
 //!
 //! On a slow connection newer state replaces older state that has not been sent, which bounds the
 //! send queue.
@@ -22,8 +22,8 @@
 /// Milliseconds for which directory changes are batched into one message.
 pub(super) const DIRECTORY_BATCH_MS: u64 = 20;
 
-/// The first message of a node on a connection.
-pub(super) struct SubscribeRequest {
+/// The first message of a node on a connection ([`ToController::Hello`]).
+pub(super) struct Hello {
     conn: u64,
     node: NodeName,
     /// Identifies the node's process: a newer incarnation ends the leases of an older one.
@@ -221,8 +221,8 @@
             return self.send_not_leader(conn);
         }
         if let ToController::Hello { node, incarnation, revision, zone } = message {
-            let request = SubscribeRequest { conn, node, incarnation, revision, zone };
-            return self.handle_subscribe_request(request, now);
+            let hello = Hello { conn, node, incarnation, revision, zone };
+            return self.handle_hello(hello, now);
         }
         let Some(node) = self.subscribers.get(&conn).map(|s| s.node.clone()) else {
             return;
@@ -273,31 +273,31 @@
         }
     }
 
-    /// Handles the deferred subscribe requests, once this controller has confirmed or lost its
+    /// Handles the deferred `Hello` messages, once this controller has confirmed or lost its
     /// leadership.
-    pub(super) fn handle_deferred_subscribe_requests(&mut self, now: Tick) {
-        if self.deferred_subscribe_requests.is_empty()
+    pub(super) fn handle_deferred_hellos(&mut self, now: Tick) {
+        if self.deferred_hellos.is_empty()
             || (self.leader_state.is_some() && !self.raft.holds_leader_lease(now))
         {
             return;
         }
-        for request in std::mem::take(&mut self.deferred_subscribe_requests) {
+        for hello in std::mem::take(&mut self.deferred_hellos) {
             match self.leader_state {
-                Some(_) => self.handle_subscribe_request(request, now),
-                None => self.send_not_leader(request.conn),
+                Some(_) => self.handle_hello(hello, now),
+                None => self.send_not_leader(hello.conn),
             }
         }
     }
 
-    /// Subscribes a node to updates and lease grants.
-    fn handle_subscribe_request(&mut self, request: SubscribeRequest, now: Tick) {
+    /// Handles the first message of a node: subscribes it to updates and lease grants.
+    fn handle_hello(&mut self, hello: Hello, now: Tick) {
         if !self.raft.holds_leader_lease(now) || self.last_applied < self.raft.commit_index {
             // The applied state may be older than what the node received from an earlier leader.
-            self.deferred_subscribe_requests.push(request);
+            self.deferred_hellos.push(hello);
             return;
         }
-        let SubscribeRequest { conn, node, incarnation, revision, zone } = request;
-        // The connection may have closed while the request was deferred. Then no later event would
+        let Hello { conn, node, incarnation, revision, zone } = hello;
+        // The connection may have closed while the `Hello` was deferred. Then no later event would
         // end the node's leases.
         if self.effects.queued_bytes(conn).is_none() {
             return;
--- a/src/controller/process.rs
+++ b/src/controller/process.rs
@@ -112,7 +112,7 @@
 
 /// Returns the initial state of an empty disk, under a new member id.
 ///
-/// When the system starts for the first time, the first seed bootstraps the Raft cluster with
+/// When the system starts for the first time, the first seed bootstraps the Raft group with
 /// itself as the only member. All other controllers start without members and request to join.
 pub fn initial_state(
     settings: &Settings,
--- a/src/controller/transport.rs
+++ b/src/controller/transport.rs
@@ -69,7 +69,7 @@
     storage: Sender<WriteBatch>,
     /// The controller's event queue.
     events: Sender<Event>,
-    /// Shared with the threads that call databases and the infrastructure provider.
+    /// Shared with the threads that call databases and the platform.
     leader_lease: SharedLeaderLease,
 }
 
@@ -223,7 +223,7 @@
     }
     fn request_promotion(
         &mut self,
-        provider: SocketAddr,
+        platform: SocketAddr,
         leader_name: &str,
         service: &ServiceName,
         target: &InstanceId,
@@ -240,7 +240,7 @@
         let started = start_thread(move || {
             let leads = || leader_lease.covers(attempt.raft_term, Tick::now());
             let fencing_token = attempt.fencing_token();
-            let call = PromotionCall { provider, leader_name: &leader_name, fencing_token };
+            let call = PromotionCall { platform, leader_name: &leader_name, fencing_token };
             let response = request_promotion(&call, &service, &target, leads);
             report(service, target, response);
         });
--- a/tests/storage.rs
+++ b/tests/storage.rs
@@ -1132,7 +1132,7 @@
     let message = Box::new(RaftMessage { from: MemberId(2), term: Term(9), kind });
     send(&mut stream, &Frame::Raft { to: MemberId(1), message }).expect("send");
     assert_eq!(controller.exit_code(), Some(3), "{}", controller.log());
-    let expected = "not taken from the leader: entry 1 can't be read: of layout 2";
+    let expected = "a message of the leader was not applied: entry 1 can't be read: of layout 2";
     assert!(controller.log().contains(expected), "{}", controller.log());
     let OpenedStorage { state, .. } = RaftStorage::open(&controller.folder).expect("open");
     assert!(state.expect("a state").log.is_empty());
@@ -1162,6 +1162,8 @@
     assert!(pack(&state_machine).len() < 64 << 10, "the removed ones take little space");
 }
 
+/// The leader knows the joining controller only from its join request, and has to find out which
+/// frame layout it reads before it can send the snapshot.
 #[test]
 fn a_joining_controller_with_an_empty_disk_gets_a_snapshot() {
     let ports = [0; 4].map(|_| free_port());
