--- a/src/raft/limits.rs
+++ b/src/raft/limits.rs
@@ -35,7 +35,7 @@
 pub(super) const PRESENT_WITHIN_MS: u64 = 1_000;
 
 /// The timeout of a leadership transfer. When it expires, the leader steps down, as the target may
-/// still start an election.
+/// still receive the request and start an election.
 pub(super) const LEADERSHIP_TRANSFER_TIMEOUT_MS: u64 = 500;
 
 /// How long a new cluster with fewer voters than its fault tolerance requires waits for more
--- a/src/raft/membership.rs
+++ b/src/raft/membership.rs
@@ -1,4 +1,4 @@
-//! The membership of the group, and the single-member changes that the leader makes to it (the
+//! The membership of the Raft group, and the single-member changes that the leader makes to it (the
 //! dissertation, sections 4.1 and 4.2).
 use super::limits::{BOOTSTRAP_WAIT_MS, PRESENT_WITHIN_MS, SPARSE_BOOTSTRAP_WAIT_MS};
 use super::node::RaftNode;
--- a/src/raft/node.rs
+++ b/src/raft/node.rs
@@ -151,7 +151,7 @@
             self.election_deadline = self.no_votes_until.plus(spread);
         }
         if self.voters() == [self.state.member_id] {
-            // Nobody else can lead, so there is no leader to wait for.
+            // No other member can be the leader, so there is none to wait for.
             self.election_deadline = now;
         }
     }
--- a/src/raft/storage/schema.rs
+++ b/src/raft/storage/schema.rs
@@ -6,7 +6,7 @@
 //! | table, column | content |
 //! |---|---|
 //! | `hard` | the hard state of the Raft paper (figure 2), one row |
-//! | `hard.me`, `hard.epoch`, `hard.voted` | the member's id, its term, and its vote |
+//! | `hard.me`, `hard.epoch`, `hard.voted` | the member's id, its term, the candidate it voted for |
 //! | `led`, `led.epoch` | the newest term that the member led, one row; added in a later release |
 //! | `snapshot`, `snapshot.body` | the encoded snapshot, one row |
 //! | `log`, `log.place`, `log.body` | the log: index and encoded entry, a row for each entry |
