--- a/tests/membership.rs
+++ b/tests/membership.rs
@@ -362,7 +362,7 @@
     state_machine.apply(&configure);
     assert!(state_machine.is_initialized());
     let restored = StateMachine::from_snapshot(&pack(&state_machine)).expect("snapshot");
-    assert!(restored.is_initialized(), "restored from a snapshot");
+    assert!(restored.is_initialized(), "restored from a snapshot in the first layout");
 }
 
 #[test]
--- a/tests/raft.rs
+++ b/tests/raft.rs
@@ -288,8 +288,8 @@
         }
         let leader = cluster.elect_leader();
         cluster.propose(leader, command(1));
-        // The leader is in office for long, so that a new member's silence must be counted from the
-        // time when it was added.
+        // The leader has led for long when the new member is added, so that the silence of the new
+        // member must be counted from that time.
         cluster.run(9_000);
         if lost {
             cluster.nodes.remove(&3);
@@ -783,7 +783,7 @@
     type Case = (&'static str, u64, &'static [u64], u64, &'static [u64], &'static [u64]);
     let cases: [Case; 4] = [
         ("figure 8: an entry of term 2 on most disks", 5, &[1, 2], 4, &[2, 2, 2, 2], &[0; 4]),
-        ("followed by an entry of the leader's term", 5, &[1, 2], 4, &[3, 2, 3], &[0, 0, 3]),
+        ("figure 8 with an entry of the leader's term", 5, &[1, 2], 4, &[3, 2, 3], &[0, 0, 3]),
         ("three voters", 3, &[1, 1, 3], 7, &[3, 4], &[0, 4]),
         ("no entries of earlier terms", 3, &[], 1, &[1], &[1]),
     ];
@@ -1016,11 +1016,11 @@
     let cases: [Case; 12] = [
         ("the next entry", (4, (2, 4), &[4], 2), &[1, 1, 2, 2, 4], 2, (true, 5)),
         ("a conflicting suffix is replaced", (4, (1, 2), &[3], 0), &[1, 1, 3], 1, (true, 3)),
-        ("a conflict in mid-suffix", (4, (1, 2), &[2, 4, 4], 0), &[1, 1, 2, 4, 4], 1, (true, 5)),
+        ("a conflict within a suffix", (4, (1, 2), &[2, 4, 4], 0), &[1, 1, 2, 4, 4], 1, (true, 5)),
         ("a late message truncates nothing", (4, (1, 1), &[1], 1), &[1, 1, 2, 2], 1, (true, 2)),
         ("a heartbeat truncates nothing", (4, (1, 1), &[], 1), &[1, 1, 2, 2], 1, (true, 1)),
         ("the previous entry has a later term", (4, (3, 3), &[4], 4), &[1, 1, 2, 2], 1, (false, 2)),
-        ("or an earlier term", (4, (1, 3), &[4], 4), &[1, 1, 2, 2], 1, (false, 2)),
+        ("previous entry has an earlier term", (4, (1, 3), &[4], 4), &[1, 1, 2, 2], 1, (false, 2)),
         ("the previous entry is missing", (4, (4, 6), &[4], 6), &[1, 1, 2, 2], 1, (false, 4)),
         (
             "the commit index stops at the last matching entry",
@@ -1424,9 +1424,9 @@
     // the answered message was sent, whether the next chunk is sent)
     let cases = [
         ("a response to the chunk", 5, 0, 0, true),
-        ("to a chunk of another transfer", 5, 1, 0, false),
-        ("to a message sent before the chunk", 5, 0, 1, false),
-        ("in an earlier term", 4, 0, 0, false),
+        ("a response to a chunk of another transfer", 5, 1, 0, false),
+        ("a response to a message sent before the chunk", 5, 0, 1, false),
+        ("a response of an earlier term", 4, 0, 0, false),
     ];
     for (case, term, id_offset, sent_before_ms, sends_next) in cases {
         let mut leader = elected_leader(3, 5, &[]);
