--- a/src/controller/core.rs
+++ b/src/controller/core.rs
@@ -222,7 +222,7 @@
         let failing = self.persister.is_storage_failing(now);
         if failing != self.raft.storage_failing {
             match failing {
-                true => warn!(target: "disk", "storage is failing; leadership is transferred"),
+                true => warn!(target: "disk", "storage is failing; any leadership is transferred"),
                 false => info!(target: "disk", "storage is healthy again"),
             }
         }
