--- a/src/controller/failover_driver.rs
+++ b/src/controller/failover_driver.rs
@@ -9,8 +9,8 @@
     Attempt, DatabaseRequest, DatabaseResponse, Failover, FailoverAction, FailoverState,
     LeaseStatus, PromotionResponse, ServiceSnapshot,
 };
+use crate::leases::acknowledged_commits::AcknowledgedCommits;
 use crate::leases::lease_table::CoverageRule;
-use crate::leases::passed_on::AcknowledgedCommits;
 use crate::net::rpc::pooler_messages::{Handover, ToPooler};
 use crate::net::rpc::{Frame, PARTS_LAYOUT, encode};
 use crate::state_machine::Command;
@@ -77,7 +77,7 @@
             sync_replicas: self.services.get(service).map_or(0, |s| s.sync_replicas),
             leases_expired: false,
             all_poolers_confirmed: false,
-            passed_on: AcknowledgedCommits::default(),
+            acknowledged_commits: AcknowledgedCommits::default(),
             primary_record: self.state_machine.primaries().get(service).cloned(),
         };
         // Without synchronous replicas no commit depends on a departed replica.
@@ -109,7 +109,7 @@
                 0 => CoverageRule::WatermarkOrTimeout,
                 _ => CoverageRule::Watermark,
             };
-            snapshot.passed_on =
+            snapshot.acknowledged_commits =
                 leases.acknowledged_commits(service, term, handover, latest, rule, now);
         }
         snapshot
--- a/src/failover/fencing.rs
+++ b/src/failover/fencing.rs
@@ -8,7 +8,7 @@
 use super::{Failover, ServiceSnapshot};
 use crate::base::ids::{DbTerm, InstanceId, Position};
 use crate::base::time::Tick;
-use crate::leases::passed_on::UnreportedCommits;
+use crate::leases::acknowledged_commits::UnreportedCommits;
 use crate::net::statement_protocol::ServerDescription;
 use crate::state_machine::{Command, PrimaryRecord};
 use std::collections::{BTreeMap, BTreeSet};
@@ -89,7 +89,7 @@
     fn must_repeat_requests(&self, snapshot: &ServiceSnapshot) -> bool {
         snapshot.leases_expired
             && !self.requested_after_lease_expiry
-            && (snapshot.passed_on.unreported == UnreportedCommits::Unknown
+            && (snapshot.acknowledged_commits.unreported == UnreportedCommits::Unknown
                 || responses_cover_commits(self.response_count(snapshot), snapshot))
     }
 }
--- a/src/failover/handover.rs
+++ b/src/failover/handover.rs
@@ -15,7 +15,7 @@
 use crate::base::ids::{DbTerm, InstanceId, Position};
 use crate::base::time::Tick;
 use crate::config::directory::{Instance, Lifecycle};
-use crate::leases::passed_on::UnreportedCommits;
+use crate::leases::acknowledged_commits::UnreportedCommits;
 use crate::net::rpc::pooler_messages::Handover;
 use crate::net::statement_protocol::ServerDescription;
 use std::cmp::Reverse;
@@ -53,8 +53,8 @@
     fn is_target_ready(&self, snapshot: &ServiceSnapshot) -> bool {
         let Some(received) = self.target_position else { return false };
         let reached_primary = self.primary_position.is_some_and(|position| received >= position);
-        let has_all_commits = snapshot.passed_on.is_covered_by(received)
-            || (reached_primary && !snapshot.passed_on.exceeds(received));
+        let has_all_commits = snapshot.acknowledged_commits.is_covered_by(received)
+            || (reached_primary && !snapshot.acknowledged_commits.exceeds(received));
         self.confirmed && has_all_commits
     }
 
@@ -70,7 +70,7 @@
     fn poll(&mut self, snapshot: &ServiceSnapshot, now: Tick) -> Vec<FailoverAction> {
         self.polled_at = now;
         let mut databases = vec![self.target.clone()];
-        if snapshot.passed_on.unreported == UnreportedCommits::Unknown
+        if snapshot.acknowledged_commits.unreported == UnreportedCommits::Unknown
             && self.primary_position.is_none()
         {
             databases.extend(snapshot.primary_record.as_ref().map(|record| record.primary.clone()));
--- a/src/failover/selection.rs
+++ b/src/failover/selection.rs
@@ -39,10 +39,11 @@
         responses_cover_commits(fencing.response_count_after_lease_expiry(snapshot), snapshot);
     // With a replica that is behind the commits which were passed on, those commits would be lost.
     let has_all_commits = |received: Position| {
-        let known_by_poolers = may_rely_on_poolers && snapshot.passed_on.is_covered_by(received);
+        let known_by_poolers =
+            may_rely_on_poolers && snapshot.acknowledged_commits.is_covered_by(received);
         let known_by_replicas = responses_are_sufficient
             && Some(received) == highest_position
-            && !snapshot.passed_on.exceeds(received);
+            && !snapshot.acknowledged_commits.exceeds(received);
         known_by_poolers || known_by_replicas
     };
     let (id, instance, _) = snapshot
--- a/src/failover/snapshot.rs
+++ b/src/failover/snapshot.rs
@@ -2,7 +2,7 @@
 
 use crate::base::ids::{InstanceId, ServiceName, Term};
 use crate::config::directory::Instance;
-use crate::leases::passed_on::AcknowledgedCommits;
+use crate::leases::acknowledged_commits::AcknowledgedCommits;
 use crate::state_machine::PrimaryRecord;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -34,7 +34,7 @@
     pub all_poolers_confirmed: bool,
     /// How far poolers may have passed on commits of the current term to clients. Commits that the
     /// target of the current handover is known to have are left out.
-    pub passed_on: AcknowledgedCommits,
+    pub acknowledged_commits: AcknowledgedCommits,
 }
 
 impl ServiceSnapshot {
--- a/src/leases/lease_table.rs
+++ b/src/leases/lease_table.rs
@@ -3,7 +3,7 @@
 //! A pooler may use a primary only under a lease. Before a failover proceeds, the controller checks
 //! here that every lease on the old term has expired or was given up, and which commits may have
 //! been acknowledged under them.
-use super::passed_on::{AcknowledgedCommits, UnreportedCommits};
+use super::acknowledged_commits::{AcknowledgedCommits, UnreportedCommits};
 use super::quotas::{DISCONNECTED_QUOTA_RETENTION_MS, PoolerQuotas, QuotaTotals};
 use super::watermarks::Watermark;
 use crate::base::ids::{DbTerm, NodeName, Position, ServiceName};
--- a/src/leases/mod.rs
+++ b/src/leases/mod.rs
@@ -3,8 +3,8 @@
 //!
 //! The leader keeps this state only while it leads; none of it is replicated or stored. The current
 //! time is a parameter: the code here does no I/O and doesn't read the clock.
+pub mod acknowledged_commits;
 pub mod lease_table;
-pub mod passed_on;
 mod quotas;
 pub mod subset_assignments;
 pub mod watermarks;
--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -6,7 +6,7 @@
     DatabaseRequest, DatabaseResponse, Failover, FailoverAction, FailoverState, PromotionResponse,
     ServiceSnapshot,
 };
-use silvertack::leases::passed_on::{AcknowledgedCommits, UnreportedCommits};
+use silvertack::leases::acknowledged_commits::{AcknowledgedCommits, UnreportedCommits};
 use silvertack::net::rpc::pooler_messages::{Handover, SuspicionReason};
 use silvertack::net::statement_protocol::ServerDescription;
 use silvertack::state_machine::{Command, PrimaryRecord};
@@ -27,7 +27,7 @@
     }
 }
 /// What poolers reported: nothing yet, or the last commit that any of them passed on.
-fn passed_on(reported: Option<Option<Position>>) -> AcknowledgedCommits {
+fn acknowledged_commits(reported: Option<Option<Position>>) -> AcknowledgedCommits {
     reported.map_or_else(AcknowledgedCommits::default, |reported| AcknowledgedCommits {
         reported,
         unreported: UnreportedCommits::Nothing,
@@ -51,7 +51,7 @@
         sync_replicas: 1,
         leases_expired: true,
         all_poolers_confirmed: false,
-        passed_on: AcknowledgedCommits::default(),
+        acknowledged_commits: AcknowledgedCommits::default(),
     }
 }
 fn description(primary: bool, term: u64, received: Position) -> DatabaseResponse {
@@ -585,7 +585,8 @@
             &description(false, 1, at(7)),
             now,
         );
-        let snapshot = ServiceSnapshot { passed_on: passed_on(reported), ..snapshot };
+        let snapshot =
+            ServiceSnapshot { acknowledged_commits: acknowledged_commits(reported), ..snapshot };
         if actions.is_empty() {
             assert!(failover.tick(&snapshot, now.plus(20)).is_empty(), "`c` may still respond");
             actions = failover.tick(&snapshot, now.plus(320));
@@ -606,7 +607,7 @@
     for (other, reported, target) in [(9, 9, "c"), (8, 8, "c"), (8, 9, "b"), (7, 8, "b")] {
         let mut snapshot = snapshot();
         snapshot.databases[1].1.lifecycle_state = Lifecycle::Draining;
-        snapshot.passed_on = passed_on(Some(Some(at(reported))));
+        snapshot.acknowledged_commits = acknowledged_commits(Some(Some(at(reported))));
         let mut failover = begin_fencing(&snapshot, now);
         assert!(
             failover
@@ -769,7 +770,7 @@
         assert_eq!(actions, [], "{id}");
     }
     snapshot.all_poolers_confirmed = true;
-    snapshot.passed_on = passed_on(Some(Some(at(9))));
+    snapshot.acknowledged_commits = acknowledged_commits(Some(Some(at(9))));
     assert_eq!(failover.tick(&snapshot, now), [send("d", DatabaseRequest::Describe)]);
     assert!(
         failover
@@ -914,7 +915,7 @@
     for (sync_replicas, reported, primary, target, proceeds) in cases {
         for paused in [None, Some(7), Some(9)] {
             let mut snapshot = ServiceSnapshot { sync_replicas, ..snapshot() };
-            snapshot.passed_on = passed_on(reported);
+            snapshot.acknowledged_commits = acknowledged_commits(reported);
             let mut failover = begin_handover(&mut snapshot, now);
             if let Some(number) = paused {
                 let answer = description(false, 1, at(number));
@@ -1046,7 +1047,7 @@
         }
         assert_eq!(failover.tick(&snapshot, now.plus(350)), [], "a lease is in use");
         snapshot.leases_expired = true;
-        snapshot.passed_on = passed_on(reported);
+        snapshot.acknowledged_commits = acknowledged_commits(reported);
         let mut actions = failover.tick(&snapshot, now.plus(360));
         if again {
             assert_eq!(actions, [send("b", PAUSE), send("c", PAUSE)], "{reported:?}");
@@ -1354,7 +1355,7 @@
     // During a handover leases are granted until the target leads, and none from then on.
     let mut snapshot = snapshot();
     let mut failover = begin_handover(&mut snapshot, now);
-    snapshot.passed_on = passed_on(Some(Some(at(7))));
+    snapshot.acknowledged_commits = acknowledged_commits(Some(Some(at(7))));
     confirm_handover(&mut failover, &mut snapshot, false, now);
     failover.handle_response(
         &snapshot,
@@ -1420,7 +1421,7 @@
 fn the_sealed_position_is_the_highest_of_all_paused_replicas() {
     let (mut snapshot, now) = (snapshot(), Tick(50_000));
     snapshot.databases[1].1.lifecycle_state = Lifecycle::Draining;
-    snapshot.passed_on = passed_on(Some(Some(at(8))));
+    snapshot.acknowledged_commits = acknowledged_commits(Some(Some(at(8))));
     let mut failover = begin_fencing(&snapshot, now);
     failover.handle_response(
         &snapshot,
--- a/tests/failover_replicas.rs
+++ b/tests/failover_replicas.rs
@@ -7,7 +7,7 @@
     Attempt, DatabaseRequest, DatabaseResponse, Failover, FailoverAction, FailoverState,
     LeaseStatus, PromotionResponse, ServiceSnapshot,
 };
-use silvertack::leases::passed_on::{AcknowledgedCommits, UnreportedCommits};
+use silvertack::leases::acknowledged_commits::{AcknowledgedCommits, UnreportedCommits};
 use silvertack::net::rpc::pack;
 use silvertack::net::rpc::pooler_messages::{Handover, SuspicionReason};
 use silvertack::net::statement_protocol::ServerDescription;
@@ -45,7 +45,7 @@
         sync_replicas: 1,
         leases_expired: true,
         all_poolers_confirmed: false,
-        passed_on: AcknowledgedCommits::default(),
+        acknowledged_commits: AcknowledgedCommits::default(),
     }
 }
 fn description(primary: bool, received: Position) -> DatabaseResponse {
@@ -288,10 +288,10 @@
     ];
     for (paused, reported, sync_replicas, may_promote) in cases {
         let listed = ServiceSnapshot { sync_replicas, ..snapshot() };
-        let passed_on = reported.map_or_else(AcknowledgedCommits::default, |reported| {
+        let acknowledged_commits = reported.map_or_else(AcknowledgedCommits::default, |reported| {
             AcknowledgedCommits { reported, unreported: UnreportedCommits::Nothing }
         });
-        let departed = ServiceSnapshot { passed_on, ..without_c(&listed) };
+        let departed = ServiceSnapshot { acknowledged_commits, ..without_c(&listed) };
         let mut failover = begin_steady(&listed, now);
         let fence = |asked: &[&str]| asked.iter().map(|id| send(id, PAUSE)).collect::<Vec<_>>();
         match paused {
@@ -421,7 +421,7 @@
     assert_eq!(failover.tick(&all, now.plus(220)), [send("c", PAUSE)]);
     respond(&mut failover, &all, "c", PAUSE, 9, now.plus(230));
     all.all_poolers_confirmed = true;
-    all.passed_on =
+    all.acknowledged_commits =
         AcknowledgedCommits { reported: Some(at(9)), unreported: UnreportedCommits::Nothing };
     assert_eq!(failover.tick(&all, now.plus(235)), [send("b", DatabaseRequest::Describe)]);
     assert_eq!(
@@ -852,7 +852,7 @@
             sync_replicas: self.sync as u32,
             leases_expired: self.known_pooler_lease() == Some(&Lease::Revoked),
             all_poolers_confirmed: self.pooler_confirmed(),
-            passed_on: self.passed_on(),
+            acknowledged_commits: self.acknowledged_commits(),
             ..snapshot()
         }
     }
@@ -870,7 +870,7 @@
         let under_way = self.due.iter().any(|(_, due)| matches!(due, Due::Lease(_)));
         (!under_way).then_some(&self.lease)
     }
-    fn passed_on(&self) -> AcknowledgedCommits {
+    fn acknowledged_commits(&self) -> AcknowledgedCommits {
         if !self.reports || !self.pooler_confirmed() {
             return AcknowledgedCommits::default();
         }
--- a/tests/lease_table.rs
+++ b/tests/lease_table.rs
@@ -4,8 +4,8 @@
 use silvertack::base::time::Tick;
 use silvertack::config::directory::{Instance, Lifecycle, Role};
 use silvertack::controller::pending_updates::PendingUpdates;
+use silvertack::leases::acknowledged_commits::{AcknowledgedCommits, UnreportedCommits};
 use silvertack::leases::lease_table::{CoverageRule, LEASE_MS, LeaseTable};
-use silvertack::leases::passed_on::{AcknowledgedCommits, UnreportedCommits};
 use silvertack::leases::watermarks::{ReplicationWatermarks, Watermark};
 use silvertack::net::rpc::pack;
 use silvertack::net::rpc::pooler_messages::{LeaseGrant, ObservedPosition, PrimaryStatus};
