--- a/src/failover/actions.rs
+++ b/src/failover/actions.rs
@@ -26,7 +26,7 @@
     Description(ServerDescription),
     /// The database's machine accepted the connection; a further response may follow.
     Connected,
-    /// The database answered without a description: it is running.
+    /// The database responded without a description: it is running.
     NoDescription,
     /// The connection was refused or closed, or another database listens at that address.
     Unavailable,
--- a/src/failover/departed.rs
+++ b/src/failover/departed.rs
@@ -1,11 +1,12 @@
-//! The departed replica check, which decides whether a replica that deregistered can be forgotten.
+//! The departed replica check, which decides whether a replica that has left the directory can be
+//! forgotten.
 //!
 //! A departed replica continues to count for the acknowledgement of commits until its process
-//! stops, which may be long after it deregistered. While its log may hold the only copy of such a
+//! stops, which may be long after it departed. While its log may hold the only copy of such a
 //! commit, the selection of a promotion target has to take it into account. Therefore it is probed
 //! until it refuses the connection. After that the primary is asked for its position: no commit
-//! that the departed replica helped to acknowledge lies beyond it. Once enough listed replicas have
-//! reached that position, the departed replica is forgotten.
+//! that the departed replica helped to acknowledge lies beyond it. Once enough registered replicas
+//! have reached that position, the departed replica is forgotten.
 
 use super::actions::{Attempt, DatabaseRequest, DatabaseResponse, FailoverAction};
 use super::timing::{
@@ -38,7 +39,7 @@
     }
 }
 
-/// One check whether the listed replicas have every commit that the departed ones may have.
+/// One check whether the registered replicas have every commit that the departed ones may have.
 #[derive(Clone, Debug)]
 struct DepartedReplicaCheck {
     attempt: Attempt,
@@ -50,7 +51,7 @@
     /// The position of the primary after the departed replicas had stopped; `None` until the
     /// primary responds.
     primary_position: Option<Position>,
-    /// The listed replicas that have reached that position.
+    /// The registered replicas that have reached that position.
     caught_up: BTreeSet<InstanceId>,
 }
 
@@ -178,7 +179,7 @@
         }
         let caught_up = snapshot.replica_ids().filter(|id| check.caught_up.contains(*id)).count();
         // As many replicas as a commit needs, and at least one: then each commit that a departed
-        // replica helped to acknowledge is on as many listed replicas as any other commit.
+        // replica helped to acknowledge is on as many registered replicas as any other commit.
         if caught_up < (snapshot.sync_replicas as usize).max(1) {
             return Vec::new();
         }
--- a/src/failover/fencing.rs
+++ b/src/failover/fencing.rs
@@ -1,5 +1,5 @@
 //! Fencing of a lost primary. Its leases are revoked, and once they have expired the replicas are
-//! paused, so that poolers pass on no commit to clients that the next primary lacks.
+//! paused, so that poolers forward no commit to clients that the next primary lacks.
 
 use super::actions::{DatabaseRequest, DatabaseResponse, FailoverAction};
 use super::selection::responses_cover_commits;
@@ -55,7 +55,7 @@
         snapshot.possible_commit_holders().filter(|id| self.descriptions.contains_key(*id)).count()
     }
 
-    /// Whether all listed replicas that are alive have responded.
+    /// Whether all registered replicas that are alive have responded.
     pub(super) fn all_live_replicas_responded(&self, snapshot: &ServiceSnapshot) -> bool {
         let mut alive = snapshot.replica_ids().filter(|id| snapshot.alive.contains(*id));
         alive.all(|id| self.descriptions.contains_key(id))
@@ -115,7 +115,7 @@
         actions
     }
 
-    /// Asks the possible commit holders whose responses are missing for their positions. Listed
+    /// Asks the possible commit holders whose responses are missing for their positions. Registered
     /// replicas are paused by the same request, but not while a lease is in use: commits that are
     /// acknowledged then have to reach them. A departed replica may still run, but is not paused.
     fn request_positions(
@@ -128,18 +128,18 @@
         fencing.requested_at = now;
         let missing = |id: &&InstanceId| fencing.needs_response_from(id);
         let departed: Vec<_> = snapshot.departed.keys().filter(missing).cloned().collect();
-        let listed: Vec<_> = snapshot.replica_ids().filter(missing).cloned().collect();
+        let registered: Vec<_> = snapshot.replica_ids().filter(missing).cloned().collect();
         let describe = |id| FailoverAction::SendRequest(id, DatabaseRequest::Describe);
         let mut actions = match fencing.requested_after_lease_expiry {
-            true => self.replicas.pause(listed, term, now),
-            false => listed.into_iter().map(describe).collect(),
+            true => self.replicas.pause(registered, term, now),
+            false => registered.into_iter().map(describe).collect(),
         };
         actions.extend(departed.into_iter().map(describe));
         actions
     }
 
-    /// Pauses replicas that were listed after the others had been paused, so that the old primary
-    /// commits little that the target lacks.
+    /// Pauses replicas that were registered after the others had been paused, so that the old
+    /// primary commits little that the target lacks.
     pub(super) fn pause_new_replicas(
         &mut self,
         snapshot: &ServiceSnapshot,
@@ -152,8 +152,8 @@
         self.replicas.pause(new_replicas, record.term, now)
     }
 
-    /// Ends the failover and resumes the paused replicas. Must not be called while a promotion may
-    /// still take effect.
+    /// Ends the failover or handover and resumes the paused replicas. Must not be called while a
+    /// promotion may still take effect.
     pub(super) fn cancel(&mut self, now: Tick) -> Vec<FailoverAction> {
         self.return_to_steady(now);
         self.cancelled_at = Some(now);
--- a/src/failover/handover.rs
+++ b/src/failover/handover.rs
@@ -1,9 +1,9 @@
-//! A handover: a planned failover in which a primary that still serves is replaced by a replica.
+//! The handover of a service: the planned change from a primary that still serves to a replica.
 //!
 //! Its safety depends only on the poolers and on the log of the target. The handover is announced
-//! to every pooler. From its acknowledgement on, a pooler passes on a commit to a client only once
+//! to every pooler. From its acknowledgement on, a pooler forwards a commit to a client only once
 //! the target has that commit. When every pooler has acknowledged, or can't use a lease any more,
-//! the target lacks at most commits that were passed on before, and has to reach those before the
+//! the target lacks at most commits that were forwarded before, and has to reach those before the
 //! intent to promote it is proposed. Therefore it does not matter which other databases receive
 //! commits meanwhile. The other replicas are paused only so that few commits have to wait for the
 //! target.
@@ -39,17 +39,17 @@
     since: Tick,
     /// When the target was last asked for its position.
     polled_at: Tick,
-    /// Whether every pooler passes on only commits that the target has.
+    /// Whether every pooler forwards only commits that the target has.
     confirmed: bool,
-    /// The primary's position after that. It covers every commit that was passed on before.
+    /// The primary's position after that. It covers every commit that was forwarded before.
     primary_position: Option<Position>,
     /// The position of the target when it last described itself.
     target_position: Option<Position>,
 }
 
 impl HandoverProgress {
-    /// Whether the target has every commit that was passed on, and every pooler now waits for the
-    /// target before it passes on another.
+    /// Whether the target has every commit that was forwarded, and every pooler now waits for the
+    /// target before it forwards another.
     fn is_target_ready(&self, snapshot: &ServiceSnapshot) -> bool {
         let Some(received) = self.target_position else { return false };
         let reached_primary = self.primary_position.is_some_and(|position| received >= position);
@@ -66,7 +66,7 @@
     }
 
     /// Asks the target for its position. Asks the primary too if its position is not known yet and
-    /// some pooler did not report how far it passed on commits.
+    /// some pooler did not report its furthest forwarded commit.
     fn poll(&mut self, snapshot: &ServiceSnapshot, now: Tick) -> Vec<FailoverAction> {
         self.polled_at = now;
         let mut databases = vec![self.target.clone()];
--- a/src/failover/mod.rs
+++ b/src/failover/mod.rs
@@ -1,5 +1,5 @@
-//! Replaces the primary database of a service, either after the primary was lost or as a planned
-//! handover.
+//! Replaces the primary database of a service: by a failover after the primary was lost, or by a
+//! planned handover while it still serves.
 //!
 //! This module decides when a database stops being the primary of its service and which replica
 //! is promoted in its place. The leading controller keeps one [`Failover`] for each service. It
@@ -17,12 +17,12 @@
 //! The states are those of [`FailoverState`]. The primary is suspected (`suspicion`), its leases
 //! are revoked and the replicas paused (`fencing`, `resume`), a replica is chosen (`selection`),
 //! promoted and recorded as the primary (`promotion`). A primary that still serves hands its
-//! service over instead (`handover`). `departed` tracks deregistered replicas that may hold the
-//! only copy of a commit.
+//! service over instead (`handover`). `departed` tracks departed replicas, which have left the
+//! directory and may hold the only copy of a commit.
 //!
-//! A pooler *passes on* a commit when it forwards the primary's acknowledgement to the client.
-//! Before a replica is chosen, the poolers must have stopped passing on commits of the old term
-//! that this replica lacks, and the replica must have every commit that they passed on before. An
+//! A pooler *forwards* a commit when it sends the primary's acknowledgement on to the client.
+//! Before a replica is chosen, the poolers must have stopped forwarding commits of the old term
+//! that this replica lacks, and the replica must have every commit that they forwarded before. An
 //! earlier observation of a database or a controller never proves that.
 
 mod actions;
--- a/src/failover/promotion.rs
+++ b/src/failover/promotion.rs
@@ -22,9 +22,9 @@
     /// When the last call was made. After the platform accepted a call this is the end of the time
     /// in which the promotion takes effect, so that the call is not repeated earlier.
     called_at: Tick,
-    /// Whether the last call has not been answered yet.
+    /// Whether the response to the last call is still awaited.
     in_flight: bool,
-    /// When a call was last found to have possibly had an effect.
+    /// When the last call that may have had an effect was answered or timed out.
     may_have_run_at: Option<Tick>,
     /// When the target was last asked for its state.
     polled_at: Tick,
@@ -41,7 +41,7 @@
             }
             return timed_out;
         }
-        // If the target deregistered after the platform had accepted the call, the call is repeated
+        // If the target departed after the platform had accepted the call, the call is repeated
         // immediately: its refusal shows that the target won't lead.
         let departed = snapshot.database(&self.target).is_none();
         now >= self.called_at.plus(PROMOTION_RETRY_MS) || (departed && self.called_at > now)
@@ -68,7 +68,7 @@
     /// call may still take effect: choosing another target before that could create two primaries
     /// of one term, and the commits of one of them would be lost.
     fn can_be_abandoned(&self, snapshot: &ServiceSnapshot, now: Tick) -> bool {
-        // A target that deregistered won't lead any more, even if an earlier call takes effect.
+        // A target that departed won't lead any more, even if an earlier call takes effect.
         let departed = snapshot.database(&self.target).is_none();
         departed || self.may_have_run_at.is_none_or(|at| now.since(at) > PROMOTION_EFFECT_MS)
     }
@@ -88,7 +88,7 @@
         let mut actions = vec![FailoverAction::RevokeLeases(term)];
         actions.extend(self.pause_new_replicas(snapshot, &target, now));
         // The target may have been paused before it was chosen. Unless it becomes the primary, it
-        // has to be resumed when the failover ends.
+        // has to be resumed when the failover or handover ends.
         self.replicas.assume_paused(target.clone());
         actions.push(self.promote(target, now));
         actions
@@ -215,9 +215,9 @@
                 Some(self.fence(snapshot, now))
             }
             FailoverState::AwaitingLeaseExpiry { term, .. } if record.term >= *term => {
-                self.replicas.forget(&record.primary);
+                self.replicas.remove(&record.primary);
                 let actions = self.cancel(now);
-                // This failover was completed, not cancelled: the next handover needs no backoff.
+                // The change was completed, not cancelled: the next handover needs no backoff.
                 self.cancelled_at = None;
                 Some(actions)
             }
--- a/src/failover/resume.rs
+++ b/src/failover/resume.rs
@@ -55,7 +55,7 @@
     paused: BTreeSet<InstanceId>,
     /// The replicas that were asked to resume and have not confirmed it, each with the attempt in
     /// which it was first asked. They are asked again while they are alive, because a replica that
-    /// stays paused receives no commits.
+    /// stays paused receives no commits and does not help to acknowledge any.
     awaiting_resume: BTreeMap<InstanceId, Attempt>,
     pause_requests: OutstandingRequests,
     resume_requests: OutstandingRequests,
@@ -80,7 +80,7 @@
     }
 
     /// Removes a replica that became the primary, on which a pause has no effect.
-    pub(super) fn forget(&mut self, id: &InstanceId) {
+    pub(super) fn remove(&mut self, id: &InstanceId) {
         self.paused.remove(id);
     }
 
--- a/src/failover/selection.rs
+++ b/src/failover/selection.rs
@@ -1,5 +1,5 @@
-//! Selection of the replica that is promoted after the primary was lost. It waits until enough is
-//! known to lose no acknowledged commit.
+//! Selection of the replica that is promoted after the primary was lost. None is selected before it
+//! is known to have every acknowledged commit.
 
 use super::actions::FailoverAction;
 use super::fencing::Fencing;
@@ -18,7 +18,7 @@
 }
 
 /// Selects the replica that is promoted in place of a lost primary, if enough is known. Never
-/// selects one before every lease has expired: until then a pooler could still pass on a commit
+/// selects one before every lease has expired: until then a pooler could still forward a commit
 /// that the selection does not take into account.
 fn select_target(
     fencing: &Fencing,
@@ -37,7 +37,7 @@
         || responses_cover_commits(fencing.response_count(snapshot), snapshot);
     let responses_are_sufficient =
         responses_cover_commits(fencing.response_count_after_lease_expiry(snapshot), snapshot);
-    // With a replica that is behind the commits which were passed on, those commits would be lost.
+    // With a replica that is behind the forwarded commits, some of them would be lost.
     let has_all_commits = |received: Position| {
         let known_by_poolers =
             may_rely_on_poolers && snapshot.acknowledged_commits.is_covered_by(received);
--- a/src/failover/snapshot.rs
+++ b/src/failover/snapshot.rs
@@ -16,46 +16,46 @@
     /// The committed primary with its term, and the committed intent to replace it. `None` until
     /// the first primary is recorded.
     pub primary_record: Option<PrimaryRecord>,
-    /// All listed databases of the service.
+    /// All registered databases of the service.
     pub databases: Vec<(InstanceId, Instance)>,
-    /// Replicas that deregistered and may hold the only copy of a commit, each with the sequence
-    /// number of its last heartbeat; see `StateMachine::departed_replicas`.
+    /// Departed replicas, which may hold the only copy of a commit, each with the sequence number
+    /// of its last heartbeat; see `StateMachine::departed_replicas`.
     pub departed: BTreeMap<InstanceId, u64>,
-    /// The listed databases whose heartbeats arrived in time.
+    /// The registered databases whose heartbeats arrived in time.
     pub alive: BTreeSet<InstanceId>,
     /// The number of replicas that must have received a commit before the primary acknowledges
     /// it.
     pub sync_replicas: u32,
     /// Whether no lease on the current term can be in use any more.
     pub leases_expired: bool,
-    /// Whether no pooler passes on commits that the target of the current handover lacks: each one
+    /// Whether no pooler forwards commits that the target of the current handover lacks: each one
     /// has acknowledged the handover or can't use a lease any more. Without a handover the same as
     /// `leases_expired`.
     pub all_poolers_confirmed: bool,
-    /// How far poolers may have passed on commits of the current term to clients. Commits that the
-    /// target of the current handover is known to have are left out.
+    /// Which commits of the current term poolers may have forwarded to clients, except those that
+    /// the target of the current handover is known to have.
     pub acknowledged_commits: AcknowledgedCommits,
 }
 
 impl ServiceSnapshot {
-    /// The listed database with this id.
+    /// The registered database with this id.
     pub(super) fn database(&self, wanted_id: &InstanceId) -> Option<&(InstanceId, Instance)> {
         self.databases.iter().find(|(id, _)| id == wanted_id)
     }
 
-    /// The listed databases except the primary.
+    /// The registered databases except the primary.
     pub(super) fn replicas(&self) -> impl Iterator<Item = &(InstanceId, Instance)> {
         let primary = self.primary_record.as_ref().map(|record| record.primary.clone());
         self.databases.iter().filter(move |(id, _)| Some(id) != primary.as_ref())
     }
 
-    /// The ids of the listed replicas.
+    /// The ids of the registered replicas.
     pub(super) fn replica_ids(&self) -> impl Iterator<Item = &InstanceId> {
         self.replicas().map(|(id, _)| id)
     }
 
     /// All databases besides the primary whose receipt of a commit may have let the primary
-    /// acknowledge it: the listed and the departed replicas.
+    /// acknowledge it: the registered and the departed replicas.
     pub(super) fn possible_commit_holders(&self) -> impl Iterator<Item = &InstanceId> {
         self.replica_ids().chain(self.departed.keys())
     }
--- a/src/failover/state.rs
+++ b/src/failover/state.rs
@@ -1,5 +1,5 @@
-//! The states of a failover, and the dispatch of events. Each event returns the actions that the
-//! controller has to carry out, and is dispatched to a method that handles it in the current state.
+//! The states of a failover or handover, and the dispatch of events. Each event is dispatched to a
+//! method that handles it in the current state and returns the actions for the controller.
 
 use super::actions::{Attempt, DatabaseRequest, DatabaseResponse, FailoverAction};
 use super::departed::DepartedReplicas;
@@ -16,10 +16,10 @@
 use crate::net::rpc::pooler_messages::Handover;
 use crate::state_machine::{Command, PrimaryRecord};
 
-/// The state of a service's failover.
+/// The progress of a change of a service's primary, by failover or handover.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FailoverState {
-    /// No failover is in progress.
+    /// Neither a failover nor a handover is in progress.
     Steady,
     /// The service has no recorded primary yet. A database has reported to be the primary, and is
     /// asked for its term.
@@ -80,7 +80,7 @@
     }
 
     /// The promotion target, in the states in which all other replicas have to be paused, including
-    /// those that are listed only later.
+    /// those that are registered only later.
     fn promotion_target(&self) -> Option<&InstanceId> {
         match self {
             Self::HandingOver(progress) => Some(&progress.target),
@@ -119,7 +119,7 @@
     }
 }
 
-/// What the controller tells poolers about the leases on a service during a failover.
+/// What the controller tells poolers about the leases on a service while its primary changes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseStatus {
     /// Whether leases on the current term are being revoked. None is granted then.
@@ -131,7 +131,8 @@
     pub handover: Option<Handover>,
 }
 
-/// The failover state machine of one service. Every step can safely be repeated.
+/// The state machine that changes the primary of one service, by failover or handover. Every step
+/// can safely be repeated.
 #[derive(Clone, Debug)]
 pub struct Failover {
     /// The current state.
@@ -143,20 +144,20 @@
     /// The position at or before which every acknowledged commit lies, once the replicas are
     /// fenced.
     pub sealed: Option<Position>,
-    /// The current handover. It was announced to the poolers, which pass on only commits that its
+    /// The current handover. It was announced to the poolers, which forward only commits that its
     /// target has until they are granted another lease.
     pub handover: Option<Handover>,
     pub(super) replicas: PausedReplicas,
     pub(super) departed: DepartedReplicas,
     pub(super) suspicion: Suspicion,
-    /// When a failover was last cancelled.
+    /// When a failover or handover was last cancelled.
     pub(super) cancelled_at: Option<Tick>,
     /// When a former primary was last asked to step down.
     step_down_requested_at: Option<Tick>,
 }
 
 impl Failover {
-    /// Starts the failover of a service under a new leader. A committed intent is carried out
+    /// Creates the state machine of a service under a new leader. A committed intent is carried out
     /// first, with the same target. Otherwise replicas that an earlier leader may have paused are
     /// resumed.
     pub fn begin(snapshot: &ServiceSnapshot, now: Tick) -> (Self, Vec<FailoverAction>) {
@@ -197,7 +198,7 @@
         self.attempt.number += 1;
     }
 
-    /// Ends the failover or the suspicion. The primary is not suspected again for a while.
+    /// Ends the failover, handover or suspicion. The primary is not suspected again for a while.
     pub(super) fn return_to_steady(&mut self, now: Tick) {
         self.state = FailoverState::Steady;
         self.revoking = false;
@@ -371,7 +372,8 @@
     }
 
     /// Carries out the work that is due. The controller calls this periodically, more often during
-    /// a failover, and immediately after a heartbeat or a change of the primary was committed.
+    /// a failover or handover, and immediately after a heartbeat or a change of the primary was
+    /// committed.
     pub fn tick(&mut self, snapshot: &ServiceSnapshot, now: Tick) -> Vec<FailoverAction> {
         let Some(record) = &snapshot.primary_record else {
             self.tick_without_primary(now);
@@ -403,7 +405,7 @@
         }
     }
 
-    /// Ends the discovery of a first primary that has not answered in time. Its next heartbeat
+    /// Ends the discovery of a first primary that has not responded in time. Its next heartbeat
     /// starts it again.
     fn tick_without_primary(&mut self, now: Tick) {
         if let FailoverState::DiscoveringFirstPrimary { since } = self.state
@@ -414,7 +416,7 @@
     }
 
     /// Checks whether the primary has to be replaced, resumes replicas that an earlier failover
-    /// left paused, and checks the departed replicas.
+    /// or handover left paused, and checks the departed replicas.
     fn tick_steady(
         &mut self,
         snapshot: &ServiceSnapshot,
--- a/src/failover/suspicion.rs
+++ b/src/failover/suspicion.rs
@@ -32,7 +32,7 @@
 pub(super) struct Suspicion {
     /// The poolers that reported an unanswered request since the primary was last found healthy.
     no_response_reporters: BTreeSet<NodeName>,
-    /// When the primary last responded to a suspicion, or a failover last ended.
+    /// When the primary last responded to a suspicion, or a failover or handover last ended.
     verified_at: Option<Tick>,
     /// When a replacement of a slow or unstable primary was last attempted.
     slow_replacement_at: Option<Tick>,
@@ -53,7 +53,8 @@
         self.no_response_reporters.clear();
     }
 
-    /// Records that the primary responded to a suspicion or that a failover has ended.
+    /// Records that the primary responded to a suspicion, or that a failover or handover has
+    /// ended.
     pub(super) fn record_verified(&mut self, now: Tick) {
         self.clear_no_response_reports();
         self.verified_at = Some(now);
--- a/src/failover/timing.rs
+++ b/src/failover/timing.rs
@@ -1,7 +1,8 @@
-//! Time-outs, intervals and thresholds of a failover. Times are in milliseconds.
+//! Time-outs, intervals and thresholds of failovers and handovers. Times are in milliseconds.
 
-/// Poolers that must report an unanswered request before a primary that has not answered the leader
-/// either is treated as lost or slow. One or two poolers may have network faults of their own.
+/// Poolers that must report an unanswered request before a primary that has not responded to the
+/// leader either is treated as lost or slow. One or two poolers may have network faults of their
+/// own.
 pub(super) const NO_RESPONSE_REPORTERS_NEEDED: usize = 3;
 
 /// Time within which a reachable machine accepts a connection, even under load.
@@ -14,19 +15,19 @@
 /// After that its next heartbeat starts the discovery again.
 pub(super) const FIRST_PRIMARY_TIMEOUT_MS: u64 = 2 * REQUEST_RETRY_MS;
 
-/// Time after which a suspicion ends without a result if the primary has not answered.
+/// Time after which a suspicion ends without a result if the primary has not responded.
 pub(super) const SUSPICION_TIMEOUT_MS: u64 = 4 * REQUEST_RETRY_MS;
 
-/// Duration of fencing after which a primary that is still listed is asked again, because the
+/// Duration of fencing after which a primary that is still registered is asked again, because the
 /// suspicion may have been wrong.
 pub(super) const PRIMARY_RECHECK_AFTER_MS: u64 = 2 * REQUEST_RETRY_MS;
 
 /// Interval at which a departed replica is probed. It may run on and receive commits for many
-/// seconds after it deregistered.
+/// seconds after it departed.
 pub(super) const DEPARTED_PROBE_INTERVAL_MS: u64 = 500;
 
-/// Time after which a departed replica that neither answers nor refuses connections is assumed to
-/// have stopped. A listed database without heartbeats is removed after the same time.
+/// Time after which a departed replica that neither responds nor refuses connections is assumed
+/// to have stopped. A registered database without heartbeats is removed after the same time.
 pub(super) const DEPARTED_ASSUMED_STOPPED_MS: u64 = 60_000;
 
 /// Time that the replicas have to reach the primary's position in one departed replica check.
@@ -105,7 +106,7 @@
 /// Time for which missing heartbeats of a primary that just described itself are ignored.
 pub(super) const MISSING_HEARTBEATS_IGNORED_MS: u64 = 2_000;
 
-/// Time after a cancelled failover before a handover from a draining primary is started.
+/// Time after a cancelled failover or handover before one from a draining primary is started.
 pub(super) const HANDOVER_RETRY_MS: u64 = 1_000;
 
 /// Least time between two requests to a former primary to step down.
--- a/src/leases/acknowledged_commits.rs
+++ b/src/leases/acknowledged_commits.rs
@@ -1,31 +1,31 @@
 //! Which commits of a service may have been acknowledged to clients.
 //!
-//! Clients receive acknowledgements only through poolers. A promotion is therefore safe if the log
-//! of its target has every commit described here.
+//! Clients receive acknowledgements only through poolers, which forward those of the primary. A
+//! promotion is therefore safe if the log of its target has every commit described here.
 use crate::base::ids::Position;
 
-/// What is known of the commits that poolers acknowledged to clients.
+/// What is known of the commits that poolers forwarded to clients.
 ///
-/// Covers all commits that the next primary might lack: later ones are acknowledged only after
+/// Covers all commits that the next primary might lack: later ones are forwarded only after
 /// their pooler has confirmed them at the target of a handover, or not at all, as its lease has
 /// ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AcknowledgedCommits {
-    /// The furthest acknowledged commit that a pooler reported; `None` if none reported any.
+    /// The furthest forwarded commit that a pooler reported; `None` if none reported any.
     pub reported: Option<Position>,
-    /// What is known of the commits acknowledged by poolers that didn't report.
+    /// What is known of the commits forwarded by poolers that didn't report.
     pub unreported: UnreportedCommits,
 }
 
-/// What is known of the commits acknowledged by poolers that didn't report.
+/// What is known of the commits forwarded by poolers that didn't report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum UnreportedCommits {
-    /// Any commit may have been acknowledged, and more may follow.
+    /// Any commit may have been forwarded, and more may follow.
     #[default]
     Unknown,
-    /// No commit was acknowledged.
+    /// No commit was forwarded.
     Nothing,
-    /// No commit beyond this position was acknowledged.
+    /// No commit beyond this position was forwarded.
     UpTo(Position),
 }
 
--- a/src/leases/lease_table.rs
+++ b/src/leases/lease_table.rs
@@ -18,7 +18,7 @@
 /// clocks may run at slightly different rates.
 const LEASE_EXPIRY_MARGIN_MS: u64 = 50;
 
-/// How long a disconnected pooler is kept, in milliseconds. It may have acknowledged later commits
+/// How long a disconnected pooler is kept, in milliseconds. It may have forwarded later commits
 /// than it reported; replicas have received those by the end of this time.
 const DISCONNECTED_POOLER_RETENTION_MS: u64 = 10_000;
 
@@ -149,9 +149,9 @@
     pub(super) connected_poolers: u32,
     pub(super) totals: QuotaTotals,
     /// For each service, the end of the last lease of a pooler that was removed from the table, or
-    /// restarted, without reporting which commits it acknowledged.
+    /// restarted, without reporting which commits it forwarded.
     removed_leases_end: BTreeMap<ServiceName, Tick>,
-    /// For each service, the furthest acknowledged commit that a pooler reported.
+    /// For each service, the furthest forwarded commit that a pooler reported.
     reported: BTreeMap<ServiceName, Position>,
 }
 
@@ -170,7 +170,7 @@
         }
         if pooler.incarnation != incarnation {
             // The old process has ended, and so have its connections. Which commits it
-            // acknowledged is unknown.
+            // forwarded is unknown.
             if !pooler.quota_released {
                 self.totals.remove_pooler(&pooler);
             }
@@ -205,7 +205,7 @@
     }
 
     /// Withdraws all grants of a pooler that shuts down gracefully. A lease that it has not given
-    /// up counts as that of a pooler that crashed: which commits it acknowledged is unknown.
+    /// up counts as that of a pooler that crashed: which commits it forwarded is unknown.
     pub fn withdraw_all_grants(&mut self, node: &NodeName) {
         if let Some(pooler) = self.poolers.get_mut(node) {
             let granted_services: Vec<ServiceName> = pooler.grants.keys().cloned().collect();
@@ -243,7 +243,7 @@
     }
 
     /// Records when the leases of a pooler that is removed expire, except those it gave up: for the
-    /// others it will not report which commits it acknowledged.
+    /// others it will not report which commits it forwarded.
     fn record_unreported_leases(&mut self, pooler: &PoolerLeases) {
         for service in pooler.grants.keys().chain(pooler.ended.keys()) {
             let last_term = pooler.last_term(service);
@@ -258,7 +258,7 @@
     }
 
     /// Records that a pooler has given up its lease on `term`. `highest` is the furthest commit
-    /// that it acknowledged.
+    /// that it forwarded.
     pub fn acknowledge_revocation(
         &mut self,
         node: &NodeName,
@@ -274,8 +274,8 @@
         }
     }
 
-    /// Records that a pooler now acknowledges commits of the service only once the target of this
-    /// handover has them. `highest` is the furthest commit that it acknowledged before.
+    /// Records that a pooler now forwards commits of the service only once the target of this
+    /// handover has them. `highest` is the furthest commit that it forwarded before.
     pub fn acknowledge_handover(
         &mut self,
         node: &NodeName,
@@ -326,7 +326,7 @@
             pooler.end_lease(&service);
         }
         if grant.status.leased_term().is_some() {
-            // After a failover was called off, the same term is granted again, so an earlier
+            // After a failover was cancelled, the same term is granted again, so an earlier
             // revocation no longer applies.
             pooler.revoked.remove(&service);
         }
@@ -350,7 +350,7 @@
             && self.poolers.values().all(|pooler| pooler.is_released(service, term, now))
     }
 
-    /// Whether no pooler acknowledges a commit of `term` or an earlier one that the target of this
+    /// Whether no pooler forwards a commit of `term` or an earlier one that the target of this
     /// handover lacks: each has acknowledged the handover, or can't use a lease any more.
     pub fn all_confirm_handover(
         &self,
@@ -365,12 +365,12 @@
         has_expired(self.elected_at, now) && self.poolers.values().all(confirms)
     }
 
-    /// Which commits may have been acknowledged under leases on `term`, except those that the
+    /// Which commits may have been forwarded under leases on `term`, except those that the
     /// target of `handover` is known to have.
     ///
-    /// Every pooler must have reported its furthest acknowledged commit, or be covered: `watermark`
+    /// Every pooler must have reported its furthest forwarded commit, or be covered: `watermark`
     /// covers every commit acknowledged before its time, so a pooler whose lease had ended by then
-    /// has acknowledged nothing beyond it. The same holds for poolers that were removed from the
+    /// has forwarded nothing beyond it. The same holds for poolers that were removed from the
     /// table, and for those with a lease of an earlier leader, which this leader may not know.
     pub fn acknowledged_commits(
         &self,
--- a/src/leases/watermarks.rs
+++ b/src/leases/watermarks.rs
@@ -1,8 +1,8 @@
 //! Replication watermarks: log positions known to cover the acknowledged commits of each service.
 //!
 //! Poolers report the log positions that they observe at primaries. The controller collects them
-//! here, uses them to decide when a failover may proceed, and forwards them to the poolers that
-//! read from replicas.
+//! here, uses them to decide when a failover may proceed, and sends them to the poolers that read
+//! from replicas.
 use crate::base::ids::{Position, ServiceName};
 use crate::base::time::Tick;
 use crate::net::rpc::pooler_messages::{ObservedPosition, PositionBound};
--- a/src/net/rpc/pooler_messages.rs
+++ b/src/net/rpc/pooler_messages.rs
@@ -74,25 +74,25 @@
         service: ServiceName,
         /// The revoked term.
         term: DbTerm,
-        /// The furthest commit that this pooler passed on to a client; none if it passed on none.
+        /// The furthest commit that this pooler forwarded to a client; none if it forwarded none.
         highest: Option<Position>,
     },
     /// Acknowledges a handover, told by [`ToPooler::HandOver`] or [`PrimaryStatus::HandingOver`]:
-    /// from now on the pooler passes on a commit of the term only once the target has it.
+    /// from now on the pooler forwards a commit of the term only once the target has it.
     HandOverAck {
         /// The service that is handed over.
         service: ServiceName,
         /// The number of the handover.
         handover: u64,
-        /// The furthest commit that this pooler passed on to a client; none if it passed on none.
+        /// The furthest commit that this pooler forwarded to a client; none if it forwarded none.
         highest: Option<Position>,
     },
     /// A [`ToPooler::RouteTableDelta`] arrived for a revision that this node does not have: asks for
     /// the complete table.
     #[serde(rename = "Whole")]
     RequestFullTable,
-    /// The node shuts down gracefully. How far it passed on commits is told by a `RevokeAck` for each
-    /// lease before; of a lease without one, nothing is known.
+    /// The node shuts down gracefully. Before that it sends a `RevokeAck` for each lease, with the
+    /// furthest commit that it forwarded; for a lease without one, nothing is known.
     #[serde(rename = "Bye")]
     Goodbye,
 }
@@ -232,7 +232,7 @@
         /// The primary.
         primary: InstanceId,
     },
-    /// As `Active`, but a commit may be passed on only once the target of the handover has it;
+    /// As `Active`, but a commit may be forwarded only once the target of the handover has it;
     /// answered with [`ToController::HandOverAck`].
     HandingOver {
         /// The primary that is replaced.
--- a/src/state_machine/commands.rs
+++ b/src/state_machine/commands.rs
@@ -67,8 +67,8 @@
         /// The replica that was to be promoted.
         target: InstanceId,
     },
-    /// Stops tracking departed replicas: enough registered replicas have every commit that was
-    /// acknowledged before these left.
+    /// Forgets departed replicas: enough registered replicas have every commit that was
+    /// acknowledged before these departed.
     #[serde(rename = "Covered")]
     ForgetDeparted {
         /// The service.
--- a/src/state_machine/primaries.rs
+++ b/src/state_machine/primaries.rs
@@ -16,7 +16,7 @@
     /// The primary of that term.
     pub primary: InstanceId,
     /// The replica chosen as the next primary, which may not have been promoted yet. No other
-    /// decision on the service is made before this failover has ended.
+    /// promotion is decided until a new primary is recorded or the intent is abandoned.
     pub intent: Option<InstanceId>,
 }
 
@@ -42,7 +42,7 @@
         CommandOutcome::Applied
     }
 
-    /// The record of a service, if `term` is current and no failover is in progress.
+    /// The record of a service, if `term` is current and the record has no intent.
     fn stable_record(&mut self, service: &ServiceName, term: DbTerm) -> Option<&mut PrimaryRecord> {
         let record = self.by_service.get_mut(service)?;
         (record.term == term && record.intent.is_none()).then_some(record)
@@ -80,7 +80,7 @@
     }
 
     /// Replaces the id of the primary of `term` and returns the old id; `None` if `term` is not
-    /// current or a failover is in progress.
+    /// current or the record has an intent.
     pub(super) fn replace_primary_id(
         &mut self,
         service: &ServiceName,
@@ -96,7 +96,7 @@
 /// each with its last heartbeat sequence number.
 ///
 /// They count as unresponsive replicas until enough registered replicas have every commit that was
-/// acknowledged before they left.
+/// acknowledged before they departed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct DepartedReplicas {
     pub(super) by_service: BTreeMap<ServiceName, BTreeMap<InstanceId, u64>>,
@@ -125,18 +125,20 @@
         }
     }
 
-    /// Removes departed replicas whose acknowledged commits registered replicas have.
+    /// Forgets departed replicas, because enough registered ones have every commit that was
+    /// acknowledged before they departed. `forgotten` gives each with its last heartbeat sequence
+    /// number.
     pub(super) fn forget(
         &mut self,
         service: &ServiceName,
-        covered: &BTreeMap<InstanceId, u64>,
+        forgotten: &BTreeMap<InstanceId, u64>,
     ) -> CommandOutcome {
         let Some(departed) = self.by_service.get_mut(service) else {
             return CommandOutcome::NoChange;
         };
-        // A replica that registered again and left again has a higher sequence number than the
+        // A replica that registered again and departed again has a higher sequence number than the
         // one in the command, and stays.
-        departed.retain(|id, last| covered.get(id) != Some(last));
+        departed.retain(|id, last| forgotten.get(id) != Some(last));
         if departed.is_empty() {
             self.by_service.remove(service);
         }
