--- a/tests/failover.rs
+++ b/tests/failover.rs
@@ -26,7 +26,7 @@
         database_role: role,
     }
 }
-/// What poolers reported: nothing yet, or the last commit that any of them passed on.
+/// What poolers reported: nothing yet, or the furthest commit that any of them forwarded.
 fn acknowledged_commits(reported: Option<Option<Position>>) -> AcknowledgedCommits {
     reported.map_or_else(AcknowledgedCommits::default, |reported| AcknowledgedCommits {
         reported,
@@ -34,7 +34,7 @@
     })
 }
 /// A service with primary `a` in term 1 and replicas `b` and `c`. No lease is in use, and it is not
-/// known how far poolers passed on commits.
+/// known which commits poolers forwarded.
 fn snapshot() -> ServiceSnapshot {
     let replica = database(Lifecycle::Available, Role::Replica, "v1");
     ServiceSnapshot {
@@ -447,14 +447,14 @@
             SuspicionReason::NoResponse,
             now.plus(at),
         );
-        let answer = description(true, 1, position);
+        let response = description(true, 1, position);
         failover
             .handle_response(
                 &snapshot,
                 failover.attempt,
                 &"a".into(),
                 DatabaseRequest::Describe,
-                &answer,
+                &response,
                 now.plus(at + response_ms),
             )
             .len()
@@ -511,8 +511,11 @@
             &healthy,
             now.plus(at_ms + 410),
         );
-        let planned = matches!(&failover.state, FailoverState::HandingOver(_));
-        assert_eq!(planned, replaced, "{poolers} {times} {interval_ms}: {suspected:?} {actions:?}");
+        let handing_over = matches!(&failover.state, FailoverState::HandingOver(_));
+        assert_eq!(
+            handing_over, replaced,
+            "{poolers} {times} {interval_ms}: {suspected:?} {actions:?}"
+        );
         assert!(!failover.revoking);
     }
 }
@@ -603,7 +606,7 @@
 #[test]
 fn a_draining_replica_is_promoted_only_if_no_other_can_be() {
     let now = Tick(50_000);
-    // (position of the available replica, position that was passed on, target)
+    // (position of the available replica, furthest forwarded position, target)
     for (other, reported, target) in [(9, 9, "c"), (8, 8, "c"), (8, 9, "b"), (7, 8, "b")] {
         let mut snapshot = snapshot();
         snapshot.databases[1].1.lifecycle_state = Lifecycle::Draining;
@@ -634,7 +637,7 @@
         }
         assert_eq!(actions, [propose_intent(target)], "{other} {reported}");
     }
-    // If the target deregisters, the call is repeated immediately, and its refusal abandons the
+    // If the target departs, the call is repeated immediately, and its refusal abandons the
     // intent.
     let mut snapshot = snapshot();
     let mut failover = begin_promotion(&mut snapshot, now);
@@ -764,9 +767,15 @@
     );
     assert!(!failover.revoking, "leases are still granted: every further commit is on the target");
     for (id, number) in [("b", 7), ("c", 9)] {
-        let answer = description(false, 1, at(number));
-        let actions =
-            failover.handle_response(&snapshot, failover.attempt, &id.into(), PAUSE, &answer, now);
+        let response = description(false, 1, at(number));
+        let actions = failover.handle_response(
+            &snapshot,
+            failover.attempt,
+            &id.into(),
+            PAUSE,
+            &response,
+            now,
+        );
         assert_eq!(actions, [], "{id}");
     }
     snapshot.all_poolers_confirmed = true;
@@ -878,7 +887,7 @@
     FailoverAction::HandOver(Handover { number, term: DbTerm(1), target })
 }
 /// Has all poolers acknowledge the handover. Then `b` is asked for its position, and the primary
-/// too if that is needed to know which commits were passed on before.
+/// too if that is needed to know which commits were forwarded before.
 fn confirm_handover(
     failover: &mut Failover,
     snapshot: &mut ServiceSnapshot,
@@ -895,7 +904,7 @@
 #[test]
 fn a_handover_proceeds_only_if_the_target_has_every_commit() {
     let now = Tick(50_000);
-    // (synchronous replicas, what poolers passed on if all reported it, position of the primary if
+    // (synchronous replicas, what poolers forwarded if all reported it, position of the primary if
     // it responded since, position of the target, whether the target is promoted). Whether `c` is
     // paused makes no difference.
     let cases = [
@@ -918,13 +927,13 @@
             snapshot.acknowledged_commits = acknowledged_commits(reported);
             let mut failover = begin_handover(&mut snapshot, now);
             if let Some(number) = paused {
-                let answer = description(false, 1, at(number));
+                let response = description(false, 1, at(number));
                 let actions = failover.handle_response(
                     &snapshot,
                     failover.attempt,
                     &"c".into(),
                     PAUSE,
-                    &answer,
+                    &response,
                     now,
                 );
                 assert_eq!(actions, []);
@@ -933,24 +942,24 @@
             let describe = DatabaseRequest::Describe;
             let mut actions = Vec::new();
             if let Some(number) = primary {
-                let answer = description(true, 1, at(number));
+                let response = description(true, 1, at(number));
                 actions = failover.handle_response(
                     &snapshot,
                     failover.attempt,
                     &"a".into(),
                     describe,
-                    &answer,
+                    &response,
                     now,
                 );
             }
             assert_eq!(actions, [], "the target has not responded");
-            let answer = description(false, 1, at(target));
+            let response = description(false, 1, at(target));
             let actions = failover.handle_response(
                 &snapshot,
                 failover.attempt,
                 &"b".into(),
                 describe,
-                &answer,
+                &response,
                 now,
             );
             let expected = if proceeds { vec![propose_intent("b")] } else { Vec::new() };
@@ -960,7 +969,7 @@
 }
 
 /// Guards against a promotion that relies on a position from before the poolers acknowledged the
-/// handover: the target would lack commits that were passed on since.
+/// handover: the target would lack commits that were forwarded since.
 #[test]
 fn positions_from_before_all_poolers_acknowledged_are_ignored() {
     let (mut snapshot, now) = (snapshot(), Tick(50_000));
@@ -973,9 +982,9 @@
     let asked = failover.report_suspicion(&snapshot, &"n1".into(), &"a".into(), reason, now);
     assert_eq!(asked, [send("a", describe)]);
     for (id, leads) in [("a", true), ("b", false)] {
-        let answer = description(leads, 1, at(7));
+        let response = description(leads, 1, at(7));
         assert_eq!(
-            failover.handle_response(&snapshot, before, &id.into(), describe, &answer, now),
+            failover.handle_response(&snapshot, before, &id.into(), describe, &response, now),
             []
         );
     }
@@ -988,30 +997,30 @@
     for (id, leads, number, chosen) in
         [("a", true, 9, false), ("b", false, 8, false), ("b", false, 9, true)]
     {
-        let answer = description(leads, 1, at(number));
+        let response = description(leads, 1, at(number));
         let actions = failover.handle_response(
             &snapshot,
             failover.attempt,
             &id.into(),
             describe,
-            &answer,
+            &response,
             now.plus(120),
         );
         assert_eq!(!actions.is_empty(), chosen, "{id} {number}");
     }
 }
 
-/// Guards against a promotion while a lease is in use: a pooler could pass on a commit that
+/// Guards against a promotion while a lease is in use: a pooler could forward a commit that
 /// replicas received only after they had reported their positions.
 #[test]
 fn a_lost_primary_is_replaced_only_after_every_lease_expired() {
     let now = Tick(50_000);
-    // (what poolers passed on if all reported it, whether the replicas are asked again, the
+    // (what poolers forwarded if all reported it, whether the replicas are asked again, the
     // positions of `b` and `c` then, the target)
     let cases = [
         (Some(Some(at(9))), false, [7, 9], Some("c")),
         (Some(Some(at(7))), false, [7, 9], Some("c")),
-        // The poolers passed on more than any replica had when it was asked: one may have received
+        // The poolers forwarded more than any replica had when it was asked: one may have received
         // it since.
         (Some(Some(at(10))), true, [7, 9], None),
         (Some(Some(at(10))), true, [10, 9], Some("b")),
@@ -1027,7 +1036,7 @@
         let revoke = FailoverAction::RevokeLeases(DbTerm(1));
         assert_eq!(asked, [revoke, send("b", describe), send("c", describe)]);
         let first = failover.attempt;
-        let answer = |failover: &mut Failover, snapshot: &ServiceSnapshot, attempt, id: &str, n| {
+        let reply = |failover: &mut Failover, snapshot: &ServiceSnapshot, attempt, id: &str, n| {
             let request = if attempt == first { describe } else { PAUSE };
             failover.handle_response(
                 snapshot,
@@ -1039,11 +1048,7 @@
             )
         };
         for (id, number) in [("b", 7), ("c", 9)] {
-            assert_eq!(
-                answer(&mut failover, &snapshot, first, id, number),
-                [],
-                "a lease is in use"
-            );
+            assert_eq!(reply(&mut failover, &snapshot, first, id, number), [], "a lease is in use");
         }
         assert_eq!(failover.tick(&snapshot, now.plus(350)), [], "a lease is in use");
         snapshot.leases_expired = true;
@@ -1052,21 +1057,21 @@
         if again {
             assert_eq!(actions, [send("b", PAUSE), send("c", PAUSE)], "{reported:?}");
             assert_eq!(
-                answer(&mut failover, &snapshot, first, "b", 9),
+                reply(&mut failover, &snapshot, first, "b", 9),
                 [],
                 "a response to the first attempt"
             );
             assert_eq!(
-                answer(&mut failover, &snapshot, first, "c", 9),
+                reply(&mut failover, &snapshot, first, "c", 9),
                 [],
                 "a response to the first attempt"
             );
             let now = failover.attempt;
-            actions = answer(&mut failover, &snapshot, now, "b", positions[0]);
+            actions = reply(&mut failover, &snapshot, now, "b", positions[0]);
             // Without complete reports of the poolers a response of `c` is needed too.
             assert!(actions.is_empty() || reported.is_some(), "{actions:?}");
             if actions.is_empty() {
-                actions = answer(&mut failover, &snapshot, now, "c", positions[1]);
+                actions = reply(&mut failover, &snapshot, now, "c", positions[1]);
             }
         }
         let expected: Vec<_> = target.map(propose_intent).into_iter().collect();
@@ -1098,11 +1103,11 @@
         }
         let mut failover = begin_steady(&snapshot, now);
         let actions = failover.tick(&snapshot, now);
-        let planned = target.map(|target| {
+        let handover = target.map(|target| {
             let other = if target == "b" { "c" } else { "b" };
             [announce_handover(&failover, target), send(other, PAUSE)]
         });
-        let expected: Vec<_> = planned.into_iter().flatten().collect();
+        let expected: Vec<_> = handover.into_iter().flatten().collect();
         assert_eq!(actions, expected, "{b:?} {c:?}");
     }
 }
@@ -1240,21 +1245,21 @@
         );
         assert_eq!(actions, if suspected { &describe[..] } else { &[] }, "{reported} {after}");
     }
-    // (whether the primary is listed, alive and draining, whether a replica has departed, the
+    // (whether the primary is registered, alive and draining, whether a replica has departed, the
     // expected actions)
     let fence = [FailoverAction::RevokeLeases(DbTerm(1)), send("b", PAUSE), send("c", PAUSE)];
     let handover = Handover { number: (1 << 20) + 1, term: DbTerm(1), target: "b".into() };
-    let planned = [FailoverAction::HandOver(handover), send("c", PAUSE)];
+    let hand_over = [FailoverAction::HandOver(handover), send("c", PAUSE)];
     let cases: [(bool, bool, bool, bool, &[FailoverAction]); 7] = [
         (true, true, false, false, &[]),
         (true, false, false, false, &describe),
         (true, false, false, true, &describe),
-        (true, false, true, true, &planned),
-        (true, true, true, true, &planned),
-        (true, true, true, false, &planned),
+        (true, false, true, true, &hand_over),
+        (true, true, true, true, &hand_over),
+        (true, true, true, false, &hand_over),
         (false, false, false, false, &fence),
     ];
-    for (listed, alive, drains, departed, actions) in cases {
+    for (known, alive, drains, departed, actions) in cases {
         let mut snapshot = snapshot();
         let mut failover = begin_steady(&snapshot, now);
         if drains {
@@ -1263,13 +1268,13 @@
         if departed {
             snapshot.departed.insert("d".into(), 9);
         }
-        if !listed {
+        if !known {
             snapshot.databases.remove(0);
         }
         if !alive {
             snapshot.alive.remove(&"a".into());
         }
-        assert_eq!(failover.tick(&snapshot, now), actions, "{listed} {alive} {drains} {departed}");
+        assert_eq!(failover.tick(&snapshot, now), actions, "{known} {alive} {drains} {departed}");
     }
 }
 
--- a/tests/failover_replicas.rs
+++ b/tests/failover_replicas.rs
@@ -29,7 +29,7 @@
     }
 }
 /// A service with primary `a` in term 1 and replicas `b` and `c`. No lease is in use, and it is not
-/// known how far poolers passed on commits.
+/// known which commits poolers forwarded.
 fn snapshot() -> ServiceSnapshot {
     ServiceSnapshot {
         service: "s".into(),
@@ -263,7 +263,7 @@
     let (service, target) = ("s".into(), target.into());
     FailoverAction::Propose(Command::BeginFailover { service, term: DbTerm(1), target })
 }
-/// The same service after `c` has deregistered.
+/// The same service after `c` has departed.
 fn without_c(snapshot: &ServiceSnapshot) -> ServiceSnapshot {
     let mut snapshot = snapshot.clone();
     snapshot.databases.retain(|(id, _)| *id != "c".into());
@@ -287,17 +287,17 @@
         (Some(8), Some(Some(at(7))), 1, true),
     ];
     for (paused, reported, sync_replicas, may_promote) in cases {
-        let listed = ServiceSnapshot { sync_replicas, ..snapshot() };
+        let registered = ServiceSnapshot { sync_replicas, ..snapshot() };
         let acknowledged_commits = reported.map_or_else(AcknowledgedCommits::default, |reported| {
             AcknowledgedCommits { reported, unreported: UnreportedCommits::Nothing }
         });
-        let departed = ServiceSnapshot { acknowledged_commits, ..without_c(&listed) };
-        let mut failover = begin_steady(&listed, now);
+        let departed = ServiceSnapshot { acknowledged_commits, ..without_c(&registered) };
+        let mut failover = begin_steady(&registered, now);
         let fence = |asked: &[&str]| asked.iter().map(|id| send(id, PAUSE)).collect::<Vec<_>>();
         match paused {
             Some(number) => {
-                assert_eq!(report_lost(&mut failover, &listed, now), fence(&["b", "c"]));
-                assert_eq!(respond(&mut failover, &listed, "c", PAUSE, number, now), []);
+                assert_eq!(report_lost(&mut failover, &registered, now), fence(&["b", "c"]));
+                assert_eq!(respond(&mut failover, &registered, "c", PAUSE, number, now), []);
             }
             None => {
                 // The departed replica may still run: it is asked, though it can't be promoted.
@@ -314,7 +314,7 @@
     }
 }
 
-/// `c` keeps running for 20 s after it deregistered. It is probed and describes itself, answers
+/// `c` keeps running for 20 s after it departed. It is probed and describes itself, responds
 /// without a description, accepts only the connection, or does not respond.
 fn keeps_running(failover: &mut Failover, snapshot: &ServiceSnapshot, now: Tick) {
     for after in (100..20_100).step_by(100) {
@@ -325,7 +325,7 @@
             vec![]
         };
         assert_eq!(failover.tick(snapshot, now), due, "after {after}");
-        let answer = match after {
+        let response = match after {
             1_100 => description(false, at(9)),
             1_600 => DatabaseResponse::NoDescription,
             2_100 => DatabaseResponse::Connected,
@@ -334,7 +334,7 @@
         if !due.is_empty() {
             let (c, asked) = ("c".into(), DatabaseRequest::Describe);
             assert_eq!(
-                failover.handle_response(snapshot, failover.attempt, &c, asked, &answer, now),
+                failover.handle_response(snapshot, failover.attempt, &c, asked, &response, now),
                 []
             );
         }
@@ -417,7 +417,7 @@
     let mut failover = begin_steady(&departed, now);
     let actions = failover.tick(&departed, now.plus(100));
     assert!(matches!(actions[..], [FailoverAction::HandOver(_)]), "{actions:?}");
-    // `c` is listed during the handover.
+    // `c` is registered during the handover.
     assert_eq!(failover.tick(&all, now.plus(220)), [send("c", PAUSE)]);
     respond(&mut failover, &all, "c", PAUSE, 9, now.plus(230));
     all.all_poolers_confirmed = true;
@@ -535,8 +535,8 @@
     // A snapshot contains the departed replicas.
     state_machine = StateMachine::from_snapshot(&pack(&state_machine))
         .expect("a snapshot that was just packed");
-    // `c` is listed again and departs with more commits, while a check finds that other replicas
-    // have its earlier commits.
+    // `c` is registered again and departs with more commits, while a check finds that other
+    // replicas have its earlier commits.
     state_machine.apply(&heartbeat_command("c", 8));
     assert_eq!(departed(&state_machine), [("b".into(), u64::MAX)]);
     state_machine.apply(&removal("c", 0));
@@ -566,7 +566,7 @@
     respond(&mut s, &snapshot, "b", PAUSE, 7, now);
     snapshot.databases.push(("d".into(), database(Role::Primary)));
     assert!(s.tick(&snapshot, now.plus(500)).contains(&send("d", PAUSE)));
-    let answer = |term| {
+    let response = |term| {
         DatabaseResponse::Description(ServerDescription {
             primary: true,
             term: DbTerm(term),
@@ -579,12 +579,12 @@
         s.attempt,
         &"d".into(),
         PAUSE,
-        &answer(0),
+        &response(0),
         now.plus(510),
     );
     assert_eq!(older, [send("d", DatabaseRequest::StepDown(DbTerm(1)))]);
     let actions =
-        s.handle_response(&snapshot, s.attempt, &"d".into(), PAUSE, &answer(1), now.plus(510));
+        s.handle_response(&snapshot, s.attempt, &"d".into(), PAUSE, &response(1), now.plus(510));
     let (service, primary) = (ServiceName::from("s"), InstanceId::from("d"));
     let returned = Command::PrimaryReturned { service, term: DbTerm(1), primary };
     assert_eq!(actions, [FailoverAction::Propose(returned.clone())]);
@@ -606,7 +606,7 @@
         s.attempt,
         &"d".into(),
         DatabaseRequest::Describe,
-        &answer(1),
+        &response(1),
         now.plus(1_010),
     );
     assert!(
@@ -693,7 +693,7 @@
     paused: bool,
     sequence: u64,
     draining: bool,
-    /// When the node stops, after it has deregistered.
+    /// When the node stops, after it has departed.
     stops_at: Option<Tick>,
     died: Option<Tick>,
 }
@@ -708,7 +708,7 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Lease {
     InUse,
-    /// The pooler passes on only commits that the target has.
+    /// The pooler forwards only commits that the target has.
     HandingOver(Handover),
     Revoked,
 }
@@ -731,12 +731,12 @@
     primary: InstanceId,
     term: u64,
     sync: usize,
-    /// Commits that the pooler passed on, as (position in the log, term).
+    /// Commits that the pooler forwarded, as (position in the log, term).
     acknowledged: BTreeSet<(usize, u64)>,
     lease: Lease,
     /// The lease that the leader last sent to the pooler.
     lease_sent: Lease,
-    /// Whether the pooler reports how far it passed on commits. If not, its lease expires without
+    /// Whether the pooler reports its furthest forwarded commit. If not, its lease expires without
     /// an acknowledgement.
     reports: bool,
     state_machine: StateMachine,
@@ -842,11 +842,11 @@
     }
     fn snapshot(&self) -> ServiceSnapshot {
         let is_alive = |id: &&InstanceId| self.nodes[*id].alive && !self.nodes[*id].unreachable;
-        let listed = self.state_machine.instances().iter();
+        let registered = self.state_machine.instances().iter();
         ServiceSnapshot {
             raft_term: Term(self.raft_term),
             primary_record: self.state_machine.primaries().get(&"s".into()).cloned(),
-            databases: listed.map(|(id, r)| (id.clone(), r.instance.clone())).collect(),
+            databases: registered.map(|(id, r)| (id.clone(), r.instance.clone())).collect(),
             departed: self.state_machine.departed_replicas(&"s".into()),
             alive: self.state_machine.instances().keys().filter(is_alive).cloned().collect(),
             sync_replicas: self.sync as u32,
@@ -856,7 +856,7 @@
             ..snapshot()
         }
     }
-    /// Whether the pooler passes on no commit that the target of the current handover lacks.
+    /// Whether the pooler forwards no commit that the target of the current handover lacks.
     fn pooler_confirmed(&self) -> bool {
         match self.known_pooler_lease() {
             None | Some(Lease::InUse) => false,
@@ -867,8 +867,8 @@
     /// The pooler's lease as known to the leader; `None` while a message to the pooler is in
     /// flight.
     fn known_pooler_lease(&self) -> Option<&Lease> {
-        let under_way = self.due.iter().any(|(_, due)| matches!(due, Due::Lease(_)));
-        (!under_way).then_some(&self.lease)
+        let in_flight = self.due.iter().any(|(_, due)| matches!(due, Due::Lease(_)));
+        (!in_flight).then_some(&self.lease)
     }
     fn acknowledged_commits(&self) -> AcknowledgedCommits {
         if !self.reports || !self.pooler_confirmed() {
@@ -1008,7 +1008,7 @@
             node.paused &= other != id;
         }
     }
-    /// Commits one entry on the primary, replicates it, and passes on what the lease allows.
+    /// Commits one entry on the primary, replicates it, and forwards what the lease allows.
     fn write(&mut self) {
         let Some(primary) = self.nodes.get_mut(&self.primary).filter(|p| p.alive) else {
             return;
@@ -1030,13 +1030,13 @@
             Lease::InUse => commit_count,
             Lease::HandingOver(handover) => {
                 let target = &self.nodes[&handover.target];
-                let answers =
+                let responds =
                     target.alive && !target.unreachable && handover.target != self.primary;
-                if answers { commit_count.min(target.log.len()) } else { 0 }
+                if responds { commit_count.min(target.log.len()) } else { 0 }
             }
             Lease::Revoked => 0,
         };
-        // Only commits that were not passed on before are added.
+        // Only commits that were not forwarded before are added.
         let known = self.acknowledged.last().map_or(0, |(index, _)| index + 1);
         self.acknowledged.extend((known..commit_count).map(|index| (index, log[index])));
     }
@@ -1071,8 +1071,8 @@
                     self.heartbeat(&primary);
                 }
             }
-            let completed = |n: &Node| n.alive && n.stops_at.is_some_and(|at| now >= at);
-            for node in self.nodes.values_mut().filter(|n| completed(n)) {
+            let must_stop = |n: &Node| n.alive && n.stops_at.is_some_and(|at| now >= at);
+            for node in self.nodes.values_mut().filter(|n| must_stop(n)) {
                 (node.alive, node.died) = (false, Some(now));
             }
         }
@@ -1080,13 +1080,13 @@
     /// Injects a random fault.
     fn inject_fault(&mut self) {
         let (now, draw) = (self.now, self.random.below(12));
-        let listed: Vec<InstanceId> = self.state_machine.instances().keys().cloned().collect();
-        if listed.is_empty() {
+        let registered: Vec<InstanceId> = self.state_machine.instances().keys().cloned().collect();
+        if registered.is_empty() {
             return self.join();
         }
-        let id = listed[self.random.below(listed.len() as u64) as usize].clone();
+        let id = registered[self.random.below(registered.len() as u64) as usize].clone();
         let leads = id == self.primary;
-        let running = listed.iter().filter(|id| self.nodes[*id].alive).count();
+        let running = registered.iter().filter(|id| self.nodes[*id].alive).count();
         let sequence = self.nodes[&id].sequence;
         let node = self.nodes.get_mut(&id).expect("known");
         match draw {
@@ -1227,13 +1227,13 @@
         term: DbTerm(1),
         primary: "d".into(),
     };
-    // (case, commands after `a` and `b` were listed, which instances count as departed)
+    // (case, commands after `a` and `b` were registered, which instances count as departed)
     let cases: [(&str, Vec<Command>, &[&str]); 6] = [
         ("a replica of a service with a primary", vec![propose_primary(), removal("b", 9)], &["b"]),
         ("a replica of a service without a primary", vec![removal("b", 9), propose_primary()], &[]),
         ("the primary", vec![propose_primary(), removal("a", 9)], &[]),
         (
-            "a replica that is listed again",
+            "a replica that is registered again",
             vec![propose_primary(), removal("b", 9), heartbeat_command("b", 10)],
             &[],
         ),
@@ -1282,11 +1282,11 @@
     assert_eq!(state_machine.apply(&heartbeat_command("b", 10)), CommandOutcome::Applied);
 }
 
-/// `c` has departed. It is forgotten once as many listed replicas as a commit needs have reached
-/// the primary's position.
+/// `c` has departed. It is forgotten once as many registered replicas as a commit needs have
+/// reached the primary's position.
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario, told in order")]
-fn a_departed_replica_is_forgotten_once_listed_replicas_reached_the_primary() {
+fn a_departed_replica_is_forgotten_once_registered_replicas_reached_the_primary() {
     let now = Tick(50_000);
     let describe = |id| send(id, DatabaseRequest::Describe);
     let begin = |sync_replicas: u32| {
@@ -1338,8 +1338,8 @@
     assert_eq!(failover.tick(&snapshot, now.plus(500)), []);
     // (synchronous replicas, whether `b` departs after its response, the responses with their
     // positions, whether `c` is forgotten)
-    type Answers<'a> = &'a [(&'a str, u64)];
-    let cases: [(u32, bool, Answers<'_>, bool); 8] = [
+    type Responses<'a> = &'a [(&'a str, u64)];
+    let cases: [(u32, bool, Responses<'_>, bool); 8] = [
         (1, false, &[("b", 8)], false),
         (1, false, &[("b", 9)], true),
         (2, false, &[("b", 9)], false),
@@ -1349,7 +1349,7 @@
         (2, true, &[("b", 9), ("d", 9)], false),
         (0, false, &[("b", 9)], true),
     ];
-    for (sync_replicas, departs, answers, forgotten) in cases {
+    for (sync_replicas, departs, responses, forgotten) in cases {
         let (mut failover, mut snapshot) = begin(sync_replicas);
         let response = primary(true, 1);
         failover.handle_response(
@@ -1361,8 +1361,8 @@
             now,
         );
         let mut actions = Vec::new();
-        for (id, number) in answers {
-            assert_eq!(actions, [], "{answers:?}");
+        for (id, number) in responses {
+            assert_eq!(actions, [], "{responses:?}");
             actions =
                 respond(&mut failover, &snapshot, id, DatabaseRequest::Describe, *number, now);
             if departs {
@@ -1372,7 +1372,7 @@
         let departed = BTreeMap::from([("c".into(), u64::MAX)]);
         let change = Command::ForgetDeparted { service: "s".into(), departed };
         let expected = if forgotten { vec![FailoverAction::Propose(change)] } else { Vec::new() };
-        assert_eq!(actions, expected, "{sync_replicas} {departs} {answers:?}");
+        assert_eq!(actions, expected, "{sync_replicas} {departs} {responses:?}");
     }
 }
 
@@ -1396,7 +1396,7 @@
     assert_eq!(failover.tick(&snapshot, now), []);
     assert_eq!(failover.tick(&snapshot, now.plus(500)), [describe("c")]);
     assert_eq!(refused(&mut failover, &snapshot, now.plus(510)), []);
-    // `c` was listed again and departed once more before the check started.
+    // `c` was registered again and departed once more before the check started.
     snapshot.departed.insert("c".into(), 9);
     for (after, asked) in [(520, None), (1_000, None), (1_020, Some("c"))] {
         let expected: Vec<_> = asked.map(describe).into_iter().collect();
@@ -1407,7 +1407,7 @@
 }
 
 /// Guards against forgetting a departed replica that still runs. It used to be forgotten 2 s after
-/// it deregistered, and the promoted database lacked commits that only it had received since.
+/// it departed, and the promoted database lacked commits that only it had received since.
 #[test]
 fn a_departed_replica_counts_while_it_runs() {
     let (snapshot, now) = (without_c(&snapshot()), Tick(50_000));
--- a/tests/lease_table.rs
+++ b/tests/lease_table.rs
@@ -87,7 +87,7 @@
         AcknowledgedCommits { reported: Some(at(5)), unreported: UnreportedCommits::Unknown },
         "the second pooler has not reported"
     );
-    // A disconnected pooler keeps its lease until it expires, and the commits that it acknowledged
+    // A disconnected pooler keeps its lease until it expires, and the commits that it forwarded
     // are unknown.
     table.disconnect(11, now.plus(20));
     assert!(!table.all_released(&service, DbTerm(1), now.plus(LEASE_MS)));
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn granting_a_term_again_after_a_canceled_failover_voids_its_revocation() {
+fn granting_a_term_again_after_a_cancelled_failover_voids_its_revocation() {
     let (node, service) = (NodeName::from("n1"), ServiceName::from("s"));
     let now = Tick(100_000);
     let mut table = LeaseTable::new(Tick(0));
@@ -264,7 +264,7 @@
         );
     }
     assert_eq!(state_machine.instances()[&id].instance, draining);
-    // The database has deregistered; a heartbeat that was delayed for long arrives afterwards.
+    // The database was removed; a heartbeat that was delayed for long arrives afterwards.
     state_machine.apply(&Command::RemoveInstance { id: id.clone(), sequence: u64::MAX });
     assert_eq!(state_machine.apply(&heartbeat(&draining, 40)), CommandOutcome::NoChange);
     // A database that was removed for missing heartbeats is added again by its next heartbeat.
--- a/tests/leases.rs
+++ b/tests/leases.rs
@@ -1,5 +1,5 @@
 //! Tests of leases, connection quotas and database subsets, in the tables and in a whole
-//! controller.
+//! controller. What one pooler may still use must not be granted to another.
 use silvertack::base::ids::{
     DbTerm, InstanceId, LogIndex, MemberId, NodeName, Position, Revision, ServiceName, Term,
 };
@@ -35,7 +35,7 @@
 const LEASE_ENDS_MS: u64 = LEASE_MS + 50;
 /// How long the quota of a disconnected pooler still counts.
 const QUOTA_RETENTION_MS: u64 = 4_500;
-/// How long a disconnected pooler is kept, as it may still report its acknowledged commits.
+/// How long a disconnected pooler is kept, as it may still report its forwarded commits.
 const POOLER_RETENTION_MS: u64 = 10_000;
 
 const START: Tick = Tick(100_000);
@@ -943,7 +943,7 @@
     (leader, handover)
 }
 
-/// Runs until `b` is chosen and returns after how many ms, or `None` if the handover is canceled.
+/// Runs until `b` is chosen and returns after how many ms, or `None` if the handover is cancelled.
 /// The databases respond to all requests, and `n2` may continue to renew its lease.
 fn run_until_chosen(leader: &mut Leader, n2_renews: bool) -> Option<u64> {
     let is_describe = |request: &DatabaseRequest| *request == DatabaseRequest::Describe;
@@ -963,10 +963,10 @@
 }
 
 /// Guards against a handover that relies on a replica's response while some pooler still
-/// acknowledges to clients whatever the old primary has committed.
+/// forwards whatever the old primary acknowledges.
 #[test]
-fn a_handover_waits_until_no_pooler_acknowledges_commits_that_the_target_lacks() {
-    // (what happens to `n2`, ms until `b` may be chosen, `None` if the handover is canceled)
+fn a_handover_waits_until_no_pooler_forwards_commits_that_the_target_lacks() {
+    // (what happens to `n2`, ms until `b` may be chosen, `None` if the handover is cancelled)
     for (case, min_delay_ms) in [
         ("confirms", Some(0)),
         ("confirms another handover", Some(LEASE_ENDS_MS)),
@@ -1023,7 +1023,7 @@
             None => assert_eq!(chosen_after_ms, None, "{case}"),
         }
         if chosen_after_ms.is_none() {
-            // After the handover was canceled, the lease is granted as before.
+            // After the handover was cancelled, the lease is granted as before.
             leader.run(1_000);
             assert_eq!(leader.status(1), Some(active(1)), "{case}");
         }
@@ -1072,7 +1072,7 @@
             "reports 8" => leader.receive(1, revoke_ack(8)),
             _ => assert_eq!(case, "nothing"),
         }
-        // The other pooler never had a lease, and reports that it acknowledged nothing.
+        // The other pooler never had a lease, and reports that it forwarded nothing.
         leader.receive(
             2,
             ToController::RevokeAck { service: service(), term: DbTerm(1), highest: None },
@@ -1102,7 +1102,7 @@
         let mut leader = Leader::new(sync_replicas, &commands);
         leader.resume_replicas(if departed { &["b"] } else { &["b", "c"] });
         leader.run(200);
-        // No pooler could acknowledge a commit, so the target is asked at once.
+        // No pooler could forward a commit, so the target is asked at once.
         let asked = leader.has_request("b", |request| *request == DatabaseRequest::Describe);
         assert!(asked, "{sync_replicas} {departed}");
     }
@@ -1190,7 +1190,8 @@
     assert_eq!(leader.granted_quota(2), Some(12));
 }
 
-/// Another controller may lead by then, and may have granted leases or promoted a replica.
+/// Another controller may lead by then, and may have granted leases, sent requests to databases or
+/// promoted a replica.
 #[test]
 fn a_leader_without_its_quorum_grants_no_leases_and_sends_no_requests() {
     let mut leader = Leader::with_voters(3, 1, &[]);
