--- a/src/failover/timing.rs
+++ b/src/failover/timing.rs
@@ -106,7 +106,8 @@
 /// Time for which missing heartbeats of a primary that just described itself are ignored.
 pub(super) const MISSING_HEARTBEATS_IGNORED_MS: u64 = 2_000;
 
-/// Time after a cancelled failover or handover before one from a draining primary is started.
+/// Time after a cancelled failover or handover before a handover from a draining primary is
+/// started.
 pub(super) const HANDOVER_RETRY_MS: u64 = 1_000;
 
 /// Least time between two requests to a former primary to step down.
