--- a/src/failover/handover.rs
+++ b/src/failover/handover.rs
@@ -1,9 +1,9 @@
-//! A handover: a planned failover in which a primary that still serves is replaced by a replica.
+//! The handover of a service: the planned change from a primary that still serves to a replica.
 //!
 //! Its safety depends only on the poolers and on the log of the target. The handover is announced
-//! to every pooler. From its acknowledgement on, a pooler passes on a commit to a client only once
+//! to every pooler. From its acknowledgement on, a pooler forwards a commit to a client only once
 //! the target has that commit. When every pooler has acknowledged, or can't use a lease any more,
-//! the target lacks at most commits that were passed on before, and has to reach those before the
+//! the target lacks at most commits that were forwarded before, and has to reach those before the
 //! intent to promote it is proposed. Therefore it does not matter which other databases receive
 //! commits meanwhile. The other replicas are paused only so that few commits have to wait for the
 //! target.
@@ -15,7 +15,7 @@
 use crate::base::ids::{DbTerm, InstanceId, Position};
 use crate::base::time::Tick;
 use crate::config::directory::{Instance, Lifecycle};
-use crate::leases::passed_on::UnreportedCommits;
+use crate::leases::acknowledged_commits::UnreportedCommits;
 use crate::net::rpc::pooler_messages::Handover;
 use crate::net::statement_protocol::ServerDescription;
 use std::cmp::Reverse;
@@ -39,22 +39,22 @@
     since: Tick,
     /// When the target was last asked for its position.
     polled_at: Tick,
-    /// Whether every pooler passes on only commits that the target has.
+    /// Whether every pooler forwards only commits that the target has.
     confirmed: bool,
-    /// The primary's position after that. It covers every commit that was passed on before.
+    /// The primary's position after that. It covers every commit that was forwarded before.
     primary_position: Option<Position>,
     /// The position of the target when it last described itself.
     target_position: Option<Position>,
 }
 
 impl HandoverProgress {
-    /// Whether the target has every commit that was passed on, and every pooler now waits for the
-    /// target before it passes on another.
+    /// Whether the target has every commit that was forwarded, and every pooler now waits for the
+    /// target before it forwards another.
     fn is_target_ready(&self, snapshot: &ServiceSnapshot) -> bool {
         let Some(received) = self.target_position else { return false };
         let reached_primary = self.primary_position.is_some_and(|position| received >= position);
-        let has_all_commits = snapshot.passed_on.is_covered_by(received)
-            || (reached_primary && !snapshot.passed_on.exceeds(received));
+        let has_all_commits = snapshot.acknowledged_commits.is_covered_by(received)
+            || (reached_primary && !snapshot.acknowledged_commits.exceeds(received));
         self.confirmed && has_all_commits
     }
 
@@ -66,11 +66,11 @@
     }
 
     /// Asks the target for its position. Asks the primary too if its position is not known yet and
-    /// some pooler did not report how far it passed on commits.
+    /// some pooler did not report its furthest forwarded commit.
     fn poll(&mut self, snapshot: &ServiceSnapshot, now: Tick) -> Vec<FailoverAction> {
         self.polled_at = now;
         let mut databases = vec![self.target.clone()];
-        if snapshot.passed_on.unreported == UnreportedCommits::Unknown
+        if snapshot.acknowledged_commits.unreported == UnreportedCommits::Unknown
             && self.primary_position.is_none()
         {
             databases.extend(snapshot.primary_record.as_ref().map(|record| record.primary.clone()));
--- a/src/net/rpc/pooler_messages.rs
+++ b/src/net/rpc/pooler_messages.rs
@@ -77,18 +77,18 @@
         service: ServiceName,
         /// The revoked term.
         term: DbTerm,
-        /// The position of the highest commit that this pooler acknowledged to a client, if any.
+        /// The position of the highest commit that this pooler forwarded to a client, if any.
         highest: Option<Position>,
     },
     /// Acknowledges a handover announced by [`ToPooler::HandOver`] or
-    /// [`PrimaryStatus::HandingOver`]: from now on the pooler acknowledges a commit of the term
+    /// [`PrimaryStatus::HandingOver`]: from now on the pooler forwards a commit of the term
     /// only once the target has it.
     HandOverAck {
         /// The service that is handed over.
         service: ServiceName,
         /// The number of the handover.
         handover: u64,
-        /// The position of the highest commit that this pooler acknowledged to a client, if any.
+        /// The position of the highest commit that this pooler forwarded to a client, if any.
         highest: Option<Position>,
     },
     /// Requests the complete route table, because a [`ToPooler::RouteTableDelta`] is based on a
@@ -96,7 +96,7 @@
     #[serde(rename = "Whole")]
     RequestFullTable,
     /// Announces that the node shuts down gracefully. Before it, the node sends a `RevokeAck` with
-    /// the highest acknowledged commit for each lease; for a lease without one, that position is
+    /// the highest commit that it forwarded for each lease; for a lease without one, that position is
     /// unknown.
     #[serde(rename = "Bye")]
     Goodbye,
@@ -241,7 +241,7 @@
         /// The primary.
         primary: InstanceId,
     },
-    /// Like `Active`, but a commit may be acknowledged only once the target of the handover has it;
+    /// Like `Active`, but a commit may be forwarded only once the target of the handover has it;
     /// the response is [`ToController::HandOverAck`].
     HandingOver {
         /// The primary to be replaced.
