--- a/src/gateway/client_connection.rs
+++ b/src/gateway/client_connection.rs
@@ -221,7 +221,7 @@
         Ok(())
     }
 
-    /// Writes all of `bytes`. Fails if the client accepts none of them within the write time-out.
+    /// Writes all of `bytes`. Fails if the client accepts none of them within the write timeout.
     pub(super) fn write(&self, bytes: &[u8]) -> io::Result<()> {
         let mut stream = self.stream;
         stream.write_all(bytes)
--- a/src/gateway/demand.rs
+++ b/src/gateway/demand.rs
@@ -50,8 +50,8 @@
         })
     }
 
-    /// Forgets the value that was last reported, so that a new leader gets the next one.
-    pub(super) fn forget_report(&mut self) {
+    /// Clears the value that was last reported, because a connection to a new leader began.
+    pub(super) fn clear_reported(&mut self) {
         self.reported = None;
     }
 }
--- a/src/gateway/endpoint_access.rs
+++ b/src/gateway/endpoint_access.rs
@@ -19,12 +19,12 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// The shortest time-out for connecting to an endpoint, in milliseconds, if the request's deadline
-/// allows it. The time-out is longer while connecting takes long in general, because this node's
+/// The shortest timeout for connecting to an endpoint, in milliseconds, if the request's deadline
+/// allows it. The timeout is longer while connecting takes long in general, because this node's
 /// own link is congested.
 const MIN_CONNECT_TIMEOUT_MS: u64 = 250;
 
-/// The longest time-out for connecting to an endpoint, in milliseconds.
+/// The longest timeout for connecting to an endpoint, in milliseconds.
 const MAX_CONNECT_TIMEOUT_MS: u64 = 1_000;
 
 /// A connection fails if sent data stays unacknowledged by the endpoint's host for this long.
@@ -40,8 +40,8 @@
 const UNUSABLE_RESPONSE_LOG_INTERVAL_MS: u64 = 1_000;
 
 impl Gateway {
-    /// Acquires an endpoint that is not in `excluded`, and waits until `deadline` for one with free
-    /// capacity.
+    /// Acquires an endpoint that is not in `excluded`, and waits until `deadline` for one whose
+    /// queue has room.
     pub(super) fn acquire_endpoint(
         &self,
         request: &RequestContext<'_>,
--- a/src/gateway/endpoint_attempt.rs
+++ b/src/gateway/endpoint_attempt.rs
@@ -47,7 +47,8 @@
 pub(super) enum AttemptProgress {
     /// The response is not complete.
     Pending,
-    /// The response may be relayed: it is complete, or more of it was read than is buffered.
+    /// The response may be relayed: it is complete, or its body has reached
+    /// `MAX_BUFFERED_RESPONSE_BYTES`.
     Ready,
     /// The attempt ended without a successful response.
     Ended(AttemptOutcome),
--- a/src/gateway/forwarding.rs
+++ b/src/gateway/forwarding.rs
@@ -142,8 +142,9 @@
         }
     }
 
-    /// Acquires an endpoint for the next attempt. The first attempt waits for an endpoint with free
-    /// capacity. A retry doesn't wait, and spends retry budget even if no endpoint is left for it.
+    /// Acquires an endpoint for the next attempt. The first attempt waits for an endpoint whose
+    /// queue has room. A retry doesn't wait, and spends retry budget even if no endpoint is left
+    /// for it.
     fn acquire_next_endpoint(&self, is_retry: bool) -> Option<AcquiredEndpoint> {
         let deadline = self.request.acquire_deadline();
         if is_retry && !lock(&self.gateway.retry_budget).try_spend(Tick::now()) {
--- a/src/gateway/http1/mod.rs
+++ b/src/gateway/http1/mod.rs
@@ -1,5 +1,6 @@
 //! A strict HTTP/1.1 parser: a message that two parsers could read differently is rejected, so that
-//! the gateway and an endpoint never disagree on where a request ends (request smuggling).
+//! the client, the gateway and an endpoint never disagree on where a request ends (request
+//! smuggling).
 //!
 //! Request handling parses the requests of clients, and attempts parse the responses of endpoints.
 //! The parsers work on bytes, without sockets or clocks.
--- a/src/gateway/http1/response_head.rs
+++ b/src/gateway/http1/response_head.rs
@@ -23,7 +23,7 @@
     pub framing: BodyFraming,
     /// Whether the endpoint closes the connection after this response.
     pub close: bool,
-    /// The time-out in `Keep-Alive`: how many seconds the endpoint keeps an idle connection open.
+    /// The timeout in `Keep-Alive`: how many seconds the endpoint keeps an idle connection open.
     pub keep_alive_s: Option<u64>,
     /// The headers that are forwarded, as lines that end in CR LF.
     pub forwarded_headers: Vec<u8>,
--- a/src/gateway/leader_messages.rs
+++ b/src/gateway/leader_messages.rs
@@ -116,7 +116,7 @@
     fn on_connected(&self) {
         self.renewals.last_acknowledged.store(0, Ordering::Relaxed);
         for service in lock(&self.upstreams).services.values_mut() {
-            service.demand.forget_report();
+            service.demand.clear_reported();
         }
     }
 
--- a/src/gateway/load_balancing.rs
+++ b/src/gateway/load_balancing.rs
@@ -77,10 +77,10 @@
     other_zone: bool,
 }
 
-/// Returns the index of the endpoint to use, or `None` if the queues of all are full. Chooses the
-/// cheapest endpoint that has free assigned capacity. If there is none, chooses the cheaper of two
-/// random endpoints of the most preferred group. `random_below(n)` returns a random number below
-/// `n`.
+/// Returns the index of the endpoint to use, or `None` if there is none whose queue has room.
+/// Chooses the cheapest endpoint that has free assigned capacity. If there is none, chooses the
+/// cheaper of two random endpoints of the most preferred group. `random_below(n)` returns a random
+/// number below `n`.
 pub fn choose_endpoint(
     candidates: &[Candidate],
     random_below: impl Fn(usize) -> usize,
--- a/src/gateway/outlier_detection.rs
+++ b/src/gateway/outlier_detection.rs
@@ -11,8 +11,8 @@
 /// The longest ejection, in milliseconds.
 const MAX_EJECTION_MS: u64 = 16_000;
 
-/// The duration of the first ejection after a connect time-out, in milliseconds. It is short
-/// because the endpoint may only be busy; consecutive time-outs double it.
+/// The duration of the first ejection after a connect timeout, in milliseconds. It is short
+/// because the endpoint may only be busy; consecutive timeouts double it.
 const CONNECT_TIMEOUT_EJECTION_MS: u64 = 300;
 
 /// The duration of an ejection of an endpoint that had no free capacity, in milliseconds.
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Records that no connection was established within the time-out.
+    /// Records that no connection was established within the timeout.
     pub(super) fn record_connect_timeout(&mut self, now: Tick) {
         self.eject(CONNECT_TIMEOUT_EJECTION_MS, now);
     }
--- a/src/gateway/request_context.rs
+++ b/src/gateway/request_context.rs
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Until when the request may wait for an endpoint with free capacity: for a quarter of the
+    /// Until when the request may wait for an endpoint whose queue has room: for a quarter of the
     /// latency target, because a later refusal would be of little use to the client.
     pub(super) fn acquire_deadline(&self) -> Tick {
         self.arrived.plus(self.route.target_latency_ms / 4).min(self.deadline)
--- a/src/gateway/responses.rs
+++ b/src/gateway/responses.rs
@@ -15,7 +15,7 @@
 /// How often the deadline of a relayed response is checked while no data arrives, in milliseconds.
 const RELAY_POLL_INTERVAL_MS: u64 = 1_000;
 
-/// The `Keep-Alive` time-out that clients get is this many seconds shorter than the idle time-out,
+/// The `Keep-Alive` timeout that clients get is this many seconds shorter than the idle timeout,
 /// so that no client sends a request while its connection is closed.
 const KEEP_ALIVE_MARGIN_S: u64 = 2;
 
--- a/src/gateway/upstreams.rs
+++ b/src/gateway/upstreams.rs
@@ -186,8 +186,8 @@
         }
     }
 
-    /// Acquires an endpoint of the service that is not in `excluded`. Returns `None` if none has
-    /// free capacity.
+    /// Acquires an endpoint of the service that is not in `excluded`. Returns `None` if there is
+    /// none whose queue has room.
     pub(super) fn acquire(
         &mut self,
         service: &ServiceName,
--- a/src/pooler/latency.rs
+++ b/src/pooler/latency.rs
@@ -24,7 +24,8 @@
 /// The inverse of a new sample's weight in the moving average of the deviation.
 const DEVIATION_WINDOW: f32 = 8.0;
 
-/// The timeout, as a number of mean deviations above the mean latency.
+/// The timeout, as a number of mean deviations above the mean latency: a reply that takes longer is
+/// more likely lost than delayed.
 const TIMEOUT_DEVIATIONS: f32 = 6.0;
 
 impl LatencyEstimator {
--- a/src/pooler/leader_messages.rs
+++ b/src/pooler/leader_messages.rs
@@ -13,7 +13,7 @@
 use crate::pooler::leases::{PrimaryLease, QUOTA_VALID_MS, Revocation};
 use crate::pooler::pool::ConnectionPool;
 use crate::pooler::replica_reads::{
-    RENEW_INTERVAL_MS, URGENT_RENEWAL_INTERVAL_MS, elapsed_lower_bound_ms,
+    RENEWAL_INTERVAL_MS, URGENT_RENEWAL_INTERVAL_MS, elapsed_lower_bound_ms,
 };
 use crate::pooler::server::Pooler;
 use log::info;
@@ -185,9 +185,9 @@
         self.renew_if_due(now, URGENT_RENEWAL_INTERVAL_MS);
     }
 
-    /// Renews if `RENEW_INTERVAL_MS` has passed since the last renewal.
+    /// Renews if `RENEWAL_INTERVAL_MS` has passed since the last renewal.
     pub(super) fn renew_when_due(&self) {
-        self.renew_if_due(Tick::now(), RENEW_INTERVAL_MS);
+        self.renew_if_due(Tick::now(), RENEWAL_INTERVAL_MS);
     }
 
     fn renew_if_due(&self, now: Tick, interval_ms: u64) {
--- a/src/pooler/process.rs
+++ b/src/pooler/process.rs
@@ -27,8 +27,8 @@
 /// The interval in ms at which the limits of sessions and the settings file are checked.
 const CHECK_INTERVAL_MS: u64 = 500;
 
-/// The interval in ms at which a starting pooler checks whether it can serve clients.
-const STARTUP_WAIT_MS: u64 = 50;
+/// The longest wait in ms between two checks at startup of whether clients can be served.
+const STARTUP_POLL_INTERVAL_MS: u64 = 50;
 
 /// Runs a pooler until SIGTERM or SIGINT. `path` is the settings file that `settings` was read
 /// from.
@@ -86,7 +86,7 @@
                 return false;
             }
             self.reload_settings();
-            self.pooler.wait_for_update(STARTUP_WAIT_MS);
+            self.pooler.wait_for_update(STARTUP_POLL_INTERVAL_MS);
             self.pooler.renew_when_due();
         }
         true
--- a/src/pooler/replica_reads.rs
+++ b/src/pooler/replica_reads.rs
@@ -8,14 +8,14 @@
 use std::collections::VecDeque;
 
 /// The interval of lease renewals in ms.
-pub(crate) const RENEW_INTERVAL_MS: u64 = 450;
+pub(crate) const RENEWAL_INTERVAL_MS: u64 = 450;
 
 /// How long after a read renewals keep requesting watermarks, in ms.
 pub(crate) const RECENT_READ_MS: u64 = 10_000;
 
 /// A new watermark is requested if the newest one expires within this time, in ms: it has to last
 /// until the next renewal is answered.
-pub(crate) const WATERMARK_AHEAD_MS: u64 = 2 * RENEW_INTERVAL_MS;
+pub(crate) const WATERMARK_AHEAD_MS: u64 = 2 * RENEWAL_INTERVAL_MS;
 
 /// The minimum interval in ms between two renewals when sessions wait for a watermark or a larger
 /// quota.
--- a/src/pooler/reroute.rs
+++ b/src/pooler/reroute.rs
@@ -80,7 +80,7 @@
         /// When the client's BEGIN arrived.
         started_at: Tick,
         /// Whether a database has replied to a statement of the transaction.
-        answered: bool,
+        replied: bool,
         /// Whether a write was planned in the transaction, sent or not.
         wrote: bool,
     },
@@ -230,7 +230,7 @@
             return StatementDecision::Rejected(ErrorKind::Malformed);
         }
         self.transaction =
-            Transaction::Open { read_only, started_at: now, answered: false, wrote: false };
+            Transaction::Open { read_only, started_at: now, replied: false, wrote: false };
         StatementDecision::Completed
     }
 
@@ -251,13 +251,13 @@
         prepared: Option<PreparedStatement>,
     ) -> StatementDecision {
         StatementDecision::Run(match &mut self.transaction {
-            Transaction::Open { read_only, answered, wrote, .. } => {
+            Transaction::Open { read_only, replied, wrote, .. } => {
                 // After a write, a commit with an unknown outcome must be reported to the client.
                 *wrote |= kind == StatementKind::Write;
                 StatementPlan {
                     kind,
                     autocommit: false,
-                    first_in_transaction: !*answered,
+                    first_in_transaction: !*replied,
                     read_only: *read_only,
                     prepared,
                 }
@@ -313,7 +313,7 @@
     pub fn handle_reply(&mut self, state: State) {
         self.transaction = match (&self.transaction, state) {
             (&Transaction::Open { read_only, started_at, wrote, .. }, State::Open) => {
-                Transaction::Open { read_only, started_at, answered: true, wrote }
+                Transaction::Open { read_only, started_at, replied: true, wrote }
             }
             (Transaction::Open { .. } | Transaction::Failed, State::Failed) => Transaction::Failed,
             _ => Transaction::Idle,
--- a/src/pooler/server.rs
+++ b/src/pooler/server.rs
@@ -34,7 +34,7 @@
 
 /// The number of file descriptors reserved for connections to databases and controllers, and for
 /// files.
-const RESERVED_FILES: u64 = 400;
+const RESERVED_FILE_DESCRIPTORS: u64 = 400;
 
 /// The minimum session limit, however low the limit of open files is.
 const MIN_SESSIONS: u64 = 16;
@@ -87,8 +87,11 @@
 impl Pooler {
     /// Creates a pooler with an empty view of the cluster.
     pub(super) fn new(settings: &Settings) -> Result<Self, Fatal> {
-        let max_sessions =
-            settings.limits.max_open_files.saturating_sub(RESERVED_FILES).max(MIN_SESSIONS);
+        let max_sessions = settings
+            .limits
+            .max_open_files
+            .saturating_sub(RESERVED_FILE_DESCRIPTORS)
+            .max(MIN_SESSIONS);
         Ok(Self {
             node: settings.node(),
             zone: settings.zone.clone(),
@@ -205,8 +208,9 @@
         lock(&self.view).retry_after_ms(service, Tick::now())
     }
 
-    /// Whether no leader has answered for `LEADER_LOST_MS`, so that this pooler can hold no lease.
-    /// Other poolers may still be connected to a leader, so idle sessions should move to them.
+    /// Whether no leader has answered for `LEADER_LOST_MS`, so that this pooler holds no lease and
+    /// can serve at most reads with a staleness limit. Other poolers may still be connected to a
+    /// leader, so idle sessions should move to them.
     pub(crate) fn leader_lost(&self, now: Tick) -> bool {
         now.since(self.renewals.last_answered_at()) > LEADER_LOST_MS
     }
--- a/src/pooler/server_connection.rs
+++ b/src/pooler/server_connection.rs
@@ -42,7 +42,8 @@
 /// The maximum number of prepared statements on one connection; beyond it all are discarded.
 const MAX_PREPARED_STATEMENTS: usize = 256;
 
-/// The sync cost of a connection that has to be reset, higher than that of sending settings.
+/// The sync cost of a connection that has to be reset, higher than that of sending any number of
+/// settings.
 const RESET_COST: usize = 100;
 
 /// The client name in a pooler's CONNECT to a database. It is part of the wire format and appears
