--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -319,7 +319,7 @@
 fn endpoint_faults_are_retried_only_where_allowed() {
     use Behaviour::*;
     let system = start_system(8);
-    // (the behaviours of the endpoints in turn, then the expected status and number of executions on
+    // (the behaviours of the endpoints in turn, then the expected status and number of attempts on
     // an idempotent route, and the same on a non-idempotent route)
     let cases: [(&[Behaviour], u16, usize, u16, usize); 9] = [
         (&[Serve], 200, 1, 200, 1),
@@ -332,12 +332,13 @@
         (&[Unsigned, Serve], 200, 2, 502, 1),
         (&[MalformedHead, Serve], 200, 2, 502, 1),
     ];
-    for (behaviours, many, many_executions, once, once_executions) in cases {
-        for (path, status, executions) in
-            [("/many/x", many, many_executions), ("/once/x", once, once_executions)]
+    for (behaviours, many, many_attempts, once, once_attempts) in cases {
+        for (path, status, attempts) in
+            [("/many/x", many, many_attempts), ("/once/x", once, once_attempts)]
         {
             system.endpoints.set_behaviours(behaviours);
-            // A heartbeat ends the ejections that earlier faults caused.
+            // A heartbeat ends the ejections that earlier faults caused, which would decide where
+            // this request goes.
             eventually("the ejections are reset", || {
                 system.endpoints.send_heartbeats(system.admin, 2)
             });
@@ -346,7 +347,7 @@
             let received = system.endpoints.received(&id);
             assert_eq!(
                 (response.status, received.len()),
-                (status, executions),
+                (status, attempts),
                 "{behaviours:?} {path}"
             );
             // After a close on a reused connection, the same endpoint may get the request again on a
@@ -359,7 +360,7 @@
             endpoints.dedup();
             assert_eq!(
                 endpoints.len(),
-                executions,
+                attempts,
                 "each to another endpoint: {behaviours:?} {path}"
             );
             if status == 200 {
@@ -474,7 +475,7 @@
     let system = start_system(1);
     let mut unused = Client::open(&system);
     let mut client = Client::open(&system);
-    // Idle for four fifths of the time-out twice: after a response, and after a response to a request
+    // Idle for four fifths of the timeout twice: after a response, and after a response to a request
     // that ended an idle time.
     for pause_ms in [0, 2_400, 2_400] {
         std::thread::sleep(Duration::from_millis(pause_ms));
--- a/tests/pooler.rs
+++ b/tests/pooler.rs
@@ -106,7 +106,7 @@
 }
 
 fn put(system: &System, base: &str, body: &str) -> u16 {
-    http(system.admin, "PUT", "/configuration", &[("If-Match", base)], body).expect("answer").0
+    http(system.admin, "PUT", "/configuration", &[("If-Match", base)], body).expect("a response").0
 }
 
 struct Client {
@@ -138,9 +138,10 @@
     /// without positions and error texts.
     fn ask(&mut self, id: &str, text: &str) -> String {
         self.send(&format!("QUERY {id} {text}\r\n"));
-        self.answer()
+        self.receive()
     }
-    fn answer(&mut self) -> String {
+    /// Receives a reply and summarizes it, see `ask`.
+    fn receive(&mut self) -> String {
         let mut seen = Vec::new();
         loop {
             let line = self.line();
@@ -221,7 +222,7 @@
     for (what, base, body, status) in &table {
         assert_eq!(put(system, base, body), *status, "{what}");
     }
-    let read = || http(system.admin, "GET", "/configuration", &[], "").expect("answer");
+    let read = || http(system.admin, "GET", "/configuration", &[], "").expect("a response");
     assert_eq!(read().0, 404, "no configuration was accepted");
     assert_eq!(put(system, "0", &good), 200);
     assert_eq!(put(system, "0", &good), 200, "the same configuration again");
@@ -249,9 +250,9 @@
         ("GET", "/status", "", 200),
     ];
     for (method, path, body, status) in table {
-        let (got, answer) = http(system.admin, method, path, &[], body).expect("answer");
+        let (got, response) = http(system.admin, method, path, &[], body).expect("a response");
         assert_eq!(got, status, "{method} {path}");
-        assert!(status < 400 || answer.contains("message"), "{answer}");
+        assert!(status < 400 || response.contains("message"), "{response}");
     }
     // A heartbeat with an older sequence number is ignored.
     let heartbeat = |sequence, state: &str| {
@@ -260,13 +261,13 @@
             .heartbeat(1, sequence)
             .replace("available", state)
             .replace("ledger", "other");
-        http(system.admin, "PUT", "/instances/i-late", &[], &body).expect("answer").0
+        http(system.admin, "PUT", "/instances/i-late", &[], &body).expect("a response").0
     };
     assert_eq!(
         (heartbeat(9, "draining"), heartbeat(8, "available"), heartbeat(9, "available")),
         (200, 200, 200)
     );
-    let status = http(system.admin, "GET", "/status", &[], "").expect("answer").1;
+    let status = http(system.admin, "GET", "/status", &[], "").expect("a response").1;
     let status: serde_json::Value = serde_json::from_str(&status).expect("JSON");
     let late = status["databases"].as_array().expect("list").iter().find(|d| d["id"] == "i-late");
     assert_eq!(late.expect("listed")["database"]["lifecycle_state"], "draining");
@@ -305,21 +306,21 @@
     ];
     for line in table {
         client.send(&format!("{line}\r\n"));
-        assert_eq!(client.answer(), "MALFORMED I", "{line:?}");
+        assert_eq!(client.receive(), "MALFORMED I", "{line:?}");
     }
     // A bare LF does not end a statement: both parts are rejected as malformed lines.
     client.send("QUERY q FETCH a\nSTORE a 1\r\n");
-    assert_eq!((client.answer(), client.answer()), ("MALFORMED I".into(), "MALFORMED I".into()));
+    assert_eq!((client.receive(), client.receive()), ("MALFORMED I".into(), "MALFORMED I".into()));
     assert_eq!(client.ask("q", "EXECUTE nobody a"), "NOTFOUND I");
     assert!(system.databases.clients_ran().is_empty(), "a rejected statement reached a database");
     client.send(&format!("QUERY q STORE a {}\r\n", "x".repeat(1 << 20)));
-    assert_eq!(client.answer(), "TOOLARGE end");
+    assert_eq!(client.receive(), "TOOLARGE end");
 }
 
 fn connection_losses_are_retried_or_reported(system: &System) {
     let databases = &system.databases;
     let mut client = Client::ready(system, "strict");
-    for (text, answer) in [
+    for (text, expected) in [
         ("CONFIGURE tenant t1", "done I"),
         ("PREPARE put STORE q", "done I"),
         ("PREPARE get FETCH q", "done I"),
@@ -329,7 +330,7 @@
         ("EXECUTE get a", "one stamped T"),
         ("COMMIT", "stamped I"),
     ] {
-        assert_eq!(client.ask("n1", text), answer, "{text}");
+        assert_eq!(client.ask("n1", text), expected, "{text}");
     }
     let lose_next_reply = || databases.faults.break_next.store(true, Ordering::SeqCst);
     // A read is retried, and the prepared statements are replayed on the next connection.
@@ -392,8 +393,8 @@
     assert_eq!(run(&["configuration", "get", &admin]).0, Some(0));
     assert_eq!(run(&["frobnicate"]).0, Some(2), "unknown command");
     assert_eq!(run(&["status"]).0, Some(2), "missing argument");
-    let nobody = format!("127.0.0.1:{}", free_port());
-    let (code, _, errors) = run(&["status", &nobody]);
+    let unused_address = format!("127.0.0.1:{}", free_port());
+    let (code, _, errors) = run(&["status", &unused_address]);
     assert!(code == Some(1) && errors.lines().count() == 1, "{errors}");
     // A database's port, which uses another protocol.
     let (code, _, errors) = run(&["status", &system.databases.addresses[0].to_string()]);
@@ -412,7 +413,7 @@
 fn sessions_end_when_the_leader_is_lost(system: &mut System, folder: &std::path::Path) {
     let mut idle = Client::ready(system, "strict");
     assert_eq!(idle.ask("w1", "STORE kept yes"), "stamped I");
-    let (_, before) = http(system.admin, "GET", "/configuration", &[], "").expect("answer");
+    let (_, before) = http(system.admin, "GET", "/configuration", &[], "").expect("a response");
     system.controller = None;
     let start = Instant::now();
     assert_eq!(idle.line(), "", "the idle session was not closed");
--- a/tests/reroute.rs
+++ b/tests/reroute.rs
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn errors_with_an_uncertain_outcome_never_promise_that_nothing_happened() {
+fn errors_with_an_unknown_outcome_never_exclude_that_the_statement_took_effect() {
     for row in &ERROR_ANSWERS {
         assert_eq!(row.kind.answer().code, row.code, "the table is in the order of the kinds");
         assert_eq!(ErrorKind::from_word(row.code), Some(row.kind));
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -102,10 +102,10 @@
 // The pooler
 
 fn start_pooler(databases: &Arc<StandIn>) -> Site {
-    let route = |name: &str, kind: &str, timeout: u64| {
+    let route = |name: &str, route_type: &str, timeout_ms: u64| {
         serde_json::json!({
-            "name": name, "hostname": name, "path_prefix": "/", "route_type": kind, "priority": 1,
-            "timeout_ms": timeout, "target_latency_ms": 250, "target_service": "ledger",
+            "name": name, "hostname": name, "path_prefix": "/", "route_type": route_type, "priority": 1,
+            "timeout_ms": timeout_ms, "target_latency_ms": 250, "target_service": "ledger",
             "max_attempts": 2, "stale_ms": 1500,
         })
     };
@@ -151,9 +151,10 @@
     /// whether the reply has the stamp of this statement (`own`) or of another one.
     fn ask(&mut self, id: &str, text: &str) -> (String, String) {
         self.send(id, text);
-        self.answer(id)
+        self.receive(id)
     }
-    fn answer(&mut self, id: &str) -> (String, String) {
+    /// Receives the reply to the statement with this id.
+    fn receive(&mut self, id: &str) -> (String, String) {
         let (mut end, mut row) = (String::new(), String::new());
         loop {
             let line = self.line();
@@ -338,7 +339,7 @@
     let mut pipelined = Session::open(&site, "strict").expect("session");
     pipelined.send(&one, "FETCH a");
     pipelined.send(&two, "FETCH b");
-    assert_eq!((pipelined.answer(&one), pipelined.answer(&two)), (own("a"), own("b")));
+    assert_eq!((pipelined.receive(&one), pipelined.receive(&two)), (own("a"), own("b")));
 }
 
 #[test]
@@ -354,7 +355,7 @@
                 for round in 0..60 {
                     let route = if round % 3 == 0 { "strict" } else { "loose" };
                     let Some(mut session) = Session::open(site, route) else { continue };
-                    // Replies arrive in order, or the session ends, see `answer`.
+                    // Replies arrive in order, or the session ends, see `receive`.
                     for step in 0..4 {
                         let id = fresh_id();
                         match (place + round + step) % 9 {
@@ -439,7 +440,7 @@
         session.send(id, text);
     }
     for (mut session, id, text, end) in sessions {
-        assert_eq!(session.answer(&id).0, end, "{text}");
+        assert_eq!(session.receive(&id).0, end, "{text}");
         assert!(text == "FETCH a" || databases.reached(&id) == 1, "{text}");
     }
 }
@@ -447,10 +448,10 @@
 // ---------------------------------------------------------------------------------------------
 // The gateway
 
-fn start_gateway(databases: &Arc<StandInEndpoints>) -> Site {
-    let route = |prefix: &str, kind: &str| {
+fn start_gateway(endpoints: &Arc<StandInEndpoints>) -> Site {
+    let route = |prefix: &str, route_type: &str| {
         serde_json::json!({
-            "name": prefix, "hostname": "shop.example", "path_prefix": prefix, "route_type": kind,
+            "name": prefix, "hostname": "shop.example", "path_prefix": prefix, "route_type": route_type,
             "timeout_ms": 1500, "target_latency_ms": 600, "priority": 1, "target_service": "query",
             "max_attempts": 2,
         })
@@ -461,14 +462,14 @@
         "services": [{ "name": "query", "max_connections": 64 }],
     })
     .to_string();
-    let all = databases.addresses.len();
+    let endpoint_count = endpoints.addresses.len();
     let site = start("gateway", "rollout = \"api\"", &configuration, |admin| {
-        eventually("databases", || databases.send_heartbeats(admin, 1));
+        eventually("the heartbeats are accepted", || endpoints.send_heartbeats(admin, 1));
     });
-    eventually("all databases known", || {
+    eventually("the gateway knows all endpoints", || {
         let (_, body) = http(site.readiness, "GET", "/status", &[], "").expect("status");
         let status: serde_json::Value = serde_json::from_str(&body).expect("json");
-        status["databases"].as_array().is_some_and(|d| d.len() == all)
+        status["databases"].as_array().is_some_and(|listed| listed.len() == endpoint_count)
     });
     site
 }
@@ -482,7 +483,7 @@
         format!("{method} {path} HTTP/1.1\r\nHost: shop.example\r\n{id}Connection: close\r\n\r\n");
     client.write_all(head.as_bytes()).expect("sent");
     let mut bytes = Vec::new();
-    client.read_to_end(&mut bytes).expect("an answer");
+    client.read_to_end(&mut bytes).expect("a response");
     let ParsedHead { head: response, length } =
         parse_response_head(&bytes, method).expect("valid").expect("complete");
     let head = String::from_utf8_lossy(&bytes[..length]).into_owned();
@@ -492,10 +493,10 @@
 #[test]
 fn requests_are_retried_only_where_allowed_and_get_their_own_responses() {
     use Behaviour::*;
-    let databases = StandInEndpoints::start("query", 4).expect("databases");
-    let site = start_gateway(&databases);
-    // (the behaviours of the databases in turn, then the expected status and number of runs on a
-    // route with retries, and the same on a route without)
+    let endpoints = StandInEndpoints::start("query", 4).expect("endpoints");
+    let site = start_gateway(&endpoints);
+    // (the behaviours of the endpoints in turn, then the expected status and number of attempts
+    // on an idempotent route, and the same on a non-idempotent route)
     let cases: [(&[Behaviour], u16, usize, u16, usize); 16] = [
         (&[Serve], 200, 1, 200, 1),
         (&[InterimResponse], 200, 1, 200, 1),
@@ -511,36 +512,41 @@
         // The slower response of a hedged request is dropped.
         (&[Late(700), Serve], 200, 2, 200, 1),
         (&[Serve], 200, 1, 200, 1),
-        // The database says that it did not run the request, which is forwarded only if no other
-        // attempt may have run it.
+        // The endpoint says that it did not execute the request, which is forwarded only if no
+        // other attempt may have executed it.
         (&[Overloaded, Overloaded], 503, 2, 503, 2),
         (&[OverloadedLargeBody(100_000), OverloadedLargeBody(100_000)], 503, 2, 503, 2),
         (&[TruncateAfterHead, Overloaded], 502, 2, 502, 1),
     ];
-    for (next, many, many_ran, once, once_ran) in cases {
-        for (path, status, runs) in [("/many/x", many, many_ran), ("/once/x", once, once_ran)] {
+    for (behaviours, many, many_attempts, once, once_attempts) in cases {
+        for (path, status, attempts) in
+            [("/many/x", many, many_attempts), ("/once/x", once, once_attempts)]
+        {
             for method in ["GET", "HEAD"] {
                 if method == "HEAD"
                     && matches!(
-                        next[0],
+                        behaviours[0],
                         TruncateBody | TruncateAfterHead | DuplicateResponse | Hang
                     )
                 {
                     continue;
                 }
-                eventually("fresh databases", || databases.send_heartbeats(site.admin, 2));
-                databases.set_behaviours(next);
+                eventually("the ejections are reset", || endpoints.send_heartbeats(site.admin, 2));
+                endpoints.set_behaviours(behaviours);
                 let id = fresh_id();
                 let (got, head, body) = request(&site, method, path, Some(&id));
-                databases.set_behaviours(&[]);
+                endpoints.set_behaviours(&[]);
                 // Bytes after the response have arrived by then.
                 std::thread::sleep(Duration::from_millis(50));
-                let ran = databases.received(&id).len();
-                let what = format!("{next:?} {method} {path}");
+                let received = endpoints.received(&id).len();
+                let what = format!("{behaviours:?} {method} {path}");
                 assert_eq!(got, status, "{what}");
                 // On a busy machine a response may be late, so that the request is hedged.
-                let max_runs = if path == "/many/x" { runs.max(3) } else { runs };
-                assert!((runs..=max_runs).contains(&ran), "{what}: ran {ran} times");
+                let max_attempts = if path == "/many/x" { attempts.max(3) } else { attempts };
+                assert!(
+                    (attempts..=max_attempts).contains(&received),
+                    "{what}: received {received} times"
+                );
                 if got == 200 {
                     assert!(head.contains(&format!("Request-Id: {id}\r\n")), "{what}: {head}");
                     let rows: &[u8] = if method == "HEAD" { b"" } else { b"the rows" };
@@ -552,47 +558,48 @@
 }
 
 #[test]
-fn a_not_executed_response_is_forwarded_only_if_no_attempt_may_have_run() {
+fn a_not_executed_response_is_forwarded_only_if_no_attempt_may_have_been_executed() {
     use Behaviour::*;
-    let databases = StandInEndpoints::start("query", 1).expect("databases");
-    let site = start_gateway(&databases);
-    // A reused connection is reset after the request ran, and the second attempt is refused.
+    let endpoints = StandInEndpoints::start("query", 1).expect("endpoints");
+    let site = start_gateway(&endpoints);
+    // A reused connection is reset after the request was executed, and the second attempt is
+    // refused.
     for second in [OverloadedLargeBody(100_000), Overloaded] {
         let first_id = fresh_id();
         eventually("an idle connection", || {
             request(&site, "GET", "/many/x", Some(&first_id)).0 == 200
         });
-        databases.set_behaviours(&[CloseWithoutResponse, second]);
+        endpoints.set_behaviours(&[CloseWithoutResponse, second]);
         let id = fresh_id();
         let (status, head, _) = request(&site, "GET", "/many/x", Some(&id));
-        databases.set_behaviours(&[]);
-        let ran = databases.received(&id).len();
-        assert_eq!((status, ran), (502, 2), "{second:?}: {head}");
-        eventually("fresh databases", || databases.send_heartbeats(site.admin, 3));
+        endpoints.set_behaviours(&[]);
+        let received = endpoints.received(&id).len();
+        assert_eq!((status, received), (502, 2), "{second:?}: {head}");
+        eventually("the ejections are reset", || endpoints.send_heartbeats(site.admin, 3));
     }
-    let databases = StandInEndpoints::start("query", 2).expect("databases");
-    let site = start_gateway(&databases);
-    databases.set_behaviours(&[CloseWithoutResponse, OverloadedLargeBody(100_000)]);
+    let endpoints = StandInEndpoints::start("query", 2).expect("endpoints");
+    let site = start_gateway(&endpoints);
+    endpoints.set_behaviours(&[CloseWithoutResponse, OverloadedLargeBody(100_000)]);
     let id = fresh_id();
     let (status, head, _) = request(&site, "GET", "/many/x", Some(&id));
-    assert_eq!((status, databases.received(&id).len()), (502, 2), "{head}");
+    assert_eq!((status, endpoints.received(&id).len()), (502, 2), "{head}");
 }
 
 #[test]
 fn a_duplicate_response_is_never_taken_for_a_later_requests_response() {
-    let databases = StandInEndpoints::start("query", 1).expect("databases");
-    let site = start_gateway(&databases);
+    let endpoints = StandInEndpoints::start("query", 1).expect("endpoints");
+    let site = start_gateway(&endpoints);
     for kind in ["many", "once"] {
         for round in 0..6 {
             for id in [Some(fresh_id()), None] {
-                databases.set_behaviours(&[Behaviour::DuplicatedLate(if round % 2 == 0 {
+                endpoints.set_behaviours(&[Behaviour::DuplicatedLate(if round % 2 == 0 {
                     0
                 } else {
                     15
                 })]);
                 let first = format!("/{kind}/first{round}");
                 assert_eq!(request(&site, "GET", &first, id.as_deref()).0, 200, "{first}");
-                databases.set_behaviours(&[]);
+                endpoints.set_behaviours(&[]);
                 let next = id.as_ref().map(|_| fresh_id());
                 let second = format!("/{kind}/second{round}");
                 let (status, head, _) = request(&site, "GET", &second, next.as_deref());
@@ -619,7 +626,7 @@
 }
 
 #[test]
-fn a_request_may_have_run_once_one_byte_was_sent() {
+fn a_request_may_have_been_executed_once_one_byte_was_sent() {
     use silvertack::gateway::attempts::AttemptOutcome;
     use silvertack::gateway::endpoint_attempt::write_request;
     let cases = [
@@ -666,8 +673,8 @@
     let ask = |path: &str, ms| call(address, "GET", path, &[], b"", Duration::from_millis(ms)).ok();
     // A call after one that timed out: each call has a connection of its own.
     assert_eq!(ask("/slow/1", 60), None);
-    assert_eq!(ask("/quick/1", 5_000).expect("an answer").body, b"/quick/1");
-    assert_eq!(ask("/slow/2", 5_000).expect("an answer").body, b"/slow/2");
+    assert_eq!(ask("/quick/1", 5_000).expect("a response").body, b"/quick/1");
+    assert_eq!(ask("/slow/2", 5_000).expect("a response").body, b"/slow/2");
     // On a keep-alive connection responses arrive in the order of the requests, the slow one first.
     let mut stream = TcpStream::connect(address).expect("connection");
     stream.set_read_timeout(Some(Duration::from_secs(5))).expect("timeout");
@@ -677,7 +684,7 @@
         )
         .expect("sent");
     let mut all = String::new();
-    stream.read_to_string(&mut all).expect("answers");
+    stream.read_to_string(&mut all).expect("responses");
     let (slow, quick) = (all.find("/slow/3"), all.find("/quick/3"));
     assert!(slow.is_some() && slow < quick, "{all}");
 }
@@ -695,17 +702,17 @@
         (good[..12].to_owned(), None),
         (String::new(), None),
     ];
-    for (answer, status) in cases {
+    for (response, status) in cases {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("listener");
         let address = listener.local_addr().expect("address");
-        let response = answer.clone();
+        let sent = response.clone();
         std::thread::spawn(move || {
             let (mut stream, _) = listener.accept().expect("a caller");
             let _ = stream.read(&mut [0; 4096]);
-            let _ = stream.write_all(response.as_bytes());
+            let _ = stream.write_all(sent.as_bytes());
         });
         let got = call(address, "POST", "/failovers", &[], b"{}", Duration::from_secs(5));
-        assert_eq!(got.ok().map(|response| response.status), status, "{answer:?}");
+        assert_eq!(got.ok().map(|response| response.status), status, "{response:?}");
     }
 }
 
@@ -721,8 +728,8 @@
         ("READY I -\r\n".to_owned(), false),
         ("ROW primary 3\r\nCOMPLETE -\r\nREADY I -\r\n".to_owned(), false),
     ];
-    for (answer, counts) in cases {
-        let got = reply(answer.as_bytes()).expect("well formed").expect("whole");
-        assert_eq!(got.described(answer.as_bytes()).is_some(), counts, "{answer:?}");
+    for (lines, is_valid) in cases {
+        let got = reply(lines.as_bytes()).expect("well formed").expect("complete");
+        assert_eq!(got.described(lines.as_bytes()).is_some(), is_valid, "{lines:?}");
     }
 }
