--- a/src/gateway/attempts.rs
+++ b/src/gateway/attempts.rs
@@ -91,7 +91,8 @@
         self.sent_attempts > 0
     }
 
-    /// Whether a hedged request may be sent while the first attempt is in flight.
+    /// Whether a hedged request may be sent to another endpoint while the first attempt is in
+    /// flight.
     pub(super) fn may_hedge(&self) -> bool {
         self.is_idempotent() && self.sent_attempts < self.max_attempts
     }
--- a/src/gateway/endpoint_access.rs
+++ b/src/gateway/endpoint_access.rs
@@ -87,8 +87,8 @@
         endpoint: AcquiredEndpoint,
     ) -> Result<Attempt, AttemptOutcome> {
         let AcquiredEndpoint { id, address, connection } = endpoint;
-        // An idle connection with unread data was most likely closed. That is no fault of the
-        // endpoint, so a new connection is opened.
+        // A readable idle connection was closed by the endpoint, or holds a surplus response. That
+        // an idle connection was closed is no fault of the endpoint, so a new one is opened.
         let idle = connection.filter(|idle| !is_readable(&idle.stream));
         if let Some(mut connection) = idle {
             let sent_at = Tick::now();
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -20,7 +20,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// The longest wait between two checks at start-up of whether the leader has sent a configuration.
+/// The longest wait between two checks at startup of whether the leader has sent a configuration.
 const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The time between two rounds of maintenance: half of the interval between two renewals.
--- a/src/pooler/admission.rs
+++ b/src/pooler/admission.rs
@@ -6,9 +6,9 @@
 use crate::base::time::Tick;
 use std::collections::BTreeSet;
 
-/// Why no connection could be acquired from a pool.
+/// Why no connection could be checked out from a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum AcquireError {
+pub enum CheckOutError {
     /// The database can't be reached at present, or was removed.
     #[error("database is unreachable or was removed")]
     Unavailable,
--- a/src/pooler/handover.rs
+++ b/src/pooler/handover.rs
@@ -11,7 +11,7 @@
 use crate::net::rpc::pooler_messages::{Handover, ToController};
 use crate::net::statement_protocol::ServerDescription;
 use crate::pooler::cluster_view::{PrimaryPosition, ServiceView};
-use crate::pooler::pool::{AcquireRequest, ConnectionPool};
+use crate::pooler::pool::{CheckOutRequest, ConnectionPool};
 use crate::pooler::reroute::SessionReroute;
 use crate::pooler::server::Pooler;
 use crate::pooler::server_connection::{Loss, ServerConnection};
@@ -207,9 +207,13 @@
     /// rejects the query.
     fn describe(&self, pool: &ConnectionPool, deadline: Tick) -> Option<ServerDescription> {
         let reroute = SessionReroute::default();
-        let request =
-            AcquireRequest { reroute: &reroute, session: 0, priority: DESCRIBE_PRIORITY, deadline };
-        let mut connection = pool.acquire(&request, || self.renew_soon(Tick::now())).ok()?;
+        let request = CheckOutRequest {
+            reroute: &reroute,
+            session: 0,
+            priority: DESCRIBE_PRIORITY,
+            deadline,
+        };
+        let mut connection = pool.check_out(&request, || self.renew_soon(Tick::now())).ok()?;
         match describe_on(&mut connection, deadline) {
             Ok(description) => {
                 pool.record_reply(Tick::now());
--- a/src/pooler/pool.rs
+++ b/src/pooler/pool.rs
@@ -1,4 +1,4 @@
-//! The pool of connections to one database, which sessions acquire for a statement or a
+//! The pool of connections to one database, which sessions check out for a statement or a
 //! transaction.
 //!
 //! A `ConnectionPool` opens connections up to the pooler's quota, keeps idle ones, queues sessions
@@ -10,7 +10,7 @@
 use crate::base::time::Tick;
 use crate::config::configuration::RouteType;
 use crate::config::directory::DirectoryEntry;
-use crate::pooler::admission::{AcquireError, Admission, QueueTicket};
+use crate::pooler::admission::{Admission, CheckOutError, QueueTicket};
 use crate::pooler::latency::LatencyEstimator;
 use crate::pooler::reroute::SessionReroute;
 use crate::pooler::server_connection::{
@@ -43,7 +43,7 @@
 }
 
 /// A session's request for a connection.
-pub(crate) struct AcquireRequest<'a> {
+pub(crate) struct CheckOutRequest<'a> {
     /// The session state that the connection has to be synced to; the idle connection with the
     /// lowest sync cost is chosen.
     pub(crate) reroute: &'a SessionReroute,
@@ -61,7 +61,7 @@
     pub(crate) busy: usize,
     /// Whether a connection is idle.
     pub(crate) has_idle: bool,
-    /// Whether no connection may be acquired.
+    /// Whether no connection may be checked out.
     pub(crate) closed: bool,
 }
 
@@ -125,7 +125,7 @@
     fn take_slot(
         &mut self,
         ticket: Option<&QueueTicket>,
-        request: &AcquireRequest<'_>,
+        request: &CheckOutRequest<'_>,
     ) -> Option<Slot> {
         if !self.admission.is_next(ticket, self.idle.len()) {
             return None;
@@ -152,7 +152,7 @@
 }
 
 /// The index of the idle connection with the lowest sync cost for the session.
-fn best_fit(idle: &[ServerConnection], request: &AcquireRequest<'_>) -> Option<usize> {
+fn best_fit(idle: &[ServerConnection], request: &CheckOutRequest<'_>) -> Option<usize> {
     // Among equals the most recently used one wins, as it is the most likely to be alive.
     idle.iter()
         .enumerate()
@@ -309,14 +309,14 @@
         self.available.notify_all();
     }
 
-    /// Takes the idle connection with the lowest sync cost, or opens one if the limit allows it, or
-    /// waits for one until the deadline of the request. `on_shortage` is called once if the session
-    /// has to wait and a higher limit would help.
-    pub(crate) fn acquire(
+    /// Checks out the idle connection with the lowest sync cost, or opens one if the limit allows
+    /// it, or waits for one until the deadline of the request. `on_shortage` is called once if the
+    /// session has to wait and a higher limit would help.
+    pub(crate) fn check_out(
         &self,
-        request: &AcquireRequest<'_>,
+        request: &CheckOutRequest<'_>,
         on_shortage: impl Fn(),
-    ) -> Result<ServerConnection, AcquireError> {
+    ) -> Result<ServerConnection, CheckOutError> {
         let mut state = lock(&self.state);
         let mut ticket: Option<QueueTicket> = None;
         loop {
@@ -353,12 +353,12 @@
         Err(self.stop_waiting(state, ticket))
     }
 
-    /// Leaves the queue and returns why no connection was acquired.
+    /// Leaves the queue and returns why no connection was checked out.
     fn stop_waiting(
         &self,
         mut state: MutexGuard<'_, PoolState>,
         ticket: Option<QueueTicket>,
-    ) -> AcquireError {
+    ) -> CheckOutError {
         if let Some(ticket) = &ticket {
             state.admission.dequeue(ticket);
         }
@@ -366,12 +366,12 @@
         drop(state);
         // The next session in the queue may be served now.
         self.available.notify_all();
-        if down { AcquireError::Unavailable } else { AcquireError::Exhausted }
+        if down { CheckOutError::Unavailable } else { CheckOutError::Exhausted }
     }
 
     /// Opens a connection within the handshake timeout, or at most `CONNECT_TIMEOUT_MS` beyond the
     /// session's deadline.
-    fn open(&self, now: Tick, deadline: Tick) -> Result<ServerConnection, AcquireError> {
+    fn open(&self, now: Tick, deadline: Tick) -> Result<ServerConnection, CheckOutError> {
         let limit = now.plus(HANDSHAKE_TIMEOUT_MS).min(deadline.plus(CONNECT_TIMEOUT_MS));
         match ServerConnection::connect(self.address, &self.service, &self.id, limit) {
             Ok(connection) => {
@@ -380,11 +380,11 @@
                 Ok(connection)
             }
             Err(ConnectError::Rejected(ErrorKind::ConnLimit | ErrorKind::Throttled)) => {
-                Err(AcquireError::Exhausted)
+                Err(CheckOutError::Exhausted)
             }
             Err(ConnectError::Rejected(_) | ConnectError::Io(_)) => {
                 self.record_failure(Tick::now());
-                Err(AcquireError::Unavailable)
+                Err(CheckOutError::Unavailable)
             }
         }
     }
@@ -395,7 +395,7 @@
         self.available.notify_all();
     }
 
-    /// Returns an acquired connection, which must have no open transaction, to the pool.
+    /// Returns a checked-out connection, which must have no open transaction, to the pool.
     pub(crate) fn release(&self, connection: ServerConnection) {
         let mut state = lock(&self.state);
         if state.removed || state.admission.over_limit() || !connection.is_settled() {
@@ -410,7 +410,7 @@
         }
     }
 
-    /// Closes an acquired connection; the database rolls back its open transaction.
+    /// Closes a checked-out connection; the database rolls back its open transaction.
     pub(crate) fn discard(&self, connection: ServerConnection) {
         drop(connection);
         self.release_slot();
--- a/src/pooler/server.rs
+++ b/src/pooler/server.rs
@@ -70,7 +70,7 @@
     pub(super) hasher: RandomState,
 }
 
-/// A connection that a session has acquired.
+/// A connection that a session has checked out.
 pub(crate) struct CheckedOutConnection {
     pub(crate) connection: ServerConnection,
     pub(crate) pool: Arc<ConnectionPool>,
@@ -183,7 +183,7 @@
         ranked.into_iter().map(|(_, pool)| pool).collect()
     }
 
-    /// Ranks a replica. Returns `None` if no connection to it may be acquired.
+    /// Ranks a replica. Returns `None` if no connection to it may be checked out.
     fn rank(&self, pool: &ConnectionPool) -> Option<ReplicaRank> {
         let load = pool.load();
         if load.closed {
--- a/src/pooler/statement_execution.rs
+++ b/src/pooler/statement_execution.rs
@@ -7,10 +7,10 @@
 use crate::config::route_table::RouteEntry;
 use crate::net::rpc::pooler_messages::SuspicionReason;
 use crate::net::statement_protocol::{Outcome, Reply, State};
-use crate::pooler::admission::AcquireError;
+use crate::pooler::admission::CheckOutError;
 use crate::pooler::client_session::{ClientReply, ClientSession, ClientStatement};
 use crate::pooler::exchange::Exchange;
-use crate::pooler::pool::{AcquireRequest, ConnectionPool};
+use crate::pooler::pool::{CheckOutRequest, ConnectionPool};
 use crate::pooler::replica_reads::{LAGGING_SKIP_MS, PRIMARY_FALLBACK_PENALTY};
 use crate::pooler::reroute::{LossOutcome, StatementKind, StatementPlan};
 use crate::pooler::server::CheckedOutConnection;
@@ -134,8 +134,8 @@
         ClientReply::Error { kind, text: format!("retry_after_ms={retry_after_ms}") }
     }
 
-    /// Selects a database and acquires a connection to it, for at most `MAX_QUEUE_PERCENT` of the
-    /// statement's timeout.
+    /// Selects a database and checks out a connection to it, for which it waits at most
+    /// `MAX_QUEUE_PERCENT` of the statement's timeout.
     fn check_out(
         &self,
         statement: &ClientStatement<'_>,
@@ -180,15 +180,15 @@
             if excluded.contains(&pool.id) {
                 continue;
             }
-            if let Ok(connection) = self.acquire(&pool, self.route.priority, deadline) {
+            if let Ok(connection) = self.check_out_from(&pool, self.route.priority, deadline) {
                 return Some(CheckedOutConnection { connection, pool, term: None });
             }
         }
         None
     }
 
-    /// Acquires a connection to the primary. `fallback` marks a statement that could also run on a
-    /// replica, which lowers its priority.
+    /// Checks out a connection to the primary. `fallback` marks a statement that could also run on
+    /// a replica, which lowers its priority.
     fn check_out_primary(
         &self,
         now: Tick,
@@ -198,14 +198,14 @@
         let primary = self.pooler.primary(&self.service, now)?;
         let (term, pool) = (primary.term, primary.pool);
         let penalty = if fallback { PRIMARY_FALLBACK_PENALTY } else { 0 };
-        match self.acquire(&pool, self.route.priority.saturating_add(penalty), deadline) {
+        match self.check_out_from(&pool, self.route.priority.saturating_add(penalty), deadline) {
             // The lease may have expired while waiting for the connection.
             Ok(connection) if self.pooler.holds_lease(&self.service, term, Tick::now()) => {
                 return Some(CheckedOutConnection { connection, pool, term: Some(term) });
             }
             Ok(connection) => pool.release(connection),
-            Err(AcquireError::Exhausted) => {}
-            Err(AcquireError::Unavailable) => {
+            Err(CheckOutError::Exhausted) => {}
+            Err(CheckOutError::Unavailable) => {
                 let reason = SuspicionReason::ConnectionsBroken;
                 self.pooler.report_suspicion(&pool, reason, Tick::now());
             }
@@ -213,15 +213,15 @@
         None
     }
 
-    fn acquire(
+    fn check_out_from(
         &self,
         pool: &ConnectionPool,
         priority: u8,
         deadline: Tick,
-    ) -> Result<ServerConnection, AcquireError> {
+    ) -> Result<ServerConnection, CheckOutError> {
         let request =
-            AcquireRequest { reroute: &self.reroute, session: self.id, priority, deadline };
-        pool.acquire(&request, || self.pooler.renew_soon(Tick::now()))
+            CheckOutRequest { reroute: &self.reroute, session: self.id, priority, deadline };
+        pool.check_out(&request, || self.pooler.renew_soon(Tick::now()))
     }
 
     /// The position that a replica must have reached to serve a read that started at `started_at`.
--- a/tests/retries.rs
+++ b/tests/retries.rs
@@ -261,7 +261,7 @@
     };
     store("b");
     let own = |thing: &str| ("own I".to_owned(), thing.to_owned());
-    // A duplicate reply is pending on the idle connection when another session acquires it.
+    // A duplicate reply is pending on the idle connection when another session checks it out.
     for route in ["strict", "loose"] {
         for _ in 0..4 {
             let id = fresh_id();
