--- a/src/simulation/change_faults.rs
+++ b/src/simulation/change_faults.rs
@@ -10,14 +10,14 @@
 /// The fault to inject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeFault {
-    /// The replica chosen for promotion receives no log entries.
+    /// The replica chosen for promotion stops receiving log data.
     TargetReplicationStall,
     /// A paused replica restarts, which ends the pause of its replication.
     PausedReplicaRestart,
-    /// A new replica receives and acknowledges log entries for seconds before its first heartbeat.
+    /// A new replica receives and acknowledges log data for seconds before its first heartbeat.
     UnregisteredReplica,
     /// The leader freezes when a change has completed, and resumes in the middle of the next one.
-    LeaderThaw,
+    LeaderResume,
 }
 
 /// The steps of a change that faults wait for.
@@ -32,7 +32,7 @@
 impl ChangeFault {
     fn step(self) -> ChangeStep {
         match self {
-            ChangeFault::LeaderThaw => ChangeStep::Completed,
+            ChangeFault::LeaderResume => ChangeStep::Completed,
             _ => ChangeStep::IntentCommitted,
         }
     }
@@ -56,7 +56,7 @@
 const FIRST_HEARTBEAT_DELAY_MS: u64 = 3_000;
 /// The longest freeze of a leader that waits for the next change, in ms.
 const MAX_LEADER_FREEZE_MS: u64 = 6_000;
-/// How long an early deregistered database keeps serving, in ms.
+/// How long a replica that deregistered before it stopped keeps serving, in ms.
 const SERVE_AFTER_DEREGISTRATION_MS: u64 = 10_000;
 /// The time in ms after which a node that shut down starts again.
 const NODE_SHUTDOWN_MS: u64 = 1_000;
@@ -79,7 +79,7 @@
     }
 
     /// Compares the state that a controller has applied with the last observed one, and injects the
-    /// faults that wait for the step in between.
+    /// faults that wait for the step between the two.
     pub(super) fn observe_changes(&mut self, number: usize) {
         for service in SERVICES.map(ServiceName::from) {
             let Some(controller) = &self.machines[number].controller else { return };
@@ -88,7 +88,7 @@
             };
             let seen = ObservedChange { term: record.term, intent: record.intent.clone() };
             let before = self.observed_changes.entry(service.clone()).or_default();
-            // This controller may be behind another one.
+            // This controller may be behind another one that was compared before.
             if seen.term < before.term || (seen.term == before.term && seen.intent.is_none()) {
                 continue;
             }
@@ -115,7 +115,7 @@
             return;
         }
         if step == ChangeStep::IntentCommitted {
-            self.thaw_for_change(service);
+            self.resume_for_change(service);
         }
         let pending = std::mem::take(&mut self.pending_change_faults);
         let (due, rest) = pending
@@ -152,30 +152,30 @@
             ChangeFault::UnregisteredReplica => {
                 self.add_database(&service.0, false, FIRST_HEARTBEAT_DELAY_MS);
             }
-            ChangeFault::LeaderThaw => {
+            ChangeFault::LeaderResume => {
                 let duration_ms = MAX_LEADER_FREEZE_MS;
                 if let Some(number) = self.reserve_loss(FaultTarget::Leader, duration_ms) {
                     self.freeze(number, self.now + duration_ms);
-                    self.machines[number].thaws_in_change_of = Some(service.clone());
+                    self.machines[number].resumes_in_change_of = Some(service.clone());
                 }
             }
         }
     }
 
     /// Resumes the frozen machines that wait for a change of this service.
-    fn thaw_for_change(&mut self, service: &ServiceName) {
+    fn resume_for_change(&mut self, service: &ServiceName) {
         for number in 0..self.machines.len() {
             let machine = &mut self.machines[number];
-            if machine.thaws_in_change_of.take_if(|awaited| awaited == service).is_some()
+            if machine.resumes_in_change_of.take_if(|awaited| awaited == service).is_some()
                 && machine.frozen_until.is_some()
             {
                 machine.frozen_until = Some(self.now);
-                self.schedule_after(0, Event::ThawMachine(number));
+                self.schedule_after(0, Event::ResumeMachine(number));
             }
         }
     }
 
-    /// A replica deregisters first and keeps serving for a while.
+    /// Has a replica deregister before it stops: it keeps serving for a while.
     pub(super) fn inject_early_deregistration(&mut self, number: u8) {
         if let Some(number) = self.pick_database(false, number)
             && !self.databases[number].drained
--- a/src/simulation/checker.rs
+++ b/src/simulation/checker.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// A commit that a node acknowledged to its client, and when.
+/// A commit whose acknowledgement a node forwarded to its client, and when.
 #[derive(Clone, Copy)]
 pub(super) struct AcknowledgedCommit {
     pub(super) write: Write,
@@ -68,7 +68,7 @@
             let first = self.committed_entries.entry(entry.index).or_insert_with(|| entry.clone());
             if *first != entry {
                 problem = Some(format!(
-                    "committed entry {} of n{number} differs from other controllers",
+                    "committed entry {} of n{number} differs from that of other controllers",
                     entry.index
                 ));
             }
@@ -81,7 +81,7 @@
             let state = hasher.finish();
             if *self.state_hashes.entry(applied).or_insert(state) != state {
                 problem = Some(format!(
-                    "state of n{number} at entry {applied} differs from other controllers"
+                    "state of n{number} at entry {applied} differs from that of other controllers"
                 ));
             }
             let newest = self.committed_configurations.last().map_or(Revision(0), |f| f.revision);
@@ -148,7 +148,7 @@
         let (revision, applied) =
             (controller.state_machine().revision(), controller.last_applied());
         let voters = controller.raft().members().iter().filter(|m| m.voter).count();
-        let listed = controller
+        let registered_again = controller
             .state_machine()
             .instances()
             .keys()
@@ -172,8 +172,8 @@
             )
         } else if let Some(number) = behind {
             Some(format!("n{number} did not catch up with the leader's log"))
-        } else if let Some(id) = listed {
-            Some(format!("{id} is listed again after its deregistration was acknowledged"))
+        } else if let Some(id) = registered_again {
+            Some(format!("{id} is registered again after its deregistration was acknowledged"))
         } else if let Some(number) = outdated {
             Some(format!("node{number} has an old configuration at the end of the run"))
         } else if voters < 2 * self.schedule.tolerated_losses + 1 {
--- a/src/simulation/commits.rs
+++ b/src/simulation/commits.rs
@@ -13,7 +13,7 @@
 
 /// The delay in ms before a node decides again whether to forward a commit.
 const COMMIT_RETRY_MS: u64 = 10;
-/// The time in ms after which a query to the target of a handover that gets no answer times out.
+/// The time in ms after which a query to the target of a handover that gets no reply times out.
 const TARGET_QUERY_TIMEOUT_MS: u64 = 300;
 
 /// A commit that the primary acknowledged to a node.
@@ -26,13 +26,13 @@
     pub(super) sent_at: u64,
 }
 
-/// A node's query to the target of a handover, and the answer if there was one.
+/// A node's query to the target of a handover, and the reply if there was one.
 pub(super) struct TargetQuery {
     node: usize,
     incarnation: u64,
     commit: Commit,
     target: InstanceId,
-    answer: Option<ServerDescription>,
+    reply: Option<ServerDescription>,
 }
 
 impl World {
@@ -66,7 +66,7 @@
         commit: Commit,
     ) {
         let to = self.databases.iter().position(|database| database.id == target);
-        let query = |answer| TargetQuery { node: number, incarnation, commit, target, answer };
+        let query = |reply| TargetQuery { node: number, incarnation, commit, target, reply };
         let arrival = to.and_then(|to| {
             self.arrival_time(Endpoint::Node(number), Endpoint::Database(to), random_below(5))
         });
@@ -74,7 +74,7 @@
             (Some(time), Some(to)) => {
                 self.schedule_at(time, Event::TargetQuery(to, query(None)));
             }
-            _ => self.schedule_after(TARGET_QUERY_TIMEOUT_MS, Event::TargetResponse(query(None))),
+            _ => self.schedule_after(TARGET_QUERY_TIMEOUT_MS, Event::TargetReply(query(None))),
         }
     }
 
@@ -85,28 +85,28 @@
         let back = self.arrival_time(Endpoint::Database(number), Endpoint::Node(query.node), 0);
         match (back, description) {
             (Some(time), Some(description)) => {
-                let answer = TargetQuery { answer: Some(description), ..query };
-                self.schedule_at(time, Event::TargetResponse(answer));
+                let replied = TargetQuery { reply: Some(description), ..query };
+                self.schedule_at(time, Event::TargetReply(replied));
             }
-            _ => self.schedule_after(TARGET_QUERY_TIMEOUT_MS, Event::TargetResponse(query)),
+            _ => self.schedule_after(TARGET_QUERY_TIMEOUT_MS, Event::TargetReply(query)),
         }
     }
 
-    /// Handles the response of a handover's target, or the time-out of the query, and schedules
+    /// Handles the reply of a handover's target, or the time-out of the query, and schedules
     /// another decision about the commit.
-    pub(super) fn handle_target_response(&mut self, query: TargetQuery) {
-        let TargetQuery { node: number, incarnation, commit, target, answer } = query;
+    pub(super) fn handle_target_reply(&mut self, query: TargetQuery) {
+        let TargetQuery { node: number, incarnation, commit, target, reply } = query;
         let node = &mut self.nodes[number];
         if node.incarnation == incarnation
             && let Some(confirmation) = node.commit_confirmations.get_mut(&commit.service)
             && *confirmation.target() == target
         {
-            confirmation.record_description(answer.as_ref());
+            confirmation.record_description(reply.as_ref());
         }
         self.schedule_after(COMMIT_RETRY_MS, Event::CommitAck(number, incarnation, commit));
     }
 
-    /// A node acknowledges a commit to its client. Checks that no primary of a later term lacks it.
+    /// A node forwards a commit to its client. Checks that no primary of a later term lacks it.
     fn forward_commit(&mut self, number: usize, commit: Commit) {
         let Commit { service, write, position, sent_at } = commit;
         let now = self.now;
@@ -123,7 +123,7 @@
             && self.clocks_reliable()
         {
             let description = format!(
-                "{service}: commit of term {} acknowledged to a client, \
+                "{service}: commit of term {} forwarded to a client, \
                  but the primary of term {term} lacks it",
                 write.term
             );
--- a/src/simulation/databases.rs
+++ b/src/simulation/databases.rs
@@ -65,7 +65,7 @@
     pub(super) log: Vec<Write>,
     /// Whether a controller has paused its replication.
     pub(super) paused: bool,
-    /// It receives no log entries until this time.
+    /// It receives no log data until this time.
     pub(super) stalled_until: u64,
     /// Whether its heartbeats report that it is draining.
     pub(super) draining: bool,
@@ -207,7 +207,7 @@
     ) {
         if response.status != 200 {
             return self.report_violation(format!(
-                "heartbeat of {} answered with status {}",
+                "heartbeat or deregistration of {} answered with status {}",
                 self.databases[number].id, response.status
             ));
         }
@@ -240,16 +240,17 @@
         let most_advanced = self.machines.iter().filter_map(|m| m.controller.as_ref());
         let most_advanced =
             most_advanced.max_by_key(|s| s.last_applied()).map(|s| s.state_machine());
-        let listed =
+        let lifecycle =
             most_advanced.and_then(|a| a.instances().get(id)).map(|r| r.instance.lifecycle_state);
         let (known, problem) = match heartbeat {
             AcknowledgedHeartbeat::Draining => (
-                listed != Some(Lifecycle::Available),
-                "is listed as available after its draining heartbeat was acknowledged",
+                lifecycle != Some(Lifecycle::Available),
+                "is registered as available after its draining heartbeat was acknowledged",
+            ),
+            AcknowledgedHeartbeat::Deregistration => (
+                lifecycle.is_none(),
+                "is still registered after its deregistration was acknowledged",
             ),
-            AcknowledgedHeartbeat::Deregistration => {
-                (listed.is_none(), "is still listed after its deregistration was acknowledged")
-            }
         };
         if known {
             return;
@@ -530,7 +531,7 @@
             let (name, commit_term) = (&self.databases[target].id, write.term);
             return self.report_violation(format!(
                 "{name} promoted for {service} in term {term} without a commit of \
-                 term {commit_term}, acknowledged by node{node} at {forwarded_at} ms"
+                 term {commit_term}, forwarded by node{node} at {forwarded_at} ms"
             ));
         }
         self.promotions.entry(service.clone()).or_default().push((term, log));
--- a/src/simulation/events.rs
+++ b/src/simulation/events.rs
@@ -55,16 +55,16 @@
     CommitAck(usize, u64, Commit),
     /// A node's query reaches the target of a handover, by number of the database.
     TargetQuery(usize, TargetQuery),
-    /// A node receives the response to its query, or none once the query has timed out.
-    TargetResponse(TargetQuery),
+    /// A node receives the reply to its query, or none once the query has timed out.
+    TargetReply(TargetQuery),
     /// A primary sends its log to its replicas.
     ReplicationTurn(usize),
     /// A fault of the schedule begins, by its number there.
     InjectFault(usize),
     /// A machine's controller starts unless it is running.
     StartController(usize),
-    /// A machine's freeze ends.
-    ThawMachine(usize),
+    /// A frozen machine resumes.
+    ResumeMachine(usize),
     /// A crashed database starts again.
     DatabaseRestart(usize),
     /// A draining database has no more clients and will deregister.
@@ -125,11 +125,11 @@
             Event::TargetQuery(number, query) => {
                 self.handle_target_query(number, query);
             }
-            Event::TargetResponse(query) => self.handle_target_response(query),
+            Event::TargetReply(query) => self.handle_target_reply(query),
             Event::ReplicationTurn(number) => self.replicate(number),
             Event::InjectFault(number) => self.inject(number),
             Event::StartController(number) => self.start(number),
-            Event::ThawMachine(number) => self.thaw(number),
+            Event::ResumeMachine(number) => self.resume_if_due(number),
             Event::DatabaseRestart(number) => self.restart_database(number),
             Event::DatabaseDrained(number) => self.databases[number].drained = true,
             Event::CheckAcknowledgedHeartbeat(number, heartbeat) => {
@@ -216,7 +216,7 @@
         }
     }
 
-    fn thaw(&mut self, number: usize) {
+    fn resume_if_due(&mut self, number: usize) {
         let machine = &self.machines[number];
         if machine.frozen_until.is_some_and(|until| until <= self.now) {
             self.resume(number);
--- a/src/simulation/faults.rs
+++ b/src/simulation/faults.rs
@@ -135,7 +135,7 @@
     pub(super) fn freeze(&mut self, number: usize, until: u64) {
         let machine = &mut self.machines[number];
         (machine.frozen_until, machine.frozen_mid_step) = (Some(until), chance(60));
-        self.schedule_at(until, Event::ThawMachine(number));
+        self.schedule_at(until, Event::ResumeMachine(number));
     }
 
     fn inject_stop(&mut self, target: FaultTarget, duration_ms: u64, disk_lost: bool) {
@@ -261,7 +261,7 @@
             self.schedule_after(2, Event::DiskWriteDone(number, self.machines[number].incarnation));
             if self.machines[number].frozen_until.is_some() {
                 self.machines[number].frozen_until = Some(self.now);
-                self.schedule_after(0, Event::ThawMachine(number));
+                self.schedule_after(0, Event::ResumeMachine(number));
             }
             self.schedule_after(1, Event::StartController(number));
         }
--- a/src/simulation/machines.rs
+++ b/src/simulation/machines.rs
@@ -42,7 +42,7 @@
     /// resumes.
     pub(super) frozen_mid_step: bool,
     /// The service whose next change of its primary ends the freeze.
-    pub(super) thaws_in_change_of: Option<ServiceName>,
+    pub(super) resumes_in_change_of: Option<ServiceName>,
     /// When its monotonic clock was suspended.
     pub(super) suspended_since: Option<u64>,
     /// Inputs that arrived while the machine was frozen.
@@ -62,7 +62,7 @@
 
 impl Machine {
     /// Ends a freeze; a suspended clock continues from where it stopped.
-    pub(super) fn thaw(&mut self, now: u64) {
+    pub(super) fn end_freeze(&mut self, now: u64) {
         (self.frozen_until, self.frozen_mid_step) = (None, false);
         if let Some(since) = self.suspended_since.take() {
             self.clock_offset -= now - since;
@@ -108,7 +108,7 @@
             timer_generation: 0,
             frozen_until: None,
             frozen_mid_step: false,
-            thaws_in_change_of: None,
+            resumes_in_change_of: None,
             suspended_since: None,
             backlog: Vec::new(),
             pending_write: None,
@@ -196,7 +196,7 @@
         if wipe && let Ok(empty) = RaftStorage::in_memory() {
             machine.disk = empty;
         }
-        machine.thaw(self.now);
+        machine.end_freeze(self.now);
         machine.backlog.clear();
         let ended: Vec<u64> = self
             .connections
@@ -210,7 +210,7 @@
     /// Ends a machine's freeze and delivers the inputs that arrived meanwhile.
     pub(super) fn resume(&mut self, number: usize) {
         let machine = &mut self.machines[number];
-        machine.thaw(self.now);
+        machine.end_freeze(self.now);
         for input in std::mem::take(&mut machine.backlog) {
             self.step(number, Some(input));
         }
--- a/src/simulation/network.rs
+++ b/src/simulation/network.rs
@@ -38,7 +38,7 @@
     Join { requester: usize, incarnation: u64, member_id: MemberId, address: SocketAddr },
 }
 
-/// A controller that is cut off from the others until a time.
+/// The isolation of one controller from the others until a time.
 pub(super) struct Partition {
     pub(super) controller: usize,
     pub(super) direction: PartitionDirection,
--- a/src/simulation/nodes.rs
+++ b/src/simulation/nodes.rs
@@ -53,7 +53,7 @@
     pub(super) highest_positions: BTreeMap<ServiceName, Position>,
     /// How commits are confirmed during the handover of each service.
     pub(super) commit_confirmations: BTreeMap<ServiceName, CommitConfirmation>,
-    /// Whether it shuts down gracefully after it has acknowledged its next commit.
+    /// Whether it shuts down gracefully after it has forwarded its next commit.
     pub(super) shuts_down_after_commit: bool,
     /// The last commit of each service that was not reported to the leader.
     pub(super) unreported_commits: BTreeMap<ServiceName, ObservedCommit>,
@@ -71,8 +71,8 @@
 }
 
 impl Node {
-    /// Takes the observed positions for a renewal. Their times are relative to the leader's last
-    /// answer; positions whose statement was sent before it are left out.
+    /// Takes the observed positions for a renewal. The leader counts their times from its last
+    /// answer that the node received, so positions whose statement was sent before it are left out.
     fn take_observed(&mut self) -> Vec<ObservedPosition> {
         let Some((_, arrived_at)) = self.last_grant else { return Vec::new() };
         let unreported = std::mem::take(&mut self.unreported_commits).into_iter();
--- a/src/simulation/runner.rs
+++ b/src/simulation/runner.rs
@@ -17,7 +17,7 @@
     pub raft_terms: u64,
     /// Databases that the platform promoted.
     pub promotions: u64,
-    /// Commits that nodes acknowledged to their clients.
+    /// Commits that nodes forwarded to their clients.
     pub acknowledged_commits: u64,
     /// A hash of the times and the order of all events: it differs if two runs of a schedule
     /// differ.
--- a/src/simulation/schedule.rs
+++ b/src/simulation/schedule.rs
@@ -64,7 +64,7 @@
     Freeze(FaultTarget),
     /// A controller is frozen and partitioned, and its monotonic clock stops as well, as that of a
     /// suspended virtual machine may. Leases assume that clocks keep running, so they are not
-    /// checked in such a schedule. Reads must be current all the same, because they do not depend
+    /// checked in such a schedule. Reads must be current all the same, because they must not depend
     /// on a clock.
     Suspend(FaultTarget),
     /// A controller's process is killed and restarts.
@@ -98,7 +98,7 @@
         /// Chooses the service, and the replica.
         number: u8,
     },
-    /// A replica, chosen by number, receives no log entries.
+    /// A replica, chosen by number, stops receiving log data until the fault ends.
     ReplicationStall(u8),
     /// A database drains and is removed; a new one starts.
     DatabaseReplacement {
@@ -120,12 +120,13 @@
     },
     /// A node, chosen by number, shuts down gracefully right after its next commit.
     NodeShutdown(u8),
-    /// A replica, chosen by number, deregisters first and keeps serving for a long time.
+    /// A replica, chosen by number, deregisters before it stops, and keeps serving for a long time.
     EarlyDeregistration(u8),
 }
 
-/// The number of kinds that any schedule may contain. The last one, a suspension, is left out where
-/// a schedule of the general kinds is not limited to a few of them.
+/// The number of kinds that any schedule may contain. The last one is a suspension, which keeps
+/// leases from being checked: a schedule without the kinds that concern changes of primaries leaves
+/// it out, unless it is limited to a few kinds.
 const GENERAL_KIND_COUNT: u64 = 20;
 /// The number of all kinds; those from `GENERAL_KIND_COUNT` on concern changes of primaries.
 const KIND_COUNT: u64 = 31;
@@ -239,7 +240,7 @@
         4 | 5 => during_primary_change(ChangeFault::TargetReplicationStall),
         6 => during_primary_change(ChangeFault::PausedReplicaRestart),
         7 => during_primary_change(ChangeFault::UnregisteredReplica),
-        8 => during_primary_change(ChangeFault::LeaderThaw),
+        8 => during_primary_change(ChangeFault::LeaderResume),
         9 => FaultKind::NodeShutdown(number),
         _ => FaultKind::EarlyDeregistration(number),
     }
--- a/src/simulation/world.rs
+++ b/src/simulation/world.rs
@@ -54,7 +54,7 @@
     /// Lower bounds for later reads: when a configuration was known to be committed, and its place
     /// in `committed_configurations`, counted from 1.
     pub(super) read_floors: Vec<(u64, usize)>,
-    /// Commits that nodes acknowledged to clients.
+    /// Commits that nodes forwarded to clients.
     pub(super) acknowledged_commits: BTreeMap<ServiceName, Vec<AcknowledgedCommit>>,
     /// The term of each promoted primary, and its log at the time of the promotion.
     pub(super) promotions: BTreeMap<ServiceName, Vec<(DbTerm, Vec<Write>)>>,
--- a/tests/simulation.rs
+++ b/tests/simulation.rs
@@ -22,7 +22,7 @@
         Just(ChangeFault::TargetReplicationStall),
         Just(ChangeFault::PausedReplicaRestart),
         Just(ChangeFault::UnregisteredReplica),
-        Just(ChangeFault::LeaderThaw)
+        Just(ChangeFault::LeaderResume)
     ]
 }
 fn fault_kind() -> impl Strategy<Value = FaultKind> {
@@ -78,6 +78,7 @@
     )
 }
 
+/// Guards against violations of a guarantee that only combinations of injected faults cause.
 #[test]
 fn guarantees_hold_under_random_faults() {
     let requested_seed = std::env::var("PROPTEST_RNG_SEED").ok().and_then(|seed| seed.parse().ok());
@@ -100,12 +101,16 @@
     assert_eq!(outcomes, vec![Ok(()); RUNNERS as usize]);
 }
 
+/// Guards against violations of a guarantee that these schedules led to before.
 #[test]
 fn guarantees_hold_under_schedules_that_found_faults() {
     // The seed of a schedule, and the fault that it found when that was put into the code on
     // purpose (docs/control.md, "The simulation").
     let cases = [
-        (1, "a change was matched by revision alone; by position alone; got another's answer"),
+        (
+            1,
+            "a change was matched by revision alone; by position alone; got the outcome of another",
+        ),
         (13, "the state of a snapshot was not adopted"),
         (63, "leases were taken as expired at once"),
         (146, "a read was answered without asking a quorum"),
@@ -125,6 +130,8 @@
     }
 }
 
+/// Guards against a run that depends on anything but its schedule, so that a failure could not be
+/// repeated, and against runs in which hardly anything happens.
 #[test]
 fn the_same_schedule_runs_the_same_way() {
     for seed in [2, 3] {
