--- a/src/base/errors.rs
+++ b/src/base/errors.rs
@@ -38,7 +38,7 @@
 }
 
 /// The reply that reports an error kind, and what it guarantees.
-pub struct ErrorAnswer {
+pub struct ErrorReply {
     /// The error kind of this row.
     pub kind: ErrorKind,
     /// The error code in the protocol.
@@ -49,47 +49,47 @@
     pub closes: bool,
 }
 
-const fn error_answer(
+const fn error_reply(
     kind: ErrorKind,
     code: &'static str,
     no_effect: bool,
     closes: bool,
-) -> ErrorAnswer {
-    ErrorAnswer { kind, code, no_effect, closes }
+) -> ErrorReply {
+    ErrorReply { kind, code, no_effect, closes }
 }
 
 /// The reply to each error kind, in the order of the enum. Columns: error code, whether the
 /// statement is guaranteed to have no effect, whether the connection is closed.
-pub const ERROR_ANSWERS: [ErrorAnswer; 13] = [
-    error_answer(ErrorKind::Malformed, "MALFORMED", false, false),
-    error_answer(ErrorKind::TooLarge, "TOOLARGE", false, true),
-    error_answer(ErrorKind::NotFound, "NOTFOUND", false, false),
-    error_answer(ErrorKind::NoDatabase, "NODATABASE", false, true),
-    error_answer(ErrorKind::Throttled, "THROTTLED", true, false),
-    error_answer(ErrorKind::RolledBack, "ROLLEDBACK", true, false),
-    error_answer(ErrorKind::Lagging, "LAGGING", true, false),
-    error_answer(ErrorKind::ReadOnly, "READONLY", true, false),
-    error_answer(ErrorKind::WrongNode, "WRONGNODE", true, false),
-    error_answer(ErrorKind::ConnLimit, "CONNLIMIT", true, false),
-    error_answer(ErrorKind::Failed, "FAILED", false, false),
-    error_answer(ErrorKind::TimedOut, "TIMEDOUT", false, false),
-    error_answer(ErrorKind::Unknown, "UNKNOWN", false, false),
+pub const ERROR_REPLIES: [ErrorReply; 13] = [
+    error_reply(ErrorKind::Malformed, "MALFORMED", false, false),
+    error_reply(ErrorKind::TooLarge, "TOOLARGE", false, true),
+    error_reply(ErrorKind::NotFound, "NOTFOUND", false, false),
+    error_reply(ErrorKind::NoDatabase, "NODATABASE", false, true),
+    error_reply(ErrorKind::Throttled, "THROTTLED", true, false),
+    error_reply(ErrorKind::RolledBack, "ROLLEDBACK", true, false),
+    error_reply(ErrorKind::Lagging, "LAGGING", true, false),
+    error_reply(ErrorKind::ReadOnly, "READONLY", true, false),
+    error_reply(ErrorKind::WrongNode, "WRONGNODE", true, false),
+    error_reply(ErrorKind::ConnLimit, "CONNLIMIT", true, false),
+    error_reply(ErrorKind::Failed, "FAILED", false, false),
+    error_reply(ErrorKind::TimedOut, "TIMEDOUT", false, false),
+    error_reply(ErrorKind::Unknown, "UNKNOWN", false, false),
 ];
 
 impl ErrorKind {
-    /// The row of the kind in [`ERROR_ANSWERS`].
-    pub fn answer(self) -> &'static ErrorAnswer {
-        &ERROR_ANSWERS[self as usize]
+    /// The row of the kind in [`ERROR_REPLIES`].
+    pub fn reply(self) -> &'static ErrorReply {
+        &ERROR_REPLIES[self as usize]
     }
     /// The kind with this error code.
     pub fn from_code(code: &str) -> Option<Self> {
-        ERROR_ANSWERS.iter().find(|row| row.code == code).map(|row| row.kind)
+        ERROR_REPLIES.iter().find(|row| row.code == code).map(|row| row.kind)
     }
 }
 
 impl fmt::Display for ErrorKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(self.answer().code)
+        f.write_str(self.reply().code)
     }
 }
 
@@ -115,7 +115,7 @@
 }
 
 /// The response that reports a refusal, and what it guarantees.
-pub struct RefusalAnswer {
+pub struct RefusalResponse {
     /// The refusal of this row.
     pub refusal: Refusal,
     /// The HTTP status code.
@@ -128,33 +128,33 @@
     pub closes: bool,
 }
 
-const fn refusal_answer(
+const fn refusal_response(
     refusal: Refusal,
     status: u16,
     reason: &'static str,
     no_effect: bool,
     closes: bool,
-) -> RefusalAnswer {
-    RefusalAnswer { refusal, status, reason, no_effect, closes }
+) -> RefusalResponse {
+    RefusalResponse { refusal, status, reason, no_effect, closes }
 }
 
 /// The response to each refusal, in the order of the enum. Columns: status code, reason phrase,
 /// whether the request is guaranteed not to be executed, whether the connection is closed.
-pub const REFUSAL_ANSWERS: [RefusalAnswer; 8] = [
-    refusal_answer(Refusal::Malformed, 400, "Bad Request", false, true),
-    refusal_answer(Refusal::NoRoute, 404, "Not Found", false, false),
-    refusal_answer(Refusal::RequestTimeout, 408, "Request Timeout", true, true),
-    refusal_answer(Refusal::TooLarge, 413, "Content Too Large", false, true),
-    refusal_answer(Refusal::HeadTooLarge, 431, "Request Header Fields Too Large", false, true),
-    refusal_answer(Refusal::Unavailable, 503, "Service Unavailable", true, false),
-    refusal_answer(Refusal::BadGateway, 502, "Bad Gateway", false, false),
-    refusal_answer(Refusal::GatewayTimeout, 504, "Gateway Timeout", false, false),
+pub const REFUSAL_RESPONSES: [RefusalResponse; 8] = [
+    refusal_response(Refusal::Malformed, 400, "Bad Request", false, true),
+    refusal_response(Refusal::NoRoute, 404, "Not Found", false, false),
+    refusal_response(Refusal::RequestTimeout, 408, "Request Timeout", true, true),
+    refusal_response(Refusal::TooLarge, 413, "Content Too Large", false, true),
+    refusal_response(Refusal::HeadTooLarge, 431, "Request Header Fields Too Large", false, true),
+    refusal_response(Refusal::Unavailable, 503, "Service Unavailable", true, false),
+    refusal_response(Refusal::BadGateway, 502, "Bad Gateway", false, false),
+    refusal_response(Refusal::GatewayTimeout, 504, "Gateway Timeout", false, false),
 ];
 
 impl Refusal {
-    /// The row of the refusal in [`REFUSAL_ANSWERS`].
-    pub fn answer(self) -> &'static RefusalAnswer {
-        &REFUSAL_ANSWERS[self as usize]
+    /// The row of the refusal in [`REFUSAL_RESPONSES`].
+    pub fn response(self) -> &'static RefusalResponse {
+        &REFUSAL_RESPONSES[self as usize]
     }
 }
 
--- a/src/gateway/request_handling.rs
+++ b/src/gateway/request_handling.rs
@@ -115,7 +115,7 @@
         match self.forward(&mut request, client)? {
             ForwardResult::Refused { refusal, retry_after_ms } => {
                 let has_unread_body = request.remaining_body.is_some();
-                let after = after.or_close_if(refusal.answer().closes || has_unread_body);
+                let after = after.or_close_if(refusal.response().closes || has_unread_body);
                 self.refuse(client, refusal, retry_after_ms, after)?;
                 Ok(after)
             }
--- a/src/gateway/responses.rs
+++ b/src/gateway/responses.rs
@@ -179,8 +179,8 @@
         retry_after_ms: u64,
         after: AfterResponse,
     ) -> io::Result<()> {
-        let answer = refusal.answer();
-        let mut out = format!("HTTP/1.1 {} {}\r\n", answer.status, answer.reason).into_bytes();
+        let response = refusal.response();
+        let mut out = format!("HTTP/1.1 {} {}\r\n", response.status, response.reason).into_bytes();
         append_header(&mut out, "Content-Length", b"0");
         if refusal == Refusal::Unavailable {
             let seconds = format!("{:.3}", retry_after_ms as f64 / 1_000.0);
--- a/tests/reroute.rs
+++ b/tests/reroute.rs
@@ -1,6 +1,6 @@
 //! Unit tests of the pooler's parts that do no I/O: the reroute rules, admission, latency
 //! estimates, quotas, watermarks and drain periods.
-use silvertack::base::errors::{ERROR_ANSWERS, ErrorKind};
+use silvertack::base::errors::{ERROR_REPLIES, ErrorKind};
 use silvertack::base::ids::{DbTerm, Position};
 use silvertack::base::time::Tick;
 use silvertack::net::statement_protocol::{self, Line, TransactionState};
@@ -179,12 +179,12 @@
 
 #[test]
 fn errors_with_an_unknown_outcome_never_exclude_that_the_statement_took_effect() {
-    for row in &ERROR_ANSWERS {
-        assert_eq!(row.kind.answer().code, row.code, "the table is in the order of the kinds");
+    for row in &ERROR_REPLIES {
+        assert_eq!(row.kind.reply().code, row.code, "the table is in the order of the kinds");
         assert_eq!(ErrorKind::from_code(row.code), Some(row.kind));
     }
     for kind in [ErrorKind::Unknown, ErrorKind::TimedOut, ErrorKind::Failed] {
-        assert!(!kind.answer().no_effect, "{kind}");
+        assert!(!kind.reply().no_effect, "{kind}");
     }
 }
 
