--- a/src/cli.rs
+++ b/src/cli.rs
@@ -295,8 +295,8 @@
     location.strip_prefix("http://")?.split('/').next()?.parse().ok()
 }
 
-/// Runs schedules of random faults; prints the seed and the violation of each schedule that
-/// violated a guarantee.
+/// Runs schedules of random faults. For each schedule that violated a guarantee, prints the
+/// violation and the seed that reproduces it.
 fn simulate(first_seed: u64, schedules: u64, jobs: u64) -> Result<(), CommandError> {
     let (next, broken) = (AtomicU64::new(0), AtomicU64::new(0));
     std::thread::scope(|threads| {
--- a/src/config/configuration.rs
+++ b/src/config/configuration.rs
@@ -1,6 +1,6 @@
 //! The operator's configuration in JSON: routes, services and limits.
 //!
-//! A controller validates a configuration before applying it, and again when it reads it from the
+//! A controller validates a configuration before putting it in force, and again when it reads it from the
 //! replicated state.
 use crate::base::ids::{Revision, ServiceName};
 use serde::{Deserialize, Serialize};
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -317,7 +317,7 @@
                 Some(settings)
             }
             Err(e) => {
-                warn!(target: "settings", "reload failed, current settings stay in effect: {e}");
+                warn!(target: "settings", "reload failed, current settings stay in force: {e}");
                 None
             }
         }
--- a/src/controller/committed_entries.rs
+++ b/src/controller/committed_entries.rs
@@ -224,7 +224,7 @@
             let replicas: Vec<String> = departed.keys().map(|id| id.to_string()).collect();
             info!(
                 target: "failover",
-                "{service}: enough listed replicas hold all commits of departed replicas {}",
+                "{service}: enough registered replicas hold all commits of departed replicas {}",
                 replicas.join(", ")
             );
         }
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -158,14 +158,14 @@
     R: Fn() -> bool + Send + Sync + 'static,
     S: Fn() -> serde_json::Value + Send + Sync + 'static,
 {
-    let answer = move |request: Request| match (request.method.as_str(), request.path.as_str()) {
+    let handle = move |request: Request| match (request.method.as_str(), request.path.as_str()) {
         ("GET", "/readiness") if ready() => Response::ok(),
         ("GET", "/readiness") => Response::error(503, "not ready"),
         ("GET", "/status") => Response::json(200, status().to_string().into_bytes()),
         (_, "/readiness" | "/status") => Response::error(405, "not with this method"),
         _ => Response::error(404, "no such path"),
     };
-    serve(listen(at)?, "readiness", MAX_READINESS_CONNECTIONS, answer)
+    serve(listen(at)?, "readiness", MAX_READINESS_CONNECTIONS, handle)
         .map_err(|e| Fatal::Listen(at.to_string(), e))
 }
 
--- a/src/net/leader_connection.rs
+++ b/src/net/leader_connection.rs
@@ -20,7 +20,8 @@
 use std::time::Duration;
 
 /// The time-out of an attempt for connecting, and again for receiving the first response. Generous,
-/// since both take long over a congested link; other controllers are contacted in the meantime.
+/// since both take long over a congested link. An unreachable controller does not delay the search
+/// further, because the other controllers are contacted in the meantime.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How long sent data may be unacknowledged before the connection fails.
@@ -29,7 +30,8 @@
 /// How long sending a message may block because the kernel's send buffer is full.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The connection is lost if no message is received for this long. The leader responds to lease
+/// The connection counts as lost if no message is received for this long. The leader responds to
+/// lease
 /// renewals far more often.
 const READ_TIMEOUT: Duration = Duration::from_millis(1_200);
 
--- a/src/net/rpc/pooler_messages.rs
+++ b/src/net/rpc/pooler_messages.rs
@@ -127,7 +127,7 @@
     DirectoryDelta {
         /// Databases that are new or changed.
         upserted: Vec<DirectoryEntry>,
-        /// Databases that left the directory.
+        /// The databases that departed from the directory.
         removed: Vec<InstanceId>,
     },
     /// The response to [`ToController::RenewLeases`]; renews every lease granted on this
--- a/src/state_machine/configuration_history.rs
+++ b/src/state_machine/configuration_history.rs
@@ -31,7 +31,7 @@
         revision: Revision,
         body: &[u8],
     ) -> CommandOutcome {
-        // A retry of an accepted configuration always succeeds, even if a newer one is active.
+        // A retry of an accepted configuration always succeeds, even if a newer one is in force.
         if self.accepted.get(&revision).is_some_and(|digest| digest.matches(body)) {
             CommandOutcome::NoChange
         } else if base != self.revision {
--- a/tests/compatibility.rs
+++ b/tests/compatibility.rs
@@ -845,7 +845,7 @@
     assert_eq!(state_machine.primaries()[&"t".into()].intent, None);
     let departed = BTreeMap::from([("d3".into(), 204), ("d4".into(), 205)]);
     assert_eq!(state_machine.departed_replicas(&"s".into()), departed);
-    // Both kinds of digests match only their own body, and databases that left stay removed.
+    // Both kinds of digests match only their own body, and departed databases stay removed.
     let now = configuration(161, &ROUTE_TYPES[..2]);
     for (revision, body, effect) in [
         (160, FNV_DIGEST_BODY, CommandOutcome::NoChange),
@@ -880,7 +880,7 @@
     for state_on_disk in [reencoded, expected] {
         let _ = std::fs::remove_dir_all(&new);
         let InitializedStorage { storage, restarted, .. } =
-            RaftStorage::open_or_initialize(&new, || state_on_disk).expect("founded");
+            RaftStorage::open_or_initialize(&new, || state_on_disk).expect("initialized");
         drop(storage);
         assert!(!restarted);
         assert_eq!(dump(&new), STATE);
--- a/tests/interfaces.rs
+++ b/tests/interfaces.rs
@@ -251,11 +251,11 @@
 fn status_keys_and_readiness_responses_of_a_pooler_and_its_controller() {
     let databases = StandIn::start("ledger", 2).expect("databases");
     let machine = Machine::new("shown-pooler", "", Some(databases.platform));
-    let supply = || {
+    let configure = || {
         machine.put_configuration("ledger");
         databases.start_heartbeats(machine.admin, Duration::from_millis(200));
     };
-    check_readiness_and_status(&machine, "pooler", supply, |status| {
+    check_readiness_and_status(&machine, "pooler", configure, |status| {
         let database_count = status["databases"].as_array().map_or(0, Vec::len);
         database_count == 2 && status["services"][0]["primary"].is_string()
     });
@@ -265,7 +265,7 @@
 fn status_keys_and_readiness_responses_of_a_gateway() {
     let databases = StandInEndpoints::start("query", 2).expect("databases");
     let machine = Machine::new("shown-gateway", "rollout = \"api\"\n", None);
-    let supply = || {
+    let configure = || {
         machine.put_configuration("query");
         eventually("databases", || databases.send_heartbeats(machine.admin, 1));
         // The last heartbeat repeats the state of the one before; the others change it.
@@ -277,7 +277,7 @@
             assert_eq!(response, (200, body), "{sequence}");
         }
     };
-    check_readiness_and_status(&machine, "gateway", supply, |status| {
+    check_readiness_and_status(&machine, "gateway", configure, |status| {
         status["databases"].as_array().map_or(0, Vec::len) == 2
     });
 }
--- a/tests/leader_discovery.rs
+++ b/tests/leader_discovery.rs
@@ -88,7 +88,7 @@
     TcpStream::connect(to)
 }
 
-/// A configuration must be in effect within three seconds at every connected node, including the
+/// A configuration must be in force within three seconds at every connected node, including the
 /// time to find the leader.
 #[test]
 fn a_node_finds_the_leader_over_a_congested_link_and_among_unresponsive_controllers() {
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -87,7 +87,7 @@
             "{what}: applied to another base"
         );
     }
-    // A delta that refers to entries beyond the base is rejected.
+    // A delta that refers to entries beyond the base is rejected as a whole.
     let mut invalid = base.delta_from(&base);
     invalid.entries = vec![DeltaRun::Same { from: 3, count: 2 }];
     assert_eq!(base.apply(&invalid), None);
--- a/tests/support/processes.rs
+++ b/tests/support/processes.rs
@@ -138,6 +138,6 @@
 
 /// The status document of a process; null if it does not respond.
 pub(crate) fn status(at: SocketAddr) -> serde_json::Value {
-    let answer = http(at, "GET", "/status", &[], "");
-    answer.ok().and_then(|(_, body)| serde_json::from_str(&body).ok()).unwrap_or_default()
+    let response = http(at, "GET", "/status", &[], "");
+    response.ok().and_then(|(_, body)| serde_json::from_str(&body).ok()).unwrap_or_default()
 }
