--- a/src/base/errors.rs
+++ b/src/base/errors.rs
@@ -100,7 +100,7 @@
     Malformed,
     /// No route matches the request.
     NoRoute,
-    /// The client did not send the request within the time-out.
+    /// The client did not send the request within the timeout.
     RequestTimeout,
     /// The request's body is too large.
     TooLarge,
@@ -110,7 +110,7 @@
     Unavailable,
     /// A database may have executed the request, but returned no valid response.
     BadGateway,
-    /// A database may have executed the request, but did not respond within the time-out.
+    /// A database may have executed the request, but did not respond within the timeout.
     GatewayTimeout,
 }
 
--- a/src/base/worker_pool.rs
+++ b/src/base/worker_pool.rs
@@ -4,7 +4,7 @@
 //! thread for each would cost more than the job, idle threads wait for another job. Each process
 //! has one pool.
 //!
-//! The threads are never joined. A job is bounded by the time-outs of its sockets, an idle thread
+//! The threads are never joined. A job is bounded by the timeouts of its sockets, an idle thread
 //! exits after `IDLE_TIMEOUT`, and a loop runs until its input or the process ends. A process ends
 //! by returning from `main` without waiting for any thread: the main loop itself does everything
 //! that must be completed before.
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -21,7 +21,7 @@
 /// leader.
 const MAX_REDIRECTS: usize = 2;
 
-/// The time-out of a call.
+/// The timeout of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// A connection pooler, an API gateway, and the control plane that configures both.
--- a/src/config/configuration.rs
+++ b/src/config/configuration.rs
@@ -79,7 +79,7 @@
     pub path_prefix: String,
     /// How statements or requests are handled.
     pub route_type: RouteType,
-    /// The time-out of a statement or request, in milliseconds.
+    /// The timeout of a statement or request, in milliseconds.
     #[validate(range(min = 1))]
     pub timeout_ms: u64,
     /// The latency target, in milliseconds; 0 for none.
--- a/src/net/http.rs
+++ b/src/net/http.rs
@@ -43,7 +43,7 @@
 /// connection with unread data resets it, and the response might not reach the client.
 const MAX_DISCARD_READS: usize = 512;
 
-/// The time-out of each read that discards data.
+/// The timeout of each read that discards data.
 const DISCARD_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// An HTTP request as received by [`serve`].
--- a/src/net/leader_connection.rs
+++ b/src/net/leader_connection.rs
@@ -19,7 +19,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// The time-out of an attempt for connecting, and again for receiving the first response. Generous,
+/// The timeout of an attempt for connecting, and again for receiving the first response. Generous,
 /// since both take long over a congested link. An unreachable controller does not delay the search
 /// further, because the other controllers are contacted in the meantime.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(2);
@@ -51,7 +51,7 @@
     fn on_message(&self, message: ToPooler);
 }
 
-/// Opens a connection to a controller within a time-out.
+/// Opens a connection to a controller within a timeout.
 pub type Connect = fn(SocketAddr, Duration) -> io::Result<TcpStream>;
 
 /// A connection to the leader, which is re-established whenever it is lost.
--- a/src/net/rpc/pooler_messages.rs
+++ b/src/net/rpc/pooler_messages.rs
@@ -21,7 +21,7 @@
     /// Connections to it failed or were refused.
     #[serde(rename = "Broken")]
     ConnectionsBroken,
-    /// Statements are pending there, but nothing was received within the time-out.
+    /// Statements are pending there, but nothing was received within the timeout.
     #[serde(rename = "Silent")]
     NoResponse,
 }
--- a/src/net/rpc/raft_messages.rs
+++ b/src/net/rpc/raft_messages.rs
@@ -34,7 +34,7 @@
     true
 }
 
-/// The response to a process that asks to join the cluster, or whether it is still a member.
+/// The response to a process that asks to join the cluster, or asks whether it is still a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JoinResponse {
     /// The sender is not the leader. Contains the leader's peer address, if it is known.
--- a/src/net/sockets.rs
+++ b/src/net/sockets.rs
@@ -4,7 +4,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// The time-out of a connection attempt between machines of the deployment. If the first packet is
+/// The timeout of a connection attempt between machines of the deployment. If the first packet is
 /// lost, a new attempt is faster than the kernel's retransmission after one second.
 pub const PEER_CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
--- a/src/net/statement_protocol.rs
+++ b/src/net/statement_protocol.rs
@@ -372,7 +372,7 @@
     /// The line is longer than [`MAX_MESSAGE_BYTES`].
     #[error("line longer than {MAX_MESSAGE_BYTES} bytes")]
     TooLarge,
-    /// Nothing was received within the time-out of the socket. An incomplete line stays buffered.
+    /// Nothing was received within the timeout of the socket. An incomplete line stays buffered.
     #[error("nothing received within the time-out")]
     TimedOut,
     /// The connection failed.
--- a/tests/interfaces.rs
+++ b/tests/interfaces.rs
@@ -300,7 +300,7 @@
     let child = command.stdout(Stdio::null()).stderr(Stdio::piped()).spawn();
     let mut process = Process(child.expect("run"));
     let start = Instant::now();
-    while process.0.try_wait().expect("asked").is_none() {
+    while process.0.try_wait().expect("process state").is_none() {
         assert!(start.elapsed() < Duration::from_secs(20), "{arguments:?} did not exit");
         std::thread::sleep(Duration::from_millis(5));
     }
