--- a/src/net/rpc/pooler_messages.rs
+++ b/src/net/rpc/pooler_messages.rs
@@ -96,8 +96,8 @@
     #[serde(rename = "Whole")]
     RequestFullTable,
     /// Announces that the node shuts down gracefully. Before it, the node sends a `RevokeAck` with
-    /// the highest commit that it forwarded for each lease; for a lease without one, that position is
-    /// unknown.
+    /// the highest commit that it forwarded for each lease; for a lease without one, that position
+    /// is unknown.
     #[serde(rename = "Bye")]
     Goodbye,
 }
