--- a/src/net/rpc/pooler_messages.rs
+++ b/src/net/rpc/pooler_messages.rs
@@ -21,7 +21,7 @@
     /// Connections to it failed or were refused.
     #[serde(rename = "Broken")]
     ConnectionsBroken,
-    /// Statements are pending there, but nothing was received within the time-out.
+    /// Statements are pending there, but nothing was received within the timeout.
     #[serde(rename = "Silent")]
     NoResponse,
 }
@@ -96,8 +96,8 @@
     #[serde(rename = "Whole")]
     RequestFullTable,
     /// Announces that the node shuts down gracefully. Before it, the node sends a `RevokeAck` with
-    /// the highest commit that it forwarded for each lease; for a lease without one, that position is
-    /// unknown.
+    /// the highest commit that it forwarded for each lease; for a lease without one, that position
+    /// is unknown.
     #[serde(rename = "Bye")]
     Goodbye,
 }
@@ -127,7 +127,7 @@
     DirectoryDelta {
         /// Databases that are new or changed.
         upserted: Vec<DirectoryEntry>,
-        /// Databases that left the directory.
+        /// The databases that departed from the directory.
         removed: Vec<InstanceId>,
     },
     /// The response to [`ToController::RenewLeases`]; renews every lease granted on this
